--- a/cmd/cometrack/main.go
+++ b/cmd/cometrack/main.go
@@ -11,7 +11,7 @@
 	"runtime"
 	"syscall"
 
-	"ravenmount/internal/node"
+	"rundeal/internal/node"
 )
 
 func main() {
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -9,8 +9,8 @@
 	"io"
 	"os"
 
-	"ravenmount/internal/wire"
-	"ravenmount/logic"
+	"rundeal/internal/wire"
+	"rundeal/logic"
 )
 
 func main() {
--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -20,7 +20,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"ravenmount/internal/hollow"
+	"rundeal/internal/hollow"
 )
 
 // commands is the command line.
--- a/cmd/hollow/main_test.go
+++ b/cmd/hollow/main_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"ravenmount/internal/hollow"
+	"rundeal/internal/hollow"
 )
 
 const quick = "title = \"a quick one\"\nduration = \"2s\"\ndrain = \"1s\"\n[fleet]\nsenders = 2\n"
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -22,8 +22,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"ravenmount/internal/faultinject"
-	"ravenmount/internal/soak"
+	"rundeal/internal/faultinject"
+	"rundeal/internal/soak"
 )
 
 // options is the command line.
--- a/internal/faultinject/build.go
+++ b/internal/faultinject/build.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"ravenmount/internal/clock"
+	"rundeal/internal/clock"
 )
 
 //go:embed overlay/syscall.go.txt
--- a/internal/hollow/call.go
+++ b/internal/hollow/call.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // call is one attempt at an endpoint, as the sender and the endpoint have it.
--- a/internal/hollow/clock.go
+++ b/internal/hollow/clock.go
@@ -5,7 +5,7 @@
 	"hash/fnv"
 	"math/rand/v2"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // event is something that happens at a time. Those of one time happen in the order in which they were set.
--- a/internal/hollow/destination.go
+++ b/internal/hollow/destination.go
@@ -4,7 +4,7 @@
 	"math"
 	"math/rand/v2"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // How a destination is down.
--- a/internal/hollow/discovery.go
+++ b/internal/hollow/discovery.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"math"
 
-	"ravenmount/internal/node"
-	"ravenmount/logic"
+	"rundeal/internal/node"
+	"rundeal/logic"
 )
 
 // kindName is the machine type of all endpoints.
--- a/internal/hollow/doc.go
+++ b/internal/hollow/doc.go
@@ -11,9 +11,9 @@
 //
 // # What is real
 //
-//   - [ravenmount/logic.Sender], one for each sender, stepped as the loop of
+//   - [rundeal/logic.Sender], one for each sender, stepped as the loop of
 //     internal/node does: with all that has come, at most once a tick.
-//   - [ravenmount/internal/node.Directory], which turns lists into the module's
+//   - [rundeal/internal/node.Directory], which turns lists into the module's
 //     entries, fed with the same lists and changes as from discovery.
 //   - What the journal keeps of a message (attempts, whether one may have run, and
 //     when and in which zone the first of these went), and how a start hands that
--- a/internal/hollow/faults.go
+++ b/internal/hollow/faults.go
@@ -1,7 +1,7 @@
 package hollow
 
 import (
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // inject begins a fault of the timeline.
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // What the trace notes.
--- a/internal/hollow/fleet_test.go
+++ b/internal/hollow/fleet_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // small is a short scenario with all that can go wrong.
--- a/internal/hollow/live.go
+++ b/internal/hollow/live.go
@@ -20,8 +20,8 @@
 	"text/tabwriter"
 	"time"
 
-	"ravenmount/internal/node"
-	"ravenmount/logic"
+	"rundeal/internal/node"
+	"rundeal/logic"
 )
 
 const (
--- a/internal/hollow/network.go
+++ b/internal/hollow/network.go
@@ -3,7 +3,7 @@
 import (
 	"math/rand/v2"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // machine is where a sender or an endpoint runs.
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 const (
--- a/internal/hollow/scenario.go
+++ b/internal/hollow/scenario.go
@@ -16,7 +16,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // Span is a length of time, written as 12s or 350ms. It is no number itself: one without a unit is an error.
--- a/internal/hollow/sender.go
+++ b/internal/hollow/sender.go
@@ -6,9 +6,9 @@
 	"strconv"
 	"time"
 
-	"ravenmount/internal/node"
-	"ravenmount/internal/wire"
-	"ravenmount/logic"
+	"rundeal/internal/node"
+	"rundeal/internal/wire"
+	"rundeal/logic"
 )
 
 const (
--- a/internal/hollow/standin_test.go
+++ b/internal/hollow/standin_test.go
@@ -4,7 +4,7 @@
 	"math"
 	"testing"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 func micros(s float64) logic.Micros { return seconds(s).Micros }
--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -16,7 +16,7 @@
 	"strings"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 const (
--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 func newReader(s string) *bufio.Reader { return bufio.NewReader(strings.NewReader(s)) }
--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // maxBulkBody bounds the body of a bulk call; one that would be longer goes as several.
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // bulkStep is a sender that is not running and has decided to send each message to an endpoint of a kind that
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 const (
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 func newCall(t *testing.T, addr, body string, giveUp time.Duration) *call {
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"ravenmount/internal/clock"
+	"rundeal/internal/clock"
 )
 
 const (
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -11,8 +11,8 @@
 	"os"
 	"strconv"
 
-	"ravenmount/internal/wire"
-	"ravenmount/logic"
+	"rundeal/internal/wire"
+	"rundeal/logic"
 )
 
 // Limits are the bounds that the platform sets for the process.
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 const (
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"ravenmount/internal/faultinject"
+	"rundeal/internal/faultinject"
 )
 
 // faultyProgram is the program with fault injection, built once for all tests.
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -5,7 +5,7 @@
 	"strings"
 	"sync/atomic"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 const figurePrefix = "edge_balancer."
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"ravenmount/internal/clock"
-	"ravenmount/logic"
+	"rundeal/internal/clock"
+	"rundeal/logic"
 )
 
 // packet is what the two processes of a replacement tell each other once they have greeted: the owner its state, the
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // upgradeWorld is a program with an endpoint, and where the next one is to start.
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"ravenmount/internal/clock"
+	"rundeal/internal/clock"
 )
 
 // Message is a message as a client handed it in.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"ravenmount/internal/clock"
-	"ravenmount/logic"
+	"rundeal/internal/clock"
+	"rundeal/logic"
 )
 
 const (
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // owed lists what a stopped sender has left in its journal.
--- a/internal/node/permit.go
+++ b/internal/node/permit.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // permits decides whether something may be sent, repeated, written, given up, closed or begun now. It goes by what
--- a/internal/node/permit_test.go
+++ b/internal/node/permit_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // Each rule is broken by hand, one at a time: the send is denied, and counted under its name.
--- a/internal/node/put.go
+++ b/internal/node/put.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 const (
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // listSizes are numbers of endpoints, up to those that are expected within two years.
--- a/internal/node/trail.go
+++ b/internal/node/trail.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // outcomeNames are for the people on call.
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"ravenmount/internal/faultinject"
+	"rundeal/internal/faultinject"
 )
 
 // Times of a process, as the platform has them.
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"ravenmount/internal/faultinject"
+	"rundeal/internal/faultinject"
 )
 
 // Effect is what a repeat of a message does, in the words of the settings.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // setup is the JSON object that an instance gets at start. Unknown keys are
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // Item is one event of a frame with the instance that it is for. Exactly one of
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 func TestTimesAreExact(t *testing.T) {
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"ravenmount/logic"
+	"rundeal/logic"
 )
 
 // A message from arrival through a refusal with a wait to delivery.
