--- a/internal/hollow/sender.go
+++ b/internal/hollow/sender.go
@@ -251,7 +251,7 @@
 		s.wake()
 	}
 	s.unseen = slices.DeleteFunc(s.unseen, func(n *noting) bool {
-		if !slices.ContainsFunc(n.eps, s.module.Out) {
+		if !slices.ContainsFunc(n.eps, s.module.Ejected) {
 			return false
 		}
 		f.rec.notice(f.now - n.from)
--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -15,9 +15,9 @@
 			continue
 		}
 		r.step(at+0.03, answer(c.ID, 1, 0, Full), ClientGone{c.ID})
-		r.s.dests[9].lane.pace = 0 // the pace is not what is tested
+		r.s.dests[9].limiter.pace = 0 // the pace is not what is tested
 	}
-	if c := r.s.capacity(r.s.eps[1]); c != 6 {
+	if c := r.s.capacity(r.s.endpoints[1]); c != 6 {
 		t.Errorf("capacity %v after a second in which 6 calls of 12 were served", c)
 	}
 }
@@ -31,7 +31,7 @@
 	}{{1.5, false}, {2.5, true}} {
 		r := newRig(t, base())
 		r.step(0, list(1))
-		e := r.s.eps[1]
+		e := r.s.endpoints[1]
 		r.s.now = sec(1)
 		r.s.succeeded(e, sec(0.9))
 		r.s.now = sec(20)
@@ -57,7 +57,7 @@
 	at += 1 // a quiet second: the pace starts low
 	c := only[CallOut](r.step(at, r.call(0)))[0]
 	r.step(at+0.01, answer(c.ID, 1, 0, Full))
-	l := r.s.dests[9].lane
+	l := r.s.dests[9].limiter
 	if l.pace == 0 {
 		t.Fatal("a refusal set no pace")
 	}
@@ -83,8 +83,8 @@
 	news.Entries[0].Nominal = rate
 	evs := []Event{news}
 	r.step(0, evs...)
-	e := r.s.eps[1]
-	e.cold, e.backAt = true, Second
+	e := r.s.endpoints[1]
+	e.cold, e.upAt = true, Second
 	for range 600 {
 		evs = append(evs, r.call(2))
 	}
@@ -100,7 +100,7 @@
 		for x := at - 3; x < at; x += 0.01 {
 			most += 0.01 * set.FallMultiple * rate * (0.15 + 0.85*max(x-1, 0)/9.5)
 		}
-		if n := since(sent, sec(at-3)); float64(n) > most+1 {
+		if n := countAfter(sent, sec(at-3)); float64(n) > most+1 {
 			t.Fatalf("%.2f s after the return: %d calls in a window, want %.0f at most", at-1, n, most)
 		}
 	}
--- a/logic/churn_test.go
+++ b/logic/churn_test.go
@@ -35,21 +35,21 @@
 		now += Second
 		s.Step(now, []Event{Reply{ID: name, NoMore: true, Endpoint: id, Outcome: Completed, Took: Second / 10}})
 		now += Second
-		if len(s.eps) > 60 || len(s.gone) > 60 || len(s.dests) > 20 || len(s.order) != len(s.dests) ||
-			len(s.keys) > 10 || len(s.msgs) > 0 {
-			t.Fatalf("after %d: %d endpoints, %d gone, %d destinations, %d keys, %d messages", i, len(s.eps),
-				len(s.gone), len(s.dests), len(s.keys), len(s.msgs))
+		if len(s.endpoints) > 60 || len(s.removed) > 60 || len(s.dests) > 20 || len(s.destOrder) != len(s.dests) ||
+			len(s.keyQueues) > 10 || len(s.msgs) > 0 {
+			t.Fatalf("after %d: %d endpoints, %d gone, %d destinations, %d keys, %d messages", i, len(s.endpoints),
+				len(s.removed), len(s.dests), len(s.keyQueues), len(s.msgs))
 		}
 	}
 	s.Step(now, []Event{Call{ID: "out", Left: 1000 * Second, Dest: 200, Tenant: -1}})
 	s.Step(now, []Event{Endpoints{Entries: []Entry{{Endpoint: 2000, Dest: 200, State: Gone}}}})
 	s.Step(now+2*keepGone, nil)
-	if s.eps[2000] == nil {
+	if s.endpoints[2000] == nil {
 		t.Error("an endpoint with a call out is forgotten")
 	}
 	s.Step(now+2*keepGone, []Event{Reply{ID: "out", NoMore: true, Endpoint: 2000, Outcome: Completed}})
 	s.Step(now+3*keepGone, nil)
-	if s.eps[2000] != nil {
+	if s.endpoints[2000] != nil {
 		t.Error("an endpoint off the list without a call is kept")
 	}
 }
@@ -65,12 +65,12 @@
 	s.Step(0, []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}},
 		Call{ID: "a", Left: 10 * Second, Dest: 1, Tenant: -1}})
 	for i := range spoiltDown {
-		if s.eps[1].ejected {
+		if s.endpoints[1].ejected {
 			t.Fatalf("out after %d spoilt answers", i)
 		}
 		s.Step(Micros(i+1)*100_000, []Event{Reply{ID: "a", Attempt: i, Endpoint: 1, Outcome: Spoilt}})
 	}
-	if !s.eps[1].ejected {
+	if !s.endpoints[1].ejected {
 		t.Errorf("not out after %d spoilt answers in a row", spoiltDown)
 	}
 }
@@ -97,7 +97,7 @@
 				t.Fatal(err)
 			}
 			s.Step(0, []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}}})
-			e, now := s.eps[1], Micros(0)
+			e, now := s.endpoints[1], Micros(0)
 			for i, o := range x.outcomes {
 				id := string(rune('a' + i))
 				s.Step(now, []Event{Call{ID: id, Left: 10 * Second, Dest: 1, Tenant: -1}})
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -198,8 +198,8 @@
 	var load []float64
 	if f.set.ReportLimit >= 0 { // a limit over a second
 		limit := x.capacity * f.limit
-		x.accepted = trim(x.accepted, f.now-Second)
-		n := float64(since(x.accepted, f.now-Second) + 1)
+		x.accepted = dropBefore(x.accepted, f.now-Second)
+		n := float64(countAfter(x.accepted, f.now-Second) + 1)
 		full = full || n > limit
 		load = []float64{max(0, 1-n/limit), limit * (0.9 + 0.2*f.rnd.Float64())}
 	}
@@ -231,7 +231,7 @@
 		}
 		delete(c.m.calls, id)
 		c.open = slices.DeleteFunc(c.open, func(x string) bool { return x == id })
-		evs = append(evs, Reply{ID: id, Endpoint: c.ep, Attempt: c.m.s.msgs[id].out.n, Outcome: o, Took: f.now - c.sent,
+		evs = append(evs, Reply{ID: id, Endpoint: c.ep, Attempt: c.m.s.msgs[id].inFlight.number, Outcome: o, Took: f.now - c.sent,
 			Load: load, NoMore: o == Completed})
 	}
 	if len(evs) > 0 {
@@ -261,7 +261,7 @@
 			ramp := max(from, fleetBack) // until then it has ColdFrom
 			mean := (f.set.ColdFrom*seconds(ramp-from) + (f.share(ramp)+f.share(at))/2*seconds(at-ramp)) / seconds(w)
 			n := f.set.FallMultiple * mean * x.capacity * seconds(w)
-			worst = max(worst, float64(since(x.arrived[:i+1], from))/(n+2*math.Sqrt(n)+2))
+			worst = max(worst, float64(countAfter(x.arrived[:i+1], from))/(n+2*math.Sqrt(n)+2))
 		}
 	}
 	return worst
@@ -331,7 +331,7 @@
 			ramp := max(from, fleetBack)
 			mean := (f.set.ColdFrom*seconds(ramp-from) + (f.share(ramp)+f.share(at))/2*seconds(at-ramp)) / seconds(w)
 			n := f.set.FallMultiple * mean * x.capacity * seconds(w)
-			calls := since(x.arrived[:i+1], from)
+			calls := countAfter(x.arrived[:i+1], from)
 			told := 0
 			for _, known := range x.told[i+1-calls : i+1] {
 				if known {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -88,15 +88,15 @@
 		return nil, err
 	}
 	source := rand.NewPCG(seed, 0)
-	s := &Sender{set: set, source: source, rng: rand.New(source), now: math.MinInt64, askAt: never,
-		askGap: askGap, eps: map[EndpointID]*endpoint{}, dests: map[int64]*dest{}, msgs: map[string]*msg{},
-		keys: map[string]*keyLine{}, turned: map[int]float64{}, short: map[int]Micros{}}
+	s := &Sender{cfg: set, rngSource: source, rng: rand.New(source), now: math.MinInt64, askAt: never,
+		askGap: askGap, endpoints: map[EndpointID]*endpoint{}, dests: map[int64]*dest{}, msgs: map[string]*msg{},
+		keyQueues: map[string]*keyQueue{}, rejectRate: map[int]float64{}, scarceUntil: map[int]Micros{}}
 	if set.OnRequest {
 		s.askAt = math.MinInt64
 	}
-	s.many = set.Senders > manySenders
-	s.wait, s.few = newIndex(len(set.Classes)), fewWait
-	s.byClass, s.usage = make([]hist, len(set.Classes)), make([]usage, len(set.Tenants))
+	s.largeFleet = set.Senders > manySenders
+	s.waiting, s.fullScanMax = newWaitIndex(len(set.Classes)), fewWait
+	s.classLatency, s.tenantUsage = make([]histogram, len(set.Classes)), make([]tenantUsage, len(set.Tenants))
 	return s, nil
 }
 
@@ -104,19 +104,19 @@
 func (s *Sender) Step(now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
-	s.visits = 0
-	s.out, s.wake = nil, never
+	s.visitCount = 0
+	s.actions, s.wakeAt = nil, never
 	for _, ev := range events {
-		s.take(ev)
+		s.handleEvent(ev)
 	}
 	s.subscribe()
-	s.forget()
+	s.dropUnused()
 	s.endHopeless()
 	s.cutLong()
 	s.dispatch()
 	s.giveBack()
 	s.arm()
-	return s.out
+	return s.actions
 }
 
 // ---- Endpoint list -------------------------------------------------------------------
@@ -133,12 +133,12 @@
 	if s.askAt == never {
 		s.askGap = askGap
 	}
-	s.unsure = 0
+	s.listStaleUntil = 0
 	if ev.Form == ListCached {
-		s.unsure = s.now + listUnsure
+		s.listStaleUntil = s.now + listUnsure
 	}
 	if ev.Form != ListDelta {
-		s.keepOnly(ev.Entries)
+		s.removeUnlisted(ev.Entries)
 	}
 	for _, row := range ev.Entries {
 		s.entry(row)
@@ -146,45 +146,45 @@
 }
 
 func (s *Sender) entry(row Entry) {
-	e := s.eps[row.Endpoint]
+	e := s.endpoints[row.Endpoint]
 	if row.State == Gone {
 		if e != nil {
-			s.unlist(e)
+			s.removeEndpoint(e)
 		}
 		return
 	}
-	d := s.dest(row.Dest)
+	d := s.destByID(row.Dest)
 	d.kind = row.Kind
-	s.touch(d)
+	s.scheduleScan(d)
 	if e == nil || e.dest != d {
 		if e != nil {
-			s.unlist(e)
+			s.removeEndpoint(e)
 		}
-		e = &endpoint{id: row.Endpoint, dest: d, lane: d.lane, state: Gone}
-		e.lastOK, e.lastBad, e.lastSent, e.well, e.okSent = longAgo, longAgo, longAgo, longAgo, longAgo
-		if s.kind(d).Apart {
-			e.lane = &lane{}
+		e = &endpoint{id: row.Endpoint, dest: d, limiter: d.limiter, state: Gone}
+		e.lastOK, e.lastFail, e.lastSent, e.healthyAt, e.lastOKSent = longAgo, longAgo, longAgo, longAgo, longAgo
+		if s.kindOf(d).Apart {
+			e.limiter = &limiter{}
 		}
-		s.eps[e.id] = e
+		s.endpoints[e.id] = e
 		// A machine that joins a destination in trouble is as cold as the others: what topples it is shared.
-		for _, x := range d.eps {
-			if x.cold && e.lane == x.lane {
+		for _, x := range d.endpoints {
+			if x.cold && e.limiter == x.limiter {
 				s.setStatus(e, e.state, x.ejected)
-				e.cold, e.backAt, e.trialAt, e.lastBad, e.outAt = true, x.backAt, x.trialAt, x.lastBad, x.outAt
+				e.cold, e.upAt, e.trialAt, e.lastFail, e.ejectedAt = true, x.upAt, x.trialAt, x.lastFail, x.ejectedAt
 				e.downAt = x.downAt
 			}
 		}
 	}
 	if e.state == Gone {
-		d.eps = append(d.eps, e)
-		if len(d.eps) > 1 {
-			d.next = s.rng.IntN(len(d.eps))
+		d.endpoints = append(d.endpoints, e)
+		if len(d.endpoints) > 1 {
+			d.nextEndpoint = s.rng.IntN(len(d.endpoints))
 		}
 	}
 	s.setStatus(e, row.State, e.ejected)
 	e.zone = row.Zone
-	if s.set.Weights != WeightsOff && row.Nominal > 0 && !e.lane.told {
-		e.lane.limit = row.Nominal
+	if s.cfg.Weights != WeightsOff && row.Nominal > 0 && !e.limiter.reported {
+		e.limiter.limit = row.Nominal
 	}
 }
 
@@ -194,10 +194,10 @@
 		return
 	}
 	if s.now < s.askAt {
-		s.at(s.askAt)
+		s.wakeBy(s.askAt)
 		return
 	}
-	s.do(Listen{})
+	s.emit(Listen{})
 	s.askAt = never
 }
 
@@ -206,34 +206,34 @@
 // rate orders the queue: the worth that waiting a little longer would lose, for each second of a slot.
 func (s *Sender) rate(m *msg) float64 {
 	u := max(s.usual(m), 10_000)
-	soon := s.value(m, s.now+u)
-	loss := soon - s.value(m, s.now+u+lossAhead)
-	return m.share * (loss + 0.02*soon) / (float64(u) * float64(1+m.dest.lane.inflight))
+	soon := s.worthAt(m, s.now+u)
+	loss := soon - s.worthAt(m, s.now+u+lossAhead)
+	return m.worthShare * (loss + 0.02*soon) / (float64(u) * float64(1+m.dest.limiter.inFlight))
 }
 
 // shareOf is the part of its worth that a new message keeps: less while its tenant sends past its quota here,
 // taking an even part of the quota for this sender.
 func (s *Sender) shareOf(tenant int) float64 {
-	if tenant < 0 || tenant >= len(s.set.Tenants) || s.set.Tenants[tenant].QuotaRPS <= 0 {
+	if tenant < 0 || tenant >= len(s.cfg.Tenants) || s.cfg.Tenants[tenant].QuotaRPS <= 0 {
 		return 1
 	}
-	u := &s.usage[tenant]
-	u.n = u.n*math.Exp2(-seconds(s.now-u.at)/seconds(quotaHalf)) + 1
-	u.at = s.now
-	if u.n*math.Ln2/seconds(quotaHalf) > s.set.Tenants[tenant].QuotaRPS/float64(s.set.Senders) {
-		return s.set.OverShareWorth
+	u := &s.tenantUsage[tenant]
+	u.count = u.count*math.Exp2(-seconds(s.now-u.updatedAt)/seconds(quotaHalf)) + 1
+	u.updatedAt = s.now
+	if u.count*math.Ln2/seconds(quotaHalf) > s.cfg.Tenants[tenant].QuotaRPS/float64(s.cfg.Senders) {
+		return s.cfg.OverShareWorth
 	}
 	return 1
 }
 
 // usual is the median served latency of m's destination, else of its class; 0 if neither is known.
-func (s *Sender) usual(m *msg) Micros { return s.usualAt(m.dest, m.ci) }
+func (s *Sender) usual(m *msg) Micros { return s.usualAt(m.dest, m.classIndex) }
 
 func (s *Sender) usualAt(d *dest, class int) Micros {
-	if d.hist.total >= minWeight {
-		return d.hist.median
+	if d.latency.total >= minWeight {
+		return d.latency.median
 	}
-	if h := &s.byClass[class]; h.total >= minWeight {
+	if h := &s.classLatency[class]; h.total >= minWeight {
 		return h.median
 	}
 	return 0
@@ -241,94 +241,94 @@
 
 // dispatch sends what the gate lets through, the most urgent first.
 func (s *Sender) dispatch() {
-	s.trials = s.onTrial()
+	s.trialsInFlight = s.countTrials()
 	q := s.candidates()
-	s.visits += len(q) + len(s.wait.looking)
+	s.visitCount += len(q) + len(s.waiting.scanned)
 	for _, m := range q {
-		m.prio = s.rate(m)
-		m.dest.rank = 0
+		m.priority = s.rate(m)
+		m.dest.queuedAhead = 0
 	}
-	slices.SortFunc(q, func(a, b *msg) int { return cmp.Or(cmp.Compare(b.prio, a.prio), a.seq-b.seq) })
+	slices.SortFunc(q, func(a, b *msg) int { return cmp.Or(cmp.Compare(b.priority, a.priority), a.seq-b.seq) })
 	for i, m := range q {
 		if s.send(m) {
 			continue
 		}
-		m.dest.rank += m.stands
+		m.dest.queuedAhead += m.weight
 		if !s.mayEnd(m) {
 			continue
 		}
 		// What the pace cannot send in time ends now, if the hold has little room: paces and limits come back.
 		p := s.destPace(m.dest)
-		if p > 0 && m.dest.rank/p > seconds(m.deadline-s.now-s.usual(m)) && s.crowd() > holdHalf {
+		if p > 0 && m.dest.queuedAhead/p > seconds(m.deadline-s.now-s.usual(m)) && s.heldFraction() > holdHalf {
 			s.end(m)
 			continue
 		}
 		// A nearly full hold gives up its least worthy rather than turning new messages away unseen.
-		if s.crowd() > holdFull && i >= len(q)-1 && !m.mayRun {
+		if s.heldFraction() > holdFull && i >= len(q)-1 && !m.mayRun {
 			s.end(m)
 		}
 	}
-	s.file(q, s.holdsItself)
+	s.recordScan(q, s.holdsItself)
 }
 
 // holdsItself says whether m is held back by what says nothing of other messages for its destination, and
 // whether for a known time.
 func (s *Sender) holdsItself(m *msg) (held, timed bool) {
-	l, c := m.line, m.class
-	if l != nil && l.q[0] != m || m.mayRun && c.ByZone {
+	l, c := m.keyQueue, m.class
+	if l != nil && l.messages[0] != m || m.mayRun && c.ByZone {
 		return true, false
 	}
-	timed = s.now < m.rest || l != nil && s.now < l.quiet && l.by != m ||
-		c.Effect == Unsafe && s.now < m.first+c.Aim
+	timed = s.now < m.retryAt || l != nil && s.now < l.quietUntil && l.quietExempt != m ||
+		c.Effect == Unsafe && s.now < m.submitted+c.Aim
 	return timed, timed
 }
 
 // free is the number of slots that may be taken: of all, and by trials.
 func (s *Sender) free() [2]int {
-	return [2]int{anySlot: max(s.set.Slots-s.busy, 0), trialSlot: max(s.trialsMost()-s.trials, 0)}
+	return [2]int{anySlot: max(s.cfg.Slots-s.busy, 0), trialSlot: max(s.trialsMost()-s.trialsInFlight, 0)}
 }
 
-func (s *Sender) trialsMost() int { return max(1, s.set.Slots*2/3) }
+func (s *Sender) trialsMost() int { return max(1, s.cfg.Slots*2/3) }
 
 // mayEnd says whether m may end for want of room: at the door, but once it is taken on and has surely not run
 // only when most of its time is gone. Paces come back, and a restart finds many that nothing was tried for.
 func (s *Sender) mayEnd(m *msg) bool {
-	return m.mayRun || m.fresh == s.step || float64(s.now-m.came) >= tryFor*float64(m.deadline-m.came)
+	return m.mayRun || m.newInStep == s.step || float64(s.now-m.arrived) >= tryFor*float64(m.deadline-m.arrived)
 }
 
 // send tries the endpoints of m's destination in rotation and reports whether one took it.
 func (s *Sender) send(m *msg) bool {
 	d := m.dest
 	best := math.Inf(1)
-	for _, e := range d.eps {
-		if e.slow > 0 && !e.ejected {
-			best = min(best, e.slow)
+	for _, e := range d.endpoints {
+		if e.smoothedLatency > 0 && !e.ejected {
+			best = min(best, e.smoothedLatency)
 		}
 	}
 	var pick *endpoint
 	rank := 99
-	for i := range d.eps {
-		e := d.eps[(d.next+i)%len(d.eps)]
+	for i := range d.endpoints {
+		e := d.endpoints[(d.nextEndpoint+i)%len(d.endpoints)]
 		ok, at := s.gate(m, e)
 		if !ok {
-			s.at(at)
-			d.backlog.soon = min(d.backlog.soon, at)
+			s.wakeBy(at)
+			d.backlog.earliestSend = min(d.backlog.earliestSend, at)
 			continue
 		}
 		r := 0
-		if !s.joins(e) {
+		if !s.joinsOpenCall(e) {
 			r++ // a call that leaves anyway comes first
 		}
-		if s.many && (s.now >= e.warm || e.inflight >= max(s.set.ConnCalls, 1)) {
+		if s.largeFleet && (s.now >= e.idleConnUntil || e.inFlight >= max(s.cfg.ConnCalls, 1)) {
 			r++ // among many senders connections rarely last until the rotation comes round again
 		}
-		if e == m.last {
+		if e == m.lastEndpoint {
 			r += 4 // a resend goes elsewhere where it can
 		}
-		if e.fulls > 1 {
+		if e.refusals > 1 {
 			r += 2 // refuses while others may not: draining, or a route at its limit
 		}
-		if e.slow > slowTimes*best && s.now < e.lastSent+slowProbe {
+		if e.smoothedLatency > slowTimes*best && s.now < e.lastSent+slowProbe {
 			r += 2
 		}
 		if r < rank {
@@ -339,32 +339,32 @@
 		return false
 	}
 	if m.tries == 0 && rank > 0 {
-		d.next = (slices.Index(d.eps, pick) + 1) % len(d.eps)
+		d.nextEndpoint = (slices.Index(d.endpoints, pick) + 1) % len(d.endpoints)
 	}
 	s.launch(m, pick)
 	return true
 }
 
 func (s *Sender) launch(m *msg, e *endpoint) {
-	if !s.joins(e) {
-		e.open = &call{step: s.step}
+	if !s.joinsOpenCall(e) {
+		e.openCall = &call{step: s.step}
 		s.busy++
-		e.lane.tokens--
-		e.lane.inflight++
-		e.inflight++
-		s.mark(e)
-		e.lane.phase = s.rng.Float64()
+		e.limiter.tokens--
+		e.limiter.inFlight++
+		e.inFlight++
+		s.recordCall(e)
+		e.limiter.jitter = s.rng.Float64()
 		if e.ejected {
 			s.backOff(e)
 		}
 	}
-	a, give := s.fly(m, e), m.deadline-s.now
-	if t := 2 * s.stuckAfter(e.dest, m); !s.set.MayCancel && (m.class.Effect == Safe ||
-		m.class.Effect == Keyed && s.now+t < m.firstMay+m.class.Window) {
+	a, give := s.startAttempt(m, e), m.deadline-s.now
+	if t := 2 * s.stuckAfter(e.dest, m); !s.cfg.MayCancel && (m.class.Effect == Safe ||
+		m.class.Effect == Keyed && s.now+t < m.mayRunAt+m.class.Window) {
 		give = min(give, t) // nothing can be called off here: let it time out, if it can be sent again then
 	}
-	s.do(CallOut{ID: a.m.id, GiveUp: give, Endpoint: e.id})
-	s.at(s.now + s.stuckAfter(e.dest, m) + 1) // looked at in time even if nothing else happens until then
+	s.emit(CallOut{ID: a.msg.id, GiveUp: give, Endpoint: e.id})
+	s.wakeBy(s.now + s.stuckAfter(e.dest, m) + 1) // looked at in time even if nothing else happens until then
 }
 
 // ---- Rules gate ----------------------------------------------------------------------
@@ -372,24 +372,24 @@
 // gate says whether m may go to e now, and if not, when to look again. Every send of a message passes it.
 func (s *Sender) gate(m *msg, e *endpoint) (bool, Micros) {
 	switch {
-	case e.state != Ready || m.over || m.out != nil: // drain; one attempt at a time
+	case e.state != Ready || m.ended || m.inFlight != nil: // drain; one attempt at a time
 		return false, never
-	case s.now < max(e.lane.until, m.rest): // told wait
-		return false, max(e.lane.until, m.rest)
-	case s.set.MaxTries > 0 && m.tries >= s.set.MaxTries:
+	case s.now < max(e.limiter.waitUntil, m.retryAt): // told wait
+		return false, max(e.limiter.waitUntil, m.retryAt)
+	case s.cfg.MaxTries > 0 && m.tries >= s.cfg.MaxTries:
 		return false, never
-	case m.deadline-s.now <= max(s.usual(m), 2*s.set.Tick): // median gate
+	case m.deadline-s.now <= max(s.usual(m), 2*s.cfg.Tick): // median gate
 		return false, never
 	}
-	if s.closeAt != 0 && s.now+s.lasts(m, e) > s.closeAt { // it stays in the journal for the next start
+	if s.stopAt != 0 && s.now+s.lasts(m, e) > s.stopAt { // it stays in the journal for the next start
 		return false, never
 	}
-	if l := m.line; l != nil { // order of its key
-		if l.q[0] != m {
+	if l := m.keyQueue; l != nil { // order of its key
+		if l.messages[0] != m {
 			return false, never
 		}
-		if s.now < l.quiet && l.by != m {
-			return false, l.quiet
+		if s.now < l.quietUntil && l.quietExempt != m {
+			return false, l.quietUntil
 		}
 	}
 	if m.mayRun { // effect
@@ -397,15 +397,15 @@
 		switch {
 		case c.Effect == Unsafe:
 			return false, never
-		case c.Effect == Keyed && (c.ByZone && e.zone != m.mayZone ||
-			s.now > m.firstMay+c.Window-s.set.Tick):
+		case c.Effect == Keyed && (c.ByZone && e.zone != m.mayRunZone ||
+			s.now > m.mayRunAt+c.Window-s.cfg.Tick):
 			return false, never
 		}
 	}
-	if s.joins(e) {
+	if s.joinsOpenCall(e) {
 		return true, 0
 	}
-	if s.busy >= s.set.Slots || e.lane.inflight >= (s.set.Slots+1)/2 { // slots
+	if s.busy >= s.cfg.Slots || e.limiter.inFlight >= (s.cfg.Slots+1)/2 { // slots
 		return false, never
 	}
 	if at := s.health(m, e); at > s.now {
@@ -414,7 +414,7 @@
 	if at := s.slowStart(e); at > s.now {
 		return false, at
 	}
-	if at := s.paced(e.lane); at > s.now {
+	if at := s.paced(e.limiter); at > s.now {
 		return false, at
 	}
 	return true, 0
@@ -423,7 +423,7 @@
 // lasts is the time that an attempt needs before this sender stops. One that is cut off by the stop is resent
 // if its class allows it, but an unsafe one is lost.
 func (s *Sender) lasts(m *msg, e *endpoint) Micros {
-	if h := &e.dest.hist; m.class.Effect != Unsafe && h.total >= minWeight {
+	if h := &e.dest.latency; m.class.Effect != Unsafe && h.total >= minWeight {
 		return h.p95
 	}
 	return s.stuckAfter(e.dest, m)
@@ -433,20 +433,20 @@
 func (s *Sender) health(m *msg, e *endpoint) Micros {
 	if e.ejected {
 		switch {
-		case e.inflight > 0 || s.trials >= s.trialsMost():
+		case e.inFlight > 0 || s.trialsInFlight >= s.trialsMost():
 			return never
-		case m.class.Effect == Unsafe && s.now < m.first+m.class.Aim:
-			return m.first + m.class.Aim
+		case m.class.Effect == Unsafe && s.now < m.submitted+m.class.Aim:
+			return m.submitted + m.class.Aim
 		}
 		return e.trialAt
 	}
-	if m.class.Effect == Unsafe && e.bad > badUnsafe && s.now < m.first+m.class.Aim {
-		return m.first + m.class.Aim
+	if m.class.Effect == Unsafe && e.failureRate > badUnsafe && s.now < m.submitted+m.class.Aim {
+		return m.submitted + m.class.Aim
 	}
 	// Outages mostly take all endpoints: after one has failed, the others are tried singly until they answer.
-	if e.inflight > 0 && e.lane == e.dest.lane {
-		for _, x := range e.dest.eps {
-			if x.ejected && x.lastBad > e.lastOK && !s.mayBeGone(x) {
+	if e.inFlight > 0 && e.limiter == e.dest.limiter {
+		for _, x := range e.dest.endpoints {
+			if x.ejected && x.lastFail > e.lastOK && !s.mayBeGone(x) {
 				return never
 			}
 		}
@@ -456,40 +456,40 @@
 
 // mayBeGone says whether x, which seems out, may just have gone: it has not answered yet, and the list is
 // still that of the start, which may be old. That says nothing of its siblings.
-func (s *Sender) mayBeGone(x *endpoint) bool { return s.now < s.unsure && x.lastOK == longAgo }
+func (s *Sender) mayBeGone(x *endpoint) bool { return s.now < s.listStaleUntil && x.lastOK == longAgo }
 
 // slowStart keeps what goes to a destination after an outage under this sender's share of what topples it.
 // The endpoints of a lane that are cold share one budget: the lane falls over as a whole.
 func (s *Sender) slowStart(e *endpoint) Micros {
-	if e.cold && !e.ejected && s.now >= e.backAt+s.set.WarmAfter {
+	if e.cold && !e.ejected && s.now >= e.upAt+s.cfg.WarmAfter {
 		e.cold = false
 	}
 	if e.ejected && s.now < e.downAt+outageLeast {
 		return 0 // a trial so soon cannot meet the return from an outage
 	}
-	if !e.cold && !slices.ContainsFunc(e.dest.eps, func(x *endpoint) bool {
+	if !e.cold && !slices.ContainsFunc(e.dest.endpoints, func(x *endpoint) bool {
 		// e was not seen to answer while x was out
-		return x.cold && x.lane == e.lane && x.outAt >= e.well && !s.mayBeGone(x)
+		return x.cold && x.limiter == e.limiter && x.ejectedAt >= e.healthyAt && !s.mayBeGone(x)
 	}) {
 		return 0
 	}
 	// What went there before the outage is no burden on what comes back: counted, it would hold up the first
 	// trial, and with it the return, for a whole window.
-	guess := e.lane.limit == 0 && s.set.Senders > 1 // capacity goes by what this sender alone saw
-	up, cold, last, long, from := 1.0, 0, []Micros(nil), s.set.FallWindow, s.now
-	for _, x := range e.dest.eps {
-		if x.cold && x.lane == e.lane {
+	guess := e.limiter.limit == 0 && s.cfg.Senders > 1 // capacity goes by what this sender alone saw
+	up, cold, last, long, from := 1.0, 0, []Micros(nil), s.cfg.FallWindow, s.now
+	for _, x := range e.dest.endpoints {
+		if x.cold && x.limiter == e.limiter {
 			from = min(from, x.downAt)
 		}
 	}
-	for _, x := range e.dest.eps {
-		if (x.cold || x == e) && x.lane == e.lane {
+	for _, x := range e.dest.endpoints {
+		if (x.cold || x == e) && x.limiter == e.limiter {
 			cold++
-			last = append(last, x.sent[len(x.sent)-since(x.sent, from):]...)
+			last = append(last, x.sentAt[len(x.sentAt)-countAfter(x.sentAt, from):]...)
 			if x.ejected {
 				up = min(up, 0)
 			} else if x.cold {
-				t, w := seconds(s.now-x.backAt), seconds(long)
+				t, w := seconds(s.now-x.upAt), seconds(long)
 				switch { // what counts is what x could do in the window, on average; a guess errs further
 				case guess:
 				case t < w:
@@ -497,14 +497,14 @@
 				default:
 					t -= w / 2
 				}
-				up = min(up, t/seconds(s.set.WarmAfter))
+				up = min(up, t/seconds(s.cfg.WarmAfter))
 			}
 		}
 	}
 	c := s.capacity(e) * float64(max(cold, 1))
-	k := s.set.FallMultiple * (s.set.ColdFrom + (1-s.set.ColdFrom)*up) * seconds(long)
-	n := float64(s.set.Senders)
-	if guess && !s.many {
+	k := s.cfg.FallMultiple * (s.cfg.ColdFrom + (1-s.cfg.ColdFrom)*up) * seconds(long)
+	n := float64(s.cfg.Senders)
+	if guess && !s.largeFleet {
 		n = 2 // the best second of one of a few is about twice its part of the traffic
 	}
 	most := k * c / n
@@ -512,21 +512,21 @@
 	if most < 1 {
 		// Many senders: our share is that of our messages among all since the outage began, which add up however
 		// many saw it; and one call goes in a longer span, at a time of our own.
-		own := sendAgain * float64(e.dest.came) / seconds(s.now-e.dest.downAt+outage)
-		if e.lane != e.dest.lane {
-			own /= float64(len(e.dest.eps))
+		own := sendAgain * float64(e.dest.arrivals) / seconds(s.now-e.dest.outageSeenAt+outage)
+		if e.limiter != e.dest.limiter {
+			own /= float64(len(e.dest.endpoints))
 		}
 		most = max(most, k*min(own, c/2))
 		long = Micros(float64(long) / min(most, 1))
-		at := max(e.lane.until, e.dest.downAt)
+		at := max(e.limiter.waitUntil, e.dest.outageSeenAt)
 		if n := len(last); n > 0 {
 			at = max(at, last[n-1]+long/2)
 		}
 		if most < 1 {
-			return at + Micros(e.lane.phase*float64(long))
+			return at + Micros(e.limiter.jitter*float64(long))
 		}
 	}
-	if n := since(last, s.now-long); float64(n+1) > most {
+	if n := countAfter(last, s.now-long); float64(n+1) > most {
 		return last[len(last)-n] + long + 1
 	}
 	return 0
@@ -534,21 +534,21 @@
 
 // serve notes a call that a lane has served: its best second is the least that it can do. Calls sent say
 // nothing of that: those that a cold lane turns away come again at once, and would widen its budget.
-func (s *Sender) serve(l *lane) {
-	l.served = append(trim(l.served, s.now-Second), s.now)
-	l.peak = max(l.peak, float64(since(l.served, s.now-Second)))
+func (s *Sender) serve(l *limiter) {
+	l.servedAt = append(dropBefore(l.servedAt, s.now-Second), s.now)
+	l.peakRate = max(l.peakRate, float64(countAfter(l.servedAt, s.now-Second)))
 }
 
 // capacity is a low guess of the calls a second that an endpoint takes.
 func (s *Sender) capacity(e *endpoint) float64 {
-	c := e.lane.limit
+	c := e.limiter.limit
 	if c == 0 {
-		c = max(e.lane.peak, paceFloor)
-	} else if s.set.Weights == WeightsRough && !e.lane.told {
+		c = max(e.limiter.peakRate, paceFloor)
+	} else if s.cfg.Weights == WeightsRough && !e.limiter.reported {
 		c /= 1.5
 	}
-	if e.lane == e.dest.lane {
-		c /= float64(max(len(e.dest.eps), 1))
+	if e.limiter == e.dest.limiter {
+		c /= float64(max(len(e.dest.endpoints), 1))
 	}
 	return c
 }
@@ -559,14 +559,14 @@
 // reports tell what is left of it, each of many senders takes its even share of the limit over the part in
 // use: were all to send so, it would be just used up. To wait for refusals is too late: they count, so that a
 // clump that many senders send at once has all of the next seconds refused.
-func (s *Sender) paced(l *lane) Micros {
+func (s *Sender) paced(l *limiter) Micros {
 	r := l.pace
 	if l.limit > 0 {
 		lim := l.limit
-		if s.many && l.told && s.set.ReportLeft >= 0 {
-			lim = max(lim/float64(s.set.Senders)/max(1-l.left, leastUsed), 1/seconds(shyMost))
+		if s.largeFleet && l.reported && s.cfg.ReportLeft >= 0 {
+			lim = max(lim/float64(s.cfg.Senders)/max(1-l.remaining, leastUsed), 1/seconds(shyMost))
 		}
-		if s.set.Weights == WeightsRough && !l.told {
+		if s.cfg.Weights == WeightsRough && !l.reported {
 			lim *= 1.5
 		}
 		if r == 0 || r > lim {
@@ -577,9 +577,9 @@
 		return 0
 	}
 	// What went while the lane was free is owed, but for no more than a second.
-	l.tokens = max(l.tokens+r*seconds(s.now-l.filled), -r*seconds(paceSpan))
+	l.tokens = max(l.tokens+r*seconds(s.now-l.refilledAt), -r*seconds(paceSpan))
 	l.tokens = min(l.tokens, max(1, r*seconds(paceSave)))
-	l.filled = s.now
+	l.refilledAt = s.now
 	if l.tokens >= 1-1e-9 {
 		return 0
 	}
@@ -587,50 +587,50 @@
 }
 
 // refused slows a lane down: the pace starts at the last second's rate and is halved at most once a second.
-func (s *Sender) refused(l *lane) {
-	if s.now < l.halved+paceSpan && l.pace > 0 {
+func (s *Sender) refused(l *limiter) {
+	if s.now < l.reducedAt+paceSpan && l.pace > 0 {
 		return
 	}
 	switch f := s.floor(l); {
-	case f < paceFloor && s.many: // our part of the limit is known: no need to feel for it
+	case f < paceFloor && s.largeFleet: // our part of the limit is known: no need to feel for it
 		l.pace = max(f, 1/seconds(shyMost))
 	case l.pace == 0:
-		l.pace = max(f, float64(since(l.sent, s.now-paceSpan)))
+		l.pace = max(f, float64(countAfter(l.sentAt, s.now-paceSpan)))
 	default:
 		l.pace = max(f, l.pace/2)
 	}
-	l.halved = s.now
+	l.reducedAt = s.now
 	s.paced(l)
 	// Others were refused too: the next call comes half a pace early or late, or up to one after a wait.
 	l.tokens = min(l.tokens, s.rng.Float64()-0.5)
-	if s.many && l.limit == 0 && l.fulls == 0 && since(l.served, s.now-lately) == 0 {
+	if s.largeFleet && l.limit == 0 && l.refusals == 0 && countAfter(l.servedAt, s.now-lately) == 0 {
 		// It may be shut: what comes back must not meet all that were refused once in its last seconds.
 		l.tokens = min(l.tokens, 1-l.pace*seconds(firstRest+Micros(s.rng.Float64()*float64(firstRest))))
 	}
-	if l.until > s.now {
-		l.filled, l.tokens = l.until, l.tokens+0.5
+	if l.waitUntil > s.now {
+		l.refilledAt, l.tokens = l.waitUntil, l.tokens+0.5
 	}
 }
 
 // floor is one call a second, but no more than an even share of a limit that is told: at a destination that
 // counts refused calls, floors alone would use it up. Those of many senders leave room for that to end.
-func (s *Sender) floor(l *lane) float64 {
+func (s *Sender) floor(l *limiter) float64 {
 	if l.limit == 0 {
 		return paceFloor
 	}
-	share := l.limit / float64(s.set.Senders)
-	if s.many {
+	share := l.limit / float64(s.cfg.Senders)
+	if s.largeFleet {
 		share *= paceRoom
 	}
 	return min(paceFloor, share)
 }
 
-func (s *Sender) creep(l *lane) {
+func (s *Sender) creep(l *limiter) {
 	if l.pace == 0 {
 		return
 	}
-	l.pace += paceCreep * max(l.pace, l.limit/float64(s.set.Senders))
-	if l.pace > paceFree*float64(since(l.sent, s.now-paceSpan)+1) {
+	l.pace += paceCreep * max(l.pace, l.limit/float64(s.cfg.Senders))
+	if l.pace > paceFree*float64(countAfter(l.sentAt, s.now-paceSpan)+1) {
 		l.pace = 0
 	}
 }
@@ -646,29 +646,29 @@
 	return e
 }()
 
-func (h *hist) add(now, took Micros, cut bool) {
-	if h.w == nil {
-		h.w = new(weights)
+func (h *histogram) add(now, took Micros, cut bool) {
+	if h.bins == nil {
+		h.bins = new(binWeights)
 	}
-	f := math.Exp2(-float64(now-h.at) / float64(halfLife))
-	h.at = now
-	for i := range h.w {
-		h.w[i] *= f
+	f := math.Exp2(-float64(now-h.updatedAt) / float64(halfLife))
+	h.updatedAt = now
+	for i := range h.bins {
+		h.bins[i] *= f
 	}
-	h.total, h.cuts = h.total*f, h.cuts*f
+	h.total, h.censored = h.total*f, h.censored*f
 	if cut {
-		h.cuts++
+		h.censored++
 	} else {
-		h.w[bin(took)]++
+		h.bins[binIndex(took)]++
 		h.total++
 	}
 	h.update()
 }
 
 // update finds τ, the edge with the least mean time to an answer under unlimited restarts, and percentiles.
-func (h *hist) update() {
+func (h *histogram) update() {
 	h.tau, h.median, h.p95 = 0, 0, 0
-	all := h.total + max(h.cuts, 0)
+	all := h.total + max(h.censored, 0)
 	var m0, m1 float64
 	best, bestAt, wait := math.Inf(1), Micros(0), math.Inf(1)
 	for i, edge := range edges {
@@ -676,8 +676,8 @@
 		if i > 0 {
 			low = edges[i-1]
 		}
-		m0 += h.w[i]
-		m1 += h.w[i] * float64(low+edge) / 2
+		m0 += h.bins[i]
+		m1 += h.bins[i] * float64(low+edge) / 2
 		if h.median == 0 && m0 >= h.total/2 {
 			h.median = edge
 		}
@@ -700,9 +700,9 @@
 
 // stuckAfter is the time after which an unanswered call speaks for an outage.
 func (s *Sender) stuckAfter(d *dest, m *msg) Micros {
-	h := &d.hist
+	h := &d.latency
 	if h.total < minWeight {
-		h = &s.byClass[m.ci]
+		h = &s.classLatency[m.classIndex]
 	}
 	if h.total < minWeight {
 		return stuckBlind
@@ -713,62 +713,62 @@
 // cutLong calls off attempts at τ, and those that hang at an endpoint that answers nothing.
 func (s *Sender) cutLong() {
 	var oldest *attempt
-	s.visits += len(s.flying)
-	for _, a := range s.flying {
-		if a.cancelled || a.m.flows {
+	s.visitCount += len(s.inFlight)
+	for _, a := range s.inFlight {
+		if a.cancelled || a.msg.streaming {
 			continue
 		}
-		e, age := a.ep, s.now-a.at
-		stuck := s.stuckAfter(e.dest, a.m)
-		if !a.stuck && e.lastOK < a.at {
+		e, age := a.endpoint, s.now-a.sentAt
+		stuck := s.stuckAfter(e.dest, a.msg)
+		if !a.stuck && e.lastOK < a.sentAt {
 			if a.stuck = age > stuck; a.stuck {
 				// No outcome yet, so nothing is known to have failed: hold back, but set no budget.
 				s.eject(e, "silent")
 			}
 		}
-		if !a.late && age > patience*stuck {
+		if !a.censored && age > patience*stuck {
 			// Ours: a call still out past what is usual counts as lasting past τ until it answers. Else lost
 			// answers, with all others quick, never show in the histogram and hold slots to their deadline.
-			a.late = true
-			e.dest.hist.add(s.now, age, true)
-			s.byClass[a.m.ci].add(s.now, age, true)
-			s.relearn(e.dest)
+			a.censored = true
+			e.dest.latency.add(s.now, age, true)
+			s.classLatency[a.msg.classIndex].add(s.now, age, true)
+			s.latencyChanged(e.dest)
 		}
 		if age <= patience*stuck {
-			s.at(a.at + 1 + stuck*Micros(1+min(age/max(stuck, 1), patience-1)))
+			s.wakeBy(a.sentAt + 1 + stuck*Micros(1+min(age/max(stuck, 1), patience-1)))
 		}
-		if a.m.over || !s.set.MayCancel {
+		if a.msg.ended || !s.cfg.MayCancel {
 			continue
 		}
-		if s.lastTry(a.m) {
-			if age > patience*stuck && (oldest == nil || a.at < oldest.at) {
+		if s.lastTry(a.msg) {
+			if age > patience*stuck && (oldest == nil || a.sentAt < oldest.sentAt) {
 				oldest = a
 			}
 			continue
 		}
-		long := stuck << a.m.cuts
-		if a.stuck && e.ejected && (age > patience*long || age > long && s.elsewhere(e)) {
-			a.m.cuts = min(a.m.cuts+1, maxCuts)
+		long := stuck << a.msg.restarts
+		if a.stuck && e.ejected && (age > patience*long || age > long && s.hasHealthySibling(e)) {
+			a.msg.restarts = min(a.msg.restarts+1, maxCuts)
 			s.cancel(a)
 			continue
 		}
-		h := &e.dest.hist
+		h := &e.dest.latency
 		if h.total < tauWeight {
-			h = &s.byClass[a.m.ci]
+			h = &s.classLatency[a.msg.classIndex]
 		}
 		if h.tau > 0 && s.mayRestart(a) {
-			limit := max(h.tau<<a.m.cuts, long)
+			limit := max(h.tau<<a.msg.restarts, long)
 			if age > limit {
-				a.cut = true
-				a.m.cuts++
+				a.restarted = true
+				a.msg.restarts++
 				s.cancel(a)
 			} else {
-				s.at(a.at + limit + 1)
+				s.wakeBy(a.sentAt + limit + 1)
 			}
 		}
 	}
 	// What cannot be sent again may wait; but not with the last slot, while others could go.
-	if oldest != nil && s.busy >= s.set.Slots && s.set.Slots > 0 && s.wait.count > oldest.m.dest.waiting() {
+	if oldest != nil && s.busy >= s.cfg.Slots && s.cfg.Slots > 0 && s.waiting.count > oldest.msg.dest.waiting() {
 		s.cancel(oldest)
 	}
 }
@@ -777,40 +777,40 @@
 // answered.
 func (s *Sender) lastTry(m *msg) bool {
 	c := m.class
-	return c.Effect == Unsafe || c.Effect == Keyed && s.now > m.firstMay+c.Window-min(againTime, c.Window/4)
+	return c.Effect == Unsafe || c.Effect == Keyed && s.now > m.mayRunAt+c.Window-min(againTime, c.Window/4)
 }
 
 // mayRestart: a restart must have attempts and time left, and must not add to the load of a destination that
 // refuses or recovers, unless the call holds one of the last slots.
 func (s *Sender) mayRestart(a *attempt) bool {
-	m, e := a.m, a.ep
-	if m.cuts >= maxCuts || s.set.MaxTries > 0 && m.tries >= s.set.MaxTries {
+	m, e := a.msg, a.endpoint
+	if m.restarts >= maxCuts || s.cfg.MaxTries > 0 && m.tries >= s.cfg.MaxTries {
 		return false
 	}
-	if s.busy < s.set.Slots && (e.lane.pace > 0 || e.cold) {
+	if s.busy < s.cfg.Slots && (e.limiter.pace > 0 || e.cold) {
 		return false
 	}
-	return m.deadline-s.now > 2*max(s.usual(m), e.dest.hist.tau)
+	return m.deadline-s.now > 2*max(s.usual(m), e.dest.latency.tau)
 }
 
 // ---- Outcomes ------------------------------------------------------------------------
 
 func (s *Sender) reply(r Reply) {
 	m := s.msgs[r.ID]
-	if m == nil || m.out == nil || m.out.n != r.Attempt {
+	if m == nil || m.inFlight == nil || m.inFlight.number != r.Attempt {
 		return
 	}
-	a, e := m.out, m.out.ep
-	lastOfCall := s.landed(a)
-	x, crowded := s.turned[e.dest.kind]*(1-turnAlpha), s.crowded(r)
+	a, e := m.inFlight, m.inFlight.endpoint
+	lastOfCall := s.finishAttempt(a)
+	x, crowded := s.rejectRate[e.dest.kind]*(1-turnAlpha), s.crowded(r)
 	switch {
 	case crowded:
-		s.short[e.dest.kind] = s.now + shortFor
+		s.scarceUntil[e.dest.kind] = s.now + shortFor
 	case r.Outcome == Full && !s.reports():
 		x += turnAlpha
 	}
-	s.turned[e.dest.kind] = x
-	s.report(e, r.Load)
+	s.rejectRate[e.dest.kind] = x
+	s.applyReport(e, r.Load)
 	if r.Outcome == Completed || r.Outcome == Full || r.Outcome == Errored {
 		e.resets = 0
 	}
@@ -821,31 +821,31 @@
 		m.mayRun = true
 	}
 	if r.Wait > 0 { // it binds with any outcome: the answer to a batch may tell one and have taken some on
-		e.lane.until = max(e.lane.until, s.now+r.Wait)
+		e.limiter.waitUntil = max(e.limiter.waitUntil, s.now+r.Wait)
 	}
-	if m.line != nil && (r.Outcome == Overdue || r.Outcome == Severed || r.Outcome == Recalled) {
-		m.line.quiet, m.line.by = max(m.line.quiet, s.now+s.set.KeyQuiet), m
+	if m.keyQueue != nil && (r.Outcome == Overdue || r.Outcome == Severed || r.Outcome == Recalled) {
+		m.keyQueue.quietUntil, m.keyQueue.quietExempt = max(m.keyQueue.quietUntil, s.now+s.cfg.KeyQuiet), m
 	}
 	switch r.Outcome {
 	case Completed:
-		for _, h := range []*hist{&e.dest.hist, &s.byClass[m.ci]} {
-			if a.late {
-				h.cuts--
+		for _, h := range []*histogram{&e.dest.latency, &s.classLatency[m.classIndex]} {
+			if a.censored {
+				h.censored--
 			}
 			h.add(s.now, r.Took, false)
 		}
-		e.slow += badAlpha * (float64(r.Took) - e.slow)
-		if e.slow == 0 {
-			e.slow = float64(r.Took)
+		e.smoothedLatency += badAlpha * (float64(r.Took) - e.smoothedLatency)
+		if e.smoothedLatency == 0 {
+			e.smoothedLatency = float64(r.Took)
 		}
-		s.succeeded(e, a.at)
+		s.succeeded(e, a.sentAt)
 		if lastOfCall { // the pace and the capacity count calls
-			s.serve(e.lane)
-			s.creep(e.lane)
+			s.serve(e.limiter)
+			s.creep(e.limiter)
 		}
 	case Full:
 		if crowded {
-			m.rest = s.now + Micros((0.5+s.rng.Float64())*float64(Micros(placeBackoff)<<min(m.tries-1, 5)))
+			m.retryAt = s.now + Micros((0.5+s.rng.Float64())*float64(Micros(placeBackoff)<<min(m.tries-1, 5)))
 			if lastOfCall {
 				s.noPlace(e)
 			}
@@ -855,36 +855,36 @@
 			s.full(e, r.Wait)
 		}
 	case Recalled, Overdue:
-		if a.cut {
-			if !a.late {
-				e.dest.hist.add(s.now, s.now-a.at, true)
+		if a.restarted {
+			if !a.censored {
+				e.dest.latency.add(s.now, s.now-a.sentAt, true)
 			}
-			e.slow += badAlpha * max(0, float64(s.now-a.at)-e.slow)
-		} else if a.stuck && e.lastOK < a.at {
+			e.smoothedLatency += badAlpha * max(0, float64(s.now-a.sentAt)-e.smoothedLatency)
+		} else if a.stuck && e.lastOK < a.sentAt {
 			s.failed(e, "silent")
 		}
 	case Severed:
-		m.rest = s.now + errorBackoff
+		m.retryAt = s.now + errorBackoff
 	case Errored:
-		m.rest = s.now + errorBackoff<<min(m.tries, 5)
+		m.retryAt = s.now + errorBackoff<<min(m.tries, 5)
 	}
 	if lastOfCall { // a batch is one call: one sign
 		s.sign(e, r.Outcome)
 		if e.ejected && r.Outcome != Moot && r.Outcome != Unsent {
-			s.vouch(e, a.at)
+			s.vouch(e, a.sentAt)
 		}
 	}
-	e.warm = s.now + s.set.ConnIdle
-	if s.many && e.inflight == 0 {
-		s.spare = append(s.spare, e)
+	e.idleConnUntil = s.now + s.cfg.ConnIdle
+	if s.largeFleet && e.inFlight == 0 {
+		s.justIdle = append(s.justIdle, e)
 	}
-	s.relearn(e.dest)
-	s.touch(e.dest)
-	if r.NoMore || m.over {
-		s.close(m)
+	s.latencyChanged(e.dest)
+	s.scheduleScan(e.dest)
+	if r.NoMore || m.ended {
+		s.closeMessage(m)
 		return
 	}
-	if s.endIfStuck(m); !m.over {
+	if s.endIfStuck(m); !m.ended {
 		s.enqueue(m)
 	}
 }
@@ -893,22 +893,22 @@
 // an endpoint: each keeps one, and who comes later is turned away. Where a kind turns calls away none stays;
 // else only those that we use rarely are given back, unless new ones are dear.
 func (s *Sender) giveBack() {
-	for _, e := range s.spare {
-		n := len(e.sent)
-		rare := s.set.ConnPrice < dearConn && (n < 2 || s.now-e.sent[n-2] > reuse)
-		if e.inflight == 0 && (rare || s.turned[e.dest.kind] > turnShy || s.now < s.short[e.dest.kind]) {
-			e.warm = s.now
-			s.do(Release{e.id})
+	for _, e := range s.justIdle {
+		n := len(e.sentAt)
+		rare := s.cfg.ConnPrice < dearConn && (n < 2 || s.now-e.sentAt[n-2] > reuse)
+		if e.inFlight == 0 && (rare || s.rejectRate[e.dest.kind] > turnShy || s.now < s.scarceUntil[e.dest.kind]) {
+			e.idleConnUntil = s.now
+			s.emit(Release{e.id})
 		}
 	}
-	s.spare = s.spare[:0]
+	s.justIdle = s.justIdle[:0]
 }
 
 // sign notes what the end of a call at e says of an outage there.
 func (s *Sender) sign(e *endpoint, o Outcome) {
 	switch o {
 	case Spoilt: // from any endpoint alike, so it tells nothing of health unless nothing else comes
-		if e.spoilt++; e.spoilt >= spoiltDown {
+		if e.badAnswers++; e.badAnswers >= spoiltDown {
 			s.failed(e, "spoilt answers")
 		}
 	case RefusedConn:
@@ -929,38 +929,38 @@
 // succeeded notes an answer to what was sent at a time. One sent before the last failure tells nothing of a
 // return: else a call that was under way when a destination shut would end the watch before it opens.
 func (s *Sender) succeeded(e *endpoint, sent Micros) {
-	if e.ejected && sent < e.lastBad {
+	if e.ejected && sent < e.lastFail {
 		return
 	}
 	if e.ejected { // one that was silent for long comes back as cold as one that was seen to fail
-		s.log("endpoint %d answers again", e.id)
+		s.logf("endpoint %d answers again", e.id)
 		s.setStatus(e, e.state, false)
-		e.backAt, e.trialGap = s.now, 0
-		e.cold = sent >= e.downAt+outageLeast || e.cold && e.bad*(1-badAlpha) > badShare
+		e.upAt, e.trialPause = s.now, 0
+		e.cold = sent >= e.downAt+outageLeast || e.cold && e.failureRate*(1-badAlpha) > badShare
 	}
-	e.okSent = max(e.okSent, sent)
+	e.lastOKSent = max(e.lastOKSent, sent)
 	e.lastOK = s.now
-	e.fails, e.fulls, e.spoilt, e.lane.fulls = 0, 0, 0, 0
-	e.bad *= 1 - badAlpha
+	e.failures, e.refusals, e.badAnswers, e.limiter.refusals = 0, 0, 0, 0
+	e.failureRate *= 1 - badAlpha
 }
 
 // vouch notes which siblings of x are well by themselves: a call that was sent to x at a time has failed, and
 // they answered one that was sent since x was out and before that. An answer alone may come of the return of
 // all, with x not tried since.
 func (s *Sender) vouch(x *endpoint, sent Micros) {
-	for _, e := range x.dest.eps {
-		if e != x && e.lane == x.lane && e.okSent > x.outAt && e.okSent < sent {
-			e.well = s.now
+	for _, e := range x.dest.endpoints {
+		if e != x && e.limiter == x.limiter && e.lastOKSent > x.ejectedAt && e.lastOKSent < sent {
+			e.healthyAt = s.now
 		}
 	}
 }
 
 // failed notes a sign of an outage at e: an error, a reset, no connection or no answer.
 func (s *Sender) failed(e *endpoint, how string) {
-	e.fails++
-	e.lastBad = s.now
-	e.bad += badAlpha * (1 - e.bad)
-	if e.fails >= 2 || e.bad > badShare || how != "errors" {
+	e.failures++
+	e.lastFail = s.now
+	e.failureRate += badAlpha * (1 - e.failureRate)
+	if e.failures >= 2 || e.failureRate > badShare || how != "errors" {
 		s.ejectCold(e, how)
 	}
 }
@@ -968,15 +968,15 @@
 // full notes a refusal; refusals in a row over longer than a limit's window, or a long told wait, mean shut.
 // Many senders come too rarely to tell by four: those that were refused twice would topple what opens again.
 func (s *Sender) full(e *endpoint, wait Micros) {
-	s.refused(e.lane)
-	e.fulls++
-	l := e.lane
-	if l.fulls++; l.fulls == 1 {
-		l.firstFull = s.now
-	}
-	if e.ejected || wait > longWait || (l.fulls >= fullsDown || s.many && l.fulls > 1) &&
-		s.now-l.firstFull > fullsSpan {
-		e.lastBad = s.now
+	s.refused(e.limiter)
+	e.refusals++
+	l := e.limiter
+	if l.refusals++; l.refusals == 1 {
+		l.firstRefusalAt = s.now
+	}
+	if e.ejected || wait > longWait || (l.refusals >= fullsDown || s.largeFleet && l.refusals > 1) &&
+		s.now-l.firstRefusalAt > fullsSpan {
+		e.lastFail = s.now
 		s.ejectCold(e, "refuses all")
 	}
 }
@@ -988,13 +988,13 @@
 }
 
 // reports says whether answers here carry reports.
-func (s *Sender) reports() bool { return s.told > 0 }
+func (s *Sender) reports() bool { return s.reportedLimits > 0 }
 
 // noPlace notes a call for which e had no connection. It says nothing of a limit, and many in a row mean no
 // more than that others hold the places, unless nothing else has come from e for long.
 func (s *Sender) noPlace(e *endpoint) {
-	if e.fulls++; e.ejected || e.fulls >= placesDown && s.now-e.lastOK > fullsSpan {
-		e.lastBad = s.now
+	if e.refusals++; e.ejected || e.refusals >= placesDown && s.now-e.lastOK > fullsSpan {
+		e.lastFail = s.now
 		s.ejectCold(e, "has no connection")
 	}
 }
@@ -1004,17 +1004,17 @@
 	s.eject(e, how)
 	if !e.cold {
 		e.cold, e.downAt = true, e.lastOK
-		e.dest.came, e.dest.downAt = 1, s.now
+		e.dest.arrivals, e.dest.outageSeenAt = 1, s.now
 	}
 }
 
 // eject takes an endpoint out of rotation (outlier ejection): from now on single trials.
 func (s *Sender) eject(e *endpoint, how string) {
 	if !e.ejected {
-		s.log("endpoint %d out: %s", e.id, how)
-		e.outAt = s.now
+		s.logf("endpoint %d out: %s", e.id, how)
+		e.ejectedAt = s.now
 		s.setStatus(e, e.state, true)
-		e.trialGap, e.trialAt = trialGap, s.now+trialGap
+		e.trialPause, e.trialAt = trialGap, s.now+trialGap
 		if !e.cold {
 			e.downAt = s.now
 		}
@@ -1022,34 +1022,34 @@
 }
 
 func (s *Sender) backOff(e *endpoint) {
-	e.trialGap = min(2*max(e.trialGap, trialGap), trialMost)
-	e.trialAt = s.now + e.trialGap*Micros(80+s.rng.IntN(40))/100
+	e.trialPause = min(2*max(e.trialPause, trialGap), trialMost)
+	e.trialAt = s.now + e.trialPause*Micros(80+s.rng.IntN(40))/100
 }
 
 // ---- Endings -------------------------------------------------------------------------
 
 // end is the one place where a message ends by our word: refused if no attempt may have run, else failed.
 func (s *Sender) end(m *msg) {
-	if m.over {
+	if m.ended {
 		return
 	}
-	if m.mayRun || m.out != nil {
-		s.do(Fail{ID: m.id})
-		if m.out != nil {
-			s.cancel(m.out)
+	if m.mayRun || m.inFlight != nil {
+		s.emit(Fail{ID: m.id})
+		if m.inFlight != nil {
+			s.cancel(m.inFlight)
 		}
 	} else {
-		s.do(Refuse{ID: m.id, RetryIn: s.advice()})
+		s.emit(Refuse{ID: m.id, RetryIn: s.advice()})
 	}
-	s.close(m)
+	s.closeMessage(m)
 }
 
 // advice tells a client when to come again: as late as it heeds, since what turned it away lasts.
 func (s *Sender) advice() Micros {
-	if !s.set.RetryAfter {
+	if !s.cfg.RetryAfter {
 		return 0
 	}
-	return s.set.MaxRetryAfter
+	return s.cfg.MaxRetryAfter
 }
 
 // resume takes up a message where a restart cut it off: its attempts count, and one without an outcome may
@@ -1060,7 +1060,7 @@
 	}
 	m.tries = p.Tries
 	if m.mayRun = p.MayRun; m.mayRun {
-		m.firstMay, m.mayZone = s.now-p.Age, p.Zone
+		m.mayRunAt, m.mayRunZone = s.now-p.Age, p.Zone
 	}
 	s.endIfStuck(m)
 }
@@ -1069,10 +1069,10 @@
 func (s *Sender) endIfStuck(m *msg) {
 	c := m.class
 	switch {
-	case m.out != nil || m.over:
+	case m.inFlight != nil || m.ended:
 	case m.mayRun && c.Effect == Unsafe,
-		s.set.MaxTries > 0 && m.tries >= s.set.MaxTries,
-		m.mayRun && c.Effect == Keyed && s.now > m.firstMay+c.Window-s.set.Tick:
+		s.cfg.MaxTries > 0 && m.tries >= s.cfg.MaxTries,
+		m.mayRun && c.Effect == Keyed && s.now > m.mayRunAt+c.Window-s.cfg.Tick:
 		s.end(m)
 	}
 }
@@ -1080,27 +1080,27 @@
 // endHopeless ends messages whose time is nearly up: unsent ones at a usual call's time before the deadline.
 func (s *Sender) endHopeless() {
 	var q []*msg
-	for i := range s.wait.expiries {
-		for x := &s.wait.expiries[i]; len(x.items) > 0; s.visits++ {
+	for i := range s.waiting.expiryQueues {
+		for x := &s.waiting.expiryQueues[i]; len(x.items) > 0; s.visitCount++ {
 			g := x.items[0]
-			m := g.queue.items[0]
-			if at := m.ends[g.kind] - s.need(g); at > s.now {
-				s.at(at)
+			m := g.messages.items[0]
+			if at := m.expiresAt[g.bound] - s.need(g); at > s.now {
+				s.wakeBy(at)
 				break
 			}
 			s.dequeue(m)
 			q = append(q, m)
 		}
 	}
-	s.visits += len(s.flying)
-	for _, a := range s.flying {
-		if a.m.flows || a.m.over {
+	s.visitCount += len(s.inFlight)
+	for _, a := range s.inFlight {
+		if a.msg.streaming || a.msg.ended {
 			continue
 		}
-		if at := a.m.deadline - s.lastMoment(); at > s.now {
-			s.at(at)
+		if at := a.msg.deadline - s.lastMoment(); at > s.now {
+			s.wakeBy(at)
 		} else {
-			q = append(q, a.m)
+			q = append(q, a.msg)
 		}
 	}
 	slices.SortFunc(q, func(a, b *msg) int { return a.seq - b.seq })
@@ -1111,36 +1111,36 @@
 
 // need is the time that a message has to have left to be worth sending. Within its window it has to be sent,
 // not answered.
-func (s *Sender) need(g *expiry) Micros {
-	if g.kind == byWindow {
+func (s *Sender) need(g *expiryGroup) Micros {
+	if g.bound == byWindow {
 		return s.lastMoment()
 	}
 	return max(s.lastMoment(), s.usualAt(g.dest, g.class))
 }
 
 // lastMoment is the time before its deadline at which a message ends in any case.
-func (s *Sender) lastMoment() Micros { return 2 * max(s.set.Tick, 1000) }
+func (s *Sender) lastMoment() Micros { return 2 * max(s.cfg.Tick, 1000) }
 
 // ---- Timers and age ------------------------------------------------------------------
 
 // ageOut drops the state of a destination that was long idle, once a message for it comes.
 func (s *Sender) ageOut(d *dest) {
-	if s.now-d.used > idleAge && d.lane.inflight == 0 {
-		d.hist, d.lane.pace = hist{}, 0
-		s.relearn(d)
+	if s.now-d.lastUsedAt > idleAge && d.limiter.inFlight == 0 {
+		d.latency, d.limiter.pace = histogram{}, 0
+		s.latencyChanged(d)
 	}
-	d.used = s.now
+	d.lastUsedAt = s.now
 }
 
 // arm sets a timer for the next thing to be done, unless one that goes off by then is out.
 func (s *Sender) arm() {
-	if s.wake == never {
+	if s.wakeAt == never {
 		return
 	}
-	s.wake = max(s.wake, s.now+max(s.set.Tick, 1000))
-	if s.timer > s.now && s.timer <= s.wake {
+	s.wakeAt = max(s.wakeAt, s.now+max(s.cfg.Tick, 1000))
+	if s.timerAt > s.now && s.timerAt <= s.wakeAt {
 		return
 	}
-	s.timer = s.wake
-	s.do(SetTimer{Wait: s.wake - s.now, Token: uint64(s.step)})
+	s.timerAt = s.wakeAt
+	s.emit(SetTimer{Wait: s.wakeAt - s.now, Token: uint64(s.step)})
 }
--- a/logic/mechanism_test.go
+++ b/logic/mechanism_test.go
@@ -7,7 +7,7 @@
 )
 
 // feed fills a histogram with n samples each of the given latencies.
-func feed(h *hist, n int, took ...float64) {
+func feed(h *histogram, n int, took ...float64) {
 	for range n {
 		for _, x := range took {
 			h.add(0, sec(x), false)
@@ -18,20 +18,20 @@
 func TestTau(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		fill    func(*hist)
+		fill    func(*histogram)
 		restart bool
 	}{
-		{"one speed: waiting is best", func(h *hist) { feed(h, 20, 0.1) }, false},
-		{"a few very slow: restart early", func(h *hist) { feed(h, 20, 0.1); feed(h, 4, 8) }, true},
-		{"too few samples", func(h *hist) { feed(h, 4, 0.1); feed(h, 1, 8) }, false},
-		{"cut attempts lower M0", func(h *hist) {
+		{"one speed: waiting is best", func(h *histogram) { feed(h, 20, 0.1) }, false},
+		{"a few very slow: restart early", func(h *histogram) { feed(h, 20, 0.1); feed(h, 4, 8) }, true},
+		{"too few samples", func(h *histogram) { feed(h, 4, 0.1); feed(h, 1, 8) }, false},
+		{"cut attempts lower M0", func(h *histogram) {
 			feed(h, 20, 0.1)
 			for range 5 {
 				h.add(0, sec(0.4), true)
 			}
 		}, true},
 	} {
-		var h hist
+		var h histogram
 		c.fill(&h)
 		if got := h.tau > 0; got != c.restart {
 			t.Errorf("%s: tau %d", c.name, h.tau)
@@ -43,7 +43,7 @@
 }
 
 func TestHistogramForgets(t *testing.T) {
-	var h hist
+	var h histogram
 	feed(&h, 16, 0.1)
 	h.add(halfLife, sec(1), false)
 	if math.Abs(h.total-9) > 1e-9 {
@@ -93,15 +93,15 @@
 		r.step(0, ev)
 		at := r.warm(1, 20)
 		d := r.s.dests[9]
-		feed(&d.hist, 2, 5) // a slow few: restarting pays
-		d.hist.add(r.s.now, sec(5), false)
-		if d.hist.tau == 0 {
+		feed(&d.latency, 2, 5) // a slow few: restarting pays
+		d.latency.add(r.s.now, sec(5), false)
+		if d.latency.tau == 0 {
 			t.Fatal("no tau")
 		}
-		d.hist.p95 = d.hist.tau
+		d.latency.p95 = d.latency.tau
 		m := r.call(class)
 		first := only[CallOut](r.step(at, m))[0]
-		limit := seconds(max(d.hist.tau, r.s.stuckAfter(d, r.s.msgs[m.ID])))
+		limit := seconds(max(d.latency.tau, r.s.stuckAfter(d, r.s.msgs[m.ID])))
 		if c := only[Cancel](r.step(at+limit-0.05, Due{})); len(c) > 0 {
 			t.Errorf("class %d: cut before the limit", class)
 		}
@@ -137,10 +137,10 @@
 
 func TestPaceHalvesOnceASecondToItsFloor(t *testing.T) {
 	r := newRig(t, base())
-	l := &lane{}
+	l := &limiter{}
 	r.s.now = sec(1)
 	for range 6 {
-		l.sent = append(l.sent, r.s.now)
+		l.sentAt = append(l.sentAt, r.s.now)
 	}
 	r.s.refused(l)
 	if l.pace != 6 {
@@ -162,12 +162,12 @@
 		t.Errorf("after a success the pace is %v, want 1.1", l.pace)
 	}
 	// A told limit: the floor is no more than an even share, and the pace creeps by a share of it.
-	l = &lane{limit: 20, pace: 1}
+	l = &limiter{limit: 20, pace: 1}
 	r.s.creep(l)
 	if l.pace != 2 {
 		t.Errorf("pace %v under a limit of 20 for two senders, want 2", l.pace)
 	}
-	if f := r.s.floor(&lane{limit: 1}); f != 0.5 {
+	if f := r.s.floor(&limiter{limit: 1}); f != 0.5 {
 		t.Errorf("floor %v under a limit of 1 for two senders", f)
 	}
 }
@@ -183,7 +183,7 @@
 	for range 12 {
 		calls = append(calls, r.call(0))
 	}
-	r.s.dests[9].lane.filled = 0
+	r.s.dests[9].limiter.refilledAt = 0
 	r.step(5)
 	if n := len(only[CallOut](r.step(5, calls...))); n != 2 {
 		t.Errorf("%d sends of a clump at once under a limit of 4 a second, want half a second of it", n)
@@ -253,7 +253,7 @@
 					ended[a.ID] = true
 				}
 			}
-			for i, c := range r.s.set.Classes {
+			for i, c := range r.s.cfg.Classes {
 				if id := []string{"m1", "m2", "m3"}[i]; sec(at) >= sec(1)+c.Deadline && !ended[id] {
 					t.Fatalf("%s: %s has no answer at its deadline", name, id)
 				}
@@ -321,7 +321,7 @@
 	shut.Wait = sec(8)
 	r.step(1.2, shut)
 	r.step(1.3, answer(a.ID, a.Endpoint, 0, Completed))
-	if e := r.s.eps[1]; !e.ejected || !e.cold {
+	if e := r.s.endpoints[1]; !e.ejected || !e.cold {
 		t.Error("an answer to an older call ended the watch on a shut endpoint")
 	}
 }
@@ -333,7 +333,7 @@
 	c := only[CallOut](r.step(1, r.call(0)))[0]
 	r.step(1.1, answer(c.ID, c.Endpoint, 0, RefusedConn))
 	r.step(2, Endpoints{Form: ListDelta, Entries: []Entry{{Endpoint: 2, Dest: 9}}})
-	if e := r.s.eps[2]; !e.cold || !e.ejected {
+	if e := r.s.endpoints[2]; !e.cold || !e.ejected {
 		t.Error("the new endpoint has no budget")
 	}
 }
@@ -342,12 +342,12 @@
 func TestRefusalsBesideAnswersAreNotShut(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
-	e := r.s.eps[1]
+	e := r.s.endpoints[1]
 	for i := range 8 {
 		r.s.now = sec(1 + 0.5*float64(i))
 		r.s.full(e, 0)
 		if i%3 == 2 {
-			r.s.succeeded(r.s.eps[2], r.s.now)
+			r.s.succeeded(r.s.endpoints[2], r.s.now)
 		}
 	}
 	if e.ejected {
@@ -369,8 +369,8 @@
 		set.MaxOpen = c.hold
 		r := newRig(t, set)
 		r.step(0, list(1))
-		r.s.dests[9].lane.pace = 1
-		r.s.dests[9].lane.until = sec(2)
+		r.s.dests[9].limiter.pace = 1
+		r.s.dests[9].limiter.waitUntil = sec(2)
 		var calls []Event
 		for range 25 {
 			calls = append(calls, r.call(0))
@@ -402,9 +402,9 @@
 	r := newRig(t, base())
 	r.step(0, list(1))
 	at := r.warm(1, 10)
-	r.s.dests[9].lane.pace = 1
+	r.s.dests[9].limiter.pace = 1
 	r.step(at+seconds(idleAge)+1, r.call(0))
-	if d := r.s.dests[9]; d.hist.total != 0 || d.lane.pace != 0 {
+	if d := r.s.dests[9]; d.latency.total != 0 || d.limiter.pace != 0 {
 		t.Error("an idle destination kept its histogram or pace")
 	}
 }
@@ -447,8 +447,8 @@
 	for _, c := range out {
 		r.step(1.2, answer(c.ID, c.Endpoint, 0, Completed))
 	}
-	if len(r.s.flying) != 5 {
-		t.Errorf("%d calls out after the first batch, want the other five", len(r.s.flying))
+	if len(r.s.inFlight) != 5 {
+		t.Errorf("%d calls out after the first batch, want the other five", len(r.s.inFlight))
 	}
 }
 
@@ -465,11 +465,11 @@
 	}
 	at = r.warm(at, 8)
 	r.step(at, Due{})
-	if h := &r.s.dests[9].hist; h.cuts < 0.8 || h.tau == 0 {
-		t.Errorf("lost answers: %v counted while out, tau %d", h.cuts, h.tau)
+	if h := &r.s.dests[9].latency; h.censored < 0.8 || h.tau == 0 {
+		t.Errorf("lost answers: %v counted while out, tau %d", h.censored, h.tau)
 	}
 	cut := 0
-	for _, a := range r.s.flying {
+	for _, a := range r.s.inFlight {
 		if a.cancelled {
 			cut++
 		}
@@ -478,9 +478,9 @@
 		t.Errorf("%d of %d lost calls were called off", cut, len(lost))
 	}
 	// One that answers after all is no longer counted.
-	before := r.s.dests[9].hist.cuts
+	before := r.s.dests[9].latency.censored
 	r.step(at, answer(lost[0].ID, lost[0].Endpoint, 0, Completed))
-	if got := r.s.dests[9].hist.cuts; got > before-0.9 {
+	if got := r.s.dests[9].latency.censored; got > before-0.9 {
 		t.Errorf("a late answer left %v of %v counted as lost", got, before)
 	}
 }
@@ -521,7 +521,7 @@
 	sent := 0
 	for i := range 20 {
 		for _, x := range only[CallOut](r.step(1.2+0.1*float64(i), r.call(0))) {
-			r.s.eps[x.Endpoint].inflight = 0 // only the budget holds
+			r.s.endpoints[x.Endpoint].inFlight = 0 // only the budget holds
 			sent++
 		}
 	}
@@ -541,7 +541,7 @@
 	shut.Wait = sec(8)
 	r.step(1.2, shut)
 	r.step(1.3, answer(a.ID, a.Endpoint, 0, Completed))
-	if x, e := r.s.eps[b.Endpoint], r.s.eps[a.Endpoint]; e.well >= x.lastBad {
+	if x, e := r.s.endpoints[b.Endpoint], r.s.endpoints[a.Endpoint]; e.healthyAt >= x.lastFail {
 		t.Error("an answer to an older call shows a sibling to be well")
 	}
 }
@@ -746,7 +746,7 @@
 	no := answer(c.ID, 1, 0, Full)
 	no.Load = []float64{0, 40}
 	acts := r.step(1, no)
-	if all := r.s.dests[9].lane.pace * 80; all < 20 || all > 0.8*40 {
+	if all := r.s.dests[9].limiter.pace * 80; all < 20 || all > 0.8*40 {
 		t.Errorf("paces add up to %v calls a second of 40", all)
 	}
 	if len(only[Fail](acts))+len(only[Refuse](acts)) > 0 {
@@ -788,9 +788,9 @@
 				r.step(at+0.01, answer(c.ID, 1, r.s.msgs[c.ID].tries-1, Full))
 			}
 			acts = r.step(at+0.1, Due{})
-			r.s.eps[1].lane.firstFull -= sec(0.1) // the rests differ: the span is not what is tested
+			r.s.endpoints[1].limiter.firstRefusalAt -= sec(0.1) // the rests differ: the span is not what is tested
 		}
-		if cold := r.s.eps[1].cold; cold != (senders > manySenders) {
+		if cold := r.s.endpoints[1].cold; cold != (senders > manySenders) {
 			t.Errorf("%d senders: cold %v after two refusals", senders, cold)
 		}
 	}
@@ -803,13 +803,13 @@
 	set.Kinds[0].Batch = 10
 	r := newRig(t, set)
 	r.step(0, list(1))
-	l := r.s.dests[9].lane
-	l.pace, l.filled = 10, sec(0.5)
+	l := r.s.dests[9].limiter
+	l.pace, l.refilledAt = 10, sec(0.5)
 	batch := only[CallOut](r.step(1, r.call(0), r.call(0), r.call(0), r.call(0), r.call(0)))
 	if len(batch) != 5 {
 		t.Fatalf("%d sends", len(batch))
 	}
-	l.sent = append(l.sent, sec(0.9), sec(0.9), sec(0.9)) // enough for the pace to stand
+	l.sentAt = append(l.sentAt, sec(0.9), sec(0.9), sec(0.9)) // enough for the pace to stand
 	var ends []Event
 	for _, c := range batch {
 		ends = append(ends, answer(c.ID, c.Endpoint, 0, Completed))
@@ -837,7 +837,7 @@
 		no := answer(c.ID, 1, 0, Full)
 		no.Load = x.load
 		r.step(1, no)
-		if l := r.s.dests[9].lane; (l.pace > 0) != x.slow {
+		if l := r.s.dests[9].limiter; (l.pace > 0) != x.slow {
 			t.Errorf("load %v: pace %v", x.load, l.pace)
 		}
 		if x.slow {
@@ -852,11 +852,11 @@
 				r.step(at, answer(c.ID, 1, r.s.msgs[c.ID].tries-1, Full))
 			}
 			out = only[CallOut](r.step(at+0.01, Due{}))
-			if at < 1.9 && r.s.eps[1].ejected {
+			if at < 1.9 && r.s.endpoints[1].ejected {
 				t.Fatalf("out at %.2f s, soon after an answer", at)
 			}
 		}
-		if !r.s.eps[1].ejected {
+		if !r.s.endpoints[1].ejected {
 			t.Error("not out after seconds of nothing but refusals")
 		}
 	}
--- a/logic/outage_test.go
+++ b/logic/outage_test.go
@@ -20,7 +20,7 @@
 	if acts := r.step(at+0.12, answer(c.ID, c.Endpoint, 1, RefusedConn)); len(only[CallOut](acts)) > 0 {
 		t.Fatal("no pause before the first trial")
 	}
-	if !r.s.eps[1].cold {
+	if !r.s.endpoints[1].cold {
 		t.Fatal("two refused connections in a row are no outage")
 	}
 	back := at + 0.12 + seconds(trialGap) + 0.01
@@ -63,7 +63,7 @@
 	} {
 		r := newRig(t, base())
 		r.step(0, list(1))
-		e := r.s.eps[1]
+		e := r.s.endpoints[1]
 		r.s.now = sec(1)
 		r.s.succeeded(e, r.s.now)
 		for i := range x.failures {
@@ -100,7 +100,7 @@
 			ends = append(ends, answer(c.ID, c.Endpoint, 0, o))
 		}
 		r.step(1.3, ends...)
-		if r.s.eps[1].ejected {
+		if r.s.endpoints[1].ejected {
 			t.Errorf("outcome %d of one batch took the endpoint out", o)
 		}
 	}
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -5,380 +5,396 @@
 	"slices"
 )
 
-// The books of what waits: for each destination that has any, a backlog; of all backlogs, which is to be
-// looked at when; of all waiting messages, whose time is up first. They only keep state: what to do with it
-// is decided in logic.go.
+// The indexes over the waiting messages: a backlog for each destination that has any, a queue of the backlogs
+// by the time of their next scan, and queues of the messages by the time at which they expire. This file only
+// maintains them; what to do with a message is decided in logic.go.
 
-// queue is a priority queue whose items know their place in it.
-type queue[T any] struct {
+// priorityQueue is a heap whose items store their own position in it, so that an item can be moved or removed
+// without a search.
+type priorityQueue[T any] struct {
 	items []T
 	less  func(a, b T) bool
-	place func(T) *int // where an item keeps its place, from one on; 0 if it is not in the queue
+	pos   func(T) *int // where an item stores its position, counted from 1; 0 if it is not in the queue
 }
 
-func (q *queue[T]) Len() int           { return len(q.items) }
-func (q *queue[T]) Less(i, j int) bool { return q.less(q.items[i], q.items[j]) }
-func (q *queue[T]) Swap(i, j int) {
+func (q *priorityQueue[T]) Len() int           { return len(q.items) }
+func (q *priorityQueue[T]) Less(i, j int) bool { return q.less(q.items[i], q.items[j]) }
+func (q *priorityQueue[T]) Swap(i, j int) {
 	q.items[i], q.items[j] = q.items[j], q.items[i]
-	*q.place(q.items[i]), *q.place(q.items[j]) = i+1, j+1
+	*q.pos(q.items[i]), *q.pos(q.items[j]) = i+1, j+1
 }
 
-func (q *queue[T]) Push(x any) {
-	q.items = append(q.items, x.(T))
-	*q.place(x.(T)) = len(q.items)
+func (q *priorityQueue[T]) Push(item any) {
+	q.items = append(q.items, item.(T))
+	*q.pos(item.(T)) = len(q.items)
 }
 
-func (q *queue[T]) Pop() any {
-	var none T
+func (q *priorityQueue[T]) Pop() any {
+	var zero T
 	last := len(q.items) - 1
-	x := q.items[last]
-	q.items[last], q.items = none, q.items[:last]
-	*q.place(x) = 0
-	return x
+	item := q.items[last]
+	q.items[last], q.items = zero, q.items[:last]
+	*q.pos(item) = 0
+	return item
 }
 
-// put takes x in, or moves it to where it belongs now.
-func (q *queue[T]) put(x T) {
-	if i := *q.place(x); i > 0 {
+// put adds item, or moves it to its new position if it is already in the queue.
+func (q *priorityQueue[T]) put(item T) {
+	if i := *q.pos(item); i > 0 {
 		heap.Fix(q, i-1)
 	} else {
-		heap.Push(q, x)
+		heap.Push(q, item)
 	}
 }
 
-// drop takes x out, if it is in.
-func (q *queue[T]) drop(x T) {
-	if i := *q.place(x); i > 0 {
+// remove removes item if it is in the queue.
+func (q *priorityQueue[T]) remove(item T) {
+	if i := *q.pos(item); i > 0 {
 		heap.Remove(q, i-1)
 	}
 }
 
-// backlog is what waits for a destination, one message at least.
+// backlog holds the waiting messages of one destination. It exists only while there is at least one.
 type backlog struct {
-	dest    *dest
-	waiting []*msg       // in no order
-	turn    int          // where in waiting the last sample ended
-	front   []*msg       // the most urgent ones left by the last look, and new ones; some may have gone
-	expiry  [2][]*expiry // by what bounds the time, and class
-	again   Micros       // when to look at it next
-	place   int          // in Sender.looks
+	dest         *dest
+	waiting      []*msg // unordered
+	sampleCursor int    // index in waiting of the last message that a sample took in turn
+	// front is sampled first: the most urgent messages left by the last scan, then new ones. Some may have been
+	// dequeued since.
+	front        []*msg
+	expiryGroups [2][]*expiryGroup // by byDeadline or byWindow, then by class
+	nextScanAt   Micros
+	scanPos      int // position in waitIndex.scanQueue
 
-	// Of the look at hand, or the last one.
-	looked  int     // its step
-	due     bool    // it was time, or something had changed
-	soon    Micros  // the earliest time at which a message that was held back may go
-	left    int     // messages that were held back
-	best    float64 // the highest rate among them
-	ready   int     // in front, those that were not held back by themselves
-	scanned int     // messages in the samples since one could go for itself
-	scarce  [2]int  // place in Sender.scarce
+	// Results of the current scan, or of the last one.
+	scannedStep  int     // step of the scan
+	due          bool    // scanned because nextScanAt had come, not for a free slot or in turn
+	earliestSend Micros  // when the first one held back in this pass may be sent
+	heldBack     int     // scanned messages that were not sent
+	bestPriority float64 // highest priority among them
+	sendable     int     // messages in front that wait for something shared, such as a slot or the pace
+	sampledCount int     // messages sampled in this pass, which ends once one is sendable or all were seen
+	slotWaitPos  [2]int  // positions in waitIndex.slotWaiters
 }
 
-// What bounds the time of a waiting message.
+// What limits the time of a waiting message.
 const (
-	byDeadline = iota // it has to be answered by then
-	byWindow          // keyed, and may have run: it has to be sent again by then
+	byDeadline = iota // it has to be answered by its deadline
+	byWindow          // keyed and may have run: it has to be sent again within the window of its class
 )
 
-// expiry is what waits for a destination in one class, by when its time is up.
-type expiry struct {
-	dest  *dest
-	class int
-	kind  int // byDeadline or byWindow
-	queue queue[*msg]
-	key   Micros
-	in    int // which of Sender.expiries it is in
-	place int // and where
+// expiryGroup holds the waiting messages of one destination and class that have the same kind of limit, ordered
+// by the time at which they expire.
+type expiryGroup struct {
+	dest       *dest
+	class      int // index in Settings.Classes
+	bound      int // byDeadline or byWindow
+	messages   priorityQueue[*msg]
+	sortKey    Micros // order in its queue of waitIndex.expiryQueues
+	queueIndex int    // index of that queue
+	pos        int    // position in it
 }
 
-// What a backlog that waits for a free slot lacks.
+// What kind of slot a backlog waits for.
 const (
 	anySlot   = iota
-	trialSlot // one of those for calls to endpoints that seem out
+	trialSlot // for calls to ejected endpoints, whose number is limited
 )
 
-// index is the books of all that waits.
-type index struct {
-	count int // messages
-	turn  int // which of looks was looked at last out of its time
-	looks queue[*backlog]
-	// scarce are the backlogs held back by want of a slot, the highest rate first.
-	scarce [2]queue[*backlog]
-	// expiries: the first is by when the last moment to send comes, and holds windows and those whose
-	// destination's own usual time is known. That of the others is their class's: each has a queue, by
-	// when their time is up.
-	expiries []queue[*expiry]
-	looking  []*backlog // in the step at hand
+// waitIndex indexes all waiting messages.
+type waitIndex struct {
+	count      int // waiting messages
+	scanCursor int // index in scanQueue of the backlog that was last scanned in turn, before it was due
+	scanQueue  priorityQueue[*backlog]
+	// slotWaiters are the backlogs that lack a free slot, by anySlot or trialSlot, highest priority first.
+	slotWaiters [2]priorityQueue[*backlog]
+	// expiryQueues[0] is ordered by the last moment at which sending makes sense. It holds the groups limited by
+	// a window and those whose destination has a measured usual latency. The other groups use the usual latency
+	// of their class: each class has a queue of its own, at 1 + its index, ordered by expiry.
+	expiryQueues []priorityQueue[*expiryGroup]
+	scanned      []*backlog // in the current step
 }
 
-func newIndex(classes int) index {
-	x := index{looks: queue[*backlog]{less: func(a, b *backlog) bool { return a.again < b.again },
-		place: func(b *backlog) *int { return &b.place }}}
-	for i := range x.scarce {
-		x.scarce[i] = queue[*backlog]{less: func(a, b *backlog) bool { return a.best > b.best },
-			place: func(b *backlog) *int { return &b.scarce[i] }}
+func newWaitIndex(classes int) waitIndex {
+	index := waitIndex{
+		scanQueue: priorityQueue[*backlog]{
+			less: func(a, b *backlog) bool { return a.nextScanAt < b.nextScanAt },
+			pos:  func(b *backlog) *int { return &b.scanPos },
+		},
+	}
+	for i := range index.slotWaiters {
+		index.slotWaiters[i] = priorityQueue[*backlog]{
+			less: func(a, b *backlog) bool { return a.bestPriority > b.bestPriority },
+			pos:  func(b *backlog) *int { return &b.slotWaitPos[i] },
+		}
 	}
 	for range 1 + classes {
-		x.expiries = append(x.expiries, queue[*expiry]{less: func(a, b *expiry) bool { return a.key < b.key },
-			place: func(g *expiry) *int { return &g.place }})
+		index.expiryQueues = append(index.expiryQueues, priorityQueue[*expiryGroup]{
+			less: func(a, b *expiryGroup) bool { return a.sortKey < b.sortKey },
+			pos:  func(g *expiryGroup) *int { return &g.pos },
+		})
 	}
-	return x
+	return index
 }
 
-// enqueue takes a message into the books that waits from now on.
+// enqueue adds a message that waits from now on to the indexes.
 func (s *Sender) enqueue(m *msg) {
 	d := m.dest
 	if d.backlog == nil {
 		d.backlog = &backlog{dest: d}
 	}
 	b := d.backlog
-	s.wait.count++
+	s.waiting.count++
 	b.waiting = append(b.waiting, m)
-	m.place = len(b.waiting)
-	s.expireAt(m, byDeadline, m.deadline)
+	m.waitPos = len(b.waiting)
+	s.setExpiry(m, byDeadline, m.deadline)
 	if m.mayRun && m.class.Effect == Keyed {
-		s.expireAt(m, byWindow, m.firstMay+m.class.Window)
+		s.setExpiry(m, byWindow, m.mayRunAt+m.class.Window)
 	}
-	s.advance(m)
+	s.scanFirst(m)
 }
 
-// expireAt files a waiting message by when its time is up.
-func (s *Sender) expireAt(m *msg, kind int, end Micros) {
+// setExpiry sets when a waiting message expires, by its deadline or its window, and indexes it by that time.
+func (s *Sender) setExpiry(m *msg, bound int, at Micros) {
 	b := m.dest.backlog
-	if b.expiry[kind] == nil {
-		b.expiry[kind] = make([]*expiry, len(s.set.Classes))
+	if b.expiryGroups[bound] == nil {
+		b.expiryGroups[bound] = make([]*expiryGroup, len(s.cfg.Classes))
 	}
-	g := b.expiry[kind][m.ci]
+	g := b.expiryGroups[bound][m.classIndex]
 	if g == nil {
-		g = &expiry{dest: m.dest, class: m.ci, kind: kind, queue: queue[*msg]{
-			less:  func(a, b *msg) bool { return a.ends[kind] < b.ends[kind] },
-			place: func(m *msg) *int { return &m.expiry[kind] }}}
-		b.expiry[kind][m.ci] = g
-	}
-	m.ends[kind] = end
-	g.queue.put(m)
-	s.refile(g)
+		g = &expiryGroup{dest: m.dest, class: m.classIndex, bound: bound, messages: priorityQueue[*msg]{
+			less: func(a, b *msg) bool { return a.expiresAt[bound] < b.expiresAt[bound] },
+			pos:  func(m *msg) *int { return &m.expiryPos[bound] }}}
+		b.expiryGroups[bound][m.classIndex] = g
+	}
+	m.expiresAt[bound] = at
+	g.messages.put(m)
+	s.updateExpiryGroup(g)
 }
 
-// dequeue takes a message out of the books, if it is in them.
+// dequeue removes a message from the indexes if it is in them.
 func (s *Sender) dequeue(m *msg) {
-	if m.place == 0 {
+	if m.waitPos == 0 {
 		return
 	}
-	b, i := m.dest.backlog, m.place-1
-	s.wait.count--
+	b, i := m.dest.backlog, m.waitPos-1
+	s.waiting.count--
 	last := len(b.waiting) - 1
 	b.waiting[i] = b.waiting[last]
-	b.waiting[i].place = m.place
+	b.waiting[i].waitPos = m.waitPos
 	b.waiting[last], b.waiting = nil, b.waiting[:last]
-	m.place = 0
-	for kind, place := range m.expiry {
-		if place > 0 {
-			g := b.expiry[kind][m.ci]
-			g.queue.drop(m)
-			s.refile(g)
+	m.waitPos = 0
+	for bound, pos := range m.expiryPos {
+		if pos > 0 {
+			g := b.expiryGroups[bound][m.classIndex]
+			g.messages.remove(m)
+			s.updateExpiryGroup(g)
 		}
 	}
 	if last == 0 {
-		s.wait.looks.drop(b)
-		for i := range s.wait.scarce {
-			s.wait.scarce[i].drop(b)
+		s.waiting.scanQueue.remove(b)
+		for i := range s.waiting.slotWaiters {
+			s.waiting.slotWaiters[i].remove(b)
 		}
 		m.dest.backlog = nil
 	}
 }
 
-// advance puts a waiting message among those looked at first.
-func (s *Sender) advance(m *msg) {
+// scanFirst puts a waiting message among those that the next scan looks at first, and schedules that scan.
+func (s *Sender) scanFirst(m *msg) {
 	if b := m.dest.backlog; len(b.front) < 4*part {
 		b.front = append(b.front, m)
 	}
-	s.touch(m.dest)
+	s.scheduleScan(m.dest)
 }
 
-// touch notes that something has changed at a destination.
-func (s *Sender) touch(d *dest) {
+// scheduleScan has the backlog of a destination scanned in this step, because something has changed there.
+func (s *Sender) scheduleScan(d *dest) {
 	if b := d.backlog; b != nil {
-		b.again = s.now
-		s.wait.looks.put(b)
+		b.nextScanAt = s.now
+		s.waiting.scanQueue.put(b)
 	}
 }
 
-// relearn notes that the latencies known of a destination have changed.
-func (s *Sender) relearn(d *dest) {
+// latencyChanged reorders the expiry groups of a destination after a change of its latency histogram.
+func (s *Sender) latencyChanged(d *dest) {
 	if d.backlog == nil {
 		return
 	}
-	for _, g := range d.backlog.expiry[byDeadline] { // the windows do not depend on them
+	for _, g := range d.backlog.expiryGroups[byDeadline] { // windows do not depend on the latency
 		if g != nil {
-			s.refile(g)
+			s.updateExpiryGroup(g)
 		}
 	}
 }
 
-// refile puts g where it belongs now.
-func (s *Sender) refile(g *expiry) {
-	to := 0
-	if g.kind == byDeadline && g.dest.hist.total < minWeight {
-		to = 1 + g.class
+// updateExpiryGroup moves g to the queue and position that its messages and the known latency call for.
+func (s *Sender) updateExpiryGroup(g *expiryGroup) {
+	target := 0
+	if g.bound == byDeadline && g.dest.latency.total < minWeight {
+		target = 1 + g.class
 	}
-	if to != g.in || len(g.queue.items) == 0 {
-		s.wait.expiries[g.in].drop(g)
+	if target != g.queueIndex || len(g.messages.items) == 0 {
+		s.waiting.expiryQueues[g.queueIndex].remove(g)
 	}
-	if g.in = to; len(g.queue.items) == 0 {
+	if g.queueIndex = target; len(g.messages.items) == 0 {
 		return
 	}
-	g.key = g.queue.items[0].ends[g.kind]
-	if to == 0 {
-		g.key -= s.need(g)
+	g.sortKey = g.messages.items[0].expiresAt[g.bound]
+	if target == 0 {
+		g.sortKey -= s.need(g)
 	}
-	s.wait.expiries[to].put(g)
+	s.waiting.expiryQueues[target].put(g)
 }
 
-// candidates are the messages to look at in this step: all that wait, if they are few. Of many, those of the
-// destinations where something has changed or come due, or for which a slot is free, and of some in turn.
-func (s *Sender) candidates() (q []*msg) {
-	x := &s.wait
-	x.looking = x.looking[:0]
-	if x.count <= s.few {
+// candidates returns the messages to consider in this step. If few wait, these are all of them. Else they are
+// a sample of each backlog that is due for a scan or that lacked a slot where one is free now, and of a few
+// more in turn.
+func (s *Sender) candidates() (candidates []*msg) {
+	index := &s.waiting
+	index.scanned = index.scanned[:0]
+	if index.count <= s.fullScanMax {
 		for _, m := range s.held {
-			if m.place > 0 {
-				m.stands = 1
-				q = append(q, m)
+			if m.waitPos > 0 {
+				m.weight = 1
+				candidates = append(candidates, m)
 			}
 		}
-		return q
+		return candidates
 	}
-	look := func(b *backlog, due bool) {
-		if b.looked != s.step {
-			if b.looked, b.due = s.step, due; b.scanned == 0 {
-				b.soon = never
+	scan := func(b *backlog, due bool) {
+		if b.scannedStep != s.step {
+			if b.scannedStep, b.due = s.step, due; b.sampledCount == 0 {
+				b.earliestSend = never
 			}
-			x.looking = append(x.looking, b)
-			q = b.sample(s.step, q)
+			index.scanned = append(index.scanned, b)
+			candidates = b.sample(s.step, candidates)
 		}
 	}
-	for top := x.looks.items[0]; top.again <= s.now && top.looked != s.step; top = x.looks.items[0] {
-		top.again = never
-		x.looks.put(top)
-		look(top, true)
+	for top := index.scanQueue.items[0]; top.nextScanAt <= s.now &&
+		top.scannedStep != s.step; top = index.scanQueue.items[0] {
+		top.nextScanAt = never
+		index.scanQueue.put(top)
+		scan(top, true)
 	}
 	for i, free := range s.free() {
 		for range 2 * free {
-			if len(x.scarce[i].items) == 0 {
+			if len(index.slotWaiters[i].items) == 0 {
 				break
 			}
-			look(heap.Pop(&x.scarce[i]).(*backlog), false)
+			scan(heap.Pop(&index.slotWaiters[i]).(*backlog), false)
 		}
 	}
 	for range turns {
-		x.turn = (x.turn + 1) % len(x.looks.items)
-		look(x.looks.items[x.turn], false)
+		index.scanCursor = (index.scanCursor + 1) % len(index.scanQueue.items)
+		scan(index.scanQueue.items[index.scanCursor], false)
 	}
-	return q
+	return candidates
 }
 
-// sample adds messages of b to q: all, if they are few, else the front and the next ones in turn. Each of
-// these last stands for several in the count of those that wait.
-func (b *backlog) sample(step int, q []*msg) []*msg {
-	from := len(q)
-	add := func(m *msg, stands float64) {
-		if m.place > 0 && m.seen != step {
-			m.seen, m.stands = step, stands
-			q = append(q, m)
+// sample appends messages of b to candidates: all if they are few, else the front and the next ones in turn.
+// Each of the latter has a weight, 1 at least, that makes it stand for messages that are not in the sample.
+func (b *backlog) sample(step int, candidates []*msg) []*msg {
+	before := len(candidates)
+	add := func(m *msg, weight float64) {
+		if m.waitPos > 0 && m.sampledStep != step {
+			m.sampledStep, m.weight = step, weight
+			candidates = append(candidates, m)
 		}
 	}
-	if b.whole() {
+	if b.sampledWhole() {
 		for _, m := range b.waiting {
 			add(m, 1)
 		}
-		return q
+		return candidates
 	}
 	for _, m := range b.front {
 		add(m, 1)
 	}
-	stands := float64(len(b.waiting)-len(q)+from) / part
+	weight := float64(len(b.waiting)-len(candidates)+before) / part
 	for range part {
-		b.turn = (b.turn + 1) % len(b.waiting)
-		add(b.waiting[b.turn], max(stands, 1))
+		b.sampleCursor = (b.sampleCursor + 1) % len(b.waiting)
+		add(b.waiting[b.sampleCursor], max(weight, 1))
 	}
-	return q
+	return candidates
 }
 
-// whole says whether a look is at all that waits.
-func (b *backlog) whole() bool { return len(b.waiting) <= 2*part }
+// sampledWhole reports whether a sample takes all messages of b.
+func (b *backlog) sampledWhole() bool { return len(b.waiting) <= 2*part }
 
-// file notes what came of the look at q, which is in order: what is left in front, and when to look again. A
-// message that is held back by itself says nothing of the others.
-func (s *Sender) file(q []*msg, itself func(*msg) (held, timed bool)) {
-	x := &s.wait
-	if len(x.looking) == 0 {
+// recordScan records the outcome of a scan of candidates, sorted by priority: which messages are left
+// in front of each backlog, and when to scan it next. heldAlone reports whether a message is held back for a
+// reason that does not concern the others of its destination, and whether until a known time.
+func (s *Sender) recordScan(candidates []*msg, heldAlone func(*msg) (held, timed bool)) {
+	index := &s.waiting
+	if len(index.scanned) == 0 {
 		return
 	}
-	for _, b := range x.looking {
-		b.left, b.ready, b.front = 0, 0, b.front[:0]
+	for _, b := range index.scanned {
+		b.heldBack, b.sendable, b.front = 0, 0, b.front[:0]
 	}
-	for _, m := range q {
-		if m.place == 0 {
+	for _, m := range candidates {
+		if m.waitPos == 0 {
 			continue
 		}
 		b := m.dest.backlog
-		if b.left++; b.left == 1 {
-			b.best = m.prio
+		if b.heldBack++; b.heldBack == 1 {
+			b.bestPriority = m.priority
 		}
-		switch held, timed := itself(m); {
-		case !held && b.ready < part:
-			b.ready++
+		switch held, timed := heldAlone(m); {
+		case !held && b.sendable < part:
+			b.sendable++
 			b.front = append(b.front, m)
-		case timed && len(b.front)-b.ready < part:
+		case timed && len(b.front)-b.sendable < part:
 			b.front = append(b.front, m)
 		}
 	}
 	free := s.free()
-	for _, b := range x.looking {
+	for _, b := range index.scanned {
 		if len(b.waiting) == 0 {
 			continue
 		}
-		b.scanned += part
+		b.sampledCount += part
 		switch {
-		case b.whole() || b.ready > 0 || b.left > 0 && b.scanned >= len(b.waiting):
-			b.again, b.scanned = b.soon, 0
-		case b.due || b.left == 0: // the others have not been asked
-			b.again = s.now
+		case b.sampledWhole() || b.sendable > 0 || b.heldBack > 0 && b.sampledCount >= len(b.waiting):
+			b.nextScanAt, b.sampledCount = b.earliestSend, 0
+		case b.due || b.heldBack == 0: // the rest of the backlog has not been sampled yet
+			b.nextScanAt = s.now
 		default:
-			b.again, b.scanned = min(b.again, b.soon), 0
+			b.nextScanAt, b.sampledCount = min(b.nextScanAt, b.earliestSend), 0
 		}
-		x.looks.put(b)
-		for i := range x.scarce {
-			if b.left > 0 && free[i] == 0 {
-				x.scarce[i].put(b)
+		index.scanQueue.put(b)
+		for i := range index.slotWaiters {
+			if b.heldBack > 0 && free[i] == 0 {
+				index.slotWaiters[i].put(b)
 			} else {
-				x.scarce[i].drop(b)
+				index.slotWaiters[i].remove(b)
 			}
 		}
 	}
-	for i := range x.scarce {
-		if free[i] > 0 && len(x.scarce[i].items) > 0 {
-			s.at(s.now)
+	for i := range index.slotWaiters {
+		if free[i] > 0 && len(index.slotWaiters[i].items) > 0 {
+			s.wakeBy(s.now)
 		}
 	}
-	if len(x.looks.items) > 0 {
-		s.at(x.looks.items[0].again)
+	if len(index.scanQueue.items) > 0 {
+		s.wakeBy(index.scanQueue.items[0].nextScanAt)
 	}
 }
 
-// hold adds a message to those that are not over.
-func (s *Sender) hold(m *msg) {
+// addHeld adds a message to those that have not ended.
+func (s *Sender) addHeld(m *msg) {
 	s.held = append(s.held, m)
-	s.open++
+	s.openCount++
 }
 
-// letGo takes one off. The list is cleared of such when they are many, not each time.
-func (s *Sender) letGo(m *msg) {
-	m.over = true
-	s.open--
+// releaseHeld marks a message as ended and takes it off the count. Ended messages are removed from the list
+// together once they are many, not one by one.
+func (s *Sender) releaseHeld(m *msg) {
+	m.ended = true
+	s.openCount--
 	s.dequeue(m)
-	if len(s.held) > 2*s.open+part {
-		s.held = slices.DeleteFunc(s.held, func(m *msg) bool { return m.over })
+	if len(s.held) > 2*s.openCount+part {
+		s.held = slices.DeleteFunc(s.held, func(m *msg) bool { return m.ended })
 	}
 }
--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -8,97 +8,97 @@
 )
 
 // walk is Step by going over all that is held, with no use of the books of what waits.
-func walk(s *Sender, now Micros, events []Event) []Action {
+func referenceStep(s *Sender, now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
-	s.out, s.wake = nil, never
+	s.actions, s.wakeAt = nil, never
 	for _, ev := range events {
-		s.take(ev)
+		s.handleEvent(ev)
 	}
 	s.subscribe()
-	s.forget()
-	s.walkHopeless()
+	s.dropUnused()
+	s.referenceEndHopeless()
 	s.cutLong()
-	s.walkDispatch()
+	s.referenceDispatch()
 	s.giveBack()
 	s.arm()
-	return s.out
+	return s.actions
 }
 
-func (s *Sender) walkHopeless() {
-	last := 2 * max(s.set.Tick, 1000)
+func (s *Sender) referenceEndHopeless() {
+	last := 2 * max(s.cfg.Tick, 1000)
 	for _, m := range slices.Clone(s.held) {
-		if m.flows || m.over {
+		if m.streaming || m.ended {
 			continue
 		}
 		left := m.deadline - s.now
 		need := last
-		if m.out == nil {
+		if m.inFlight == nil {
 			need = max(need, s.usual(m))
 			if m.mayRun && m.class.Effect == Keyed {
-				left = min(left, m.firstMay+m.class.Window-s.now+need-last)
+				left = min(left, m.mayRunAt+m.class.Window-s.now+need-last)
 			}
 		}
 		if left <= need {
 			s.end(m)
 			continue
 		}
-		s.at(s.now + left - need)
+		s.wakeBy(s.now + left - need)
 	}
 }
 
-func (s *Sender) walkDispatch() {
+func (s *Sender) referenceDispatch() {
 	var q []*msg
 	for _, m := range s.held {
-		if m.out == nil && !m.over {
-			m.prio = s.rate(m)
-			m.dest.rank = 0
+		if m.inFlight == nil && !m.ended {
+			m.priority = s.rate(m)
+			m.dest.queuedAhead = 0
 			q = append(q, m)
 		}
 	}
-	slices.SortStableFunc(q, func(a, b *msg) int { return cmp.Compare(b.prio, a.prio) })
+	slices.SortStableFunc(q, func(a, b *msg) int { return cmp.Compare(b.priority, a.priority) })
 	for i, m := range q {
-		s.trials = s.onTrial()
+		s.trialsInFlight = s.countTrials()
 		if s.send(m) {
 			continue
 		}
-		m.dest.rank++
+		m.dest.queuedAhead++
 		if !s.mayEnd(m) {
 			continue
 		}
 		p := s.destPace(m.dest)
-		if p > 0 && m.dest.rank/p > seconds(m.deadline-s.now-s.usual(m)) && s.crowd() > holdHalf {
+		if p > 0 && m.dest.queuedAhead/p > seconds(m.deadline-s.now-s.usual(m)) && s.heldFraction() > holdHalf {
 			s.end(m)
 			continue
 		}
-		if s.crowd() > holdFull && i >= len(q)-1 && !m.mayRun {
+		if s.heldFraction() > holdFull && i >= len(q)-1 && !m.mayRun {
 			s.end(m)
 		}
 	}
 }
 
 // checkBooks goes over all that s holds and compares the books with it.
-func checkBooks(t *testing.T, s *Sender) {
+func checkIndexes(t *testing.T, s *Sender) {
 	t.Helper()
 	waiting, open, msgs, told := map[*dest]int{}, 0, map[*dest]int{}, 0
 	first := never
 	for _, m := range s.held {
-		if m.over {
+		if m.ended {
 			continue
 		}
 		open++
-		if (m.place > 0) != (m.out == nil) {
-			t.Fatalf("%s: out %v, place %d among those that wait", m.id, m.out != nil, m.place)
+		if (m.waitPos > 0) != (m.inFlight == nil) {
+			t.Fatalf("%s: out %v, place %d among those that wait", m.id, m.inFlight != nil, m.waitPos)
 		}
-		if m.out == nil {
+		if m.inFlight == nil {
 			waiting[m.dest]++
-			if b := m.dest.backlog; b.waiting[m.place-1] != m || s.wait.looks.items[b.place-1] != b {
+			if b := m.dest.backlog; b.waiting[m.waitPos-1] != m || s.waiting.scanQueue.items[b.scanPos-1] != b {
 				t.Fatalf("%s is not where it should be", m.id)
 			}
-			last := 2 * max(s.set.Tick, 1000)
+			last := 2 * max(s.cfg.Tick, 1000)
 			first = min(first, m.deadline-max(last, s.usual(m)))
 			if m.mayRun && m.class.Effect == Keyed {
-				first = min(first, m.firstMay+m.class.Window-last)
+				first = min(first, m.mayRunAt+m.class.Window-last)
 			}
 		}
 	}
@@ -106,43 +106,43 @@
 		msgs[m.dest]++
 	}
 	n, due := 0, never
-	for _, d := range s.order {
+	for _, d := range s.destOrder {
 		n += waiting[d]
-		if d.waiting() != waiting[d] || d.msgs != msgs[d] {
-			t.Fatalf("destination %d: %d of %d messages wait, want %d of %d", d.id, d.waiting(), d.msgs, waiting[d], msgs[d])
+		if d.waiting() != waiting[d] || d.messageCount != msgs[d] {
+			t.Fatalf("destination %d: %d of %d messages wait, want %d of %d", d.id, d.waiting(), d.messageCount, waiting[d], msgs[d])
 		}
-		if d.lane.told {
+		if d.limiter.reported {
 			told++
 		}
 		if d.backlog == nil {
 			continue
 		}
-		for kind, groups := range d.backlog.expiry {
+		for kind, groups := range d.backlog.expiryGroups {
 			for class, g := range groups {
-				if g == nil || len(g.queue.items) == 0 {
+				if g == nil || len(g.messages.items) == 0 {
 					continue
 				}
-				in, key := 1+class, g.queue.items[0].ends[kind]
-				if kind == byWindow || d.hist.total >= minWeight {
+				in, key := 1+class, g.messages.items[0].expiresAt[kind]
+				if kind == byWindow || d.latency.total >= minWeight {
 					in, key = 0, key-s.need(g)
 				}
-				if g.in != in || g.key != key || s.wait.expiries[in].items[g.place-1] != g {
-					t.Fatalf("destination %d, class %d: in queue %d at %d, want %d at %d", d.id, class, g.in, g.key, in, key)
+				if g.queueIndex != in || g.sortKey != key || s.waiting.expiryQueues[in].items[g.pos-1] != g {
+					t.Fatalf("destination %d, class %d: in queue %d at %d, want %d at %d", d.id, class, g.queueIndex, g.sortKey, in, key)
 				}
 			}
 		}
 	}
-	for _, x := range s.wait.expiries {
+	for _, x := range s.waiting.expiryQueues {
 		if len(x.items) > 0 {
 			g := x.items[0]
-			due = min(due, g.queue.items[0].ends[g.kind]-s.need(g))
+			due = min(due, g.messages.items[0].expiresAt[g.bound]-s.need(g))
 		}
 	}
 	if len(s.held) > 2*open+part {
 		t.Fatalf("%d listed as held, %d are", len(s.held), open)
 	}
-	if open != s.open || n != s.wait.count || told != s.told {
-		t.Fatalf("%d held, %d waiting, %d told; want %d, %d, %d", s.open, s.wait.count, s.told, open, n, told)
+	if open != s.openCount || n != s.waiting.count || told != s.reportedLimits {
+		t.Fatalf("%d held, %d waiting, %d told; want %d, %d, %d", s.openCount, s.waiting.count, s.reportedLimits, open, n, told)
 	}
 	if due != first {
 		t.Fatalf("the first message is due at %d, want %d", due, first)
@@ -150,17 +150,17 @@
 }
 
 // What is counted is what a walk over all finds, also in a module that was taken up from a snapshot.
-func TestBooksMatchWhatIsHeld(t *testing.T) {
+func TestIndexesMatchHeldMessages(t *testing.T) {
 	for name, set := range variants() {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, set, 31)
 			w.each = func() {
-				checkBooks(t, w.s)
+				checkIndexes(t, w.s)
 				if w.rnd.IntN(100) == 0 {
-					w.renew()
+					w.replaceTwin()
 				}
 				if w.twin != nil {
-					checkBooks(t, w.twin)
+					checkIndexes(t, w.twin)
 				}
 			}
 			w.play()
@@ -169,7 +169,7 @@
 }
 
 // Where few messages wait, the books change nothing: each step does what going over all does, timers and all.
-func TestBooksChangeNothing(t *testing.T) {
+func TestStepMatchesReferenceStep(t *testing.T) {
 	all := variants()
 	wide := base()
 	wide.MaxOpen, wide.Slots, wide.MaxTries = 400, 12, 0
@@ -183,7 +183,7 @@
 			for seed := uint64(21); seed <= 22; seed++ {
 				w := newWorld(t, set, seed)
 				if set.MaxOpen == 400 {
-					w.each = func() { w.clump = min(200, max(set.MaxOpen-w.s.open, 0)) }
+					w.each = func() { w.clump = min(200, max(set.MaxOpen-w.s.openCount, 0)) }
 				}
 				other, err := New(set, seed)
 				if err != nil {
@@ -191,11 +191,11 @@
 				}
 				most := 0
 				w.after = func(evs []Event, acts []Action) {
-					if want := walk(other, w.now, evs); !reflect.DeepEqual(acts, want) {
+					if want := referenceStep(other, w.now, evs); !reflect.DeepEqual(acts, want) {
 						w.bad("the module does %v, want %v", acts, want)
 					}
-					checkBooks(t, w.s)
-					most = max(most, w.s.open)
+					checkIndexes(t, w.s)
+					most = max(most, w.s.openCount)
 				}
 				w.play()
 				if len(w.trace) < 100 || set.MaxOpen == 400 && most < 280 {
@@ -208,16 +208,16 @@
 
 // Where many wait, each step looks at some of them. The rules hold all the same, and as much is delivered: the
 // same worlds run apart soon, so it is counted over all of them.
-func TestRulesWhereManyWait(t *testing.T) {
+func TestRulesWithManyWaiting(t *testing.T) {
 	served := map[int]int{}
 	for name, set := range variants() {
 		for seed := uint64(1); seed <= 8; seed++ {
 			for _, few := range []int{fewWait, 0} {
 				w := newWorld(t, set, seed)
-				w.s.few = few
+				w.s.fullScanMax = few
 				n := 0
 				w.after = func(evs []Event, _ []Action) {
-					checkBooks(t, w.s)
+					checkIndexes(t, w.s)
 					for _, ev := range evs {
 						if r, ok := ev.(Reply); ok && r.Outcome == Completed {
 							n++
@@ -239,14 +239,14 @@
 }
 
 // A restart in the middle of it takes the books up again.
-func TestRestartWhereManyWait(t *testing.T) {
+func TestRestartWithManyWaiting(t *testing.T) {
 	for name, set := range variants() {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, set, 13)
-			w.s.few = 0
+			w.s.fullScanMax = 0
 			steps := 0
 			w.each = func() {
-				checkBooks(t, w.s)
+				checkIndexes(t, w.s)
 				if steps++; steps%150 > 0 {
 					return
 				}
@@ -257,7 +257,7 @@
 				if w.s, err = Restore(set, text); err != nil {
 					t.Fatal(err)
 				}
-				w.s.few = 0
+				w.s.fullScanMax = 0
 			}
 			w.play()
 			if steps < 300 {
@@ -268,7 +268,7 @@
 }
 
 // The books follow a destination whose latencies are forgotten, and one that is forgotten itself.
-func TestBooksFollowWhatIsForgotten(t *testing.T) {
+func TestIndexesAfterStateIsDropped(t *testing.T) {
 	set := base()
 	set.Classes[0].Deadline, set.ReportLeft, set.ReportLimit = 1000*Second, 0, 1
 	r := newRig(t, set)
@@ -279,27 +279,27 @@
 		ok.Load = []float64{0.5, 100}
 		r.step(at+0.5, ok)
 	}
-	if d := r.s.dests[9]; d.hist.total < 3 || !r.s.reports() {
+	if d := r.s.dests[9]; d.latency.total < 3 || !r.s.reports() {
 		t.Fatal("nothing is learnt")
 	}
-	feed(&r.s.dests[9].hist, 1, 0.5)
+	feed(&r.s.dests[9].latency, 1, 0.5)
 	r.step(6, list(0), r.call(0))
-	checkBooks(t, r.s)
+	checkIndexes(t, r.s)
 	r.step(7+seconds(idleAge), r.call(1))
-	if r.s.dests[9].hist.total > 0 {
+	if r.s.dests[9].latency.total > 0 {
 		t.Fatal("latencies are not forgotten")
 	}
-	checkBooks(t, r.s)
+	checkIndexes(t, r.s)
 	r.step(3000)
 	r.step(4000)
 	if r.s.dests[9] != nil || r.s.reports() {
 		t.Error("the destination or its report is not forgotten")
 	}
-	checkBooks(t, r.s)
+	checkIndexes(t, r.s)
 }
 
 // A silent unsafe call gives its slot up for other destinations only.
-func TestUnsafeCallKeepsTheSlotFromItsOwn(t *testing.T) {
+func TestSilentUnsafeCallKeepsSlotFromItsDestination(t *testing.T) {
 	for _, dest := range []int64{8, 9} {
 		set := base()
 		set.Slots = 1
--- a/logic/rig_test.go
+++ b/logic/rig_test.go
@@ -49,7 +49,7 @@
 
 func (r *rig) call(class int) Call {
 	r.n++
-	return Call{ID: fmt.Sprintf("m%d", r.n), Left: r.s.set.Classes[class].Deadline, Dest: 9, Tenant: -1, Class: class}
+	return Call{ID: fmt.Sprintf("m%d", r.n), Left: r.s.cfg.Classes[class].Deadline, Dest: 9, Tenant: -1, Class: class}
 }
 
 func answer(id string, ep EndpointID, attempt int, o Outcome) Reply {
@@ -312,7 +312,7 @@
 	acts := w.s.Step(w.now, evs)
 	w.checkOutOfRotation(w.s)
 	if w.twin != nil {
-		w.sameAs(acts, w.twin.Step(w.now, evs))
+		w.checkTwin(acts, w.twin.Step(w.now, evs))
 		w.checkOutOfRotation(w.twin)
 	}
 	if w.after != nil {
@@ -387,8 +387,8 @@
 // checkOutOfRotation compares what the Sender keeps count of with what a walk over its list finds.
 func (w *world) checkOutOfRotation(s *Sender) {
 	n := 0
-	for _, d := range s.order {
-		for _, e := range d.eps {
+	for _, d := range s.destOrder {
+		for _, e := range d.endpoints {
 			if e.ejected || e.state != Ready {
 				n++
 			}
@@ -464,7 +464,7 @@
 func (w *world) checkCold(e *wep) {
 	if e.row.Dest == 1 && w.now < w.outage[0] {
 		w.wellSent = append(w.wellSent, w.now)
-		w.peak = max(w.peak, float64(since(w.wellSent, w.now-Second)))
+		w.peak = max(w.peak, float64(countAfter(w.wellSent, w.now-Second)))
 	}
 	if e.row.Dest != 1 || !w.knows || w.now < w.outage[1] || w.now > w.outage[1]+w.set.WarmAfter {
 		return
@@ -480,7 +480,7 @@
 	}
 	most := w.set.FallMultiple*up*limit*routes*seconds(w.set.FallWindow)/float64(w.set.Senders) + 6*routes
 	w.coldSent = append(w.coldSent, w.now)
-	if n := since(w.coldSent, w.now-w.set.FallWindow); float64(n) > most {
+	if n := countAfter(w.coldSent, w.now-w.set.FallWindow); float64(n) > most {
 		w.bad("%d calls in a fall window to a cold destination, want at most %.1f", n, most)
 	}
 }
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -7,61 +7,61 @@
 )
 
 // load is a Sender with a backlog that stays: a new message comes for each that is delivered.
-type load struct {
-	s    *Sender
-	next func() int64 // destination of the next message
-	n    int
-	now  Micros
-	evs  []Event
+type backlogDriver struct {
+	sender   *Sender
+	nextDest func() int64 // destination of the next message
+	created  int
+	now      Micros
+	events   []Event
 }
 
 // up says whether the destination with this endpoint answers: those of the tens do.
-func up(ep EndpointID) bool { return ep%10 == 0 }
+func isUp(ep EndpointID) bool { return ep%10 == 0 }
 
 // onePaced holds n messages at one destination that takes a hundred calls a second.
-func onePaced(tb testing.TB, n int) *load {
-	l := newLoad(tb, 1, 1)
-	l.next = func() int64 { return 0 }
-	l.fill(n)
+func onePacedDest(tb testing.TB, n int) *backlogDriver {
+	l := newBacklogDriver(tb, 1, 1)
+	l.nextDest = func() int64 { return 0 }
+	l.addMessages(n)
 	return l
 }
 
 // mostDown holds ten messages at each of many destinations that are out. The others get a message at a time.
-func mostDown(tb testing.TB, n int) *load {
+func mostDestsDown(tb testing.TB, n int) *backlogDriver {
 	dests := n / 10 * 10 / 9
-	l := newLoad(tb, dests, 1)
+	l := newBacklogDriver(tb, dests, 1)
 	at := 0
-	l.next = func() int64 {
+	l.nextDest = func() int64 {
 		if at++; at%10 == 0 {
 			at++
 		}
 		return int64(at % dests)
 	}
-	l.fill(n)
-	l.next = func() int64 { at += 10; return int64(at % dests / 10 * 10) }
-	l.call()
+	l.addMessages(n)
+	l.nextDest = func() int64 { at += 10; return int64(at % dests / 10 * 10) }
+	l.addMessage()
 	return l
 }
 
 // slotsTaken holds ten messages at each of many destinations that all answer, for a few slots.
-func slotsTaken(tb testing.TB, n int) *load {
-	l := newLoad(tb, n/10, 10)
-	l.s.set.Slots = 8
+func fewSlots(tb testing.TB, n int) *backlogDriver {
+	l := newBacklogDriver(tb, n/10, 10)
+	l.sender.cfg.Slots = 8
 	at := 0
-	l.next = func() int64 { at++; return int64(at % (n / 10) * 10) }
-	l.fill(n)
+	l.nextDest = func() int64 { at++; return int64(at % (n / 10) * 10) }
+	l.addMessages(n)
 	return l
 }
 
 // trialsScarce is mostDown with fewer slots for trials than trials that are due.
-func trialsScarce(tb testing.TB, n int) *load {
-	l := mostDown(tb, n)
-	l.s.set.Senders, l.s.set.Slots, l.s.many = 2, 4, false
+func fewTrialSlots(tb testing.TB, n int) *backlogDriver {
+	l := mostDestsDown(tb, n)
+	l.sender.cfg.Senders, l.sender.cfg.Slots, l.sender.largeFleet = 2, 4, false
 	return l
 }
 
 // newLoad makes a Sender for some destinations, numbered in steps.
-func newLoad(tb testing.TB, dests, by int) *load {
+func newBacklogDriver(tb testing.TB, dests, by int) *backlogDriver {
 	set := base()
 	set.Senders, set.Slots, set.MaxOpen, set.MaxTries, set.Weights = 580, 256, 0, 0, WeightsNominal
 	for i := range set.Classes {
@@ -75,65 +75,65 @@
 	for i := range dests {
 		ev.Entries = append(ev.Entries, Entry{Endpoint: EndpointID(i * by), Dest: int64(i * by), Nominal: 100})
 	}
-	return &load{s: s, evs: []Event{ev}}
+	return &backlogDriver{sender: s, events: []Event{ev}}
 }
 
 // fill hands in n messages and lets five seconds pass.
-func (l *load) fill(n int) {
+func (l *backlogDriver) addMessages(n int) {
 	for range n {
-		l.call()
+		l.addMessage()
 	}
 	for range 1000 {
 		l.step()
 	}
 }
 
-func (l *load) call() {
-	class := l.n % len(l.s.set.Classes)
-	l.evs = append(l.evs, Call{ID: fmt.Sprint(l.n), Left: l.s.set.Classes[class].Deadline, Dest: l.next(), Tenant: -1,
+func (l *backlogDriver) addMessage() {
+	class := l.created % len(l.sender.cfg.Classes)
+	l.events = append(l.events, Call{ID: fmt.Sprint(l.created), Left: l.sender.cfg.Classes[class].Deadline, Dest: l.nextDest(), Tenant: -1,
 		Class: class})
-	l.n++
+	l.created++
 }
 
-func (l *load) step() {
-	l.now += l.s.set.Tick
-	acts := l.s.Step(l.now, l.evs)
-	l.evs = nil
+func (l *backlogDriver) step() {
+	l.now += l.sender.cfg.Tick
+	acts := l.sender.Step(l.now, l.events)
+	l.events = nil
 	for _, c := range only[CallOut](acts) {
-		r := Reply{ID: c.ID, Endpoint: c.Endpoint, Attempt: l.s.msgs[c.ID].tries - 1, Outcome: RefusedConn}
-		if up(c.Endpoint) {
-			r.Outcome, r.NoMore, r.Took = Completed, true, l.s.set.Tick
-			l.call()
+		r := Reply{ID: c.ID, Endpoint: c.Endpoint, Attempt: l.sender.msgs[c.ID].tries - 1, Outcome: RefusedConn}
+		if isUp(c.Endpoint) {
+			r.Outcome, r.NoMore, r.Took = Completed, true, l.sender.cfg.Tick
+			l.addMessage()
 		}
-		l.evs = append(l.evs, r)
+		l.events = append(l.events, r)
 	}
 }
 
-var loads = []struct {
+var backlogScenarios = []struct {
 	name string
-	make func(testing.TB, int) *load
-}{{"one paced", onePaced}, {"most down", mostDown}, {"slots taken", slotsTaken}, {"trials scarce", trialsScarce}}
+	make func(testing.TB, int) *backlogDriver
+}{{"one paced", onePacedDest}, {"most down", mostDestsDown}, {"slots taken", fewSlots}, {"trials scarce", fewTrialSlots}}
 
 func BenchmarkStep(b *testing.B) {
-	for _, x := range loads {
+	for _, x := range backlogScenarios {
 		for _, n := range []int{100, 500, 1000, 5000, 20000} {
 			b.Run(fmt.Sprintf("%s/held=%d", x.name, n), func(b *testing.B) {
 				l := x.make(b, n)
 				for b.Loop() {
 					l.step()
 				}
-				b.ReportMetric(float64(len(l.s.msgs)), "held")
+				b.ReportMetric(float64(len(l.sender.msgs)), "held")
 			})
 		}
 	}
 }
 
 // run makes n steps and returns how much is looked at in one, and how many calls it makes.
-func (l *load) run(n int) (visits, calls float64) {
+func (l *backlogDriver) measure(n int) (visits, calls float64) {
 	for range n {
 		l.step()
-		visits += float64(l.s.visits)
-		for _, ev := range l.evs {
+		visits += float64(l.sender.visitCount)
+		for _, ev := range l.events {
 			if _, ok := ev.(Reply); ok {
 				calls++
 			}
@@ -143,11 +143,11 @@
 }
 
 // A step costs what it does, not what is held, and does no less for it.
-func TestStepCostsWhatItDoes(t *testing.T) {
-	for _, x := range loads {
-		few, some := x.make(t, 1000).run(600)
+func TestStepCostIndependentOfBacklog(t *testing.T) {
+	for _, x := range backlogScenarios {
+		few, some := x.make(t, 1000).measure(600)
 		for _, n := range []int{5000, 20000} {
-			visits, calls := x.make(t, n).run(600)
+			visits, calls := x.make(t, n).measure(600)
 			t.Logf("%s: %.0f looked at in a step with 1000 held, %.0f with %d; calls %.2f, %.2f", x.name, few, visits, n, some, calls)
 			if visits > 3*few {
 				t.Errorf("%s: %.0f looked at in a step with %d held, %.0f with 1000", x.name, visits, n, few)
@@ -157,39 +157,39 @@
 			}
 		}
 		l := x.make(t, 1000)
-		l.s.few = 1000_000
-		if _, all := l.run(600); some < 0.95*all {
+		l.sender.fullScanMax = 1000_000
+		if _, all := l.measure(600); some < 0.95*all {
 			t.Errorf("%s: %.2f calls in a step, %.2f where all are looked at", x.name, some, all)
 		}
 	}
 }
 
 // quiet makes a Sender that holds n messages at one paced destination, all of them long past their aim.
-func quiet(t *testing.T, n int) *load {
-	l := newLoad(t, 1, 1)
-	l.s.set.Halves = true
-	l.next = func() int64 { return 0 }
+func pausedBacklog(t *testing.T, n int) *backlogDriver {
+	l := newBacklogDriver(t, 1, 1)
+	l.sender.cfg.Halves = true
+	l.nextDest = func() int64 { return 0 }
 	for range n {
-		l.call()
+		l.addMessage()
 	}
-	l.evs = append(l.evs, Call{ID: "riser", Left: 36000*Second + 20*Second, Dest: 0, Tenant: -1, Class: 1})
-	l.s.Step(0, l.evs)
-	l.s.dests[0].lane.until = 15 * Second
-	l.evs = nil
-	for _, a := range l.s.flying {
-		l.evs = append(l.evs, Reply{ID: a.m.id, Endpoint: a.ep.id, NoMore: true, Took: l.s.set.Tick})
+	l.events = append(l.events, Call{ID: "riser", Left: 36000*Second + 20*Second, Dest: 0, Tenant: -1, Class: 1})
+	l.sender.Step(0, l.events)
+	l.sender.dests[0].limiter.waitUntil = 15 * Second
+	l.events = nil
+	for _, a := range l.sender.inFlight {
+		l.events = append(l.events, Reply{ID: a.msg.id, Endpoint: a.endpoint.id, NoMore: true, Took: l.sender.cfg.Tick})
 	}
 	return l
 }
 
 // until steps on to the call for a message and returns how many calls come before it.
-func (l *load) until(t *testing.T, id string) (n int) {
+func (l *backlogDriver) stepUntilSent(t *testing.T, id string) (n int) {
 	for range 2000 {
-		l.now += l.s.set.Tick
-		acts := only[CallOut](l.s.Step(l.now, l.evs))
-		l.evs = nil
+		l.now += l.sender.cfg.Tick
+		acts := only[CallOut](l.sender.Step(l.now, l.events))
+		l.events = nil
 		for _, c := range acts {
-			l.evs = append(l.evs, Reply{ID: c.ID, Endpoint: c.Endpoint, NoMore: true, Took: l.s.set.Tick})
+			l.events = append(l.events, Reply{ID: c.ID, Endpoint: c.Endpoint, NoMore: true, Took: l.sender.cfg.Tick})
 		}
 		if i := slices.IndexFunc(acts, func(c CallOut) bool { return c.ID == id }); i >= 0 {
 			return n + i
@@ -201,94 +201,94 @@
 }
 
 // Of many the new message that is worth most goes first, and one that becomes so while it waits goes once it is seen.
-func TestMostUrgentOfManyGoesFirst(t *testing.T) {
+func TestMostUrgentSentFirst(t *testing.T) {
 	for _, n := range []int{1000, 5000} {
-		l := quiet(t, n)
+		l := pausedBacklog(t, n)
 		l.now = 14 * Second
-		l.evs = append(l.evs, Call{ID: "new", Left: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
-		if k := l.until(t, "new"); k > 0 {
+		l.events = append(l.events, Call{ID: "new", Left: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
+		if k := l.stepUntilSent(t, "new"); k > 0 {
 			t.Errorf("of %d: %d calls before that for the new message", n, k)
 		}
 		// One that rests meanwhile is not lost sight of.
-		l.s.dests[0].lane.until = l.now + 2*Second
-		l.now += l.s.set.Tick
-		l.evs = append(l.evs, Call{ID: "rests", Left: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
-		l.s.Step(l.now, l.evs)
-		l.s.msgs["rests"].rest = l.now + Second
-		l.evs = nil
+		l.sender.dests[0].limiter.waitUntil = l.now + 2*Second
+		l.now += l.sender.cfg.Tick
+		l.events = append(l.events, Call{ID: "rests", Left: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
+		l.sender.Step(l.now, l.events)
+		l.sender.msgs["rests"].retryAt = l.now + Second
+		l.events = nil
 		for range 3 {
-			l.now += l.s.set.Tick
-			l.evs = nil
-			l.call()
-			l.s.Step(l.now, l.evs)
+			l.now += l.sender.cfg.Tick
+			l.events = nil
+			l.addMessage()
+			l.sender.Step(l.now, l.events)
 		}
-		l.evs = nil
+		l.events = nil
 		l.now += 2 * Second
-		if k := l.until(t, "rests"); k > 3 { // those that came with it may be worth more
+		if k := l.stepUntilSent(t, "rests"); k > 3 { // those that came with it may be worth more
 			t.Errorf("of %d: %d calls before that for the one that has rested", n, k)
 		}
-		m := l.s.msgs["riser"]
-		m.first = l.now + Second/2 - m.class.Aim // its time comes in half a second
-		if k := l.until(t, "riser"); k > 50+n/part {
+		m := l.sender.msgs["riser"]
+		m.submitted = l.now + Second/2 - m.class.Aim // its time comes in half a second
+		if k := l.stepUntilSent(t, "riser"); k > 50+n/part {
 			t.Errorf("of %d: %d calls before that for the one that has become urgent", n, k)
 		}
 	}
 }
 
 // Messages of one key go one after the other without a pause, however many wait for their turn.
-func TestLongLineOfOneKey(t *testing.T) {
-	l := newLoad(t, 1, 10)
-	l.s.set.Classes[0].KeepOrder, l.s.set.Weights = true, WeightsOff
+func TestLongQueueOfOneKey(t *testing.T) {
+	l := newBacklogDriver(t, 1, 10)
+	l.sender.cfg.Classes[0].KeepOrder, l.sender.cfg.Weights = true, WeightsOff
 	for i := range 2000 {
-		l.evs = append(l.evs, Call{ID: fmt.Sprint(i), Left: 36000 * Second, Key: "k", Dest: 0, Tenant: -1})
+		l.events = append(l.events, Call{ID: fmt.Sprint(i), Left: 36000 * Second, Key: "k", Dest: 0, Tenant: -1})
 	}
 	for i := range 400 {
-		l.now += l.s.set.Tick
-		out := only[CallOut](l.s.Step(l.now, l.evs))
+		l.now += l.sender.cfg.Tick
+		out := only[CallOut](l.sender.Step(l.now, l.events))
 		if len(out) != 1 || out[0].ID != fmt.Sprint(i) {
 			t.Fatalf("step %d: %v", i, out)
 		}
-		l.evs = []Event{Reply{ID: out[0].ID, NoMore: true, Took: l.s.set.Tick}}
-		checkBooks(t, l.s)
+		l.events = []Event{Reply{ID: out[0].ID, NoMore: true, Took: l.sender.cfg.Tick}}
+		checkIndexes(t, l.sender)
 	}
 }
 
 // What waits for something of its own does not keep the others of its destination waiting, nor the module busy.
-func TestHeldBackByThemselves(t *testing.T) {
-	l := mostDown(t, 2000)
-	l.s.set.Classes[1].KeepOrder = true
+func TestHeldMessagesDoNotBlockOthers(t *testing.T) {
+	l := mostDestsDown(t, 2000)
+	l.sender.cfg.Classes[1].KeepOrder = true
 	for i := range 1900 {
-		l.evs = append(l.evs, Call{ID: fmt.Sprint("k", i), Left: 36000 * Second, Key: "k", Dest: 0, Tenant: -1, Class: 1})
+		l.events = append(l.events, Call{ID: fmt.Sprint("k", i), Left: 36000 * Second, Key: "k", Dest: 0, Tenant: -1, Class: 1})
 	}
 	for i := range 20 {
-		l.evs = append(l.evs, Call{ID: fmt.Sprint("p", i), Left: 36000 * Second, Dest: 0, Tenant: -1})
-	}
-	l.s.eps[0].state = Draining
-	l.now += l.s.set.Tick
-	l.s.Step(l.now, l.evs)
-	l.s.keys["k"].q[0].rest = 36000 * Second // so the others wait for it
-	l.evs = []Event{Endpoints{Entries: []Entry{{Endpoint: 0, Dest: 0, Nominal: 100}}}}
-	l.next = func() int64 { return 10 } // none comes here any more
+		l.events = append(l.events, Call{ID: fmt.Sprint("p", i), Left: 36000 * Second, Dest: 0, Tenant: -1})
+	}
+	l.sender.endpoints[0].state = Draining
+	l.now += l.sender.cfg.Tick
+	l.sender.Step(l.now, l.events)
+	l.sender.keyQueues["k"].messages[0].retryAt = 36000 * Second // so the others wait for it
+	l.events = []Event{Endpoints{Entries: []Entry{{Endpoint: 0, Dest: 0, Nominal: 100}}}}
+	l.nextDest = func() int64 { return 10 } // none comes here any more
 	for range 150 {
 		l.step()
 	}
 	for i := range 20 {
-		if m := l.s.msgs[fmt.Sprint("p", i)]; m != nil && m.out == nil {
+		if m := l.sender.msgs[fmt.Sprint("p", i)]; m != nil && m.inFlight == nil {
 			t.Errorf("%s is not sent", m.id)
 		}
 	}
 	looks := 0
 	for range 200 {
-		if l.step(); l.s.dests[0].backlog.looked == l.s.step {
+		if l.step(); l.sender.dests[0].backlog.scannedStep == l.sender.step {
 			looks++
 		}
 	}
 	if looks > 40 {
 		t.Errorf("looked at in %d of 200 steps though nothing changes", looks)
 	}
-	late := l.s.keys["k"].q[0]
-	late.rest = l.now + Second
-	l.s.touch(late.dest)
+	late := l.sender.keyQueues["k"].messages[0]
+	late.retryAt = l.now + Second
+	l.sender.scheduleScan(late.dest)
 	for range 300 {
 		l.step()
 	}
@@ -298,7 +298,7 @@
 }
 
 // A change at a destination is looked at in the step that brings it.
-func TestChangeIsLookedAt(t *testing.T) {
+func TestChangedDestinationIsScanned(t *testing.T) {
 	for name, change := range map[string]func(i int) Event{
 		"gone": func(i int) Event {
 			return Endpoints{Entries: []Entry{{Endpoint: EndpointID(i), Dest: int64(i), State: Gone}}}
@@ -306,11 +306,11 @@
 		"listed": func(i int) Event { return Endpoints{Entries: []Entry{{Endpoint: EndpointID(i), Dest: int64(i)}}} },
 		"new":    func(i int) Event { return Call{ID: fmt.Sprint("new", i), Left: Second, Dest: int64(i), Tenant: -1} },
 	} {
-		l := mostDown(t, 2000)
+		l := mostDestsDown(t, 2000)
 		for i := 1; i < 10; i++ {
-			l.now += l.s.set.Tick
-			l.s.Step(l.now, []Event{change(i)})
-			if l.s.dests[int64(i)].backlog.looked != l.s.step {
+			l.now += l.sender.cfg.Tick
+			l.sender.Step(l.now, []Event{change(i)})
+			if l.sender.dests[int64(i)].backlog.scannedStep != l.sender.step {
 				t.Errorf("%s: destination %d is not looked at", name, i)
 			}
 		}
@@ -318,26 +318,26 @@
 }
 
 // A reply makes room at its destination: what waited for that goes in the same step.
-func TestRoomIsTakenAtOnce(t *testing.T) {
-	l := mostDown(t, 2000)
-	l.s.set.Weights = WeightsOff
-	l.s.dests[0].lane.limit = 0
+func TestReplyFreesSlotInSameStep(t *testing.T) {
+	l := mostDestsDown(t, 2000)
+	l.sender.cfg.Weights = WeightsOff
+	l.sender.dests[0].limiter.limit = 0
 	for i := range 300 {
-		l.evs = append(l.evs, Call{ID: fmt.Sprint("r", i), Left: 36000 * Second, Dest: 0, Tenant: -1})
+		l.events = append(l.events, Call{ID: fmt.Sprint("r", i), Left: 36000 * Second, Dest: 0, Tenant: -1})
 	}
 	var out []CallOut
 	for range 20 { // those of the tens answer; the lane takes half of the slots
-		l.now += l.s.set.Tick
-		out = append(out, only[CallOut](l.s.Step(l.now, l.evs))...)
-		l.evs = nil
+		l.now += l.sender.cfg.Tick
+		out = append(out, only[CallOut](l.sender.Step(l.now, l.events))...)
+		l.events = nil
 	}
 	out = slices.DeleteFunc(out, func(c CallOut) bool { return c.Endpoint != 0 })
-	if len(out) < 100 || l.s.dests[0].backlog == nil {
-		t.Fatalf("%d calls, none waits: %v", len(out), l.s.dests[0].backlog == nil)
+	if len(out) < 100 || l.sender.dests[0].backlog == nil {
+		t.Fatalf("%d calls, none waits: %v", len(out), l.sender.dests[0].backlog == nil)
 	}
 	for _, c := range out[:20] {
-		l.now += l.s.set.Tick
-		acts := only[CallOut](l.s.Step(l.now, []Event{Reply{ID: c.ID, NoMore: true, Took: l.s.set.Tick}}))
+		l.now += l.sender.cfg.Tick
+		acts := only[CallOut](l.sender.Step(l.now, []Event{Reply{ID: c.ID, NoMore: true, Took: l.sender.cfg.Tick}}))
 		if !slices.ContainsFunc(acts, func(c CallOut) bool { return c.Endpoint == 0 }) {
 			t.Fatalf("after the reply for %s nothing is sent", c.ID)
 		}
@@ -345,32 +345,32 @@
 }
 
 // What no event brings up is looked at in turn: a budget grows while it is waited for.
-func TestEachIsLookedAtInTurn(t *testing.T) {
-	l := mostDown(t, 2000)
-	from := l.s.step
-	for range 4 * len(l.s.dests) / turns {
+func TestAllDestinationsScannedInTurn(t *testing.T) {
+	l := mostDestsDown(t, 2000)
+	from := l.sender.step
+	for range 4 * len(l.sender.dests) / turns {
 		l.step()
 	}
-	for _, b := range l.s.wait.looks.items {
-		if b.looked <= from {
-			t.Errorf("destination %d is not looked at in %d steps", b.dest.id, l.s.step-from)
+	for _, b := range l.sender.waiting.scanQueue.items {
+		if b.scannedStep <= from {
+			t.Errorf("destination %d is not looked at in %d steps", b.dest.id, l.sender.step-from)
 		}
 	}
 }
 
 // What lacks a slot is known, so that the next one that is free finds it.
-func TestWhatLacksASlotIsKnown(t *testing.T) {
-	l := trialsScarce(t, 5000)
+func TestSlotWaitersAreTracked(t *testing.T) {
+	l := fewTrialSlots(t, 5000)
 	for range 200 {
 		l.step()
 	}
 	lacking := 0
-	for _, b := range l.s.wait.looks.items {
-		e := b.dest.eps[0]
-		if b.again < never || !e.ejected || e.inflight > 0 {
+	for _, b := range l.sender.waiting.scanQueue.items {
+		e := b.dest.endpoints[0]
+		if b.nextScanAt < never || !e.ejected || e.inFlight > 0 {
 			continue
 		}
-		if lacking++; b.scarce == [2]int{} {
+		if lacking++; b.slotWaitPos == [2]int{} {
 			t.Fatalf("destination %d waits for nothing", b.dest.id)
 		}
 	}
@@ -378,29 +378,29 @@
 		t.Errorf("%d destinations lack a slot for a trial", lacking)
 	}
 	// Slots that those asked first can't use are offered to others in the next step.
-	l = slotsTaken(t, 2000)
+	l = fewSlots(t, 2000)
 	var replies []Event
-	for _, ev := range l.evs {
+	for _, ev := range l.events {
 		if r, ok := ev.(Reply); ok {
 			replies = append(replies, r)
 		}
 	}
-	timer := only[SetTimer](l.s.Step(l.now+1000, append(replies, Closing{Left: 1})))
-	if len(l.s.wait.scarce[anySlot].items) == 0 || l.s.busy > 0 {
-		t.Fatalf("%d wait for a slot, %d are busy", len(l.s.wait.scarce[anySlot].items), l.s.busy)
+	timer := only[SetTimer](l.sender.Step(l.now+1000, append(replies, Closing{Left: 1})))
+	if len(l.sender.waiting.slotWaiters[anySlot].items) == 0 || l.sender.busy > 0 {
+		t.Fatalf("%d wait for a slot, %d are busy", len(l.sender.waiting.slotWaiters[anySlot].items), l.sender.busy)
 	}
-	if len(timer) != 1 || timer[0].Wait > l.s.set.Tick {
+	if len(timer) != 1 || timer[0].Wait > l.sender.cfg.Tick {
 		t.Errorf("timers %v, want one at the next tick", timer)
 	}
 }
 
 // No message is looked at twice in a step.
-func TestSampleHasEachOnce(t *testing.T) {
+func TestSampleHasNoRepeats(t *testing.T) {
 	for _, n := range []int{100, 130, 2000} {
-		l := onePaced(t, n)
-		for step := l.s.step + 1; step < l.s.step+50; step++ {
+		l := onePacedDest(t, n)
+		for step := l.sender.step + 1; step < l.sender.step+50; step++ {
 			seen := map[*msg]bool{}
-			for _, m := range l.s.dests[0].backlog.sample(step, nil) {
+			for _, m := range l.sender.dests[0].backlog.sample(step, nil) {
 				if seen[m] {
 					t.Fatalf("%s is in a sample of %d twice", m.id, n)
 				}
@@ -411,26 +411,26 @@
 }
 
 // A timer that goes off late, or a clock that jumps, makes ends late, and no more: all of them come in that step.
-func TestLateTimerEndsAll(t *testing.T) {
+func TestLateTimerEndsAllExpired(t *testing.T) {
 	for _, few := range []int{0, fewWait} {
-		l := mostDown(t, 2000)
-		l.s.few = few
+		l := mostDestsDown(t, 2000)
+		l.sender.fullScanMax = few
 		l.now += 40000 * Second
-		acts := l.s.Step(l.now, l.evs)
+		acts := l.sender.Step(l.now, l.events)
 		if n := len(only[Refuse](acts)) + len(only[Fail](acts)); n < 2000 {
 			t.Errorf("%d ends", n)
 		}
-		if l.s.wait.count > 2 {
-			t.Errorf("%d wait on", l.s.wait.count)
+		if l.sender.waiting.count > 2 {
+			t.Errorf("%d wait on", l.sender.waiting.count)
 		}
-		checkBooks(t, l.s)
+		checkIndexes(t, l.sender)
 	}
 }
 
 // Odd events where many wait: the books stay right, and nothing is done for what is not known.
-func TestOddEventsWhereManyWait(t *testing.T) {
-	l := mostDown(t, 2000)
-	id := l.s.held[1000].id
+func TestInvalidEventsWithManyWaiting(t *testing.T) {
+	l := mostDestsDown(t, 2000)
+	id := l.sender.held[1000].id
 	for _, evs := range [][]Event{
 		{Call{ID: id, Left: 36000 * Second, Dest: 1, Tenant: -1}},                      // again, for another destination
 		{Call{ID: "none", Left: -Second, Dest: 77777, Tenant: 9, Class: 1}},            // over when it comes
@@ -441,21 +441,21 @@
 		{Endpoints{Form: ListFull}}, // nothing is left
 		{Due{99}, Started{ID: id}, Closing{Left: Second}},
 	} {
-		l.s.Step(l.now, evs)
-		checkBooks(t, l.s)
+		l.sender.Step(l.now, evs)
+		checkIndexes(t, l.sender)
 	}
-	l.s.Step(0, nil) // a clock that goes back
-	checkBooks(t, l.s)
-	l.s.Step(never, []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}}}) // and one that runs out
-	checkBooks(t, l.s)
-	if l.s.wait.count > 0 {
-		t.Errorf("%d wait past the end of time", l.s.wait.count)
+	l.sender.Step(0, nil) // a clock that goes back
+	checkIndexes(t, l.sender)
+	l.sender.Step(never, []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}}}) // and one that runs out
+	checkIndexes(t, l.sender)
+	if l.sender.waiting.count > 0 {
+		t.Errorf("%d wait past the end of time", l.sender.waiting.count)
 	}
 }
 
 // With more coming than a pace sends and a hold that is nearly full, the door turns away about what it does where all
 // are looked at, and as much is delivered.
-func TestFullHoldWhereManyWait(t *testing.T) {
+func TestNearlyFullWithManyWaiting(t *testing.T) {
 	play := func(few int) (delivered, returned int) {
 		set := base()
 		set.MaxOpen, set.Senders, set.MaxTries, set.Slots = 1500, 1, 0, 64
@@ -463,16 +463,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.few = few
+		s.fullScanMax = few
 		evs := []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}}}
 		n := 0
 		for now := Micros(0); now < 40*Second; now += set.Tick {
 			for range 2 { // 400 a second
-				if n++; s.open < set.MaxOpen {
+				if n++; s.openCount < set.MaxOpen {
 					evs = append(evs, Call{ID: fmt.Sprint(n), Left: set.Classes[n%2].Deadline, Dest: 1, Tenant: -1, Class: n % 2})
 				}
 			}
-			s.dest(1).lane.pace = 100
+			s.destByID(1).limiter.pace = 100
 			acts := s.Step(now, evs)
 			evs = nil
 			for _, c := range only[CallOut](acts) {
@@ -485,7 +485,7 @@
 				}
 				returned++
 			}
-			checkBooks(t, s)
+			checkIndexes(t, s)
 		}
 		return delivered, returned
 	}
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -9,10 +9,10 @@
 )
 
 // destSizes are numbers of destinations with two endpoints each, up to those that are expected within two years.
-var destSizes = []int{350, 3500, 17500, 35000}
+var destCounts = []int{350, 3500, 17500, 35000}
 
 // destList is a whole list of n destinations with two endpoints each.
-func destList(n int) Endpoints {
+func fullList(n int) Endpoints {
 	ev := Endpoints{Form: ListFull}
 	for i := range 2 * n {
 		ev.Entries = append(ev.Entries, Entry{Endpoint: EndpointID(i + 1), Dest: int64(i / 2)})
@@ -21,18 +21,18 @@
 }
 
 // listed makes a Sender that knows n destinations with two endpoints each.
-func listed(tb testing.TB, n int) *Sender {
+func newSenderWithList(tb testing.TB, n int) *Sender {
 	tb.Helper()
 	s, err := New(base(), 7)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	s.Step(0, []Event{destList(n)})
+	s.Step(0, []Event{fullList(n)})
 	return s
 }
 
 // least is the shortest time that f takes of some runs, each with a number of its own.
-func least(runs int, f func(i int)) time.Duration {
+func fastestRun(runs int, f func(i int)) time.Duration {
 	best := time.Duration(math.MaxInt64)
 	for i := range runs {
 		at := time.Now()
@@ -45,10 +45,10 @@
 // The figures ask after every step how many endpoints are out of rotation: that costs the same with any list.
 func TestOutOfRotationScale(t *testing.T) {
 	var took []time.Duration
-	for _, n := range destSizes {
-		s := listed(t, n)
-		s.eject(s.eps[1], "silent")
-		took = append(took, least(20, func(int) {
+	for _, n := range destCounts {
+		s := newSenderWithList(t, n)
+		s.eject(s.endpoints[1], "silent")
+		took = append(took, fastestRun(20, func(int) {
 			for range 1000 {
 				if got := s.OutOfRotation(); got != 1 {
 					t.Fatalf("%d destinations: %d out of rotation, want 1", n, got)
@@ -58,12 +58,12 @@
 		t.Logf("%d destinations: %v for 1,000 calls", n, took[len(took)-1])
 	}
 	if first, last := took[0], took[len(took)-1]; last > 20*first {
-		t.Errorf("%d destinations: %v, %d destinations: %v", destSizes[0], first, destSizes[len(destSizes)-1], last)
+		t.Errorf("%d destinations: %v, %d destinations: %v", destCounts[0], first, destCounts[len(destCounts)-1], last)
 	}
 }
 
 // stranded are n messages for destinations that no endpoint serves, so that they stay.
-func stranded(n int) (evs []Event) {
+func undeliverable(n int) (evs []Event) {
 	for i := range n {
 		evs = append(evs, Call{ID: fmt.Sprintf("%016x", i), Left: 14 * Second, Dest: -1, Tenant: -1, Class: 2})
 	}
@@ -71,16 +71,16 @@
 }
 
 // unbounded is a deployment that holds as many messages as come.
-func unbounded() Settings {
+func unlimitedSettings() Settings {
 	set := base()
 	set.MaxOpen = 0
 	return set
 }
 
 func BenchmarkOutOfRotation(b *testing.B) {
-	for _, n := range destSizes {
+	for _, n := range destCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := listed(b, n)
+			s := newSenderWithList(b, n)
 			for b.Loop() {
 				s.OutOfRotation()
 			}
@@ -98,8 +98,8 @@
 
 // A destination to which nothing was ever sent takes so much memory, with its two endpoints, in a list of any size.
 func TestIdleDestinationScale(t *testing.T) {
-	for _, n := range destSizes {
-		list := destList(n)
+	for _, n := range destCounts {
+		list := fullList(n)
 		s, err := New(base(), 7)
 		if err != nil {
 			t.Fatal(err)
@@ -118,8 +118,8 @@
 
 // The first whole list, and one that says the same again.
 func BenchmarkWholeList(b *testing.B) {
-	for _, n := range destSizes {
-		list := []Event{destList(n)}
+	for _, n := range destCounts {
+		list := []Event{fullList(n)}
 		b.Run(fmt.Sprintf("first/%d", 2*n), func(b *testing.B) {
 			for b.Loop() {
 				s, err := New(base(), 7)
@@ -131,7 +131,7 @@
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*2*n), "ns/endpoint")
 		})
 		b.Run(fmt.Sprintf("again/%d", 2*n), func(b *testing.B) {
-			s := listed(b, n)
+			s := newSenderWithList(b, n)
 			for b.Loop() {
 				s.Step(0, list)
 			}
@@ -142,9 +142,9 @@
 
 // News of one endpoint that drains, with the step that it costs.
 func BenchmarkListChange(b *testing.B) {
-	for _, n := range destSizes {
+	for _, n := range destCounts {
 		b.Run(fmt.Sprint(2*n), func(b *testing.B) {
-			s := listed(b, n)
+			s := newSenderWithList(b, n)
 			change := []Event{Endpoints{Form: ListDelta, Entries: []Entry{{Endpoint: 3, Dest: 1, State: Draining}}}}
 			for b.Loop() {
 				s.Step(0, change)
@@ -157,11 +157,11 @@
 func BenchmarkHeld(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20000, 80000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s, err := New(unbounded(), 7)
+			s, err := New(unlimitedSettings(), 7)
 			if err != nil {
 				b.Fatal(err)
 			}
-			evs := stranded(n)
+			evs := undeliverable(n)
 			before := liveHeap()
 			s.Step(0, evs)
 			each := float64(liveHeap()-before) / float64(n)
@@ -179,11 +179,11 @@
 func BenchmarkSnapshot(b *testing.B) {
 	for _, x := range []struct{ dests, held int }{{350, 0}, {3500, 0}, {17500, 0}, {35000, 0},
 		{350, 1000}, {350, 5000}, {350, 20000}, {350, 80000}} {
-		s, err := New(unbounded(), 7)
+		s, err := New(unlimitedSettings(), 7)
 		if err != nil {
 			b.Fatal(err)
 		}
-		s.Step(0, append([]Event{destList(x.dests)}, stranded(x.held)...))
+		s.Step(0, append([]Event{fullList(x.dests)}, undeliverable(x.held)...))
 		text, err := s.Snapshot()
 		if err != nil {
 			b.Fatal(err)
@@ -199,7 +199,7 @@
 		})
 		b.Run("restore/"+size, func(b *testing.B) {
 			for b.Loop() {
-				if _, err := Restore(unbounded(), text); err != nil {
+				if _, err := Restore(unlimitedSettings(), text); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/logic/snapshot.go
+++ b/logic/snapshot.go
@@ -14,72 +14,72 @@
 const snapshotVersion = 1
 
 // errSnapshot says that a snapshot does not fit together.
-var errSnapshot = errors.New("snapshot makes no sense")
+var errInconsistentSnapshot = errors.New("snapshot makes no sense")
 
 type snapshot struct {
-	Version   int
-	Rand      []byte
-	Now       Micros
-	Step      int
-	Seq       int
-	ForgetAt  Micros
-	AskAt     Micros
-	AskGap    Micros
-	Unsure    Micros
-	Logs      int
-	Turned    map[int]float64
-	Short     map[int]Micros
-	Usage     []usageState
-	ByClass   []histState
-	Dests     []destState // in their order
-	Endpoints []endpointState
-	Gone      []int
-	Messages  []msgState // held ones first, in order, then those that are over
-	Held      int        // how many of them are held
-	Calls     int
-	Flying    []attemptState
-	Keys      map[string]keyState
+	Version        int
+	RNGState       []byte `json:"Rand"`
+	Now            Micros
+	Step           int
+	LastSeq        int    `json:"Seq"`
+	NextCleanupAt  Micros `json:"ForgetAt"`
+	AskAt          Micros
+	AskGap         Micros
+	ListStaleUntil Micros             `json:"Unsure"`
+	LogLines       int                `json:"Logs"`
+	RejectRate     map[int]float64    `json:"Turned"`
+	ScarceUntil    map[int]Micros     `json:"Short"`
+	TenantUsage    []tenantUsageState `json:"Usage"`
+	ClassLatency   []histogramState   `json:"ByClass"`
+	Dests          []destState        // in their order
+	Endpoints      []endpointState
+	Removed        []int                    `json:"Gone"`
+	Messages       []msgState               // held ones first, in order, then those that are over
+	HeldCount      int                      `json:"Held"` // how many of them are held
+	CallCount      int                      `json:"Calls"`
+	InFlight       []attemptState           `json:"Flying"`
+	KeyQueues      map[string]keyQueueState `json:"Keys"`
 }
 
-type usageState struct {
-	N  float64
-	At Micros
+type tenantUsageState struct {
+	Count     float64 `json:"N"`
+	UpdatedAt Micros  `json:"At"`
 }
 
-type histState struct {
-	W           []float64
+type histogramState struct {
+	Bins        []float64 `json:"W"`
 	Total, Cuts float64
-	At          Micros
+	UpdatedAt   Micros `json:"At"`
 }
 
-type laneState struct {
-	Limit     float64
-	Told      bool
-	Left      float64
-	Pace      float64
-	Halved    Micros
-	Tokens    float64
-	Filled    Micros
-	Until     Micros
-	Inflight  int
-	Fulls     int
-	FirstFull Micros
-	Sent      []Micros
-	Served    []Micros `json:",omitempty"` // not of older builds
-	Peak      float64
-	Phase     float64
+type limiterState struct {
+	Limit          float64
+	Reported       bool    `json:"Told"`
+	Remaining      float64 `json:"Left"`
+	Pace           float64
+	ReducedAt      Micros `json:"Halved"`
+	Tokens         float64
+	RefilledAt     Micros   `json:"Filled"`
+	WaitUntil      Micros   `json:"Until"`
+	InFlight       int      `json:"Inflight"`
+	Refusals       int      `json:"Fulls"`
+	FirstRefusalAt Micros   `json:"FirstFull"`
+	SentAt         []Micros `json:"Sent"`
+	ServedAt       []Micros `json:"Served,omitempty"` // not of older builds
+	PeakRate       float64  `json:"Peak"`
+	Jitter         float64  `json:"Phase"`
 }
 
 type destState struct {
-	ID     int64
-	Kind   int
-	Eps    []int
-	Next   int
-	Lane   laneState
-	Hist   histState
-	Used   Micros
-	Came   int
-	DownAt Micros
+	ID           int64
+	Kind         int
+	Endpoints    []int          `json:"Eps"`
+	NextEndpoint int            `json:"Next"`
+	Limiter      limiterState   `json:"Lane"`
+	Latency      histogramState `json:"Hist"`
+	LastUsedAt   Micros         `json:"Used"`
+	Arrivals     int            `json:"Came"`
+	OutageSeenAt Micros         `json:"DownAt"`
 }
 
 type endpointState struct {
@@ -88,176 +88,176 @@
 	Zone              int
 	State             Readiness
 	Dest              int
-	Own               *laneState // its lane, if it has one apart
-	Sent              []Micros
-	Bad               float64
+	OwnLimiter        *limiterState `json:"Own"` // its lane, if it has one apart
+	SentAt            []Micros      `json:"Sent"`
+	FailureRate       float64       `json:"Bad"`
 	Fails, Fulls      int
 	Spoilt, Resets    int
-	GoneAt            Micros
+	RemovedAt         Micros `json:"GoneAt"`
 	LastOK, LastBad   Micros
-	Well              Micros
+	HealthyAt         Micros `json:"Well"`
 	OKSent, OutAt     Micros `json:",omitempty"` // not of older builds
 	Suspect, Cold     bool
 	BackAt, DownAt    Micros
 	TrialAt, TrialGap Micros
-	Inflight          int
-	Slow              float64
+	InFlight          int     `json:"Inflight"`
+	SmoothedLatency   float64 `json:"Slow"`
 	LastSent, Warm    Micros
 }
 
 type msgState struct {
-	ID          string
-	Class       int
-	Share       float64
-	Dest        int
-	Seq         int
-	First, Came Micros
-	Deadline    Micros
-	Tries, Cuts int
-	MayRun      bool
-	FirstMay    Micros
-	MayZone     int
-	Last        int // -1 for none
-	Rest        Micros
-	Over, Flows bool
+	ID           string
+	Class        int
+	WorthShare   float64 `json:"Share"`
+	Dest         int
+	Seq          int
+	First, Came  Micros
+	Deadline     Micros
+	Tries, Cuts  int
+	MayRun       bool
+	MayRunAt     Micros `json:"FirstMay"`
+	MayRunZone   int    `json:"MayZone"`
+	LastEndpoint int    `json:"Last"` // -1 for none
+	RetryAt      Micros `json:"Rest"`
+	Over, Flows  bool
 }
 
 type attemptState struct {
 	Message               string
 	N, Endpoint, Call     int
-	At                    Micros
+	SentAt                Micros `json:"At"`
 	Cancelled, Cut, Stuck bool
-	Late                  bool
+	Censored              bool `json:"Late"`
 }
 
-type keyState struct {
-	Queue []string
-	Quiet Micros
-	By    string // empty if none, or if it is forgotten
+type keyQueueState struct {
+	Messages    []string `json:"Queue"`
+	QuietUntil  Micros   `json:"Quiet"`
+	QuietExempt string   `json:"By"` // empty if none, or if it is forgotten
 }
 
 // save writes all bins down, also where nothing was counted: version 1 has them.
-func (h *hist) save() histState {
-	w := h.w
+func (h *histogram) save() histogramState {
+	w := h.bins
 	if w == nil {
-		w = new(weights)
+		w = new(binWeights)
 	}
-	return histState{w[:], h.total, h.cuts, h.at}
+	return histogramState{w[:], h.total, h.censored, h.updatedAt}
 }
 
-func (h *hist) load(x histState) error {
-	if len(x.W) != len(weights{}) {
-		return errSnapshot
+func (h *histogram) load(x histogramState) error {
+	if len(x.Bins) != len(binWeights{}) {
+		return errInconsistentSnapshot
 	}
-	h.total, h.cuts, h.at = x.Total, x.Cuts, x.At
-	if h.total == 0 && h.cuts == 0 {
+	h.total, h.censored, h.updatedAt = x.Total, x.Cuts, x.UpdatedAt
+	if h.total == 0 && h.censored == 0 {
 		return nil
 	}
-	h.w = (*weights)(x.W)
+	h.bins = (*binWeights)(x.Bins)
 	h.update()
 	return nil
 }
 
-func (l *lane) save() laneState {
-	return laneState{l.limit, l.told, l.left, l.pace, l.halved, l.tokens, l.filled, l.until, l.inflight, l.fulls, l.firstFull,
-		l.sent, l.served, l.peak, l.phase}
+func (l *limiter) save() limiterState {
+	return limiterState{l.limit, l.reported, l.remaining, l.pace, l.reducedAt, l.tokens, l.refilledAt, l.waitUntil, l.inFlight, l.refusals, l.firstRefusalAt,
+		l.sentAt, l.servedAt, l.peakRate, l.jitter}
 }
 
-func (x laneState) lane() *lane {
-	return &lane{x.Limit, x.Told, x.Left, x.Pace, x.Halved, x.Tokens, x.Filled, x.Until, x.Inflight, x.Fulls, x.FirstFull,
-		x.Sent, x.Served, x.Peak, x.Phase}
+func (x limiterState) restore() *limiter {
+	return &limiter{x.Limit, x.Reported, x.Remaining, x.Pace, x.ReducedAt, x.Tokens, x.RefilledAt, x.WaitUntil, x.InFlight, x.Refusals, x.FirstRefusalAt,
+		x.SentAt, x.ServedAt, x.PeakRate, x.Jitter}
 }
 
 // numbers gives each endpoint that anything refers to a place in a list.
-type numbers struct {
-	place map[*endpoint]int
+type endpointNumbers struct {
+	index map[*endpoint]int
 	list  []*endpoint
 }
 
-func (n *numbers) of(e *endpoint) int {
+func (n *endpointNumbers) numberOf(e *endpoint) int {
 	if e == nil {
 		return -1
 	}
-	i, ok := n.place[e]
+	i, ok := n.index[e]
 	if !ok {
 		i = len(n.list)
-		n.place[e], n.list = i, append(n.list, e)
+		n.index[e], n.list = i, append(n.list, e)
 	}
 	return i
 }
 
 // Snapshot writes down the state. The Sender must not be stepped on in this process after another has taken it up.
 func (s *Sender) Snapshot() ([]byte, error) {
-	source, err := s.source.MarshalBinary()
+	source, err := s.rngSource.MarshalBinary()
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	x := snapshot{Version: snapshotVersion, Rand: source, Now: s.now, Step: s.step, Seq: s.seq, ForgetAt: s.forgetAt,
-		AskAt: s.askAt, AskGap: s.askGap, Unsure: s.unsure, Logs: s.logs, Turned: s.turned, Short: s.short, Held: s.open,
-		Keys: map[string]keyState{}}
-	for _, u := range s.usage {
-		x.Usage = append(x.Usage, usageState{u.n, u.at})
+	x := snapshot{Version: snapshotVersion, RNGState: source, Now: s.now, Step: s.step, LastSeq: s.lastSeq, NextCleanupAt: s.nextCleanupAt,
+		AskAt: s.askAt, AskGap: s.askGap, ListStaleUntil: s.listStaleUntil, LogLines: s.logLines, RejectRate: s.rejectRate, ScarceUntil: s.scarceUntil, HeldCount: s.openCount,
+		KeyQueues: map[string]keyQueueState{}}
+	for _, u := range s.tenantUsage {
+		x.TenantUsage = append(x.TenantUsage, tenantUsageState{u.count, u.updatedAt})
 	}
-	for i := range s.byClass {
-		x.ByClass = append(x.ByClass, s.byClass[i].save())
+	for i := range s.classLatency {
+		x.ClassLatency = append(x.ClassLatency, s.classLatency[i].save())
 	}
-	eps := &numbers{place: map[*endpoint]int{}}
+	eps := &endpointNumbers{index: map[*endpoint]int{}}
 	places := map[*dest]int{}
-	for i, d := range s.order {
+	for i, d := range s.destOrder {
 		places[d] = i
-		y := destState{ID: d.id, Kind: d.kind, Next: d.next, Lane: d.lane.save(), Hist: d.hist.save(), Used: d.used,
-			Came: d.came, DownAt: d.downAt}
-		for _, e := range d.eps {
-			y.Eps = append(y.Eps, eps.of(e))
+		y := destState{ID: d.id, Kind: d.kind, NextEndpoint: d.nextEndpoint, Limiter: d.limiter.save(), Latency: d.latency.save(), LastUsedAt: d.lastUsedAt,
+			Arrivals: d.arrivals, OutageSeenAt: d.outageSeenAt}
+		for _, e := range d.endpoints {
+			y.Endpoints = append(y.Endpoints, eps.numberOf(e))
 		}
 		x.Dests = append(x.Dests, y)
 	}
-	for _, e := range s.gone {
-		x.Gone = append(x.Gone, eps.of(e))
+	for _, e := range s.removed {
+		x.Removed = append(x.Removed, eps.numberOf(e))
 	}
 	held, over := []*msg{}, []*msg{}
 	for _, m := range s.held {
-		if !m.over {
+		if !m.ended {
 			held = append(held, m)
 		}
 	}
 	for _, m := range s.msgs {
-		if m.over {
+		if m.ended {
 			over = append(over, m)
 		}
 	}
 	slices.SortFunc(over, func(a, b *msg) int { return a.seq - b.seq })
 	for _, m := range slices.Concat(held, over) {
-		x.Messages = append(x.Messages, msgState{m.id, m.ci, m.share, places[m.dest], m.seq, m.first, m.came, m.deadline, m.tries,
-			m.cuts, m.mayRun, m.firstMay, m.mayZone, eps.of(m.last), m.rest, m.over, m.flows})
+		x.Messages = append(x.Messages, msgState{m.id, m.classIndex, m.worthShare, places[m.dest], m.seq, m.submitted, m.arrived, m.deadline, m.tries,
+			m.restarts, m.mayRun, m.mayRunAt, m.mayRunZone, eps.numberOf(m.lastEndpoint), m.retryAt, m.ended, m.streaming})
 	}
 	calls := map[*call]int{}
-	for _, a := range s.flying {
+	for _, a := range s.inFlight {
 		i, ok := calls[a.call]
 		if !ok {
 			i = len(calls)
 			calls[a.call] = i
 		}
-		x.Flying = append(x.Flying, attemptState{a.m.id, a.n, eps.of(a.ep), i, a.at, a.cancelled, a.cut, a.stuck, a.late})
+		x.InFlight = append(x.InFlight, attemptState{a.msg.id, a.number, eps.numberOf(a.endpoint), i, a.sentAt, a.cancelled, a.restarted, a.stuck, a.censored})
 	}
-	x.Calls = len(calls)
-	for key, l := range s.keys {
-		y := keyState{Quiet: l.quiet}
-		for _, m := range l.q {
-			y.Queue = append(y.Queue, m.id)
+	x.CallCount = len(calls)
+	for key, l := range s.keyQueues {
+		y := keyQueueState{QuietUntil: l.quietUntil}
+		for _, m := range l.messages {
+			y.Messages = append(y.Messages, m.id)
 		}
-		if l.by != nil && s.msgs[l.by.id] == l.by {
-			y.By = l.by.id
+		if l.quietExempt != nil && s.msgs[l.quietExempt.id] == l.quietExempt {
+			y.QuietExempt = l.quietExempt.id
 		}
-		x.Keys[key] = y
+		x.KeyQueues[key] = y
 	}
 	for _, e := range eps.list {
-		y := endpointState{e.id, s.eps[e.id] == e, e.zone, e.state, places[e.dest], nil, e.sent, e.bad, e.fails, e.fulls,
-			e.spoilt, e.resets, e.goneAt, e.lastOK, e.lastBad, e.well, e.okSent, e.outAt, e.ejected, e.cold, e.backAt, e.downAt, e.trialAt,
-			e.trialGap, e.inflight, e.slow, e.lastSent, e.warm}
-		if e.lane != e.dest.lane {
-			own := e.lane.save()
-			y.Own = &own
+		y := endpointState{e.id, s.endpoints[e.id] == e, e.zone, e.state, places[e.dest], nil, e.sentAt, e.failureRate, e.failures, e.refusals,
+			e.badAnswers, e.resets, e.removedAt, e.lastOK, e.lastFail, e.healthyAt, e.lastOKSent, e.ejectedAt, e.ejected, e.cold, e.upAt, e.downAt, e.trialAt,
+			e.trialPause, e.inFlight, e.smoothedLatency, e.lastSent, e.idleConnUntil}
+		if e.limiter != e.dest.limiter {
+			own := e.limiter.save()
+			y.OwnLimiter = &own
 		}
 		x.Endpoints = append(x.Endpoints, y)
 	}
@@ -276,37 +276,37 @@
 	if s, err = New(set, 0); err != nil {
 		return nil, err
 	}
-	if len(x.ByClass) != len(s.byClass) || len(x.Usage) != len(s.usage) || x.Held < 0 || x.Held > len(x.Messages) ||
-		x.Calls < 0 || x.Calls > len(x.Flying) {
-		return nil, errSnapshot
+	if len(x.ClassLatency) != len(s.classLatency) || len(x.TenantUsage) != len(s.tenantUsage) || x.HeldCount < 0 || x.HeldCount > len(x.Messages) ||
+		x.CallCount < 0 || x.CallCount > len(x.InFlight) {
+		return nil, errInconsistentSnapshot
 	}
-	if err := s.source.UnmarshalBinary(x.Rand); err != nil {
+	if err := s.rngSource.UnmarshalBinary(x.RNGState); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	s.now, s.step, s.seq, s.forgetAt, s.askAt, s.askGap = x.Now, x.Step, x.Seq, x.ForgetAt, x.AskAt, x.AskGap
-	s.logs, s.unsure = x.Logs, x.Unsure
-	for kind, share := range x.Turned {
-		s.turned[kind] = share
+	s.now, s.step, s.lastSeq, s.nextCleanupAt, s.askAt, s.askGap = x.Now, x.Step, x.LastSeq, x.NextCleanupAt, x.AskAt, x.AskGap
+	s.logLines, s.listStaleUntil = x.LogLines, x.ListStaleUntil
+	for kind, share := range x.RejectRate {
+		s.rejectRate[kind] = share
 	}
-	for kind, until := range x.Short {
-		s.short[kind] = until
+	for kind, until := range x.ScarceUntil {
+		s.scarceUntil[kind] = until
 	}
-	for i, u := range x.Usage {
-		s.usage[i] = usage{u.N, u.At}
+	for i, u := range x.TenantUsage {
+		s.tenantUsage[i] = tenantUsage{u.Count, u.UpdatedAt}
 	}
-	for i, h := range x.ByClass {
-		if err := s.byClass[i].load(h); err != nil {
+	for i, h := range x.ClassLatency {
+		if err := s.classLatency[i].load(h); err != nil {
 			return nil, err
 		}
 	}
 	for _, y := range x.Dests {
-		d := &dest{id: y.ID, kind: y.Kind, next: y.Next, lane: y.Lane.lane(), used: y.Used, came: y.Came, downAt: y.DownAt}
-		if err := d.hist.load(y.Hist); err != nil {
+		d := &dest{id: y.ID, kind: y.Kind, nextEndpoint: y.NextEndpoint, limiter: y.Limiter.restore(), lastUsedAt: y.LastUsedAt, arrivals: y.Arrivals, outageSeenAt: y.OutageSeenAt}
+		if err := d.latency.load(y.Latency); err != nil {
 			return nil, err
 		}
-		s.dests[d.id], s.order = d, append(s.order, d)
-		if d.lane.told {
-			s.told++
+		s.dests[d.id], s.destOrder = d, append(s.destOrder, d)
+		if d.limiter.reported {
+			s.reportedLimits++
 		}
 	}
 	eps, err := s.restoreEndpoints(&x)
@@ -323,36 +323,36 @@
 func (s *Sender) restoreEndpoints(x *snapshot) ([]*endpoint, error) {
 	var eps []*endpoint
 	for _, y := range x.Endpoints {
-		if y.Dest < 0 || y.Dest >= len(s.order) {
-			return nil, errSnapshot
+		if y.Dest < 0 || y.Dest >= len(s.destOrder) {
+			return nil, errInconsistentSnapshot
 		}
-		d := s.order[y.Dest]
-		e := &endpoint{id: y.ID, zone: y.Zone, state: Gone, dest: d, lane: d.lane, sent: y.Sent, bad: y.Bad,
-			fails: y.Fails, fulls: y.Fulls, spoilt: y.Spoilt, resets: y.Resets, goneAt: y.GoneAt, lastOK: y.LastOK,
-			lastBad: y.LastBad, well: y.Well, okSent: y.OKSent, outAt: y.OutAt, cold: y.Cold, backAt: y.BackAt, downAt: y.DownAt,
-			trialAt: y.TrialAt, trialGap: y.TrialGap, inflight: y.Inflight, slow: y.Slow, lastSent: y.LastSent, warm: y.Warm}
+		d := s.destOrder[y.Dest]
+		e := &endpoint{id: y.ID, zone: y.Zone, state: Gone, dest: d, limiter: d.limiter, sentAt: y.SentAt, failureRate: y.FailureRate,
+			failures: y.Fails, refusals: y.Fulls, badAnswers: y.Spoilt, resets: y.Resets, removedAt: y.RemovedAt, lastOK: y.LastOK,
+			lastFail: y.LastBad, healthyAt: y.HealthyAt, lastOKSent: y.OKSent, ejectedAt: y.OutAt, cold: y.Cold, upAt: y.BackAt, downAt: y.DownAt,
+			trialAt: y.TrialAt, trialPause: y.TrialGap, inFlight: y.InFlight, smoothedLatency: y.SmoothedLatency, lastSent: y.LastSent, idleConnUntil: y.Warm}
 		s.setStatus(e, y.State, y.Suspect)
-		if y.Own != nil {
-			e.lane = y.Own.lane()
+		if y.OwnLimiter != nil {
+			e.limiter = y.OwnLimiter.restore()
 		}
 		if y.Known {
-			s.eps[e.id] = e
+			s.endpoints[e.id] = e
 		}
 		eps = append(eps, e)
 	}
 	for i, y := range x.Dests {
-		for _, k := range y.Eps {
+		for _, k := range y.Endpoints {
 			if k < 0 || k >= len(eps) {
-				return nil, errSnapshot
+				return nil, errInconsistentSnapshot
 			}
-			s.order[i].eps = append(s.order[i].eps, eps[k])
+			s.destOrder[i].endpoints = append(s.destOrder[i].endpoints, eps[k])
 		}
 	}
-	for _, k := range x.Gone {
+	for _, k := range x.Removed {
 		if k < 0 || k >= len(eps) {
-			return nil, errSnapshot
+			return nil, errInconsistentSnapshot
 		}
-		s.gone = append(s.gone, eps[k])
+		s.removed = append(s.removed, eps[k])
 	}
 	return eps, nil
 }
@@ -360,51 +360,51 @@
 // restoreMessages brings back the messages, what is out of them, and the order of their keys.
 func (s *Sender) restoreMessages(x *snapshot, eps []*endpoint) error {
 	for i, y := range x.Messages {
-		if y.Class < 0 || y.Class >= len(s.set.Classes) || y.Dest < 0 || y.Dest >= len(s.order) || y.Last >= len(eps) {
-			return errSnapshot
+		if y.Class < 0 || y.Class >= len(s.cfg.Classes) || y.Dest < 0 || y.Dest >= len(s.destOrder) || y.LastEndpoint >= len(eps) {
+			return errInconsistentSnapshot
 		}
-		m := &msg{id: y.ID, class: &s.set.Classes[y.Class], ci: y.Class, share: y.Share, dest: s.order[y.Dest], seq: y.Seq,
-			first: y.First, came: y.Came, deadline: y.Deadline, tries: y.Tries, cuts: y.Cuts, mayRun: y.MayRun, firstMay: y.FirstMay,
-			mayZone: y.MayZone, rest: y.Rest, over: y.Over, flows: y.Flows}
-		if y.Last >= 0 {
-			m.last = eps[y.Last]
+		m := &msg{id: y.ID, class: &s.cfg.Classes[y.Class], classIndex: y.Class, worthShare: y.WorthShare, dest: s.destOrder[y.Dest], seq: y.Seq,
+			submitted: y.First, arrived: y.Came, deadline: y.Deadline, tries: y.Tries, restarts: y.Cuts, mayRun: y.MayRun, mayRunAt: y.MayRunAt,
+			mayRunZone: y.MayRunZone, retryAt: y.RetryAt, ended: y.Over, streaming: y.Flows}
+		if y.LastEndpoint >= 0 {
+			m.lastEndpoint = eps[y.LastEndpoint]
 		}
-		if y.Over != (i >= x.Held) || s.msgs[m.id] != nil {
-			return errSnapshot
+		if y.Over != (i >= x.HeldCount) || s.msgs[m.id] != nil {
+			return errInconsistentSnapshot
 		}
 		s.msgs[m.id] = m
-		m.dest.msgs++
-		if !m.over {
-			s.hold(m)
+		m.dest.messageCount++
+		if !m.ended {
+			s.addHeld(m)
 		}
 	}
-	calls := make([]call, x.Calls)
-	for _, y := range x.Flying {
+	calls := make([]call, x.CallCount)
+	for _, y := range x.InFlight {
 		m := s.msgs[y.Message]
-		if m == nil || m.out != nil || y.Endpoint < 0 || y.Endpoint >= len(eps) || y.Call < 0 || y.Call >= len(calls) {
-			return errSnapshot
+		if m == nil || m.inFlight != nil || y.Endpoint < 0 || y.Endpoint >= len(eps) || y.Call < 0 || y.Call >= len(calls) {
+			return errInconsistentSnapshot
 		}
 		c := &calls[y.Call]
-		c.n++
-		c.left++
-		a := &attempt{m: m, n: y.N, ep: eps[y.Endpoint], at: y.At, call: c, cancelled: y.Cancelled, cut: y.Cut,
-			stuck: y.Stuck, late: y.Late}
-		m.out, s.flying = a, append(s.flying, a)
-	}
-	s.busy = x.Calls
-	for key, y := range x.Keys {
-		l := &keyLine{quiet: y.Quiet, by: s.msgs[y.By]}
-		for _, id := range y.Queue {
+		c.messages++
+		c.unfinished++
+		a := &attempt{msg: m, number: y.N, endpoint: eps[y.Endpoint], sentAt: y.SentAt, call: c, cancelled: y.Cancelled, restarted: y.Cut,
+			stuck: y.Stuck, censored: y.Censored}
+		m.inFlight, s.inFlight = a, append(s.inFlight, a)
+	}
+	s.busy = x.CallCount
+	for key, y := range x.KeyQueues {
+		l := &keyQueue{quietUntil: y.QuietUntil, quietExempt: s.msgs[y.QuietExempt]}
+		for _, id := range y.Messages {
 			m := s.msgs[id]
 			if m == nil {
-				return errSnapshot
+				return errInconsistentSnapshot
 			}
-			m.line, l.q = l, append(l.q, m)
+			m.keyQueue, l.messages = l, append(l.messages, m)
 		}
-		s.keys[key] = l
+		s.keyQueues[key] = l
 	}
 	for _, m := range s.held {
-		if m.out == nil {
+		if m.inFlight == nil {
 			s.enqueue(m)
 		}
 	}
--- a/logic/snapshot_test.go
+++ b/logic/snapshot_test.go
@@ -13,7 +13,7 @@
 )
 
 // sameAs checks that a twin does what the Sender does. Timers apart: a twin begins without one.
-func (w *world) sameAs(acts, twin []Action) {
+func (w *world) checkTwin(acts, twin []Action) {
 	w.t.Helper()
 	timer := func(a Action) bool { _, ok := a.(SetTimer); return ok }
 	want, got := slices.DeleteFunc(slices.Clone(acts), timer), slices.DeleteFunc(twin, timer)
@@ -23,7 +23,7 @@
 }
 
 // renew takes a new twin.
-func (w *world) renew() {
+func (w *world) replaceTwin() {
 	w.t.Helper()
 	text, err := w.s.Snapshot()
 	if err != nil {
@@ -43,13 +43,13 @@
 }
 
 // A module that another process takes up goes on as if nothing had happened, whatever is out or due.
-func TestSnapshotGoesOn(t *testing.T) {
+func TestRestoredSenderActsTheSame(t *testing.T) {
 	for name, set := range variants() {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, set, 11)
 			w.each = func() {
 				if w.rnd.IntN(100) == 0 {
-					w.renew()
+					w.replaceTwin()
 				}
 			}
 			w.play()
@@ -62,7 +62,7 @@
 
 // The snapshot of testdata is from a build that held the bins of each histogram from the start. This one goes on from
 // it, and writes the same down, so that such a build can go on from ours. Destination 5 is idle.
-func TestSnapshotOfAnOlderBuild(t *testing.T) {
+func TestRestoreFromOlderBuild(t *testing.T) {
 	text, err := os.ReadFile("testdata/snapshot-v1.json")
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if used, idle := s.dests[9].hist, s.dests[5].hist; used.w == nil || used.median == 0 || idle.w != nil {
+	if used, idle := s.dests[9].latency, s.dests[5].latency; used.bins == nil || used.median == 0 || idle.bins != nil {
 		t.Errorf("destination 9: %+v, destination 5: %+v", used, idle)
 	}
 	again, err := s.Snapshot()
@@ -85,13 +85,13 @@
 	if !reflect.DeepEqual(want, got) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if len(got.Dests[1].Hist.W) != binCount+1 {
-		t.Errorf("an idle destination has %d bins in the snapshot", len(got.Dests[1].Hist.W))
+	if len(got.Dests[1].Latency.Bins) != binCount+1 {
+		t.Errorf("an idle destination has %d bins in the snapshot", len(got.Dests[1].Latency.Bins))
 	}
 }
 
 // What does not fit together is refused, not taken up in part.
-func TestSnapshotThatDoesNotFit(t *testing.T) {
+func TestRestoreRefusesInconsistentSnapshot(t *testing.T) {
 	r := newRig(t, base())
 	r.step(100, list(2), r.call(0), r.call(2))
 	text, err := r.s.Snapshot()
@@ -125,7 +125,7 @@
 
 // A snapshot that an older build wrote, with calls out, is taken up whole and written down again byte for byte, so
 // that the older build can take it back; and what was held goes on.
-func TestSnapshotOfAnOlderBuildWithCallsOut(t *testing.T) {
+func TestRestoreFromOlderBuildWithCallsInFlight(t *testing.T) {
 	for _, name := range []string{"ordered", "batches"} {
 		text, err := os.ReadFile("testdata/snapshot-" + name + ".json")
 		if err != nil {
@@ -136,7 +136,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkBooks(t, s)
+		checkIndexes(t, s)
 		again, err := s.Snapshot()
 		if err != nil {
 			t.Fatal(err)
@@ -144,7 +144,7 @@
 		if !bytes.Equal(text, again) {
 			t.Errorf("%s: written down again it differs:\n%s\n%s", name, text, again)
 		}
-		held, out := s.open, len(s.flying)
+		held, out := s.openCount, len(s.inFlight)
 		if held == 0 || out == 0 {
 			t.Fatalf("%s: %d held, %d out", name, held, out)
 		}
@@ -155,10 +155,10 @@
 		ends := 0
 		for now := s.now; ends < held && now < s.now+20*Second; now += Second / 10 {
 			acts := s.Step(now, nil)
-			if want := walk(other, now, nil); !reflect.DeepEqual(acts, want) {
+			if want := referenceStep(other, now, nil); !reflect.DeepEqual(acts, want) {
 				t.Fatalf("%s: at %d it does %v, want %v", name, now, acts, want)
 			}
-			checkBooks(t, s)
+			checkIndexes(t, s)
 			ends += len(only[Refuse](acts)) + len(only[Fail](acts))
 		}
 		if ends != held {
--- a/logic/state.go
+++ b/logic/state.go
@@ -11,119 +11,119 @@
 
 // dest is a destination. Its lane is the limit that its endpoints share; routes apart have one each.
 type dest struct {
-	id      int64
-	kind    int
-	eps     []*endpoint // listed, in list order
-	next    int         // rotation of first sends
-	lane    *lane
-	hist    hist
-	used    Micros
-	came    int      // messages since the last outage began
-	downAt  Micros   // when that was seen
-	rank    float64  // messages ahead in the pass at hand
-	msgs    int      // not forgotten
-	backlog *backlog // nil if nothing waits
-}
-
-type lane struct {
-	limit     float64 // calls a second for all senders, as told; 0 if not
-	told      bool    // limit came in a report
-	left      float64 // share of it that is left, as told last
-	pace      float64 // 0: free
-	halved    Micros
-	tokens    float64
-	filled    Micros
-	until     Micros // told wait
-	inflight  int
-	fulls     int // in a row
-	firstFull Micros
-	sent      []Micros
-	served    []Micros
-	peak      float64 // most calls served in a second
-	phase     float64 // 0 to 1, drawn at each call: sets the next one apart from those of other senders
+	id           int64
+	kind         int
+	endpoints    []*endpoint // listed, in list order
+	nextEndpoint int         // rotation of first sends
+	limiter      *limiter
+	latency      histogram
+	lastUsedAt   Micros
+	arrivals     int      // messages since the last outage began
+	outageSeenAt Micros   // when that was seen
+	queuedAhead  float64  // messages ahead in the pass at hand
+	messageCount int      // not forgotten
+	backlog      *backlog // nil if nothing waits
+}
+
+type limiter struct {
+	limit          float64 // calls a second for all senders, as told; 0 if not
+	reported       bool    // limit came in a report
+	remaining      float64 // share of it that is left, as told last
+	pace           float64 // 0: free
+	reducedAt      Micros
+	tokens         float64
+	refilledAt     Micros
+	waitUntil      Micros // told wait
+	inFlight       int
+	refusals       int // in a row
+	firstRefusalAt Micros
+	sentAt         []Micros
+	servedAt       []Micros
+	peakRate       float64 // most calls served in a second
+	jitter         float64 // 0 to 1, drawn at each call: sets the next one apart from those of other senders
 }
 
 type endpoint struct {
-	id                EndpointID
-	zone              int
-	state             Readiness
-	dest              *dest
-	lane              *lane
-	sent              []Micros
-	bad               float64
-	fails, fulls      int // in a row
-	spoilt, resets    int // in a row
-	goneAt            Micros
-	lastOK, lastBad   Micros
-	okSent            Micros // send of the last call that was answered
-	outAt             Micros // when it was last ejected
-	well              Micros // when it was last seen to be well while a sibling was out
-	ejected           bool   // out, as far as we know
-	cold              bool   // was out; budgeted until backAt+WarmAfter
-	backAt            Micros
-	downAt            Micros // last answer before it was taken out, or when it began to look silent
-	trialAt, trialGap Micros
-	inflight          int
-	slow              float64 // smoothed latency, microseconds
-	lastSent          Micros
-	warm              Micros // an idle connection lasts until then
-	open              *call
-}
-
-type call struct{ step, n, left int }
+	id                  EndpointID
+	zone                int
+	state               Readiness
+	dest                *dest
+	limiter             *limiter
+	sentAt              []Micros
+	failureRate         float64
+	failures, refusals  int // in a row
+	badAnswers, resets  int // in a row
+	removedAt           Micros
+	lastOK, lastFail    Micros
+	lastOKSent          Micros // send of the last call that was answered
+	ejectedAt           Micros // when it was last ejected
+	healthyAt           Micros // when it was last seen to be well while a sibling was out
+	ejected             bool   // out, as far as we know
+	cold                bool   // was out; budgeted until backAt+WarmAfter
+	upAt                Micros
+	downAt              Micros // last answer before it was taken out, or when it began to look silent
+	trialAt, trialPause Micros
+	inFlight            int
+	smoothedLatency     float64 // smoothed latency, microseconds
+	lastSent            Micros
+	idleConnUntil       Micros // an idle connection lasts until then
+	openCall            *call
+}
+
+type call struct{ step, messages, unfinished int }
 
 type attempt struct {
-	m         *msg
-	n         int
-	ep        *endpoint
-	at        Micros
+	msg       *msg
+	number    int
+	endpoint  *endpoint
+	sentAt    Micros
 	call      *call
 	cancelled bool
-	cut       bool // cancelled at τ
+	restarted bool // cancelled at τ
 	stuck     bool
-	late      bool // counted as lasting past τ while it is out
+	censored  bool // counted as lasting past τ while it is out
 }
 
 type msg struct {
-	id       string
-	class    *Class
-	ci       int
-	share    float64 // part of its worth that it keeps by its tenant's quota
-	dest     *dest
-	seq      int
-	first    Micros // when it was first handed in
-	came     Micros // when it came to this process
-	fresh    int    // step in which it can still be turned away at the door
-	deadline Micros
-	tries    int
-	cuts     int
-	out      *attempt
-	mayRun   bool
-	firstMay Micros // send of the first attempt that may have run
-	mayZone  int
-	last     *endpoint
-	rest     Micros
-	line     *keyLine
-	over     bool
-	flows    bool
-	prio     float64
+	id           string
+	class        *Class
+	classIndex   int
+	worthShare   float64 // part of its worth that it keeps by its tenant's quota
+	dest         *dest
+	seq          int
+	submitted    Micros // when it was first handed in
+	arrived      Micros // when it came to this process
+	newInStep    int    // step in which it can still be turned away at the door
+	deadline     Micros
+	tries        int
+	restarts     int
+	inFlight     *attempt
+	mayRun       bool
+	mayRunAt     Micros // send of the first attempt that may have run
+	mayRunZone   int
+	lastEndpoint *endpoint
+	retryAt      Micros
+	keyQueue     *keyQueue
+	ended        bool
+	streaming    bool
+	priority     float64
 
 	// While it waits.
-	place  int       // in its destination's backlog, from one on; 0 if it does not wait
-	ends   [2]Micros // when its time is up, by what bounds it
-	expiry [2]int    // places in the queues by that
-	seen   int       // step in which it was last in a sample
-	stands float64   // for so many in the pass at hand
+	waitPos     int       // in its destination's backlog, from one on; 0 if it does not wait
+	expiresAt   [2]Micros // when its time is up, by what bounds it
+	expiryPos   [2]int    // places in the queues by that
+	sampledStep int       // step in which it was last in a sample
+	weight      float64   // for so many in the pass at hand
 }
 
-type keyLine struct {
-	q     []*msg
-	quiet Micros
-	by    *msg
+type keyQueue struct {
+	messages    []*msg
+	quietUntil  Micros
+	quietExempt *msg
 }
 
 // since counts the marks after t.
-func since(marks []Micros, t Micros) int {
+func countAfter(marks []Micros, t Micros) int {
 	n := 0
 	for i := len(marks) - 1; i >= 0 && marks[i] > t; i-- {
 		n++
@@ -131,7 +131,7 @@
 	return n
 }
 
-func trim(marks []Micros, keep Micros) []Micros {
+func dropBefore(marks []Micros, keep Micros) []Micros {
 	i := 0
 	for i < len(marks)-1 && marks[i] < keep {
 		i++
@@ -141,120 +141,120 @@
 
 // Sender decides for one sender. Make it with New.
 type Sender struct {
-	set      Settings
-	source   *rand.PCG // of rng
-	rng      *rand.Rand
-	now      Micros
-	step     int
-	out      []Action
-	eps      map[EndpointID]*endpoint
-	dests    map[int64]*dest
-	order    []*dest     // dests, in the order in which they became known
-	gone     []*endpoint // off the list, not yet forgotten
-	forgetAt Micros
-	msgs     map[string]*msg
-	held     []*msg // messages not over, in order of arrival, and some that are
-	open     int    // of held, those not over
-	wait     index  // those that wait
-	few      int    // waiting messages that are all looked at in each step
-	visits   int    // messages, attempts and destinations looked at in this step
-	flying   []*attempt
-	trials   int         // slots that calls to endpoints that seem out hold, in dispatch
-	busy     int         // slots in use
-	spare    []*endpoint // whose last call ended in this step
-	seq      int
-	byClass  []hist
-	usage    []usage // by tenant
-	keys     map[string]*keyLine
-	wake     Micros // when something is next to be done
-	timer    Micros // when the last timer set goes off; 0 if none is out
-	askAt    Micros // when to ask for the list; never if asked
-	askGap   Micros
-	unsure   Micros // until when the list may be an old one; 0 once there was news of it
-	closeAt  Micros // when this sender stops; 0 if it does not
-	logs     int
-	many     bool            // senders
-	turned   map[int]float64 // by kind, share of calls turned away
-	short    map[int]Micros  // by kind, until when connections to it count as scarce
-	told     int             // destinations whose limit came in a report
-
-	outOfRotation int // listed endpoints that get no ordinary traffic
+	cfg            Settings
+	rngSource      *rand.PCG // of rng
+	rng            *rand.Rand
+	now            Micros
+	step           int
+	actions        []Action
+	endpoints      map[EndpointID]*endpoint
+	dests          map[int64]*dest
+	destOrder      []*dest     // dests, in the order in which they became known
+	removed        []*endpoint // off the list, not yet forgotten
+	nextCleanupAt  Micros
+	msgs           map[string]*msg
+	held           []*msg    // messages not over, in order of arrival, and some that are
+	openCount      int       // of held, those not over
+	waiting        waitIndex // those that wait
+	fullScanMax    int       // waiting messages that are all looked at in each step
+	visitCount     int       // messages, attempts and destinations looked at in this step
+	inFlight       []*attempt
+	trialsInFlight int         // slots that calls to endpoints that seem out hold, in dispatch
+	busy           int         // slots in use
+	justIdle       []*endpoint // whose last call ended in this step
+	lastSeq        int
+	classLatency   []histogram
+	tenantUsage    []tenantUsage // by tenant
+	keyQueues      map[string]*keyQueue
+	wakeAt         Micros // when something is next to be done
+	timerAt        Micros // when the last timer set goes off; 0 if none is out
+	askAt          Micros // when to ask for the list; never if asked
+	askGap         Micros
+	listStaleUntil Micros // until when the list may be an old one; 0 once there was news of it
+	stopAt         Micros // when this sender stops; 0 if it does not
+	logLines       int
+	largeFleet     bool            // senders
+	rejectRate     map[int]float64 // by kind, share of calls turned away
+	scarceUntil    map[int]Micros  // by kind, until when connections to it count as scarce
+	reportedLimits int             // destinations whose limit came in a report
+
+	outOfRotationCount int // listed endpoints that get no ordinary traffic
 }
 
 // hist is a discounted latency histogram.
-type hist struct {
-	w      *weights // nil until there is something to count
-	total  float64
-	cuts   float64
-	at     Micros
-	tau    Micros // 0: waiting is best
-	median Micros
-	p95    Micros
+type histogram struct {
+	bins      *binWeights // nil until there is something to count
+	total     float64
+	censored  float64
+	updatedAt Micros
+	tau       Micros // 0: waiting is best
+	median    Micros
+	p95       Micros
 }
 
 // weights are those of the bins. The last one holds what lasted past every edge.
-type weights [binCount + 1]float64
+type binWeights [binCount + 1]float64
 
-func (s *Sender) do(a Action) { s.out = append(s.out, a) }
+func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
 
-func (s *Sender) at(t Micros) { s.wake = min(s.wake, t) }
+func (s *Sender) wakeBy(t Micros) { s.wakeAt = min(s.wakeAt, t) }
 
-func (s *Sender) unlist(e *endpoint) {
+func (s *Sender) removeEndpoint(e *endpoint) {
 	if e.state != Gone {
-		s.gone = append(s.gone, e)
+		s.removed = append(s.removed, e)
 	}
 	s.setStatus(e, Gone, e.ejected)
-	e.goneAt = s.now
-	s.touch(e.dest)
-	e.dest.eps = slices.DeleteFunc(e.dest.eps, func(x *endpoint) bool { return x == e })
+	e.removedAt = s.now
+	s.scheduleScan(e.dest)
+	e.dest.endpoints = slices.DeleteFunc(e.dest.endpoints, func(x *endpoint) bool { return x == e })
 }
 
 // forget drops what nothing refers to any more: endpoints that have long been off the list, destinations that
 // have neither endpoints nor messages, keys at rest. Else they pile up over the life of a process.
-func (s *Sender) forget() {
-	if s.now < s.forgetAt {
+func (s *Sender) dropUnused() {
+	if s.now < s.nextCleanupAt {
 		return
 	}
-	s.forgetAt = s.now + keepGone/8
-	s.gone = slices.DeleteFunc(s.gone, func(e *endpoint) bool {
+	s.nextCleanupAt = s.now + keepGone/8
+	s.removed = slices.DeleteFunc(s.removed, func(e *endpoint) bool {
 		if e.state != Gone {
 			return true // it has come back
 		}
-		if s.now < e.goneAt+keepGone || e.inflight > 0 {
+		if s.now < e.removedAt+keepGone || e.inFlight > 0 {
 			return false
 		}
-		if s.eps[e.id] == e {
-			delete(s.eps, e.id)
+		if s.endpoints[e.id] == e {
+			delete(s.endpoints, e.id)
 		}
 		return true
 	})
 	used := map[*dest]bool{}
-	for _, e := range s.gone {
+	for _, e := range s.removed {
 		used[e.dest] = true
 	}
-	s.order = slices.DeleteFunc(s.order, func(d *dest) bool {
-		if len(d.eps) > 0 || d.msgs > 0 || used[d] || s.now < d.used+idleAge {
+	s.destOrder = slices.DeleteFunc(s.destOrder, func(d *dest) bool {
+		if len(d.endpoints) > 0 || d.messageCount > 0 || used[d] || s.now < d.lastUsedAt+idleAge {
 			return false
 		}
-		if d.lane.told {
-			s.told--
+		if d.limiter.reported {
+			s.reportedLimits--
 		}
 		delete(s.dests, d.id)
 		return true
 	})
-	for key, l := range s.keys {
-		if len(l.q) == 0 && s.now >= l.quiet {
-			delete(s.keys, key)
+	for key, l := range s.keyQueues {
+		if len(l.messages) == 0 && s.now >= l.quietUntil {
+			delete(s.keyQueues, key)
 		}
 	}
 }
 
-func (s *Sender) dest(id int64) *dest {
+func (s *Sender) destByID(id int64) *dest {
 	d := s.dests[id]
 	if d == nil {
-		d = &dest{id: id, lane: &lane{}, used: s.now}
+		d = &dest{id: id, limiter: &limiter{}, lastUsedAt: s.now}
 		s.dests[id] = d
-		s.order = append(s.order, d)
+		s.destOrder = append(s.destOrder, d)
 	}
 	return d
 }
@@ -267,24 +267,24 @@
 	return len(d.backlog.waiting)
 }
 
-func (s *Sender) kind(d *dest) Kind {
-	if d.kind >= 0 && d.kind < len(s.set.Kinds) {
-		return s.set.Kinds[d.kind]
+func (s *Sender) kindOf(d *dest) Kind {
+	if d.kind >= 0 && d.kind < len(s.cfg.Kinds) {
+		return s.cfg.Kinds[d.kind]
 	}
 	return Kind{}
 }
 
 // value is the worth of m if it is delivered at t.
-func (s *Sender) value(m *msg, t Micros) float64 {
+func (s *Sender) worthAt(m *msg, t Micros) float64 {
 	if t > m.deadline {
 		return 0
 	}
 	c := m.class
-	late := float64(t - m.first - c.Aim)
+	late := float64(t - m.submitted - c.Aim)
 	switch {
 	case late <= 0:
 		return c.Worth
-	case s.set.Halves:
+	case s.cfg.Halves:
 		return c.Worth * max(c.LateWorth, math.Exp2(-late/float64(max(c.Aim, 1))))
 	}
 	return c.Worth * (1 - (1-c.LateWorth)*min(1, late/float64(max(c.Deadline-c.Aim, 1))))
@@ -292,105 +292,105 @@
 
 // destPace is the pace of a destination over all its lanes; 0 if one of them is free.
 func (s *Sender) destPace(d *dest) float64 {
-	if !s.kind(d).Apart {
-		return d.lane.pace
+	if !s.kindOf(d).Apart {
+		return d.limiter.pace
 	}
 	sum := 0.0
-	for _, e := range d.eps {
-		if e.lane.pace == 0 {
+	for _, e := range d.endpoints {
+		if e.limiter.pace == 0 {
 			return 0
 		}
-		sum += e.lane.pace
+		sum += e.limiter.pace
 	}
 	return sum
 }
 
-func bin(t Micros) int {
+func binIndex(t Micros) int {
 	i, _ := slices.BinarySearch(edges[:], t)
 	return i
 }
 
 // report takes the limit that an answer tells.
-func (s *Sender) report(e *endpoint, load []float64) {
-	if i := s.set.ReportLimit; i >= 0 && i < len(load) && load[i] > 0 {
-		if !e.lane.told && e.lane == e.dest.lane {
-			s.told++
+func (s *Sender) applyReport(e *endpoint, load []float64) {
+	if i := s.cfg.ReportLimit; i >= 0 && i < len(load) && load[i] > 0 {
+		if !e.limiter.reported && e.limiter == e.dest.limiter {
+			s.reportedLimits++
 		}
-		e.lane.limit, e.lane.told = load[i], true
-		if i := s.set.ReportLeft; i >= 0 && i < len(load) {
-			e.lane.left = load[i]
+		e.limiter.limit, e.limiter.reported = load[i], true
+		if i := s.cfg.ReportLeft; i >= 0 && i < len(load) {
+			e.limiter.remaining = load[i]
 		}
 	}
 }
 
 // close forgets a message that is over, once nothing of it is out.
-func (s *Sender) close(m *msg) {
-	if !m.over {
-		s.letGo(m)
+func (s *Sender) closeMessage(m *msg) {
+	if !m.ended {
+		s.releaseHeld(m)
 	}
-	if m.out != nil {
+	if m.inFlight != nil {
 		return
 	}
 	delete(s.msgs, m.id)
-	m.dest.msgs--
-	if l := m.line; l != nil {
-		i := slices.Index(l.q, m)
-		l.q = slices.Delete(l.q, i, i+1)
-		m.line = nil
-		if i == 0 && len(l.q) > 0 && l.q[0].place > 0 {
-			s.advance(l.q[0])
+	m.dest.messageCount--
+	if l := m.keyQueue; l != nil {
+		i := slices.Index(l.messages, m)
+		l.messages = slices.Delete(l.messages, i, i+1)
+		m.keyQueue = nil
+		if i == 0 && len(l.messages) > 0 && l.messages[0].waitPos > 0 {
+			s.scanFirst(l.messages[0])
 		}
 	}
 }
 
 // landed takes an attempt that has its outcome off the books and reports whether its call is over with it.
-func (s *Sender) landed(a *attempt) bool {
-	a.m.out, a.m.flows = nil, false
-	s.flying = slices.DeleteFunc(s.flying, func(x *attempt) bool { return x == a })
-	if a.call.left--; a.call.left > 0 {
+func (s *Sender) finishAttempt(a *attempt) bool {
+	a.msg.inFlight, a.msg.streaming = nil, false
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(x *attempt) bool { return x == a })
+	if a.call.unfinished--; a.call.unfinished > 0 {
 		return false
 	}
 	s.busy--
-	a.ep.inflight--
-	a.ep.lane.inflight--
+	a.endpoint.inFlight--
+	a.endpoint.limiter.inFlight--
 	return true
 }
 
 // joins says whether a send to e now would travel in a call that this step opens anyway.
-func (s *Sender) joins(e *endpoint) bool {
-	return e.open != nil && e.open.step == s.step && e.open.n < s.kind(e.dest).Batch
+func (s *Sender) joinsOpenCall(e *endpoint) bool {
+	return e.openCall != nil && e.openCall.step == s.step && e.openCall.messages < s.kindOf(e.dest).Batch
 }
 
 // mark notes a call to e for the budget and the pace.
-func (s *Sender) mark(e *endpoint) {
-	l := e.lane
-	keep := s.now - max(s.set.FallWindow, Second) - 1
-	e.sent, l.sent = append(trim(e.sent, keep), s.now), append(trim(l.sent, keep), s.now)
+func (s *Sender) recordCall(e *endpoint) {
+	l := e.limiter
+	keep := s.now - max(s.cfg.FallWindow, Second) - 1
+	e.sentAt, l.sentAt = append(dropBefore(e.sentAt, keep), s.now), append(dropBefore(l.sentAt, keep), s.now)
 }
 
 // fly books an attempt of m at e.
-func (s *Sender) fly(m *msg, e *endpoint) *attempt {
-	e.open.n++
-	e.open.left++
+func (s *Sender) startAttempt(m *msg, e *endpoint) *attempt {
+	e.openCall.messages++
+	e.openCall.unfinished++
 	e.lastSent = s.now
-	a := &attempt{m: m, n: m.tries, ep: e, at: s.now, call: e.open}
+	a := &attempt{msg: m, number: m.tries, endpoint: e, sentAt: s.now, call: e.openCall}
 	m.tries++
-	m.out, m.last = a, e
+	m.inFlight, m.lastEndpoint = a, e
 	if !m.mayRun {
-		m.firstMay, m.mayZone = s.now, e.zone
+		m.mayRunAt, m.mayRunZone = s.now, e.zone
 	}
-	s.flying = append(s.flying, a)
+	s.inFlight = append(s.inFlight, a)
 	if e.ejected {
-		s.trials++
+		s.trialsInFlight++
 	}
 	s.dequeue(m)
 	return a
 }
 
 // onTrial is the number of slots that calls to endpoints that seem out hold.
-func (s *Sender) onTrial() (n int) {
-	for _, a := range s.flying {
-		if a.ep.ejected {
+func (s *Sender) countTrials() (n int) {
+	for _, a := range s.inFlight {
+		if a.endpoint.ejected {
 			n++
 		}
 	}
@@ -401,58 +401,58 @@
 func seconds(t Micros) float64 { return float64(t) / float64(Second) }
 
 // accept takes a new message into the books.
-func (s *Sender) accept(c Call) {
+func (s *Sender) acceptMessage(c Call) {
 	if s.msgs[c.ID] != nil {
 		return
 	}
-	if c.Class < 0 || c.Class >= len(s.set.Classes) {
-		s.do(Refuse{ID: c.ID})
+	if c.Class < 0 || c.Class >= len(s.cfg.Classes) {
+		s.emit(Refuse{ID: c.ID})
 		return
 	}
-	class := &s.set.Classes[c.Class]
-	s.seq++
-	m := &msg{id: c.ID, class: class, ci: c.Class, dest: s.dest(c.Dest), seq: s.seq,
-		deadline: s.now + c.Left, first: min(s.now, s.now+c.Left-class.Deadline), came: s.now}
+	class := &s.cfg.Classes[c.Class]
+	s.lastSeq++
+	m := &msg{id: c.ID, class: class, classIndex: c.Class, dest: s.destByID(c.Dest), seq: s.lastSeq,
+		deadline: s.now + c.Left, submitted: min(s.now, s.now+c.Left-class.Deadline), arrived: s.now}
 	if !c.Past.Taken {
-		m.fresh = s.step
+		m.newInStep = s.step
 	}
 	s.ageOut(m.dest)
-	m.dest.came++
-	m.share = s.shareOf(c.Tenant)
+	m.dest.arrivals++
+	m.worthShare = s.shareOf(c.Tenant)
 	s.msgs[m.id] = m
-	m.dest.msgs++
-	s.hold(m)
+	m.dest.messageCount++
+	s.addHeld(m)
 	if class.KeepOrder && c.Key != "" {
-		line := s.keys[c.Key]
+		line := s.keyQueues[c.Key]
 		if line == nil {
-			line = &keyLine{}
-			s.keys[c.Key] = line
+			line = &keyQueue{}
+			s.keyQueues[c.Key] = line
 		}
-		line.q = append(line.q, m)
-		m.line = line
+		line.messages = append(line.messages, m)
+		m.keyQueue = line
 	}
-	if s.resume(m, c.Past); !m.over {
+	if s.resume(m, c.Past); !m.ended {
 		s.enqueue(m)
 	}
 }
 
 // keepOnly takes off the list what is not among the entries.
-func (s *Sender) keepOnly(rows []Entry) {
+func (s *Sender) removeUnlisted(rows []Entry) {
 	in := map[EndpointID]bool{}
 	for _, row := range rows {
 		in[row.Endpoint] = true
 	}
-	for _, d := range s.order {
-		for _, e := range slices.Clone(d.eps) {
+	for _, d := range s.destOrder {
+		for _, e := range slices.Clone(d.endpoints) {
 			if !in[e.id] {
-				s.unlist(e)
+				s.removeEndpoint(e)
 			}
 		}
 	}
 }
 
 // OutOfRotation is the number of listed endpoints that get no ordinary traffic now.
-func (s *Sender) OutOfRotation() int { return s.outOfRotation }
+func (s *Sender) OutOfRotation() int { return s.outOfRotationCount }
 
 // outOfRotation says whether an endpoint is listed and gets no ordinary traffic.
 func (e *endpoint) outOfRotation() bool {
@@ -463,38 +463,38 @@
 // count is right.
 func (s *Sender) setStatus(e *endpoint, state Readiness, ejected bool) {
 	if e.outOfRotation() {
-		s.outOfRotation--
+		s.outOfRotationCount--
 	}
 	e.state, e.ejected = state, ejected
 	if e.outOfRotation() {
-		s.outOfRotation++
+		s.outOfRotationCount++
 	}
 }
 
 // Out says whether an endpoint is taken for out: single trials only go there.
-func (s *Sender) Out(id EndpointID) bool {
-	e := s.eps[id]
+func (s *Sender) Ejected(id EndpointID) bool {
+	e := s.endpoints[id]
 	return e != nil && e.ejected
 }
 
 // crowd is the share of the hold that is taken.
-func (s *Sender) crowd() float64 {
-	if s.set.MaxOpen == 0 {
+func (s *Sender) heldFraction() float64 {
+	if s.cfg.MaxOpen == 0 {
 		return 0
 	}
-	return float64(s.open) / float64(s.set.MaxOpen)
+	return float64(s.openCount) / float64(s.cfg.MaxOpen)
 }
 
 // log writes a line for the people on call, within the cap.
-func (s *Sender) log(format string, args ...any) {
-	if s.logs++; s.logs <= logMost {
-		s.do(Log{fmt.Sprintf(format, args...)})
+func (s *Sender) logf(format string, args ...any) {
+	if s.logLines++; s.logLines <= logMost {
+		s.emit(Log{fmt.Sprintf(format, args...)})
 	}
 }
 
 // elsewhere says whether a sibling of e seems well.
-func (s *Sender) elsewhere(e *endpoint) bool {
-	for _, x := range e.dest.eps {
+func (s *Sender) hasHealthySibling(e *endpoint) bool {
+	for _, x := range e.dest.endpoints {
 		if x != e && !x.ejected && x.state == Ready {
 			return true
 		}
@@ -504,43 +504,43 @@
 
 // cancel calls an attempt off, once.
 func (s *Sender) cancel(a *attempt) {
-	if !a.cancelled && s.set.MayCancel && !a.m.flows {
+	if !a.cancelled && s.cfg.MayCancel && !a.msg.streaming {
 		a.cancelled = true
-		s.do(Cancel{ID: a.m.id, Attempt: a.n})
+		s.emit(Cancel{ID: a.msg.id, Attempt: a.number})
 	}
 }
 
 // take hands an event to the section that it concerns.
-func (s *Sender) take(ev Event) {
+func (s *Sender) handleEvent(ev Event) {
 	switch ev := ev.(type) {
 	case Endpoints:
 		s.list(ev)
 	case Call:
-		s.accept(ev)
+		s.acceptMessage(ev)
 	case Started:
-		if m := s.msgs[ev.ID]; m != nil && m.out != nil && m.out.n == ev.Attempt {
-			m.flows = true
+		if m := s.msgs[ev.ID]; m != nil && m.inFlight != nil && m.inFlight.number == ev.Attempt {
+			m.streaming = true
 		}
 	case Reply:
 		s.reply(ev)
 	case ClientGone:
-		if m := s.msgs[ev.ID]; m != nil && !m.over {
-			s.close(m)
-			if m.out != nil {
-				s.cancel(m.out)
+		if m := s.msgs[ev.ID]; m != nil && !m.ended {
+			s.closeMessage(m)
+			if m.inFlight != nil {
+				s.cancel(m.inFlight)
 			}
 		}
 	case Closing:
-		s.closeAt = s.now + ev.Left
+		s.stopAt = s.now + ev.Left
 	case Due:
-		if s.now >= s.timer {
-			s.timer = 0
+		if s.now >= s.timerAt {
+			s.timerAt = 0
 		}
 	}
 }
 
 // usage is the discounted count of a tenant's messages.
-type usage struct {
-	n  float64
-	at Micros
+type tenantUsage struct {
+	count     float64
+	updatedAt Micros
 }
--- a/logic/window_test.go
+++ b/logic/window_test.go
@@ -22,7 +22,7 @@
 	for _, again := range []float64{0.3, 0.7, 0.95} { // after the first send
 		r := newRig(t, shortWindow())
 		r.step(0, list(1))
-		feed(&r.s.dest(9).hist, 20, 0.8) // usual
+		feed(&r.s.destByID(9).latency, 20, 0.8) // usual
 		m := r.call(1)
 		if n := len(only[CallOut](r.step(10, m))); n != 1 {
 			t.Fatalf("%d sends", n)
@@ -87,16 +87,16 @@
 		set.Classes[1].Window = window
 		r := newRig(t, set)
 		r.step(0, list(1))
-		d := r.s.dest(9)
-		feed(&d.hist, 20, 0.02)
-		feed(&d.hist, 2, 5) // a slow few: restarting pays
-		if d.hist.tau == 0 {
+		d := r.s.destByID(9)
+		feed(&d.latency, 20, 0.02)
+		feed(&d.latency, 2, 5) // a slow few: restarting pays
+		if d.latency.tau == 0 {
 			t.Fatal("no tau")
 		}
 		m, beside := r.call(1), r.call(0)
 		r.step(10, m, beside)
 		r.step(10.1, answer(beside.ID, 1, 0, Completed)) // the endpoint answers: the call alone is slow
-		d.hist.p95, d.hist.median = d.hist.tau, sec(0.02)
+		d.latency.p95, d.latency.median = d.latency.tau, sec(0.02)
 		acts := r.step(10.51, Due{}) // past the least time for a cut
 		if n := len(only[Cancel](acts)); (n == 1) != cut {
 			t.Errorf("window %d: %d called off", window, n)
