--- a/logic/queue.go
+++ b/logic/queue.go
@@ -83,11 +83,11 @@
 	byWindow          // keyed and may have run: it has to be sent again within the window of its class
 )
 
-// expiryGroup holds the waiting messages of one destination and class that have the same kind of limit, ordered
-// by the time at which they expire.
+// expiryGroup holds the waiting messages of one destination and class that have the same kind of limit,
+// ordered by the time at which they expire.
 type expiryGroup struct {
 	dest       *dest
-	class      int // index in Settings.Classes
+	class      int // index in the settings
 	bound      int // byDeadline or byWindow
 	messages   priorityQueue[*msg]
 	sortKey    Micros // order in its queue of waitIndex.expiryQueues
--- a/logic/state.go
+++ b/logic/state.go
@@ -7,198 +7,213 @@
 	"slices"
 )
 
-// State of a Sender, and helpers that only keep it. What to do with it is decided in logic.go.
+// The state of a Sender, and functions that only maintain or read it. What to do is decided in logic.go.
 
-// dest is a destination. Its lane is the limit that its endpoints share; routes apart have one each.
+// dest is a destination.
 type dest struct {
 	id           int64
-	kind         int
-	endpoints    []*endpoint // listed, in list order
-	nextEndpoint int         // rotation of first sends
-	limiter      *limiter
-	latency      histogram
-	lastUsedAt   Micros
-	arrivals     int      // messages since the last outage began
-	outageSeenAt Micros   // when that was seen
-	queuedAhead  float64  // messages ahead in the pass at hand
-	messageCount int      // not forgotten
-	backlog      *backlog // nil if nothing waits
-}
-
+	kind         int         // index of its kind in the settings
+	endpoints    []*endpoint // the listed ones, in list order
+	nextEndpoint int         // index in endpoints where the rotation of first attempts goes on
+	limiter      *limiter    // shared by its endpoints, unless its kind keeps them apart
+	latency      histogram   // of its calls
+	lastUsedAt   Micros      // arrival of the last message for it
+	arrivals     int         // messages that arrived since the last outage began
+	outageSeenAt Micros      // when this sender noticed that outage
+	queuedAhead  float64     // in the current dispatch: messages of higher priority that have to wait
+	messageCount int         // messages in Sender.msgs
+	backlog      *backlog    // nil if no message waits
+}
+
+// limiter is the rate limit and the flow control of a destination. Where the kind keeps its endpoints apart,
+// each endpoint has a limiter of its own.
 type limiter struct {
-	limit          float64 // calls a second for all senders, as told; 0 if not
-	reported       bool    // limit came in a report
-	remaining      float64 // share of it that is left, as told last
-	pace           float64 // 0: free
-	reducedAt      Micros
-	tokens         float64
-	refilledAt     Micros
-	waitUntil      Micros // told wait
-	inFlight       int
-	refusals       int // in a row
-	firstRefusalAt Micros
-	sentAt         []Micros
-	servedAt       []Micros
-	peakRate       float64 // most calls served in a second
-	jitter         float64 // 0 to 1, drawn at each call: sets the next one apart from those of other senders
-}
-
+	limit          float64 // calls a second, all senders together; 0 if not known
+	reported       bool    // limit came in a report, not from the list
+	remaining      float64 // share of limit that was unused at the last report, 0 to 1
+	pace           float64 // calls a second that this sender allows itself; 0 for no bound
+	reducedAt      Micros  // when pace was last set or reduced after a refusal
+	tokens         float64 // calls that may be sent now, by the pace; below 0 if more were sent
+	refilledAt     Micros  // when tokens was last brought up to date
+	waitUntil      Micros  // end of the longest wait that an answer asked for
+	inFlight       int     // calls
+	refusals       int     // calls refused in a row
+	firstRefusalAt Micros  // the first of these
+	// sentAt and servedAt are the times of the latest calls that were sent, and of those that were answered
+	// with success. Older ones are dropped.
+	sentAt   []Micros
+	servedAt []Micros
+	peakRate float64 // most calls served within a second
+	jitter   float64 // 0 to 1, drawn at each call: spaces the next one differently from those of other senders
+}
+
+// endpoint is an endpoint that is listed, or that was removed from the list not long ago.
 type endpoint struct {
 	id                  EndpointID
 	zone                int
-	state               Readiness
+	state               Readiness // as listed
 	dest                *dest
-	limiter             *limiter
-	sentAt              []Micros
-	failureRate         float64
-	failures, refusals  int // in a row
-	badAnswers, resets  int // in a row
-	removedAt           Micros
-	lastOK, lastFail    Micros
-	lastOKSent          Micros // send of the last call that was answered
-	ejectedAt           Micros // when it was last ejected
-	healthyAt           Micros // when it was last seen to be well while a sibling was out
-	ejected             bool   // out, as far as we know
-	cold                bool   // was out; budgeted until backAt+WarmAfter
-	upAt                Micros
-	downAt              Micros // last answer before it was taken out, or when it began to look silent
-	trialAt, trialPause Micros
-	inFlight            int
-	smoothedLatency     float64 // smoothed latency, microseconds
-	lastSent            Micros
-	idleConnUntil       Micros // an idle connection lasts until then
-	openCall            *call
-}
-
+	limiter             *limiter // that of dest, or its own
+	sentAt              []Micros // times of the latest calls, oldest first
+	failureRate         float64  // moving average, 0 to 1
+	failures, refusals  int      // in a row
+	badAnswers, resets  int      // in a row: answers that cannot be read; connections refused or broken
+	removedAt           Micros   // when it was removed from the list
+	lastOK, lastFail    Micros   // times of the last successful answer and of the last sign of an outage
+	lastOKSent          Micros   // latest send time of the calls that were answered with success
+	ejectedAt           Micros   // when it was last ejected
+	healthyAt           Micros   // when it was last seen to be healthy while a sibling was ejected
+	ejected             bool     // taken for out of service: gets single trials only
+	cold                bool     // was out: its calls are budgeted for the warm-up time that follows upAt
+	upAt                Micros   // when it answered again
+	downAt              Micros   // last success before the outage, or when it first seemed silent
+	trialAt, trialPause Micros   // earliest time of the next trial; the pause before it, without jitter
+	inFlight            int      // calls
+	smoothedLatency     float64  // microseconds; 0 if not known
+	lastSent            Micros   // when the last message was sent to it
+	idleConnUntil       Micros   // until when an idle connection to it is expected to stay open
+	openCall            *call    // the latest call, which other messages of the same step may join
+}
+
+// call is one call to an endpoint, which may carry several messages: the step in which it was made, the
+// number of its messages, and the number of those that have no outcome yet.
 type call struct{ step, messages, unfinished int }
 
+// attempt is one attempt to deliver a message.
 type attempt struct {
 	msg       *msg
-	number    int
+	number    int // from 0 on
 	endpoint  *endpoint
 	sentAt    Micros
 	call      *call
 	cancelled bool
-	restarted bool // cancelled at τ
-	stuck     bool
-	censored  bool // counted as lasting past τ while it is out
+	restarted bool // cancelled at the restart time τ, to be sent again
+	stuck     bool // without an answer for so long that its endpoint was ejected as silent
+	censored  bool // counted as lasting past τ while it is in flight; taken back if it completes
 }
 
+// msg is a message that has not ended, or of which an attempt is still in flight.
 type msg struct {
-	id           string
-	class        *Class
-	classIndex   int
-	worthShare   float64 // part of its worth that it keeps by its tenant's quota
-	dest         *dest
-	seq          int
-	submitted    Micros // when it was first handed in
-	arrived      Micros // when it came to this process
-	newInStep    int    // step in which it can still be turned away at the door
-	deadline     Micros
-	tries        int
-	restarts     int
-	inFlight     *attempt
-	mayRun       bool
-	mayRunAt     Micros // send of the first attempt that may have run
-	mayRunZone   int
+	id         string
+	class      *Class
+	classIndex int
+	worthShare float64 // share of its worth that counts: less than 1 if its tenant is over quota
+	dest       *dest
+	seq        int    // order of arrival
+	submitted  Micros // when the client submitted it, as far as its remaining time tells
+	arrived    Micros // when it came to this process
+	newInStep  int    // step in which it arrived; 0 if it was accepted before a restart
+	deadline   Micros
+	tries      int // attempts made
+	restarts   int // attempts cancelled to be sent again
+	inFlight   *attempt
+	mayRun     bool   // an attempt may have taken effect
+	mayRunAt   Micros // when the first of these was sent
+	mayRunZone int    // zone of its endpoint
+	// lastEndpoint is the one of the last attempt; nil if there was none since the start.
 	lastEndpoint *endpoint
-	retryAt      Micros
-	keyQueue     *keyQueue
+	retryAt      Micros    // earliest time of the next attempt
+	keyQueue     *keyQueue // nil if it has no key, or its class keeps no order
 	ended        bool
-	streaming    bool
-	priority     float64
+	streaming    bool    // its stream has begun: nothing can be changed any more
+	priority     float64 // in the current dispatch
 
 	// While it waits.
-	waitPos     int       // in its destination's backlog, from one on; 0 if it does not wait
-	expiresAt   [2]Micros // when its time is up, by what bounds it
-	expiryPos   [2]int    // places in the queues by that
-	sampledStep int       // step in which it was last in a sample
-	weight      float64   // for so many in the pass at hand
+	waitPos     int       // position in backlog.waiting, counted from 1; 0 if it does not wait
+	expiresAt   [2]Micros // by byDeadline or byWindow
+	expiryPos   [2]int    // positions in the expiry groups, likewise
+	sampledStep int       // step of the last sample that it was in
+	weight      float64   // number of waiting messages that it stands for in the current dispatch
 }
 
+// keyQueue holds the messages of one key, which are sent one after the other.
 type keyQueue struct {
-	messages    []*msg
-	quietUntil  Micros
-	quietExempt *msg
+	messages    []*msg // in order of arrival
+	quietUntil  Micros // no other message is sent until then, after an attempt that may still take effect
+	quietExempt *msg   // the message of that attempt, which may be sent again
 }
 
-// since counts the marks after t.
-func countAfter(marks []Micros, t Micros) int {
+// countAfter counts the times after t. The times ascend.
+func countAfter(times []Micros, t Micros) int {
 	n := 0
-	for i := len(marks) - 1; i >= 0 && marks[i] > t; i-- {
+	for i := len(times) - 1; i >= 0 && times[i] > t; i-- {
 		n++
 	}
 	return n
 }
 
-func dropBefore(marks []Micros, keep Micros) []Micros {
+// dropBefore drops the times before t, but keeps the last one of all.
+func dropBefore(times []Micros, t Micros) []Micros {
 	i := 0
-	for i < len(marks)-1 && marks[i] < keep {
+	for i < len(times)-1 && times[i] < t {
 		i++
 	}
-	return marks[i:]
+	return times[i:]
 }
 
-// Sender decides for one sender. Make it with New.
+// Sender makes the decisions for one sender. It is created by New.
 type Sender struct {
 	cfg            Settings
-	rngSource      *rand.PCG // of rng
+	rngSource      *rand.PCG // of rng; saved in snapshots
 	rng            *rand.Rand
-	now            Micros
-	step           int
-	actions        []Action
+	now            Micros   // time of the current step
+	step           int      // number of the current step
+	actions        []Action // of the current step
 	endpoints      map[EndpointID]*endpoint
 	dests          map[int64]*dest
 	destOrder      []*dest     // dests, in the order in which they became known
-	removed        []*endpoint // off the list, not yet forgotten
+	removed        []*endpoint // removed from the list, but not dropped yet
 	nextCleanupAt  Micros
-	msgs           map[string]*msg
-	held           []*msg    // messages not over, in order of arrival, and some that are
-	openCount      int       // of held, those not over
-	waiting        waitIndex // those that wait
-	fullScanMax    int       // waiting messages that are all looked at in each step
-	visitCount     int       // messages, attempts and destinations looked at in this step
+	msgs           map[string]*msg // by id
+	held           []*msg          // all that have not ended, in order of arrival, and some that have
+	openCount      int             // messages in held that have not ended
+	waiting        waitIndex       // the messages that wait to be sent
+	fullScanMax    int             // up to this many waiting messages are all considered in each step
+	visitCount     int             // messages, attempts and destinations considered in this step
 	inFlight       []*attempt
-	trialsInFlight int         // slots that calls to endpoints that seem out hold, in dispatch
-	busy           int         // slots in use
+	trialsInFlight int         // slots taken by attempts at ejected endpoints, as counted in dispatch
+	busy           int         // slots in use: calls in flight
 	justIdle       []*endpoint // whose last call ended in this step
-	lastSeq        int
-	classLatency   []histogram
-	tenantUsage    []tenantUsage // by tenant
+	lastSeq        int         // of the last message
+	classLatency   []histogram // by class
+	tenantUsage    []tenantUsage
 	keyQueues      map[string]*keyQueue
-	wakeAt         Micros // when something is next to be done
-	timerAt        Micros // when the last timer set goes off; 0 if none is out
-	askAt          Micros // when to ask for the list; never if asked
-	askGap         Micros
-	listStaleUntil Micros // until when the list may be an old one; 0 once there was news of it
-	stopAt         Micros // when this sender stops; 0 if it does not
-	logLines       int
-	largeFleet     bool            // senders
-	rejectRate     map[int]float64 // by kind, share of calls turned away
-	scarceUntil    map[int]Micros  // by kind, until when connections to it count as scarce
+	wakeAt         Micros          // when the next step is needed
+	timerAt        Micros          // when the last timer set expires; 0 if none is set
+	askAt          Micros          // when to request the endpoint list; never if it is requested
+	askGap         Micros          // pause after the next failed request, without jitter
+	listStaleUntil Micros          // until then the list may be an old one; 0 once there was news of it
+	stopAt         Micros          // when this sender stops; 0 if that is not planned
+	logLines       int             // written so far
+	largeFleet     bool            // so many senders that an idle connection of each may fill an endpoint
+	rejectRate     map[int]float64 // by kind: moving average of the share of calls refused, 0 to 1
+	scarceUntil    map[int]Micros  // by kind: until when connections to it count as scarce
 	reportedLimits int             // destinations whose limit came in a report
 
 	outOfRotationCount int // listed endpoints that get no ordinary traffic
 }
 
-// hist is a discounted latency histogram.
+// histogram holds latencies. The weight of a sample decays with its age.
 type histogram struct {
-	bins      *binWeights // nil until there is something to count
-	total     float64
-	censored  float64
+	bins      *binWeights // nil until there is a sample
+	total     float64     // weight of the samples in bins
+	censored  float64     // weight of the attempts of which only a lower bound is known: they lasted past τ
 	updatedAt Micros
-	tau       Micros // 0: waiting is best
+	tau       Micros // restart time τ; 0 if it is best to wait for the answer
 	median    Micros
 	p95       Micros
 }
 
-// weights are those of the bins. The last one holds what lasted past every edge.
+// binWeights holds the weight of each bin. The last bin is for latencies above all edges.
 type binWeights [binCount + 1]float64
 
+// emit adds an action to those that the step returns.
 func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
 
+// wakeBy asks for a step at t at the latest.
 func (s *Sender) wakeBy(t Micros) { s.wakeAt = min(s.wakeAt, t) }
 
+// removeEndpoint removes an endpoint that is no longer listed. It stays known for a while: it may come back.
 func (s *Sender) removeEndpoint(e *endpoint) {
 	if e.state != Gone {
 		s.removed = append(s.removed, e)
@@ -209,8 +224,9 @@
 	e.dest.endpoints = slices.DeleteFunc(e.dest.endpoints, func(x *endpoint) bool { return x == e })
 }
 
-// forget drops what nothing refers to any more: endpoints that have long been off the list, destinations that
-// have neither endpoints nor messages, keys at rest. Else they pile up over the life of a process.
+// dropUnused drops what nothing refers to any more: endpoints that were removed from the list long ago, idle
+// destinations without endpoints and messages, and empty key queues. Else they pile up over the life of a
+// process.
 func (s *Sender) dropUnused() {
 	if s.now < s.nextCleanupAt {
 		return
@@ -218,7 +234,7 @@
 	s.nextCleanupAt = s.now + keepGone/8
 	s.removed = slices.DeleteFunc(s.removed, func(e *endpoint) bool {
 		if e.state != Gone {
-			return true // it has come back
+			return true // listed again
 		}
 		if s.now < e.removedAt+keepGone || e.inFlight > 0 {
 			return false
@@ -228,12 +244,12 @@
 		}
 		return true
 	})
-	used := map[*dest]bool{}
+	referenced := map[*dest]bool{}
 	for _, e := range s.removed {
-		used[e.dest] = true
+		referenced[e.dest] = true
 	}
 	s.destOrder = slices.DeleteFunc(s.destOrder, func(d *dest) bool {
-		if len(d.endpoints) > 0 || d.messageCount > 0 || used[d] || s.now < d.lastUsedAt+idleAge {
+		if len(d.endpoints) > 0 || d.messageCount > 0 || referenced[d] || s.now < d.lastUsedAt+idleAge {
 			return false
 		}
 		if d.limiter.reported {
@@ -242,13 +258,14 @@
 		delete(s.dests, d.id)
 		return true
 	})
-	for key, l := range s.keyQueues {
-		if len(l.messages) == 0 && s.now >= l.quietUntil {
+	for key, q := range s.keyQueues {
+		if len(q.messages) == 0 && s.now >= q.quietUntil {
 			delete(s.keyQueues, key)
 		}
 	}
 }
 
+// destByID returns the destination with this id, and adds it if it is not known.
 func (s *Sender) destByID(id int64) *dest {
 	d := s.dests[id]
 	if d == nil {
@@ -259,7 +276,7 @@
 	return d
 }
 
-// waiting is the number of messages that wait for d.
+// waiting returns the number of messages that wait for d.
 func (d *dest) waiting() int {
 	if d.backlog == nil {
 		return 0
@@ -267,6 +284,7 @@
 	return len(d.backlog.waiting)
 }
 
+// kindOf returns the kind of a destination; the zero value if the settings don't have it.
 func (s *Sender) kindOf(d *dest) Kind {
 	if d.kind >= 0 && d.kind < len(s.cfg.Kinds) {
 		return s.cfg.Kinds[d.kind]
@@ -274,7 +292,7 @@
 	return Kind{}
 }
 
-// value is the worth of m if it is delivered at t.
+// worthAt returns the worth of m if it is delivered at t.
 func (s *Sender) worthAt(m *msg, t Micros) float64 {
 	if t > m.deadline {
 		return 0
@@ -290,7 +308,7 @@
 	return c.Worth * (1 - (1-c.LateWorth)*min(1, late/float64(max(c.Deadline-c.Aim, 1))))
 }
 
-// destPace is the pace of a destination over all its lanes; 0 if one of them is free.
+// destPace returns the pace of a destination over all its limiters; 0 if one of them has no bound.
 func (s *Sender) destPace(d *dest) float64 {
 	if !s.kindOf(d).Apart {
 		return d.limiter.pace
@@ -305,12 +323,13 @@
 	return sum
 }
 
+// binIndex returns the index of the bin for a latency.
 func binIndex(t Micros) int {
 	i, _ := slices.BinarySearch(edges[:], t)
 	return i
 }
 
-// report takes the limit that an answer tells.
+// applyReport takes over the limit that an answer reported.
 func (s *Sender) applyReport(e *endpoint, load []float64) {
 	if i := s.cfg.ReportLimit; i >= 0 && i < len(load) && load[i] > 0 {
 		if !e.limiter.reported && e.limiter == e.dest.limiter {
@@ -323,7 +342,7 @@
 	}
 }
 
-// close forgets a message that is over, once nothing of it is out.
+// closeMessage ends a message, if it has not ended, and drops it once no attempt of it is in flight.
 func (s *Sender) closeMessage(m *msg) {
 	if !m.ended {
 		s.releaseHeld(m)
@@ -333,17 +352,18 @@
 	}
 	delete(s.msgs, m.id)
 	m.dest.messageCount--
-	if l := m.keyQueue; l != nil {
-		i := slices.Index(l.messages, m)
-		l.messages = slices.Delete(l.messages, i, i+1)
+	if q := m.keyQueue; q != nil {
+		i := slices.Index(q.messages, m)
+		q.messages = slices.Delete(q.messages, i, i+1)
 		m.keyQueue = nil
-		if i == 0 && len(l.messages) > 0 && l.messages[0].waitPos > 0 {
-			s.scanFirst(l.messages[0])
+		if i == 0 && len(q.messages) > 0 && q.messages[0].waitPos > 0 {
+			s.scanFirst(q.messages[0])
 		}
 	}
 }
 
-// landed takes an attempt that has its outcome off the books and reports whether its call is over with it.
+// finishAttempt removes an attempt that has its outcome from those in flight. It reports whether that was the
+// last attempt of its call.
 func (s *Sender) finishAttempt(a *attempt) bool {
 	a.msg.inFlight, a.msg.streaming = nil, false
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(x *attempt) bool { return x == a })
@@ -356,19 +376,20 @@
 	return true
 }
 
-// joins says whether a send to e now would travel in a call that this step opens anyway.
+// joinsOpenCall reports whether a message sent to e now would go in a call that this step already makes.
 func (s *Sender) joinsOpenCall(e *endpoint) bool {
 	return e.openCall != nil && e.openCall.step == s.step && e.openCall.messages < s.kindOf(e.dest).Batch
 }
 
-// mark notes a call to e for the budget and the pace.
+// recordCall records the time of a call to e, for the budget of cold endpoints and for the pace.
 func (s *Sender) recordCall(e *endpoint) {
-	l := e.limiter
-	keep := s.now - max(s.cfg.FallWindow, Second) - 1
-	e.sentAt, l.sentAt = append(dropBefore(e.sentAt, keep), s.now), append(dropBefore(l.sentAt, keep), s.now)
+	lim := e.limiter
+	cutoff := s.now - max(s.cfg.FallWindow, Second) - 1
+	e.sentAt, lim.sentAt =
+		append(dropBefore(e.sentAt, cutoff), s.now), append(dropBefore(lim.sentAt, cutoff), s.now)
 }
 
-// fly books an attempt of m at e.
+// startAttempt records an attempt of m at e, in the call that is open there.
 func (s *Sender) startAttempt(m *msg, e *endpoint) *attempt {
 	e.openCall.messages++
 	e.openCall.unfinished++
@@ -387,7 +408,7 @@
 	return a
 }
 
-// onTrial is the number of slots that calls to endpoints that seem out hold.
+// countTrials counts the attempts in flight at ejected endpoints.
 func (s *Sender) countTrials() (n int) {
 	for _, a := range s.inFlight {
 		if a.endpoint.ejected {
@@ -397,10 +418,10 @@
 	return n
 }
 
-// seconds is a span as a number.
+// seconds converts a span to seconds.
 func seconds(t Micros) float64 { return float64(t) / float64(Second) }
 
-// accept takes a new message into the books.
+// acceptMessage takes on a new message, or one from before a restart.
 func (s *Sender) acceptMessage(c Call) {
 	if s.msgs[c.ID] != nil {
 		return
@@ -423,44 +444,44 @@
 	m.dest.messageCount++
 	s.addHeld(m)
 	if class.KeepOrder && c.Key != "" {
-		line := s.keyQueues[c.Key]
-		if line == nil {
-			line = &keyQueue{}
-			s.keyQueues[c.Key] = line
+		queue := s.keyQueues[c.Key]
+		if queue == nil {
+			queue = &keyQueue{}
+			s.keyQueues[c.Key] = queue
 		}
-		line.messages = append(line.messages, m)
-		m.keyQueue = line
+		queue.messages = append(queue.messages, m)
+		m.keyQueue = queue
 	}
 	if s.resume(m, c.Past); !m.ended {
 		s.enqueue(m)
 	}
 }
 
-// keepOnly takes off the list what is not among the entries.
-func (s *Sender) removeUnlisted(rows []Entry) {
-	in := map[EndpointID]bool{}
-	for _, row := range rows {
-		in[row.Endpoint] = true
+// removeUnlisted removes the endpoints that are not among the entries of a whole list.
+func (s *Sender) removeUnlisted(entries []Entry) {
+	listed := map[EndpointID]bool{}
+	for _, entry := range entries {
+		listed[entry.Endpoint] = true
 	}
 	for _, d := range s.destOrder {
 		for _, e := range slices.Clone(d.endpoints) {
-			if !in[e.id] {
+			if !listed[e.id] {
 				s.removeEndpoint(e)
 			}
 		}
 	}
 }
 
-// OutOfRotation is the number of listed endpoints that get no ordinary traffic now.
+// OutOfRotation returns the number of listed endpoints that get no ordinary traffic now.
 func (s *Sender) OutOfRotation() int { return s.outOfRotationCount }
 
-// outOfRotation says whether an endpoint is listed and gets no ordinary traffic.
+// outOfRotation reports whether an endpoint is listed and gets no ordinary traffic.
 func (e *endpoint) outOfRotation() bool {
 	return e.state == Draining || e.state == Ready && e.ejected
 }
 
-// setStatus is the one place where the state of an endpoint changes, or whether it seems out, so that the
-// count is right.
+// setStatus is the only function that changes the state of an endpoint or whether it is ejected, so that
+// outOfRotationCount stays right.
 func (s *Sender) setStatus(e *endpoint, state Readiness, ejected bool) {
 	if e.outOfRotation() {
 		s.outOfRotationCount--
@@ -471,13 +492,13 @@
 	}
 }
 
-// Out says whether an endpoint is taken for out: single trials only go there.
+// Ejected reports whether an endpoint is taken for out of service: it gets single trials only.
 func (s *Sender) Ejected(id EndpointID) bool {
 	e := s.endpoints[id]
 	return e != nil && e.ejected
 }
 
-// crowd is the share of the hold that is taken.
+// heldFraction returns the share of the limit on held messages that is in use; 0 if there is no limit.
 func (s *Sender) heldFraction() float64 {
 	if s.cfg.MaxOpen == 0 {
 		return 0
@@ -485,24 +506,24 @@
 	return float64(s.openCount) / float64(s.cfg.MaxOpen)
 }
 
-// log writes a line for the people on call, within the cap.
+// logf writes a line for the people on call. The number of lines in the life of a Sender is limited.
 func (s *Sender) logf(format string, args ...any) {
 	if s.logLines++; s.logLines <= logMost {
 		s.emit(Log{fmt.Sprintf(format, args...)})
 	}
 }
 
-// elsewhere says whether a sibling of e seems well.
+// hasHealthySibling reports whether another endpoint of the same destination is ready and not ejected.
 func (s *Sender) hasHealthySibling(e *endpoint) bool {
-	for _, x := range e.dest.endpoints {
-		if x != e && !x.ejected && x.state == Ready {
+	for _, sibling := range e.dest.endpoints {
+		if sibling != e && !sibling.ejected && sibling.state == Ready {
 			return true
 		}
 	}
 	return false
 }
 
-// cancel calls an attempt off, once.
+// cancel cancels an attempt, once, unless this is not allowed or its stream has begun.
 func (s *Sender) cancel(a *attempt) {
 	if !a.cancelled && s.cfg.MayCancel && !a.msg.streaming {
 		a.cancelled = true
@@ -510,7 +531,7 @@
 	}
 }
 
-// take hands an event to the section that it concerns.
+// handleEvent passes an event to the function for its type.
 func (s *Sender) handleEvent(ev Event) {
 	switch ev := ev.(type) {
 	case Endpoints:
@@ -539,7 +560,7 @@
 	}
 }
 
-// usage is the discounted count of a tenant's messages.
+// tenantUsage counts the messages of a tenant. The weight of a message decays with its age.
 type tenantUsage struct {
 	count     float64
 	updatedAt Micros
