--- a/logic/snapshot.go
+++ b/logic/snapshot.go
@@ -7,38 +7,42 @@
 	"slices"
 )
 
-// A snapshot holds all that a Sender knows, so that another process can go on in its place. What points at
-// something in a Sender is its number here: endpoints, destinations and calls by their place in the list,
-// messages by their id. It is for a process of the same build, or one that reads the same version.
+// A snapshot holds the whole state of a Sender, so that another process can continue in its place. References
+// become numbers: endpoints, destinations and calls are known by their index in the snapshot, messages by their
+// id. A snapshot is for a process of the same build, or of one that reads the same version.
+//
+// A type with the suffix State is the stored form of the type without it. The JSON keys are those of version 1:
+// where a field has a clearer name than its key, the key is its tag, and where one line declares several fields
+// under their keys, a comment names what they hold.
 
 const snapshotVersion = 1
 
-// errSnapshot says that a snapshot does not fit together.
-var errInconsistentSnapshot = errors.New("snapshot makes no sense")
+// errInconsistentSnapshot is returned for a snapshot whose parts contradict each other or the settings.
+var errInconsistentSnapshot = errors.New("snapshot is inconsistent")
 
 type snapshot struct {
 	Version        int
-	RNGState       []byte `json:"Rand"`
+	RNGState       []byte `json:"Rand"` // of Sender.rngSource
 	Now            Micros
 	Step           int
 	LastSeq        int    `json:"Seq"`
 	NextCleanupAt  Micros `json:"ForgetAt"`
 	AskAt          Micros
 	AskGap         Micros
-	ListStaleUntil Micros             `json:"Unsure"`
-	LogLines       int                `json:"Logs"`
-	RejectRate     map[int]float64    `json:"Turned"`
-	ScarceUntil    map[int]Micros     `json:"Short"`
-	TenantUsage    []tenantUsageState `json:"Usage"`
-	ClassLatency   []histogramState   `json:"ByClass"`
-	Dests          []destState        // in their order
-	Endpoints      []endpointState
-	Removed        []int                    `json:"Gone"`
-	Messages       []msgState               // held ones first, in order, then those that are over
-	HeldCount      int                      `json:"Held"` // how many of them are held
-	CallCount      int                      `json:"Calls"`
+	ListStaleUntil Micros                   `json:"Unsure"`
+	LogLines       int                      `json:"Logs"`
+	RejectRate     map[int]float64          `json:"Turned"`  // by kind
+	ScarceUntil    map[int]Micros           `json:"Short"`   // by kind
+	TenantUsage    []tenantUsageState       `json:"Usage"`   // by tenant
+	ClassLatency   []histogramState         `json:"ByClass"` // by class
+	Dests          []destState              // in the order of Sender.destOrder
+	Endpoints      []endpointState          // by their numbers
+	Removed        []int                    `json:"Gone"` // numbers of endpoints
+	Messages       []msgState               // those that have not ended, in order, then those that have
+	HeldCount      int                      `json:"Held"`  // how many of Messages have not ended
+	CallCount      int                      `json:"Calls"` // calls that InFlight refers to
 	InFlight       []attemptState           `json:"Flying"`
-	KeyQueues      map[string]keyQueueState `json:"Keys"`
+	KeyQueues      map[string]keyQueueState `json:"Keys"` // by key
 }
 
 type tenantUsageState struct {
@@ -46,12 +50,14 @@
 	UpdatedAt Micros  `json:"At"`
 }
 
+// histogramState is a histogram; Cuts is its field censored.
 type histogramState struct {
 	Bins        []float64 `json:"W"`
 	Total, Cuts float64
 	UpdatedAt   Micros `json:"At"`
 }
 
+// limiterState is a limiter, with the fields in the same order: limiter.save and limiterState.restore rely on it.
 type limiterState struct {
 	Limit          float64
 	Reported       bool    `json:"Told"`
@@ -65,7 +71,7 @@
 	Refusals       int      `json:"Fulls"`
 	FirstRefusalAt Micros   `json:"FirstFull"`
 	SentAt         []Micros `json:"Sent"`
-	ServedAt       []Micros `json:"Served,omitempty"` // not of older builds
+	ServedAt       []Micros `json:"Served,omitempty"` // not written by older builds
 	PeakRate       float64  `json:"Peak"`
 	Jitter         float64  `json:"Phase"`
 }
@@ -73,7 +79,7 @@
 type destState struct {
 	ID           int64
 	Kind         int
-	Endpoints    []int          `json:"Eps"`
+	Endpoints    []int          `json:"Eps"` // numbers of endpoints
 	NextEndpoint int            `json:"Next"`
 	Limiter      limiterState   `json:"Lane"`
 	Latency      histogramState `json:"Hist"`
@@ -84,59 +90,59 @@
 
 type endpointState struct {
 	ID                EndpointID
-	Known             bool // the one of this id, not one that it has replaced
+	Known             bool // the current endpoint of its id, not one that it has replaced
 	Zone              int
 	State             Readiness
-	Dest              int
-	OwnLimiter        *limiterState `json:"Own"` // its lane, if it has one apart
+	Dest              int           // index in Dests
+	OwnLimiter        *limiterState `json:"Own"` // nil if it shares that of its destination
 	SentAt            []Micros      `json:"Sent"`
 	FailureRate       float64       `json:"Bad"`
-	Fails, Fulls      int
-	Spoilt, Resets    int
-	RemovedAt         Micros `json:"GoneAt"`
-	LastOK, LastBad   Micros
-	HealthyAt         Micros `json:"Well"`
-	OKSent, OutAt     Micros `json:",omitempty"` // not of older builds
-	Suspect, Cold     bool
-	BackAt, DownAt    Micros
-	TrialAt, TrialGap Micros
-	InFlight          int     `json:"Inflight"`
-	SmoothedLatency   float64 `json:"Slow"`
-	LastSent, Warm    Micros
+	Fails, Fulls      int           // failures and refusals, in a row
+	Spoilt, Resets    int           // badAnswers and resets, in a row
+	RemovedAt         Micros        `json:"GoneAt"`
+	LastOK, LastBad   Micros        // lastOK and lastFail
+	HealthyAt         Micros        `json:"Well"`
+	OKSent, OutAt     Micros        `json:",omitempty"` // lastOKSent and ejectedAt; not written by older builds
+	Suspect, Cold     bool          // ejected and cold
+	BackAt, DownAt    Micros        // upAt and downAt
+	TrialAt, TrialGap Micros        // trialAt and trialPause
+	InFlight          int           `json:"Inflight"`
+	SmoothedLatency   float64       `json:"Slow"`
+	LastSent, Warm    Micros        // lastSent and idleConnUntil
 }
 
 type msgState struct {
 	ID           string
-	Class        int
+	Class        int     // index in the settings
 	WorthShare   float64 `json:"Share"`
-	Dest         int
+	Dest         int     // index in Dests
 	Seq          int
-	First, Came  Micros
+	First, Came  Micros // submitted and arrived
 	Deadline     Micros
-	Tries, Cuts  int
+	Tries, Cuts  int // tries and restarts
 	MayRun       bool
 	MayRunAt     Micros `json:"FirstMay"`
 	MayRunZone   int    `json:"MayZone"`
-	LastEndpoint int    `json:"Last"` // -1 for none
+	LastEndpoint int    `json:"Last"` // number of an endpoint; -1 for none
 	RetryAt      Micros `json:"Rest"`
-	Over, Flows  bool
+	Over, Flows  bool   // ended and streaming
 }
 
 type attemptState struct {
-	Message               string
-	N, Endpoint, Call     int
+	Message               string // id
+	N, Endpoint, Call     int    // number of the attempt, number of the endpoint, number of the call
 	SentAt                Micros `json:"At"`
-	Cancelled, Cut, Stuck bool
-	Censored              bool `json:"Late"`
+	Cancelled, Cut, Stuck bool   // cancelled, restarted and stuck
+	Censored              bool   `json:"Late"`
 }
 
 type keyQueueState struct {
-	Messages    []string `json:"Queue"`
+	Messages    []string `json:"Queue"` // ids
 	QuietUntil  Micros   `json:"Quiet"`
-	QuietExempt string   `json:"By"` // empty if none, or if it is forgotten
+	QuietExempt string   `json:"By"` // id; empty if there is none, or if that message is gone
 }
 
-// save writes all bins down, also where nothing was counted: version 1 has them.
+// save writes all bins even if there is no sample: version 1 has them.
 func (h *histogram) save() histogramState {
 	w := h.bins
 	if w == nil {
@@ -145,35 +151,66 @@
 	return histogramState{w[:], h.total, h.censored, h.updatedAt}
 }
 
-func (h *histogram) load(x histogramState) error {
-	if len(x.Bins) != len(binWeights{}) {
+func (h *histogram) load(state histogramState) error {
+	if len(state.Bins) != len(binWeights{}) {
 		return errInconsistentSnapshot
 	}
-	h.total, h.censored, h.updatedAt = x.Total, x.Cuts, x.UpdatedAt
+	h.total, h.censored, h.updatedAt = state.Total, state.Cuts, state.UpdatedAt
 	if h.total == 0 && h.censored == 0 {
 		return nil
 	}
-	h.bins = (*binWeights)(x.Bins)
+	h.bins = (*binWeights)(state.Bins)
 	h.update()
 	return nil
 }
 
 func (l *limiter) save() limiterState {
-	return limiterState{l.limit, l.reported, l.remaining, l.pace, l.reducedAt, l.tokens, l.refilledAt, l.waitUntil, l.inFlight, l.refusals, l.firstRefusalAt,
-		l.sentAt, l.servedAt, l.peakRate, l.jitter}
+	return limiterState{
+		l.limit,
+		l.reported,
+		l.remaining,
+		l.pace,
+		l.reducedAt,
+		l.tokens,
+		l.refilledAt,
+		l.waitUntil,
+		l.inFlight,
+		l.refusals,
+		l.firstRefusalAt,
+		l.sentAt,
+		l.servedAt,
+		l.peakRate,
+		l.jitter,
+	}
 }
 
-func (x limiterState) restore() *limiter {
-	return &limiter{x.Limit, x.Reported, x.Remaining, x.Pace, x.ReducedAt, x.Tokens, x.RefilledAt, x.WaitUntil, x.InFlight, x.Refusals, x.FirstRefusalAt,
-		x.SentAt, x.ServedAt, x.PeakRate, x.Jitter}
+func (state limiterState) restore() *limiter {
+	return &limiter{
+		state.Limit,
+		state.Reported,
+		state.Remaining,
+		state.Pace,
+		state.ReducedAt,
+		state.Tokens,
+		state.RefilledAt,
+		state.WaitUntil,
+		state.InFlight,
+		state.Refusals,
+		state.FirstRefusalAt,
+		state.SentAt,
+		state.ServedAt,
+		state.PeakRate,
+		state.Jitter,
+	}
 }
 
-// numbers gives each endpoint that anything refers to a place in a list.
+// endpointNumbers numbers the endpoints that anything refers to, in the order of the first references.
 type endpointNumbers struct {
 	index map[*endpoint]int
 	list  []*endpoint
 }
 
+// numberOf returns the number of e; -1 for nil.
 func (n *endpointNumbers) numberOf(e *endpoint) int {
 	if e == nil {
 		return -1
@@ -186,36 +223,58 @@
 	return i
 }
 
-// Snapshot writes down the state. The Sender must not be stepped on in this process after another has taken it up.
+// Snapshot returns the state for Restore. Once another process has restored it, this Sender must not be stepped
+// any more.
 func (s *Sender) Snapshot() ([]byte, error) {
-	source, err := s.rngSource.MarshalBinary()
+	rngState, err := s.rngSource.MarshalBinary()
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	x := snapshot{Version: snapshotVersion, RNGState: source, Now: s.now, Step: s.step, LastSeq: s.lastSeq, NextCleanupAt: s.nextCleanupAt,
-		AskAt: s.askAt, AskGap: s.askGap, ListStaleUntil: s.listStaleUntil, LogLines: s.logLines, RejectRate: s.rejectRate, ScarceUntil: s.scarceUntil, HeldCount: s.openCount,
-		KeyQueues: map[string]keyQueueState{}}
-	for _, u := range s.tenantUsage {
-		x.TenantUsage = append(x.TenantUsage, tenantUsageState{u.count, u.updatedAt})
+	snap := snapshot{
+		Version:        snapshotVersion,
+		RNGState:       rngState,
+		Now:            s.now,
+		Step:           s.step,
+		LastSeq:        s.lastSeq,
+		NextCleanupAt:  s.nextCleanupAt,
+		AskAt:          s.askAt,
+		AskGap:         s.askGap,
+		ListStaleUntil: s.listStaleUntil,
+		LogLines:       s.logLines,
+		RejectRate:     s.rejectRate,
+		ScarceUntil:    s.scarceUntil,
+		HeldCount:      s.openCount,
+		KeyQueues:      map[string]keyQueueState{},
+	}
+	for _, usage := range s.tenantUsage {
+		snap.TenantUsage = append(snap.TenantUsage, tenantUsageState{usage.count, usage.updatedAt})
 	}
 	for i := range s.classLatency {
-		x.ClassLatency = append(x.ClassLatency, s.classLatency[i].save())
+		snap.ClassLatency = append(snap.ClassLatency, s.classLatency[i].save())
 	}
-	eps := &endpointNumbers{index: map[*endpoint]int{}}
-	places := map[*dest]int{}
+	numbers := &endpointNumbers{index: map[*endpoint]int{}}
+	destIndex := map[*dest]int{}
 	for i, d := range s.destOrder {
-		places[d] = i
-		y := destState{ID: d.id, Kind: d.kind, NextEndpoint: d.nextEndpoint, Limiter: d.limiter.save(), Latency: d.latency.save(), LastUsedAt: d.lastUsedAt,
-			Arrivals: d.arrivals, OutageSeenAt: d.outageSeenAt}
+		destIndex[d] = i
+		state := destState{
+			ID:           d.id,
+			Kind:         d.kind,
+			NextEndpoint: d.nextEndpoint,
+			Limiter:      d.limiter.save(),
+			Latency:      d.latency.save(),
+			LastUsedAt:   d.lastUsedAt,
+			Arrivals:     d.arrivals,
+			OutageSeenAt: d.outageSeenAt,
+		}
 		for _, e := range d.endpoints {
-			y.Endpoints = append(y.Endpoints, eps.numberOf(e))
+			state.Endpoints = append(state.Endpoints, numbers.numberOf(e))
 		}
-		x.Dests = append(x.Dests, y)
+		snap.Dests = append(snap.Dests, state)
 	}
 	for _, e := range s.removed {
-		x.Removed = append(x.Removed, eps.numberOf(e))
+		snap.Removed = append(snap.Removed, numbers.numberOf(e))
 	}
-	held, over := []*msg{}, []*msg{}
+	held, ended := []*msg{}, []*msg{}
 	for _, m := range s.held {
 		if !m.ended {
 			held = append(held, m)
@@ -223,13 +282,30 @@
 	}
 	for _, m := range s.msgs {
 		if m.ended {
-			over = append(over, m)
+			ended = append(ended, m)
 		}
 	}
-	slices.SortFunc(over, func(a, b *msg) int { return a.seq - b.seq })
-	for _, m := range slices.Concat(held, over) {
-		x.Messages = append(x.Messages, msgState{m.id, m.classIndex, m.worthShare, places[m.dest], m.seq, m.submitted, m.arrived, m.deadline, m.tries,
-			m.restarts, m.mayRun, m.mayRunAt, m.mayRunZone, eps.numberOf(m.lastEndpoint), m.retryAt, m.ended, m.streaming})
+	slices.SortFunc(ended, func(a, b *msg) int { return a.seq - b.seq })
+	for _, m := range slices.Concat(held, ended) {
+		snap.Messages = append(snap.Messages, msgState{
+			m.id,
+			m.classIndex,
+			m.worthShare,
+			destIndex[m.dest],
+			m.seq,
+			m.submitted,
+			m.arrived,
+			m.deadline,
+			m.tries,
+			m.restarts,
+			m.mayRun,
+			m.mayRunAt,
+			m.mayRunZone,
+			numbers.numberOf(m.lastEndpoint),
+			m.retryAt,
+			m.ended,
+			m.streaming,
+		})
 	}
 	calls := map[*call]int{}
 	for _, a := range s.inFlight {
@@ -238,70 +314,118 @@
 			i = len(calls)
 			calls[a.call] = i
 		}
-		x.InFlight = append(x.InFlight, attemptState{a.msg.id, a.number, eps.numberOf(a.endpoint), i, a.sentAt, a.cancelled, a.restarted, a.stuck, a.censored})
-	}
-	x.CallCount = len(calls)
-	for key, l := range s.keyQueues {
-		y := keyQueueState{QuietUntil: l.quietUntil}
-		for _, m := range l.messages {
-			y.Messages = append(y.Messages, m.id)
+		snap.InFlight = append(snap.InFlight, attemptState{
+			a.msg.id,
+			a.number,
+			numbers.numberOf(a.endpoint),
+			i,
+			a.sentAt,
+			a.cancelled,
+			a.restarted,
+			a.stuck,
+			a.censored,
+		})
+	}
+	snap.CallCount = len(calls)
+	for key, queue := range s.keyQueues {
+		state := keyQueueState{QuietUntil: queue.quietUntil}
+		for _, m := range queue.messages {
+			state.Messages = append(state.Messages, m.id)
 		}
-		if l.quietExempt != nil && s.msgs[l.quietExempt.id] == l.quietExempt {
-			y.QuietExempt = l.quietExempt.id
+		if queue.quietExempt != nil && s.msgs[queue.quietExempt.id] == queue.quietExempt {
+			state.QuietExempt = queue.quietExempt.id
+		}
+		snap.KeyQueues[key] = state
+	}
+	for _, e := range numbers.list {
+		state := endpointState{
+			e.id,
+			s.endpoints[e.id] == e,
+			e.zone,
+			e.state,
+			destIndex[e.dest],
+			nil,
+			e.sentAt,
+			e.failureRate,
+			e.failures,
+			e.refusals,
+			e.badAnswers,
+			e.resets,
+			e.removedAt,
+			e.lastOK,
+			e.lastFail,
+			e.healthyAt,
+			e.lastOKSent,
+			e.ejectedAt,
+			e.ejected,
+			e.cold,
+			e.upAt,
+			e.downAt,
+			e.trialAt,
+			e.trialPause,
+			e.inFlight,
+			e.smoothedLatency,
+			e.lastSent,
+			e.idleConnUntil,
 		}
-		x.KeyQueues[key] = y
-	}
-	for _, e := range eps.list {
-		y := endpointState{e.id, s.endpoints[e.id] == e, e.zone, e.state, places[e.dest], nil, e.sentAt, e.failureRate, e.failures, e.refusals,
-			e.badAnswers, e.resets, e.removedAt, e.lastOK, e.lastFail, e.healthyAt, e.lastOKSent, e.ejectedAt, e.ejected, e.cold, e.upAt, e.downAt, e.trialAt,
-			e.trialPause, e.inFlight, e.smoothedLatency, e.lastSent, e.idleConnUntil}
 		if e.limiter != e.dest.limiter {
 			own := e.limiter.save()
-			y.OwnLimiter = &own
+			state.OwnLimiter = &own
 		}
-		x.Endpoints = append(x.Endpoints, y)
+		snap.Endpoints = append(snap.Endpoints, state)
 	}
-	return json.Marshal(x)
+	return json.Marshal(snap)
 }
 
-// Restore makes a Sender that goes on where the snapshot was taken. Its clock goes on too. No timer is out.
+// Restore returns a Sender that continues where the snapshot was taken, with the same clock. No timer of it is
+// set yet.
 func Restore(set Settings, text []byte) (s *Sender, err error) {
-	var x snapshot
-	if err := json.Unmarshal(text, &x); err != nil {
+	var snap snapshot
+	if err := json.Unmarshal(text, &snap); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if x.Version != snapshotVersion {
-		return nil, fmt.Errorf("snapshot: version %d, want %d", x.Version, snapshotVersion)
+	if snap.Version != snapshotVersion {
+		return nil, fmt.Errorf("snapshot: version %d, want %d", snap.Version, snapshotVersion)
 	}
 	if s, err = New(set, 0); err != nil {
 		return nil, err
 	}
-	if len(x.ClassLatency) != len(s.classLatency) || len(x.TenantUsage) != len(s.tenantUsage) || x.HeldCount < 0 || x.HeldCount > len(x.Messages) ||
-		x.CallCount < 0 || x.CallCount > len(x.InFlight) {
+	if len(snap.ClassLatency) != len(s.classLatency) || len(snap.TenantUsage) != len(s.tenantUsage) ||
+		snap.HeldCount < 0 || snap.HeldCount > len(snap.Messages) ||
+		snap.CallCount < 0 || snap.CallCount > len(snap.InFlight) {
 		return nil, errInconsistentSnapshot
 	}
-	if err := s.rngSource.UnmarshalBinary(x.RNGState); err != nil {
+	if err := s.rngSource.UnmarshalBinary(snap.RNGState); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	s.now, s.step, s.lastSeq, s.nextCleanupAt, s.askAt, s.askGap = x.Now, x.Step, x.LastSeq, x.NextCleanupAt, x.AskAt, x.AskGap
-	s.logLines, s.listStaleUntil = x.LogLines, x.ListStaleUntil
-	for kind, share := range x.RejectRate {
-		s.rejectRate[kind] = share
+	s.now, s.step, s.lastSeq, s.nextCleanupAt, s.askAt, s.askGap =
+		snap.Now, snap.Step, snap.LastSeq, snap.NextCleanupAt, snap.AskAt, snap.AskGap
+	s.logLines, s.listStaleUntil = snap.LogLines, snap.ListStaleUntil
+	for kind, rate := range snap.RejectRate {
+		s.rejectRate[kind] = rate
 	}
-	for kind, until := range x.ScarceUntil {
+	for kind, until := range snap.ScarceUntil {
 		s.scarceUntil[kind] = until
 	}
-	for i, u := range x.TenantUsage {
-		s.tenantUsage[i] = tenantUsage{u.Count, u.UpdatedAt}
+	for i, usage := range snap.TenantUsage {
+		s.tenantUsage[i] = tenantUsage{usage.Count, usage.UpdatedAt}
 	}
-	for i, h := range x.ClassLatency {
-		if err := s.classLatency[i].load(h); err != nil {
+	for i, state := range snap.ClassLatency {
+		if err := s.classLatency[i].load(state); err != nil {
 			return nil, err
 		}
 	}
-	for _, y := range x.Dests {
-		d := &dest{id: y.ID, kind: y.Kind, nextEndpoint: y.NextEndpoint, limiter: y.Limiter.restore(), lastUsedAt: y.LastUsedAt, arrivals: y.Arrivals, outageSeenAt: y.OutageSeenAt}
-		if err := d.latency.load(y.Latency); err != nil {
+	for _, state := range snap.Dests {
+		d := &dest{
+			id:           state.ID,
+			kind:         state.Kind,
+			nextEndpoint: state.NextEndpoint,
+			limiter:      state.Limiter.restore(),
+			lastUsedAt:   state.LastUsedAt,
+			arrivals:     state.Arrivals,
+			outageSeenAt: state.OutageSeenAt,
+		}
+		if err := d.latency.load(state.Latency); err != nil {
 			return nil, err
 		}
 		s.dests[d.id], s.destOrder = d, append(s.destOrder, d)
@@ -309,67 +433,108 @@
 			s.reportedLimits++
 		}
 	}
-	eps, err := s.restoreEndpoints(&x)
+	endpoints, err := s.restoreEndpoints(&snap)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.restoreMessages(&x, eps); err != nil {
+	if err := s.restoreMessages(&snap, endpoints); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// restoreEndpoints brings back the endpoints, in the order of their numbers.
-func (s *Sender) restoreEndpoints(x *snapshot) ([]*endpoint, error) {
-	var eps []*endpoint
-	for _, y := range x.Endpoints {
-		if y.Dest < 0 || y.Dest >= len(s.destOrder) {
+// restoreEndpoints restores the endpoints and returns them in the order of their numbers.
+func (s *Sender) restoreEndpoints(snap *snapshot) ([]*endpoint, error) {
+	var endpoints []*endpoint
+	for _, state := range snap.Endpoints {
+		if state.Dest < 0 || state.Dest >= len(s.destOrder) {
 			return nil, errInconsistentSnapshot
 		}
-		d := s.destOrder[y.Dest]
-		e := &endpoint{id: y.ID, zone: y.Zone, state: Gone, dest: d, limiter: d.limiter, sentAt: y.SentAt, failureRate: y.FailureRate,
-			failures: y.Fails, refusals: y.Fulls, badAnswers: y.Spoilt, resets: y.Resets, removedAt: y.RemovedAt, lastOK: y.LastOK,
-			lastFail: y.LastBad, healthyAt: y.HealthyAt, lastOKSent: y.OKSent, ejectedAt: y.OutAt, cold: y.Cold, upAt: y.BackAt, downAt: y.DownAt,
-			trialAt: y.TrialAt, trialPause: y.TrialGap, inFlight: y.InFlight, smoothedLatency: y.SmoothedLatency, lastSent: y.LastSent, idleConnUntil: y.Warm}
-		s.setStatus(e, y.State, y.Suspect)
-		if y.OwnLimiter != nil {
-			e.limiter = y.OwnLimiter.restore()
+		d := s.destOrder[state.Dest]
+		e := &endpoint{
+			id:              state.ID,
+			zone:            state.Zone,
+			state:           Gone,
+			dest:            d,
+			limiter:         d.limiter,
+			sentAt:          state.SentAt,
+			failureRate:     state.FailureRate,
+			failures:        state.Fails,
+			refusals:        state.Fulls,
+			badAnswers:      state.Spoilt,
+			resets:          state.Resets,
+			removedAt:       state.RemovedAt,
+			lastOK:          state.LastOK,
+			lastFail:        state.LastBad,
+			healthyAt:       state.HealthyAt,
+			lastOKSent:      state.OKSent,
+			ejectedAt:       state.OutAt,
+			cold:            state.Cold,
+			upAt:            state.BackAt,
+			downAt:          state.DownAt,
+			trialAt:         state.TrialAt,
+			trialPause:      state.TrialGap,
+			inFlight:        state.InFlight,
+			smoothedLatency: state.SmoothedLatency,
+			lastSent:        state.LastSent,
+			idleConnUntil:   state.Warm,
+		}
+		s.setStatus(e, state.State, state.Suspect)
+		if state.OwnLimiter != nil {
+			e.limiter = state.OwnLimiter.restore()
 		}
-		if y.Known {
+		if state.Known {
 			s.endpoints[e.id] = e
 		}
-		eps = append(eps, e)
+		endpoints = append(endpoints, e)
 	}
-	for i, y := range x.Dests {
-		for _, k := range y.Endpoints {
-			if k < 0 || k >= len(eps) {
+	for i, state := range snap.Dests {
+		for _, number := range state.Endpoints {
+			if number < 0 || number >= len(endpoints) {
 				return nil, errInconsistentSnapshot
 			}
-			s.destOrder[i].endpoints = append(s.destOrder[i].endpoints, eps[k])
+			s.destOrder[i].endpoints = append(s.destOrder[i].endpoints, endpoints[number])
 		}
 	}
-	for _, k := range x.Removed {
-		if k < 0 || k >= len(eps) {
+	for _, number := range snap.Removed {
+		if number < 0 || number >= len(endpoints) {
 			return nil, errInconsistentSnapshot
 		}
-		s.removed = append(s.removed, eps[k])
+		s.removed = append(s.removed, endpoints[number])
 	}
-	return eps, nil
+	return endpoints, nil
 }
 
-// restoreMessages brings back the messages, what is out of them, and the order of their keys.
-func (s *Sender) restoreMessages(x *snapshot, eps []*endpoint) error {
-	for i, y := range x.Messages {
-		if y.Class < 0 || y.Class >= len(s.cfg.Classes) || y.Dest < 0 || y.Dest >= len(s.destOrder) || y.LastEndpoint >= len(eps) {
+// restoreMessages restores the messages, their attempts in flight and the queues of their keys.
+func (s *Sender) restoreMessages(snap *snapshot, endpoints []*endpoint) error {
+	for i, state := range snap.Messages {
+		if state.Class < 0 || state.Class >= len(s.cfg.Classes) ||
+			state.Dest < 0 || state.Dest >= len(s.destOrder) || state.LastEndpoint >= len(endpoints) {
 			return errInconsistentSnapshot
 		}
-		m := &msg{id: y.ID, class: &s.cfg.Classes[y.Class], classIndex: y.Class, worthShare: y.WorthShare, dest: s.destOrder[y.Dest], seq: y.Seq,
-			submitted: y.First, arrived: y.Came, deadline: y.Deadline, tries: y.Tries, restarts: y.Cuts, mayRun: y.MayRun, mayRunAt: y.MayRunAt,
-			mayRunZone: y.MayRunZone, retryAt: y.RetryAt, ended: y.Over, streaming: y.Flows}
-		if y.LastEndpoint >= 0 {
-			m.lastEndpoint = eps[y.LastEndpoint]
+		m := &msg{
+			id:         state.ID,
+			class:      &s.cfg.Classes[state.Class],
+			classIndex: state.Class,
+			worthShare: state.WorthShare,
+			dest:       s.destOrder[state.Dest],
+			seq:        state.Seq,
+			submitted:  state.First,
+			arrived:    state.Came,
+			deadline:   state.Deadline,
+			tries:      state.Tries,
+			restarts:   state.Cuts,
+			mayRun:     state.MayRun,
+			mayRunAt:   state.MayRunAt,
+			mayRunZone: state.MayRunZone,
+			retryAt:    state.RetryAt,
+			ended:      state.Over,
+			streaming:  state.Flows,
 		}
-		if y.Over != (i >= x.HeldCount) || s.msgs[m.id] != nil {
+		if state.LastEndpoint >= 0 {
+			m.lastEndpoint = endpoints[state.LastEndpoint]
+		}
+		if state.Over != (i >= snap.HeldCount) || s.msgs[m.id] != nil {
 			return errInconsistentSnapshot
 		}
 		s.msgs[m.id] = m
@@ -378,30 +543,40 @@
 			s.addHeld(m)
 		}
 	}
-	calls := make([]call, x.CallCount)
-	for _, y := range x.InFlight {
-		m := s.msgs[y.Message]
-		if m == nil || m.inFlight != nil || y.Endpoint < 0 || y.Endpoint >= len(eps) || y.Call < 0 || y.Call >= len(calls) {
+	calls := make([]call, snap.CallCount)
+	for _, state := range snap.InFlight {
+		m := s.msgs[state.Message]
+		if m == nil || m.inFlight != nil ||
+			state.Endpoint < 0 || state.Endpoint >= len(endpoints) || state.Call < 0 || state.Call >= len(calls) {
 			return errInconsistentSnapshot
 		}
-		c := &calls[y.Call]
+		c := &calls[state.Call]
 		c.messages++
 		c.unfinished++
-		a := &attempt{msg: m, number: y.N, endpoint: eps[y.Endpoint], sentAt: y.SentAt, call: c, cancelled: y.Cancelled, restarted: y.Cut,
-			stuck: y.Stuck, censored: y.Censored}
+		a := &attempt{
+			msg:       m,
+			number:    state.N,
+			endpoint:  endpoints[state.Endpoint],
+			sentAt:    state.SentAt,
+			call:      c,
+			cancelled: state.Cancelled,
+			restarted: state.Cut,
+			stuck:     state.Stuck,
+			censored:  state.Censored,
+		}
 		m.inFlight, s.inFlight = a, append(s.inFlight, a)
 	}
-	s.busy = x.CallCount
-	for key, y := range x.KeyQueues {
-		l := &keyQueue{quietUntil: y.QuietUntil, quietExempt: s.msgs[y.QuietExempt]}
-		for _, id := range y.Messages {
+	s.busy = snap.CallCount
+	for key, state := range snap.KeyQueues {
+		queue := &keyQueue{quietUntil: state.QuietUntil, quietExempt: s.msgs[state.QuietExempt]}
+		for _, id := range state.Messages {
 			m := s.msgs[id]
 			if m == nil {
 				return errInconsistentSnapshot
 			}
-			m.keyQueue, l.messages = l, append(l.messages, m)
+			m.keyQueue, queue.messages = queue, append(queue.messages, m)
 		}
-		s.keyQueues[key] = l
+		s.keyQueues[key] = queue
 	}
 	for _, m := range s.held {
 		if m.inFlight == nil {
