--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// walk is Step by going over all that is held, with no use of the books of what waits.
+// referenceStep does what Step does, but goes over all held messages instead of using the indexes of those that wait.
 func referenceStep(s *Sender, now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
@@ -77,79 +77,82 @@
 	}
 }
 
-// checkBooks goes over all that s holds and compares the books with it.
+// checkIndexes compares the indexes and counts of s with all messages that it holds.
 func checkIndexes(t *testing.T, s *Sender) {
 	t.Helper()
-	waiting, open, msgs, told := map[*dest]int{}, 0, map[*dest]int{}, 0
-	first := never
+	waiting, openCount, byDest, reported := map[*dest]int{}, 0, map[*dest]int{}, 0
+	firstEnd := never
 	for _, m := range s.held {
 		if m.ended {
 			continue
 		}
-		open++
+		openCount++
 		if (m.waitPos > 0) != (m.inFlight == nil) {
-			t.Fatalf("%s: out %v, place %d among those that wait", m.id, m.inFlight != nil, m.waitPos)
+			t.Fatalf("%s: in flight %v, position %d among the waiting messages", m.id, m.inFlight != nil, m.waitPos)
 		}
 		if m.inFlight == nil {
 			waiting[m.dest]++
 			if b := m.dest.backlog; b.waiting[m.waitPos-1] != m || s.waiting.scanQueue.items[b.scanPos-1] != b {
-				t.Fatalf("%s is not where it should be", m.id)
+				t.Fatalf("%s is not in the backlog, or the backlog not in the scan queue, at the recorded position", m.id)
 			}
 			last := 2 * max(s.cfg.Tick, 1000)
-			first = min(first, m.deadline-max(last, s.usual(m)))
+			firstEnd = min(firstEnd, m.deadline-max(last, s.usual(m)))
 			if m.mayRun && m.class.Effect == Keyed {
-				first = min(first, m.mayRunAt+m.class.Window-last)
+				firstEnd = min(firstEnd, m.mayRunAt+m.class.Window-last)
 			}
 		}
 	}
 	for _, m := range s.msgs {
-		msgs[m.dest]++
+		byDest[m.dest]++
 	}
-	n, due := 0, never
+	waitingCount, firstDue := 0, never
 	for _, d := range s.destOrder {
-		n += waiting[d]
-		if d.waiting() != waiting[d] || d.messageCount != msgs[d] {
-			t.Fatalf("destination %d: %d of %d messages wait, want %d of %d", d.id, d.waiting(), d.messageCount, waiting[d], msgs[d])
+		waitingCount += waiting[d]
+		if d.waiting() != waiting[d] || d.messageCount != byDest[d] {
+			t.Fatalf("destination %d: %d of %d messages wait, want %d of %d",
+				d.id, d.waiting(), d.messageCount, waiting[d], byDest[d])
 		}
 		if d.limiter.reported {
-			told++
+			reported++
 		}
 		if d.backlog == nil {
 			continue
 		}
-		for kind, groups := range d.backlog.expiryGroups {
+		for bound, groups := range d.backlog.expiryGroups {
 			for class, g := range groups {
 				if g == nil || len(g.messages.items) == 0 {
 					continue
 				}
-				in, key := 1+class, g.messages.items[0].expiresAt[kind]
-				if kind == byWindow || d.latency.total >= minWeight {
-					in, key = 0, key-s.need(g)
+				queueIndex, sortKey := 1+class, g.messages.items[0].expiresAt[bound]
+				if bound == byWindow || d.latency.total >= minWeight {
+					queueIndex, sortKey = 0, sortKey-s.need(g)
 				}
-				if g.queueIndex != in || g.sortKey != key || s.waiting.expiryQueues[in].items[g.pos-1] != g {
-					t.Fatalf("destination %d, class %d: in queue %d at %d, want %d at %d", d.id, class, g.queueIndex, g.sortKey, in, key)
+				if g.queueIndex != queueIndex || g.sortKey != sortKey || s.waiting.expiryQueues[queueIndex].items[g.pos-1] != g {
+					t.Fatalf("destination %d, class %d: in queue %d with key %d, want queue %d and key %d",
+						d.id, class, g.queueIndex, g.sortKey, queueIndex, sortKey)
 				}
 			}
 		}
 	}
-	for _, x := range s.waiting.expiryQueues {
-		if len(x.items) > 0 {
-			g := x.items[0]
-			due = min(due, g.messages.items[0].expiresAt[g.bound]-s.need(g))
+	for _, queue := range s.waiting.expiryQueues {
+		if len(queue.items) > 0 {
+			g := queue.items[0]
+			firstDue = min(firstDue, g.messages.items[0].expiresAt[g.bound]-s.need(g))
 		}
 	}
-	if len(s.held) > 2*open+part {
-		t.Fatalf("%d listed as held, %d are", len(s.held), open)
+	if len(s.held) > 2*openCount+part {
+		t.Fatalf("%d messages listed as held, %d of them have not ended", len(s.held), openCount)
 	}
-	if open != s.openCount || n != s.waiting.count || told != s.reportedLimits {
-		t.Fatalf("%d held, %d waiting, %d told; want %d, %d, %d", s.openCount, s.waiting.count, s.reportedLimits, open, n, told)
+	if openCount != s.openCount || waitingCount != s.waiting.count || reported != s.reportedLimits {
+		t.Fatalf("%d held, %d waiting, %d reported limits; want %d, %d, %d",
+			s.openCount, s.waiting.count, s.reportedLimits, openCount, waitingCount, reported)
 	}
-	if due != first {
-		t.Fatalf("the first message is due at %d, want %d", due, first)
+	if firstDue != firstEnd {
+		t.Fatalf("the first message ends at %d, want %d", firstDue, firstEnd)
 	}
 }
 
-// What is counted is what a walk over all finds, also in a module that was taken up from a snapshot.
+// The indexes and counts match the held messages at each step, also in a Sender restored from a snapshot.
 func TestIndexesMatchHeldMessages(t *testing.T) {
 	for name, set := range variants() {
 		t.Run(name, func(t *testing.T) {
@@ -168,7 +171,8 @@
 	}
 }
 
-// Where few messages wait, the books change nothing: each step does what going over all does, timers and all.
+// With few messages waiting, each step takes the same actions as the reference that goes over all of them, timers
+// included.
 func TestStepMatchesReferenceStep(t *testing.T) {
 	all := variants()
 	wide := base()
@@ -185,42 +189,42 @@
 				if set.MaxOpen == 400 {
 					w.each = func() { w.clump = min(200, max(set.MaxOpen-w.s.openCount, 0)) }
 				}
-				other, err := New(set, seed)
+				reference, err := New(set, seed)
 				if err != nil {
 					t.Fatal(err)
 				}
-				most := 0
+				maxHeld := 0
 				w.after = func(evs []Event, acts []Action) {
-					if want := referenceStep(other, w.now, evs); !reflect.DeepEqual(acts, want) {
-						w.bad("the module does %v, want %v", acts, want)
+					if want := referenceStep(reference, w.now, evs); !reflect.DeepEqual(acts, want) {
+						w.bad("the Sender does %v, want %v", acts, want)
 					}
 					checkIndexes(t, w.s)
-					most = max(most, w.s.openCount)
+					maxHeld = max(maxHeld, w.s.openCount)
 				}
 				w.play()
-				if len(w.trace) < 100 || set.MaxOpen == 400 && most < 280 {
-					t.Errorf("%d actions, at most %d held", len(w.trace), most)
+				if len(w.trace) < 100 || set.MaxOpen == 400 && maxHeld < 280 {
+					t.Errorf("%d actions, at most %d held", len(w.trace), maxHeld)
 				}
 			}
 		})
 	}
 }
 
-// Where many wait, each step looks at some of them. The rules hold all the same, and as much is delivered: the
-// same worlds run apart soon, so it is counted over all of them.
+// With many messages waiting, each step considers a sample of them. The rules still hold, and about as much is
+// delivered as with a full scan. The two runs of a world soon differ, so deliveries are summed over all worlds.
 func TestRulesWithManyWaiting(t *testing.T) {
-	served := map[int]int{}
+	delivered := map[int]int{}
 	for name, set := range variants() {
 		for seed := uint64(1); seed <= 8; seed++ {
-			for _, few := range []int{fewWait, 0} {
+			for _, fullScanMax := range []int{fewWait, 0} {
 				w := newWorld(t, set, seed)
-				w.s.fullScanMax = few
-				n := 0
+				w.s.fullScanMax = fullScanMax
+				count := 0
 				w.after = func(evs []Event, _ []Action) {
 					checkIndexes(t, w.s)
 					for _, ev := range evs {
 						if r, ok := ev.(Reply); ok && r.Outcome == Completed {
-							n++
+							count++
 						}
 					}
 				}
@@ -228,17 +232,17 @@
 				if t.Failed() {
 					t.Fatalf("%s, seed %d", name, seed)
 				}
-				served[few] += n
+				delivered[fullScanMax] += count
 			}
 		}
 	}
-	t.Logf("delivered: %d, where all are looked at %d", served[0], served[fewWait])
-	if served[0]*20 < served[fewWait]*19 {
-		t.Errorf("%d delivered, %d where all are looked at", served[0], served[fewWait])
+	t.Logf("delivered: %d, with full scans %d", delivered[0], delivered[fewWait])
+	if delivered[0]*20 < delivered[fewWait]*19 {
+		t.Errorf("%d delivered, %d with full scans", delivered[0], delivered[fewWait])
 	}
 }
 
-// A restart in the middle of it takes the books up again.
+// The indexes are rebuilt when a Sender is restored from a snapshot while many messages wait.
 func TestRestartWithManyWaiting(t *testing.T) {
 	for name, set := range variants() {
 		t.Run(name, func(t *testing.T) {
@@ -267,7 +271,7 @@
 	}
 }
 
-// The books follow a destination whose latencies are forgotten, and one that is forgotten itself.
+// The indexes stay right when the latencies of an idle destination are dropped, and when the destination is.
 func TestIndexesAfterStateIsDropped(t *testing.T) {
 	set := base()
 	set.Classes[0].Deadline, set.ReportLeft, set.ReportLimit = 1000*Second, 0, 1
@@ -280,25 +284,25 @@
 		r.step(at+0.5, ok)
 	}
 	if d := r.s.dests[9]; d.latency.total < 3 || !r.s.reports() {
-		t.Fatal("nothing is learnt")
+		t.Fatal("no latencies or no limit recorded")
 	}
 	feed(&r.s.dests[9].latency, 1, 0.5)
 	r.step(6, list(0), r.call(0))
 	checkIndexes(t, r.s)
 	r.step(7+seconds(idleAge), r.call(1))
 	if r.s.dests[9].latency.total > 0 {
-		t.Fatal("latencies are not forgotten")
+		t.Fatal("latencies are not dropped")
 	}
 	checkIndexes(t, r.s)
 	r.step(3000)
 	r.step(4000)
 	if r.s.dests[9] != nil || r.s.reports() {
-		t.Error("the destination or its report is not forgotten")
+		t.Error("the destination or its reported limit is not dropped")
 	}
 	checkIndexes(t, r.s)
 }
 
-// A silent unsafe call gives its slot up for other destinations only.
+// An unsafe call without an answer is cancelled to free its slot for other destinations, but not for its own.
 func TestSilentUnsafeCallKeepsSlotFromItsDestination(t *testing.T) {
 	for _, dest := range []int64{8, 9} {
 		set := base()
@@ -310,7 +314,7 @@
 		next.Dest = dest
 		r.step(5, next)
 		if n := len(only[Cancel](r.step(10, Due{}))); n != int(9-dest) {
-			t.Errorf("a message waits for destination %d: %d calls given up for it", dest, n)
+			t.Errorf("a message waits for destination %d: %d calls cancelled for it", dest, n)
 		}
 	}
 }
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -6,62 +6,63 @@
 	"testing"
 )
 
-// load is a Sender with a backlog that stays: a new message comes for each that is delivered.
+// backlogDriver drives a Sender whose backlog keeps its size: a new message is added for each one delivered.
 type backlogDriver struct {
 	sender   *Sender
 	nextDest func() int64 // destination of the next message
-	created  int
+	created  int          // messages so far
 	now      Micros
-	events   []Event
+	events   []Event // for the next step
 }
 
-// up says whether the destination with this endpoint answers: those of the tens do.
+// isUp reports whether an endpoint answers: those with a multiple of ten as id do.
 func isUp(ep EndpointID) bool { return ep%10 == 0 }
 
-// onePaced holds n messages at one destination that takes a hundred calls a second.
+// onePacedDest holds n messages for one destination that takes a hundred calls a second.
 func onePacedDest(tb testing.TB, n int) *backlogDriver {
-	l := newBacklogDriver(tb, 1, 1)
-	l.nextDest = func() int64 { return 0 }
-	l.addMessages(n)
-	return l
+	d := newBacklogDriver(tb, 1, 1)
+	d.nextDest = func() int64 { return 0 }
+	d.addMessages(n)
+	return d
 }
 
-// mostDown holds ten messages at each of many destinations that are out. The others get a message at a time.
+// mostDestsDown holds ten messages for each of many destinations that are down. The others have one message at a
+// time.
 func mostDestsDown(tb testing.TB, n int) *backlogDriver {
 	dests := n / 10 * 10 / 9
-	l := newBacklogDriver(tb, dests, 1)
+	d := newBacklogDriver(tb, dests, 1)
 	at := 0
-	l.nextDest = func() int64 {
+	d.nextDest = func() int64 {
 		if at++; at%10 == 0 {
 			at++
 		}
 		return int64(at % dests)
 	}
-	l.addMessages(n)
-	l.nextDest = func() int64 { at += 10; return int64(at % dests / 10 * 10) }
-	l.addMessage()
-	return l
+	d.addMessages(n)
+	d.nextDest = func() int64 { at += 10; return int64(at % dests / 10 * 10) }
+	d.addMessage()
+	return d
 }
 
-// slotsTaken holds ten messages at each of many destinations that all answer, for a few slots.
+// fewSlots holds ten messages for each of many destinations that all answer, but has few slots.
 func fewSlots(tb testing.TB, n int) *backlogDriver {
-	l := newBacklogDriver(tb, n/10, 10)
-	l.sender.cfg.Slots = 8
+	d := newBacklogDriver(tb, n/10, 10)
+	d.sender.cfg.Slots = 8
 	at := 0
-	l.nextDest = func() int64 { at++; return int64(at % (n / 10) * 10) }
-	l.addMessages(n)
-	return l
+	d.nextDest = func() int64 { at++; return int64(at % (n / 10) * 10) }
+	d.addMessages(n)
+	return d
 }
 
-// trialsScarce is mostDown with fewer slots for trials than trials that are due.
+// fewTrialSlots is mostDestsDown with fewer slots for trials than trials that are due.
 func fewTrialSlots(tb testing.TB, n int) *backlogDriver {
-	l := mostDestsDown(tb, n)
-	l.sender.cfg.Senders, l.sender.cfg.Slots, l.sender.largeFleet = 2, 4, false
-	return l
+	d := mostDestsDown(tb, n)
+	d.sender.cfg.Senders, d.sender.cfg.Slots, d.sender.largeFleet = 2, 4, false
+	return d
 }
 
-// newLoad makes a Sender for some destinations, numbered in steps.
-func newBacklogDriver(tb testing.TB, dests, by int) *backlogDriver {
+// newBacklogDriver makes a Sender with dests destinations of one endpoint each. Their ids are multiples of idStep.
+func newBacklogDriver(tb testing.TB, dests, idStep int) *backlogDriver {
 	set := base()
 	set.Senders, set.Slots, set.MaxOpen, set.MaxTries, set.Weights = 580, 256, 0, 0, WeightsNominal
 	for i := range set.Classes {
@@ -73,67 +74,77 @@
 	}
 	ev := Endpoints{Form: ListFull}
 	for i := range dests {
-		ev.Entries = append(ev.Entries, Entry{Endpoint: EndpointID(i * by), Dest: int64(i * by), Nominal: 100})
+		ev.Entries = append(ev.Entries, Entry{Endpoint: EndpointID(i * idStep), Dest: int64(i * idStep), Nominal: 100})
 	}
 	return &backlogDriver{sender: s, events: []Event{ev}}
 }
 
-// fill hands in n messages and lets five seconds pass.
-func (l *backlogDriver) addMessages(n int) {
+// addMessages adds n messages and lets five seconds pass.
+func (d *backlogDriver) addMessages(n int) {
 	for range n {
-		l.addMessage()
+		d.addMessage()
 	}
 	for range 1000 {
-		l.step()
+		d.step()
 	}
 }
 
-func (l *backlogDriver) addMessage() {
-	class := l.created % len(l.sender.cfg.Classes)
-	l.events = append(l.events, Call{ID: fmt.Sprint(l.created), Left: l.sender.cfg.Classes[class].Deadline, Dest: l.nextDest(), Tenant: -1,
-		Class: class})
-	l.created++
+func (d *backlogDriver) addMessage() {
+	class := d.created % len(d.sender.cfg.Classes)
+	d.events = append(d.events, Call{
+		ID:     fmt.Sprint(d.created),
+		Left:   d.sender.cfg.Classes[class].Deadline,
+		Dest:   d.nextDest(),
+		Tenant: -1,
+		Class:  class,
+	})
+	d.created++
 }
 
-func (l *backlogDriver) step() {
-	l.now += l.sender.cfg.Tick
-	acts := l.sender.Step(l.now, l.events)
-	l.events = nil
+func (d *backlogDriver) step() {
+	d.now += d.sender.cfg.Tick
+	acts := d.sender.Step(d.now, d.events)
+	d.events = nil
 	for _, c := range only[CallOut](acts) {
-		r := Reply{ID: c.ID, Endpoint: c.Endpoint, Attempt: l.sender.msgs[c.ID].tries - 1, Outcome: RefusedConn}
+		r := Reply{ID: c.ID, Endpoint: c.Endpoint, Attempt: d.sender.msgs[c.ID].tries - 1, Outcome: RefusedConn}
 		if isUp(c.Endpoint) {
-			r.Outcome, r.NoMore, r.Took = Completed, true, l.sender.cfg.Tick
-			l.addMessage()
+			r.Outcome, r.NoMore, r.Took = Completed, true, d.sender.cfg.Tick
+			d.addMessage()
 		}
-		l.events = append(l.events, r)
+		d.events = append(d.events, r)
 	}
 }
 
 var backlogScenarios = []struct {
 	name string
 	make func(testing.TB, int) *backlogDriver
-}{{"one paced", onePacedDest}, {"most down", mostDestsDown}, {"slots taken", fewSlots}, {"trials scarce", fewTrialSlots}}
+}{
+	{"one paced", onePacedDest},
+	{"most down", mostDestsDown},
+	{"slots taken", fewSlots},
+	{"trials scarce", fewTrialSlots},
+}
 
 func BenchmarkStep(b *testing.B) {
-	for _, x := range backlogScenarios {
+	for _, scenario := range backlogScenarios {
 		for _, n := range []int{100, 500, 1000, 5000, 20000} {
-			b.Run(fmt.Sprintf("%s/held=%d", x.name, n), func(b *testing.B) {
-				l := x.make(b, n)
+			b.Run(fmt.Sprintf("%s/held=%d", scenario.name, n), func(b *testing.B) {
+				d := scenario.make(b, n)
 				for b.Loop() {
-					l.step()
+					d.step()
 				}
-				b.ReportMetric(float64(len(l.sender.msgs)), "held")
+				b.ReportMetric(float64(len(d.sender.msgs)), "held")
 			})
 		}
 	}
 }
 
-// run makes n steps and returns how much is looked at in one, and how many calls it makes.
-func (l *backlogDriver) measure(n int) (visits, calls float64) {
+// measure makes n steps and returns the mean number of items considered and of calls made in a step.
+func (d *backlogDriver) measure(n int) (visits, calls float64) {
 	for range n {
-		l.step()
-		visits += float64(l.sender.visitCount)
-		for _, ev := range l.events {
+		d.step()
+		visits += float64(d.sender.visitCount)
+		for _, ev := range d.events {
 			if _, ok := ev.(Reply); ok {
 				calls++
 			}
@@ -142,54 +153,56 @@
 	return visits / float64(n), calls / float64(n)
 }
 
-// A step costs what it does, not what is held, and does no less for it.
+// The cost of a step does not grow with the number of held messages, and steps make as many calls as with full scans.
 func TestStepCostIndependentOfBacklog(t *testing.T) {
-	for _, x := range backlogScenarios {
-		few, some := x.make(t, 1000).measure(600)
+	for _, scenario := range backlogScenarios {
+		baseVisits, baseCalls := scenario.make(t, 1000).measure(600)
 		for _, n := range []int{5000, 20000} {
-			visits, calls := x.make(t, n).measure(600)
-			t.Logf("%s: %.0f looked at in a step with 1000 held, %.0f with %d; calls %.2f, %.2f", x.name, few, visits, n, some, calls)
-			if visits > 3*few {
-				t.Errorf("%s: %.0f looked at in a step with %d held, %.0f with 1000", x.name, visits, n, few)
+			visits, calls := scenario.make(t, n).measure(600)
+			t.Logf("%s: %.0f considered in a step with 1000 held, %.0f with %d; calls %.2f, %.2f",
+				scenario.name, baseVisits, visits, n, baseCalls, calls)
+			if visits > 3*baseVisits {
+				t.Errorf("%s: %.0f considered in a step with %d held, %.0f with 1000", scenario.name, visits, n, baseVisits)
 			}
-			if calls < 0.95*some {
-				t.Errorf("%s: %.2f calls in a step with %d held, %.2f with 1000", x.name, calls, n, some)
+			if calls < 0.95*baseCalls {
+				t.Errorf("%s: %.2f calls in a step with %d held, %.2f with 1000", scenario.name, calls, n, baseCalls)
 			}
 		}
-		l := x.make(t, 1000)
-		l.sender.fullScanMax = 1000_000
-		if _, all := l.measure(600); some < 0.95*all {
-			t.Errorf("%s: %.2f calls in a step, %.2f where all are looked at", x.name, some, all)
+		d := scenario.make(t, 1000)
+		d.sender.fullScanMax = 1000_000
+		if _, fullScanCalls := d.measure(600); baseCalls < 0.95*fullScanCalls {
+			t.Errorf("%s: %.2f calls in a step, %.2f with full scans", scenario.name, baseCalls, fullScanCalls)
 		}
 	}
 }
 
-// quiet makes a Sender that holds n messages at one paced destination, all of them long past their aim.
+// pausedBacklog makes a Sender that holds n messages for one paced destination, which is told to wait until second
+// 15. By then all but "riser" are long past their aim.
 func pausedBacklog(t *testing.T, n int) *backlogDriver {
-	l := newBacklogDriver(t, 1, 1)
-	l.sender.cfg.Halves = true
-	l.nextDest = func() int64 { return 0 }
+	d := newBacklogDriver(t, 1, 1)
+	d.sender.cfg.Halves = true
+	d.nextDest = func() int64 { return 0 }
 	for range n {
-		l.addMessage()
+		d.addMessage()
 	}
-	l.events = append(l.events, Call{ID: "riser", Left: 36000*Second + 20*Second, Dest: 0, Tenant: -1, Class: 1})
-	l.sender.Step(0, l.events)
-	l.sender.dests[0].limiter.waitUntil = 15 * Second
-	l.events = nil
-	for _, a := range l.sender.inFlight {
-		l.events = append(l.events, Reply{ID: a.msg.id, Endpoint: a.endpoint.id, NoMore: true, Took: l.sender.cfg.Tick})
+	d.events = append(d.events, Call{ID: "riser", Left: 36000*Second + 20*Second, Dest: 0, Tenant: -1, Class: 1})
+	d.sender.Step(0, d.events)
+	d.sender.dests[0].limiter.waitUntil = 15 * Second
+	d.events = nil
+	for _, a := range d.sender.inFlight {
+		d.events = append(d.events, Reply{ID: a.msg.id, Endpoint: a.endpoint.id, NoMore: true, Took: d.sender.cfg.Tick})
 	}
-	return l
+	return d
 }
 
-// until steps on to the call for a message and returns how many calls come before it.
-func (l *backlogDriver) stepUntilSent(t *testing.T, id string) (n int) {
+// stepUntilSent steps until a message is sent and returns how many calls were made before.
+func (d *backlogDriver) stepUntilSent(t *testing.T, id string) (n int) {
 	for range 2000 {
-		l.now += l.sender.cfg.Tick
-		acts := only[CallOut](l.sender.Step(l.now, l.events))
-		l.events = nil
+		d.now += d.sender.cfg.Tick
+		acts := only[CallOut](d.sender.Step(d.now, d.events))
+		d.events = nil
 		for _, c := range acts {
-			l.events = append(l.events, Reply{ID: c.ID, Endpoint: c.Endpoint, NoMore: true, Took: l.sender.cfg.Tick})
+			d.events = append(d.events, Reply{ID: c.ID, Endpoint: c.Endpoint, NoMore: true, Took: d.sender.cfg.Tick})
 		}
 		if i := slices.IndexFunc(acts, func(c CallOut) bool { return c.ID == id }); i >= 0 {
 			return n + i
@@ -200,104 +213,106 @@
 	return n
 }
 
-// Of many the new message that is worth most goes first, and one that becomes so while it waits goes once it is seen.
+// Of many waiting messages a new one with the highest priority is sent first. One whose priority rises while it waits
+// is sent once a scan finds it.
 func TestMostUrgentSentFirst(t *testing.T) {
 	for _, n := range []int{1000, 5000} {
-		l := pausedBacklog(t, n)
-		l.now = 14 * Second
-		l.events = append(l.events, Call{ID: "new", Left: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
-		if k := l.stepUntilSent(t, "new"); k > 0 {
-			t.Errorf("of %d: %d calls before that for the new message", n, k)
+		d := pausedBacklog(t, n)
+		d.now = 14 * Second
+		d.events = append(d.events, Call{ID: "new", Left: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
+		if before := d.stepUntilSent(t, "new"); before > 0 {
+			t.Errorf("%d messages: %d calls before the one for the new message", n, before)
 		}
-		// One that rests meanwhile is not lost sight of.
-		l.sender.dests[0].limiter.waitUntil = l.now + 2*Second
-		l.now += l.sender.cfg.Tick
-		l.events = append(l.events, Call{ID: "rests", Left: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
-		l.sender.Step(l.now, l.events)
-		l.sender.msgs["rests"].retryAt = l.now + Second
-		l.events = nil
+		// A message that pauses before its next attempt stays at the front.
+		d.sender.dests[0].limiter.waitUntil = d.now + 2*Second
+		d.now += d.sender.cfg.Tick
+		d.events = append(d.events, Call{ID: "rests", Left: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
+		d.sender.Step(d.now, d.events)
+		d.sender.msgs["rests"].retryAt = d.now + Second
+		d.events = nil
 		for range 3 {
-			l.now += l.sender.cfg.Tick
-			l.events = nil
-			l.addMessage()
-			l.sender.Step(l.now, l.events)
+			d.now += d.sender.cfg.Tick
+			d.events = nil
+			d.addMessage()
+			d.sender.Step(d.now, d.events)
 		}
-		l.events = nil
-		l.now += 2 * Second
-		if k := l.stepUntilSent(t, "rests"); k > 3 { // those that came with it may be worth more
-			t.Errorf("of %d: %d calls before that for the one that has rested", n, k)
+		d.events = nil
+		d.now += 2 * Second
+		if before := d.stepUntilSent(t, "rests"); before > 3 { // messages that came with it may have a higher priority
+			t.Errorf("%d messages: %d calls before the one for the message that paused", n, before)
 		}
-		m := l.sender.msgs["riser"]
-		m.submitted = l.now + Second/2 - m.class.Aim // its time comes in half a second
-		if k := l.stepUntilSent(t, "riser"); k > 50+n/part {
-			t.Errorf("of %d: %d calls before that for the one that has become urgent", n, k)
+		m := d.sender.msgs["riser"]
+		m.submitted = d.now + Second/2 - m.class.Aim // its aim passes in half a second
+		if before := d.stepUntilSent(t, "riser"); before > 50+n/part {
+			t.Errorf("%d messages: %d calls before the one for the message that has become urgent", n, before)
 		}
 	}
 }
 
-// Messages of one key go one after the other without a pause, however many wait for their turn.
+// Messages of one key are sent one after the other, one in each step, however many wait.
 func TestLongQueueOfOneKey(t *testing.T) {
-	l := newBacklogDriver(t, 1, 10)
-	l.sender.cfg.Classes[0].KeepOrder, l.sender.cfg.Weights = true, WeightsOff
+	d := newBacklogDriver(t, 1, 10)
+	d.sender.cfg.Classes[0].KeepOrder, d.sender.cfg.Weights = true, WeightsOff
 	for i := range 2000 {
-		l.events = append(l.events, Call{ID: fmt.Sprint(i), Left: 36000 * Second, Key: "k", Dest: 0, Tenant: -1})
+		d.events = append(d.events, Call{ID: fmt.Sprint(i), Left: 36000 * Second, Key: "k", Dest: 0, Tenant: -1})
 	}
 	for i := range 400 {
-		l.now += l.sender.cfg.Tick
-		out := only[CallOut](l.sender.Step(l.now, l.events))
+		d.now += d.sender.cfg.Tick
+		out := only[CallOut](d.sender.Step(d.now, d.events))
 		if len(out) != 1 || out[0].ID != fmt.Sprint(i) {
 			t.Fatalf("step %d: %v", i, out)
 		}
-		l.events = []Event{Reply{ID: out[0].ID, NoMore: true, Took: l.sender.cfg.Tick}}
-		checkIndexes(t, l.sender)
+		d.events = []Event{Reply{ID: out[0].ID, NoMore: true, Took: d.sender.cfg.Tick}}
+		checkIndexes(t, d.sender)
 	}
 }
 
-// What waits for something of its own does not keep the others of its destination waiting, nor the module busy.
+// Messages that are held back for reasons of their own, such as the order of their key, neither delay the others of
+// their destination nor cause a scan in each step.
 func TestHeldMessagesDoNotBlockOthers(t *testing.T) {
-	l := mostDestsDown(t, 2000)
-	l.sender.cfg.Classes[1].KeepOrder = true
+	d := mostDestsDown(t, 2000)
+	d.sender.cfg.Classes[1].KeepOrder = true
 	for i := range 1900 {
-		l.events = append(l.events, Call{ID: fmt.Sprint("k", i), Left: 36000 * Second, Key: "k", Dest: 0, Tenant: -1, Class: 1})
+		d.events = append(d.events, Call{ID: fmt.Sprint("k", i), Left: 36000 * Second, Key: "k", Dest: 0, Tenant: -1, Class: 1})
 	}
 	for i := range 20 {
-		l.events = append(l.events, Call{ID: fmt.Sprint("p", i), Left: 36000 * Second, Dest: 0, Tenant: -1})
-	}
-	l.sender.endpoints[0].state = Draining
-	l.now += l.sender.cfg.Tick
-	l.sender.Step(l.now, l.events)
-	l.sender.keyQueues["k"].messages[0].retryAt = 36000 * Second // so the others wait for it
-	l.events = []Event{Endpoints{Entries: []Entry{{Endpoint: 0, Dest: 0, Nominal: 100}}}}
-	l.nextDest = func() int64 { return 10 } // none comes here any more
+		d.events = append(d.events, Call{ID: fmt.Sprint("p", i), Left: 36000 * Second, Dest: 0, Tenant: -1})
+	}
+	d.sender.endpoints[0].state = Draining
+	d.now += d.sender.cfg.Tick
+	d.sender.Step(d.now, d.events)
+	d.sender.keyQueues["k"].messages[0].retryAt = 36000 * Second // so the others of its key wait for it
+	d.events = []Event{Endpoints{Entries: []Entry{{Endpoint: 0, Dest: 0, Nominal: 100}}}}
+	d.nextDest = func() int64 { return 10 } // no more messages for destination 0
 	for range 150 {
-		l.step()
+		d.step()
 	}
 	for i := range 20 {
-		if m := l.sender.msgs[fmt.Sprint("p", i)]; m != nil && m.inFlight == nil {
+		if m := d.sender.msgs[fmt.Sprint("p", i)]; m != nil && m.inFlight == nil {
 			t.Errorf("%s is not sent", m.id)
 		}
 	}
-	looks := 0
+	scans := 0
 	for range 200 {
-		if l.step(); l.sender.dests[0].backlog.scannedStep == l.sender.step {
-			looks++
+		if d.step(); d.sender.dests[0].backlog.scannedStep == d.sender.step {
+			scans++
 		}
 	}
-	if looks > 40 {
-		t.Errorf("looked at in %d of 200 steps though nothing changes", looks)
+	if scans > 40 {
+		t.Errorf("scanned in %d of 200 steps though nothing changes", scans)
 	}
-	late := l.sender.keyQueues["k"].messages[0]
-	late.retryAt = l.now + Second
-	l.sender.scheduleScan(late.dest)
+	first := d.sender.keyQueues["k"].messages[0]
+	first.retryAt = d.now + Second
+	d.sender.scheduleScan(first.dest)
 	for range 300 {
-		l.step()
+		d.step()
 	}
-	if late.tries == 0 {
-		t.Error("the first of its key is not sent after its rest")
+	if first.tries == 0 {
+		t.Error("the first message of its key is not sent after its pause")
 	}
 }
 
-// A change at a destination is looked at in the step that brings it.
+// A destination with a change is scanned in the step that reports it.
 func TestChangedDestinationIsScanned(t *testing.T) {
 	for name, change := range map[string]func(i int) Event{
 		"gone": func(i int) Event {
@@ -306,101 +321,102 @@
 		"listed": func(i int) Event { return Endpoints{Entries: []Entry{{Endpoint: EndpointID(i), Dest: int64(i)}}} },
 		"new":    func(i int) Event { return Call{ID: fmt.Sprint("new", i), Left: Second, Dest: int64(i), Tenant: -1} },
 	} {
-		l := mostDestsDown(t, 2000)
+		d := mostDestsDown(t, 2000)
 		for i := 1; i < 10; i++ {
-			l.now += l.sender.cfg.Tick
-			l.sender.Step(l.now, []Event{change(i)})
-			if l.sender.dests[int64(i)].backlog.scannedStep != l.sender.step {
-				t.Errorf("%s: destination %d is not looked at", name, i)
+			d.now += d.sender.cfg.Tick
+			d.sender.Step(d.now, []Event{change(i)})
+			if d.sender.dests[int64(i)].backlog.scannedStep != d.sender.step {
+				t.Errorf("%s: destination %d is not scanned", name, i)
 			}
 		}
 	}
 }
 
-// A reply makes room at its destination: what waited for that goes in the same step.
+// A reply frees a slot at its destination, which a waiting message takes in the same step.
 func TestReplyFreesSlotInSameStep(t *testing.T) {
-	l := mostDestsDown(t, 2000)
-	l.sender.cfg.Weights = WeightsOff
-	l.sender.dests[0].limiter.limit = 0
+	d := mostDestsDown(t, 2000)
+	d.sender.cfg.Weights = WeightsOff
+	d.sender.dests[0].limiter.limit = 0
 	for i := range 300 {
-		l.events = append(l.events, Call{ID: fmt.Sprint("r", i), Left: 36000 * Second, Dest: 0, Tenant: -1})
+		d.events = append(d.events, Call{ID: fmt.Sprint("r", i), Left: 36000 * Second, Dest: 0, Tenant: -1})
 	}
 	var out []CallOut
 	for range 20 { // those of the tens answer; the lane takes half of the slots
-		l.now += l.sender.cfg.Tick
-		out = append(out, only[CallOut](l.sender.Step(l.now, l.events))...)
-		l.events = nil
+		d.now += d.sender.cfg.Tick
+		out = append(out, only[CallOut](d.sender.Step(d.now, d.events))...)
+		d.events = nil
 	}
 	out = slices.DeleteFunc(out, func(c CallOut) bool { return c.Endpoint != 0 })
-	if len(out) < 100 || l.sender.dests[0].backlog == nil {
-		t.Fatalf("%d calls, none waits: %v", len(out), l.sender.dests[0].backlog == nil)
+	if len(out) < 100 || d.sender.dests[0].backlog == nil {
+		t.Fatalf("%d calls, no backlog: %v", len(out), d.sender.dests[0].backlog == nil)
 	}
 	for _, c := range out[:20] {
-		l.now += l.sender.cfg.Tick
-		acts := only[CallOut](l.sender.Step(l.now, []Event{Reply{ID: c.ID, NoMore: true, Took: l.sender.cfg.Tick}}))
+		d.now += d.sender.cfg.Tick
+		acts := only[CallOut](d.sender.Step(d.now, []Event{Reply{ID: c.ID, NoMore: true, Took: d.sender.cfg.Tick}}))
 		if !slices.ContainsFunc(acts, func(c CallOut) bool { return c.Endpoint == 0 }) {
-			t.Fatalf("after the reply for %s nothing is sent", c.ID)
+			t.Fatalf("nothing is sent in the step with the reply for %s", c.ID)
 		}
 	}
 }
 
-// What no event brings up is looked at in turn: a budget grows while it is waited for.
+// Destinations without events are scanned in turn, since a budget can grow without an event.
 func TestAllDestinationsScannedInTurn(t *testing.T) {
-	l := mostDestsDown(t, 2000)
-	from := l.sender.step
-	for range 4 * len(l.sender.dests) / turns {
-		l.step()
-	}
-	for _, b := range l.sender.waiting.scanQueue.items {
-		if b.scannedStep <= from {
-			t.Errorf("destination %d is not looked at in %d steps", b.dest.id, l.sender.step-from)
+	d := mostDestsDown(t, 2000)
+	start := d.sender.step
+	for range 4 * len(d.sender.dests) / turns {
+		d.step()
+	}
+	for _, b := range d.sender.waiting.scanQueue.items {
+		if b.scannedStep <= start {
+			t.Errorf("destination %d is not scanned in %d steps", b.dest.id, d.sender.step-start)
 		}
 	}
 }
 
-// What lacks a slot is known, so that the next one that is free finds it.
+// Backlogs that lack a slot are recorded, so that the next free slot goes to one of them.
 func TestSlotWaitersAreTracked(t *testing.T) {
-	l := fewTrialSlots(t, 5000)
+	d := fewTrialSlots(t, 5000)
 	for range 200 {
-		l.step()
+		d.step()
 	}
 	lacking := 0
-	for _, b := range l.sender.waiting.scanQueue.items {
+	for _, b := range d.sender.waiting.scanQueue.items {
 		e := b.dest.endpoints[0]
 		if b.nextScanAt < never || !e.ejected || e.inFlight > 0 {
 			continue
 		}
 		if lacking++; b.slotWaitPos == [2]int{} {
-			t.Fatalf("destination %d waits for nothing", b.dest.id)
+			t.Fatalf("destination %d is not recorded as waiting for a slot", b.dest.id)
 		}
 	}
 	if lacking < 10 {
 		t.Errorf("%d destinations lack a slot for a trial", lacking)
 	}
-	// Slots that those asked first can't use are offered to others in the next step.
-	l = fewSlots(t, 2000)
+	// Slots that the first backlogs can't use are offered to others in the next step.
+	d = fewSlots(t, 2000)
 	var replies []Event
-	for _, ev := range l.events {
+	for _, ev := range d.events {
 		if r, ok := ev.(Reply); ok {
 			replies = append(replies, r)
 		}
 	}
-	timer := only[SetTimer](l.sender.Step(l.now+1000, append(replies, Closing{Left: 1})))
-	if len(l.sender.waiting.slotWaiters[anySlot].items) == 0 || l.sender.busy > 0 {
-		t.Fatalf("%d wait for a slot, %d are busy", len(l.sender.waiting.slotWaiters[anySlot].items), l.sender.busy)
+	timers := only[SetTimer](d.sender.Step(d.now+1000, append(replies, Closing{Left: 1})))
+	if len(d.sender.waiting.slotWaiters[anySlot].items) == 0 || d.sender.busy > 0 {
+		t.Fatalf("%d backlogs wait for a slot, %d slots are in use",
+			len(d.sender.waiting.slotWaiters[anySlot].items), d.sender.busy)
 	}
-	if len(timer) != 1 || timer[0].Wait > l.sender.cfg.Tick {
-		t.Errorf("timers %v, want one at the next tick", timer)
+	if len(timers) != 1 || timers[0].Wait > d.sender.cfg.Tick {
+		t.Errorf("timers %v, want one at the next tick", timers)
 	}
 }
 
-// No message is looked at twice in a step.
+// No message is in a sample twice.
 func TestSampleHasNoRepeats(t *testing.T) {
 	for _, n := range []int{100, 130, 2000} {
-		l := onePacedDest(t, n)
-		for step := l.sender.step + 1; step < l.sender.step+50; step++ {
+		d := onePacedDest(t, n)
+		for step := d.sender.step + 1; step < d.sender.step+50; step++ {
 			seen := map[*msg]bool{}
-			for _, m := range l.sender.dests[0].backlog.sample(step, nil) {
+			for _, m := range d.sender.dests[0].backlog.sample(step, nil) {
 				if seen[m] {
 					t.Fatalf("%s is in a sample of %d twice", m.id, n)
 				}
@@ -410,60 +426,61 @@
 	}
 }
 
-// A timer that goes off late, or a clock that jumps, makes ends late, and no more: all of them come in that step.
+// After a late timer or a jump of the clock, all messages whose time is up end in that step.
 func TestLateTimerEndsAllExpired(t *testing.T) {
-	for _, few := range []int{0, fewWait} {
-		l := mostDestsDown(t, 2000)
-		l.sender.fullScanMax = few
-		l.now += 40000 * Second
-		acts := l.sender.Step(l.now, l.events)
+	for _, fullScanMax := range []int{0, fewWait} {
+		d := mostDestsDown(t, 2000)
+		d.sender.fullScanMax = fullScanMax
+		d.now += 40000 * Second
+		acts := d.sender.Step(d.now, d.events)
 		if n := len(only[Refuse](acts)) + len(only[Fail](acts)); n < 2000 {
-			t.Errorf("%d ends", n)
+			t.Errorf("%d messages end, want 2000 at least", n)
 		}
-		if l.sender.waiting.count > 2 {
-			t.Errorf("%d wait on", l.sender.waiting.count)
+		if d.sender.waiting.count > 2 {
+			t.Errorf("%d messages still wait", d.sender.waiting.count)
 		}
-		checkIndexes(t, l.sender)
+		checkIndexes(t, d.sender)
 	}
 }
 
-// Odd events where many wait: the books stay right, and nothing is done for what is not known.
+// Events that are repeated, out of date or about unknown messages leave the indexes right while many messages wait.
 func TestInvalidEventsWithManyWaiting(t *testing.T) {
-	l := mostDestsDown(t, 2000)
-	id := l.sender.held[1000].id
+	d := mostDestsDown(t, 2000)
+	id := d.sender.held[1000].id
 	for _, evs := range [][]Event{
 		{Call{ID: id, Left: 36000 * Second, Dest: 1, Tenant: -1}},                      // again, for another destination
-		{Call{ID: "none", Left: -Second, Dest: 77777, Tenant: 9, Class: 1}},            // over when it comes
-		{Call{ID: "odd", Dest: 1, Class: 99}, Call{ID: "odd", Dest: 1, Class: -1}},     // of no class
-		{Reply{ID: id, Attempt: 99}, Reply{ID: id, Attempt: -1}, ClientGone{"nobody"}}, // of nothing that is out
+		{Call{ID: "none", Left: -Second, Dest: 77777, Tenant: 9, Class: 1}},            // its time is up on arrival
+		{Call{ID: "odd", Dest: 1, Class: 99}, Call{ID: "odd", Dest: 1, Class: -1}},     // unknown classes
+		{Reply{ID: id, Attempt: 99}, Reply{ID: id, Attempt: -1}, ClientGone{"nobody"}}, // attempts that are not in flight
 		{ClientGone{id}, ClientGone{id}, Reply{ID: id}},
 		{Endpoints{Form: ListDelta, Entries: []Entry{{Endpoint: 1, Dest: 2}, {Endpoint: 2, Dest: 1}}}}, // moved
-		{Endpoints{Form: ListFull}}, // nothing is left
+		{Endpoints{Form: ListFull}}, // an empty list
 		{Due{99}, Started{ID: id}, Closing{Left: Second}},
 	} {
-		l.sender.Step(l.now, evs)
-		checkIndexes(t, l.sender)
+		d.sender.Step(d.now, evs)
+		checkIndexes(t, d.sender)
 	}
-	l.sender.Step(0, nil) // a clock that goes back
-	checkIndexes(t, l.sender)
-	l.sender.Step(never, []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}}}) // and one that runs out
-	checkIndexes(t, l.sender)
-	if l.sender.waiting.count > 0 {
-		t.Errorf("%d wait past the end of time", l.sender.waiting.count)
+	d.sender.Step(0, nil) // a clock that goes back
+	checkIndexes(t, d.sender)
+	// The last time that the clock can tell.
+	d.sender.Step(never, []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}}})
+	checkIndexes(t, d.sender)
+	if d.sender.waiting.count > 0 {
+		t.Errorf("%d messages wait past the end of the clock", d.sender.waiting.count)
 	}
 }
 
-// With more coming than a pace sends and a hold that is nearly full, the door turns away about what it does where all
-// are looked at, and as much is delivered.
+// With more arrivals than the pace lets through and the limit on held messages nearly reached, about as many messages
+// are refused and delivered as with full scans.
 func TestNearlyFullWithManyWaiting(t *testing.T) {
-	play := func(few int) (delivered, returned int) {
+	run := func(fullScanMax int) (delivered, refused int) {
 		set := base()
 		set.MaxOpen, set.Senders, set.MaxTries, set.Slots = 1500, 1, 0, 64
 		s, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.fullScanMax = few
+		s.fullScanMax = fullScanMax
 		evs := []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}}}
 		n := 0
 		for now := Micros(0); now < 40*Second; now += set.Tick {
@@ -481,21 +498,21 @@
 			}
 			for _, r := range only[Refuse](acts) {
 				if s.now < Second {
-					t.Fatalf("%s is turned away by an empty hold", r.ID)
+					t.Fatalf("%s is refused while few messages are held", r.ID)
 				}
-				returned++
+				refused++
 			}
 			checkIndexes(t, s)
 		}
-		return delivered, returned
+		return delivered, refused
 	}
-	sent, returned := play(0)
-	wantSent, wantReturned := play(1000_000)
-	t.Logf("%d delivered, %d returned; where all are looked at %d, %d", sent, returned, wantSent, wantReturned)
-	if float64(sent) < 0.97*float64(wantSent) {
-		t.Errorf("%d delivered, %d where all are looked at", sent, wantSent)
+	delivered, refused := run(0)
+	wantDelivered, wantRefused := run(1000_000)
+	t.Logf("%d delivered, %d refused; with full scans %d, %d", delivered, refused, wantDelivered, wantRefused)
+	if float64(delivered) < 0.97*float64(wantDelivered) {
+		t.Errorf("%d delivered, %d with full scans", delivered, wantDelivered)
 	}
-	if x := float64(returned) / float64(wantReturned); x < 0.9 || x > 1.1 {
-		t.Errorf("%d returned, %d where all are looked at", returned, wantReturned)
+	if ratio := float64(refused) / float64(wantRefused); ratio < 0.9 || ratio > 1.1 {
+		t.Errorf("%d refused, %d with full scans", refused, wantRefused)
 	}
 }
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// destSizes are numbers of destinations with two endpoints each, up to those that are expected within two years.
+// destCounts are numbers of destinations with two endpoints each. The last is the one expected within two years.
 var destCounts = []int{350, 3500, 17500, 35000}
 
-// destList is a whole list of n destinations with two endpoints each.
+// fullList makes a whole list of n destinations with two endpoints each.
 func fullList(n int) Endpoints {
 	ev := Endpoints{Form: ListFull}
 	for i := range 2 * n {
@@ -20,7 +20,7 @@
 	return ev
 }
 
-// listed makes a Sender that knows n destinations with two endpoints each.
+// newSenderWithList makes a Sender with n destinations of two endpoints each.
 func newSenderWithList(tb testing.TB, n int) *Sender {
 	tb.Helper()
 	s, err := New(base(), 7)
@@ -31,38 +31,38 @@
 	return s
 }
 
-// least is the shortest time that f takes of some runs, each with a number of its own.
+// fastestRun returns the shortest time that f takes in a number of runs. f is given the index of the run.
 func fastestRun(runs int, f func(i int)) time.Duration {
 	best := time.Duration(math.MaxInt64)
 	for i := range runs {
-		at := time.Now()
+		start := time.Now()
 		f(i)
-		best = min(best, time.Since(at))
+		best = min(best, time.Since(start))
 	}
 	return best
 }
 
-// The figures ask after every step how many endpoints are out of rotation: that costs the same with any list.
+// OutOfRotation is called for the metrics after every step, so its cost must not grow with the list.
 func TestOutOfRotationScale(t *testing.T) {
-	var took []time.Duration
+	var times []time.Duration
 	for _, n := range destCounts {
 		s := newSenderWithList(t, n)
 		s.eject(s.endpoints[1], "silent")
-		took = append(took, fastestRun(20, func(int) {
+		times = append(times, fastestRun(20, func(int) {
 			for range 1000 {
 				if got := s.OutOfRotation(); got != 1 {
 					t.Fatalf("%d destinations: %d out of rotation, want 1", n, got)
 				}
 			}
 		}))
-		t.Logf("%d destinations: %v for 1,000 calls", n, took[len(took)-1])
+		t.Logf("%d destinations: %v for 1,000 calls", n, times[len(times)-1])
 	}
-	if first, last := took[0], took[len(took)-1]; last > 20*first {
+	if first, last := times[0], times[len(times)-1]; last > 20*first {
 		t.Errorf("%d destinations: %v, %d destinations: %v", destCounts[0], first, destCounts[len(destCounts)-1], last)
 	}
 }
 
-// stranded are n messages for destinations that no endpoint serves, so that they stay.
+// undeliverable makes n messages for a destination without endpoints, so that they stay held.
 func undeliverable(n int) (evs []Event) {
 	for i := range n {
 		evs = append(evs, Call{ID: fmt.Sprintf("%016x", i), Left: 14 * Second, Dest: -1, Tenant: -1, Class: 2})
@@ -70,7 +70,7 @@
 	return evs
 }
 
-// unbounded is a deployment that holds as many messages as come.
+// unlimitedSettings are settings without a limit on held messages.
 func unlimitedSettings() Settings {
 	set := base()
 	set.MaxOpen = 0
@@ -88,7 +88,7 @@
 	}
 }
 
-// liveHeap is what the live objects take after a collection.
+// liveHeap returns the bytes of live objects after a garbage collection.
 func liveHeap() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -96,7 +96,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// A destination to which nothing was ever sent takes so much memory, with its two endpoints, in a list of any size.
+// The memory of a destination that was never sent anything, with its two endpoints, stays small in a list of any size.
 func TestIdleDestinationScale(t *testing.T) {
 	for _, n := range destCounts {
 		list := fullList(n)
@@ -106,17 +106,17 @@
 		}
 		before := liveHeap()
 		s.Step(0, []Event{list})
-		each := (liveHeap() - before) / int64(n)
+		bytesPerDest := (liveHeap() - before) / int64(n)
 		runtime.KeepAlive(list)
 		runtime.KeepAlive(s)
-		t.Logf("%d destinations with two endpoints: %d bytes each", n, each)
-		if each > 1000 {
-			t.Errorf("%d destinations: %d bytes each", n, each)
+		t.Logf("%d destinations with two endpoints: %d bytes each", n, bytesPerDest)
+		if bytesPerDest > 1000 {
+			t.Errorf("%d destinations: %d bytes each", n, bytesPerDest)
 		}
 	}
 }
 
-// The first whole list, and one that says the same again.
+// Measures the first whole list, and one that repeats it.
 func BenchmarkWholeList(b *testing.B) {
 	for _, n := range destCounts {
 		list := []Event{fullList(n)}
@@ -140,7 +140,7 @@
 	}
 }
 
-// News of one endpoint that drains, with the step that it costs.
+// Measures a step with the news that one endpoint drains.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range destCounts {
 		b.Run(fmt.Sprint(2*n), func(b *testing.B) {
@@ -153,7 +153,7 @@
 	}
 }
 
-// A step with so many messages held, and what each takes of memory.
+// Measures a step by the number of held messages, and the memory of each.
 func BenchmarkHeld(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20000, 80000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -164,18 +164,18 @@
 			evs := undeliverable(n)
 			before := liveHeap()
 			s.Step(0, evs)
-			each := float64(liveHeap()-before) / float64(n)
+			bytesPerMessage := float64(liveHeap()-before) / float64(n)
 			for b.Loop() {
 				s.Step(1, nil)
 			}
-			b.ReportMetric(each, "heap-B/message")
+			b.ReportMetric(bytesPerMessage, "heap-B/message")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*n), "ns/message")
 			runtime.KeepAlive(evs)
 		})
 	}
 }
 
-// A snapshot by the size of the list, and by the messages held.
+// Measures saving and restoring a snapshot by the size of the list and the number of held messages.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, x := range []struct{ dests, held int }{{350, 0}, {3500, 0}, {17500, 0}, {35000, 0},
 		{350, 1000}, {350, 5000}, {350, 20000}, {350, 80000}} {
--- a/logic/snapshot.go
+++ b/logic/snapshot.go
@@ -379,15 +379,15 @@
 
 // Restore returns a Sender that continues where the snapshot was taken, with the same clock. No timer of it is
 // set yet.
-func Restore(set Settings, text []byte) (s *Sender, err error) {
+func Restore(cfg Settings, data []byte) (s *Sender, err error) {
 	var snap snapshot
-	if err := json.Unmarshal(text, &snap); err != nil {
+	if err := json.Unmarshal(data, &snap); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	if snap.Version != snapshotVersion {
 		return nil, fmt.Errorf("snapshot: version %d, want %d", snap.Version, snapshotVersion)
 	}
-	if s, err = New(set, 0); err != nil {
+	if s, err = New(cfg, 0); err != nil {
 		return nil, err
 	}
 	if len(snap.ClassLatency) != len(s.classLatency) || len(snap.TenantUsage) != len(s.tenantUsage) ||
--- a/logic/snapshot_test.go
+++ b/logic/snapshot_test.go
@@ -12,17 +12,18 @@
 	"testing"
 )
 
-// sameAs checks that a twin does what the Sender does. Timers apart: a twin begins without one.
-func (w *world) checkTwin(acts, twin []Action) {
+// checkTwin checks that a restored Sender takes the same actions as the original. Timers are left out: a restored
+// Sender starts without one.
+func (w *world) checkTwin(actions, twinActions []Action) {
 	w.t.Helper()
 	timer := func(a Action) bool { _, ok := a.(SetTimer); return ok }
-	want, got := slices.DeleteFunc(slices.Clone(acts), timer), slices.DeleteFunc(twin, timer)
+	want, got := slices.DeleteFunc(slices.Clone(actions), timer), slices.DeleteFunc(twinActions, timer)
 	if !reflect.DeepEqual(append([]Action{}, want...), append([]Action{}, got...)) {
-		w.bad("a restored module does %v, want %v", got, want)
+		w.bad("the restored Sender does %v, want %v", got, want)
 	}
 }
 
-// renew takes a new twin.
+// replaceTwin restores a new twin from a snapshot of the Sender.
 func (w *world) replaceTwin() {
 	w.t.Helper()
 	text, err := w.s.Snapshot()
@@ -38,11 +39,11 @@
 		w.t.Fatal(err)
 	}
 	if !bytes.Equal(text, again) {
-		w.bad("a snapshot of the restored module differs:\n%s\n%s", text, again)
+		w.bad("a snapshot of the restored Sender differs:\n%s\n%s", text, again)
 	}
 }
 
-// A module that another process takes up goes on as if nothing had happened, whatever is out or due.
+// A restored Sender takes the same actions as the original, whatever is in flight or due at the snapshot.
 func TestRestoredSenderActsTheSame(t *testing.T) {
 	for name, set := range variants() {
 		t.Run(name, func(t *testing.T) {
@@ -60,8 +61,8 @@
 	}
 }
 
-// The snapshot of testdata is from a build that held the bins of each histogram from the start. This one goes on from
-// it, and writes the same down, so that such a build can go on from ours. Destination 5 is idle.
+// snapshot-v1.json is from a build that allocated the bins of each histogram from the start. This build can restore
+// it and writes the same state, so that the older build can restore it again. Destination 5 is idle.
 func TestRestoreFromOlderBuild(t *testing.T) {
 	text, err := os.ReadFile("testdata/snapshot-v1.json")
 	if err != nil {
@@ -90,7 +91,7 @@
 	}
 }
 
-// What does not fit together is refused, not taken up in part.
+// A snapshot that is inconsistent, or does not match the settings, is refused as a whole.
 func TestRestoreRefusesInconsistentSnapshot(t *testing.T) {
 	r := newRig(t, base())
 	r.step(100, list(2), r.call(0), r.call(2))
@@ -107,7 +108,7 @@
 		"unknown endpoint": strings.Replace(string(text), `"Endpoint":1`, `"Endpoint":7`, 1),
 	} {
 		if bad == string(text) {
-			t.Errorf("%s: the text is as it was", name)
+			t.Errorf("%s: the replacement changed nothing", name)
 		}
 		if _, err := Restore(base(), []byte(bad)); err == nil {
 			t.Errorf("%s: restored", name)
@@ -116,15 +117,15 @@
 	other := base()
 	other.Classes = other.Classes[:1]
 	if _, err := Restore(other, text); err == nil {
-		t.Error("restored under other settings")
+		t.Error("restored with other settings")
 	}
 	if _, err := Restore(base(), text); err != nil {
 		t.Error(err)
 	}
 }
 
-// A snapshot that an older build wrote, with calls out, is taken up whole and written down again byte for byte, so
-// that the older build can take it back; and what was held goes on.
+// A snapshot of an older build with calls in flight is restored in full and written again byte for byte, so that
+// the older build can take it back. Each held message then ends as it does with the reference.
 func TestRestoreFromOlderBuildWithCallsInFlight(t *testing.T) {
 	for _, name := range []string{"ordered", "batches"} {
 		text, err := os.ReadFile("testdata/snapshot-" + name + ".json")
@@ -142,27 +143,27 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(text, again) {
-			t.Errorf("%s: written down again it differs:\n%s\n%s", name, text, again)
+			t.Errorf("%s: written again, the snapshot differs:\n%s\n%s", name, text, again)
 		}
-		held, out := s.openCount, len(s.inFlight)
-		if held == 0 || out == 0 {
-			t.Fatalf("%s: %d held, %d out", name, held, out)
+		held, inFlight := s.openCount, len(s.inFlight)
+		if held == 0 || inFlight == 0 {
+			t.Fatalf("%s: %d held, %d in flight", name, held, inFlight)
 		}
-		other, err := Restore(set, text)
+		reference, err := Restore(set, text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ends := 0
-		for now := s.now; ends < held && now < s.now+20*Second; now += Second / 10 {
+		ended := 0
+		for now := s.now; ended < held && now < s.now+20*Second; now += Second / 10 {
 			acts := s.Step(now, nil)
-			if want := referenceStep(other, now, nil); !reflect.DeepEqual(acts, want) {
-				t.Fatalf("%s: at %d it does %v, want %v", name, now, acts, want)
+			if want := referenceStep(reference, now, nil); !reflect.DeepEqual(acts, want) {
+				t.Fatalf("%s: at %d the Sender does %v, want %v", name, now, acts, want)
 			}
 			checkIndexes(t, s)
-			ends += len(only[Refuse](acts)) + len(only[Fail](acts))
+			ended += len(only[Refuse](acts)) + len(only[Fail](acts))
 		}
-		if ends != held {
-			t.Errorf("%s: %d of %d end", name, ends, held)
+		if ended != held {
+			t.Errorf("%s: %d of %d messages end", name, ended, held)
 		}
 	}
 }
