--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -341,7 +341,7 @@
 		d.events = append(d.events, Call{ID: fmt.Sprint("r", i), Left: 36000 * Second, Dest: 0, Tenant: -1})
 	}
 	var out []CallOut
-	for range 20 { // those of the tens answer; the lane takes half of the slots
+	for range 20 { // only destinations that are up answer; one limiter takes half of the slots at most
 		d.now += d.sender.cfg.Tick
 		out = append(out, only[CallOut](d.sender.Step(d.now, d.events))...)
 		d.events = nil
--- a/logic/state.go
+++ b/logic/state.go
@@ -14,7 +14,7 @@
 	id           int64
 	kind         int         // index of its kind in the settings
 	endpoints    []*endpoint // the listed ones, in list order
-	nextEndpoint int         // index in endpoints where the rotation of first attempts goes on
+	nextEndpoint int         // index in endpoints where the rotation of first attempts continues
 	limiter      *limiter    // shared by its endpoints, unless its kind keeps them apart
 	latency      histogram   // of its calls
 	lastUsedAt   Micros      // arrival of the last message for it
