--- a/logic/snapshot.go
+++ b/logic/snapshot.go
@@ -7,404 +7,579 @@
 	"slices"
 )
 
-// A snapshot holds all that a Sender knows, so that another process can go on in its place. What points at
-// something in a Sender is its number here: endpoints, destinations and calls by their place in the list,
-// messages by their id. It is for a process of the same build, or one that reads the same version.
+// A snapshot holds the whole state of a Sender, so that another process can continue in its place. References
+// become numbers: endpoints, destinations and calls are known by their index in the snapshot, messages by their
+// id. A snapshot is for a process of the same build, or of one that reads the same version.
+//
+// A type with the suffix State is the stored form of the type without it. The JSON keys are those of version 1:
+// where a field has a clearer name than its key, the key is its tag, and where one line declares several fields
+// under their keys, a comment names what they hold.
 
 const snapshotVersion = 1
 
-// errSnapshot says that a snapshot does not fit together.
-var errSnapshot = errors.New("snapshot makes no sense")
+// errInconsistentSnapshot is returned for a snapshot whose parts contradict each other or the settings.
+var errInconsistentSnapshot = errors.New("snapshot is inconsistent")
 
 type snapshot struct {
-	Version   int
-	Rand      []byte
-	Now       Micros
-	Step      int
-	Seq       int
-	ForgetAt  Micros
-	AskAt     Micros
-	AskGap    Micros
-	Unsure    Micros
-	Logs      int
-	Turned    map[int]float64
-	Short     map[int]Micros
-	Usage     []usageState
-	ByClass   []histState
-	Dests     []destState // in their order
-	Endpoints []endpointState
-	Gone      []int
-	Messages  []msgState // held ones first, in order, then those that are over
-	Held      int        // how many of them are held
-	Calls     int
-	Flying    []attemptState
-	Keys      map[string]keyState
+	Version        int
+	RNGState       []byte `json:"Rand"` // of Sender.rngSource
+	Now            Micros
+	Step           int
+	LastSeq        int    `json:"Seq"`
+	NextCleanupAt  Micros `json:"ForgetAt"`
+	AskAt          Micros
+	AskGap         Micros
+	ListStaleUntil Micros                   `json:"Unsure"`
+	LogLines       int                      `json:"Logs"`
+	RejectRate     map[int]float64          `json:"Turned"`  // by kind
+	ScarceUntil    map[int]Micros           `json:"Short"`   // by kind
+	TenantUsage    []tenantUsageState       `json:"Usage"`   // by tenant
+	ClassLatency   []histogramState         `json:"ByClass"` // by class
+	Dests          []destState              // in the order of Sender.destOrder
+	Endpoints      []endpointState          // by their numbers
+	Removed        []int                    `json:"Gone"` // numbers of endpoints
+	Messages       []msgState               // those that have not ended, in order, then those that have
+	HeldCount      int                      `json:"Held"`  // how many of Messages have not ended
+	CallCount      int                      `json:"Calls"` // calls that InFlight refers to
+	InFlight       []attemptState           `json:"Flying"`
+	KeyQueues      map[string]keyQueueState `json:"Keys"` // by key
 }
 
-type usageState struct {
-	N  float64
-	At Micros
+type tenantUsageState struct {
+	Count     float64 `json:"N"`
+	UpdatedAt Micros  `json:"At"`
 }
 
-type histState struct {
-	W           []float64
+// histogramState is a histogram; Cuts is its field censored.
+type histogramState struct {
+	Bins        []float64 `json:"W"`
 	Total, Cuts float64
-	At          Micros
+	UpdatedAt   Micros `json:"At"`
 }
 
-type laneState struct {
-	Limit     float64
-	Told      bool
-	Left      float64
-	Pace      float64
-	Halved    Micros
-	Tokens    float64
-	Filled    Micros
-	Until     Micros
-	Inflight  int
-	Fulls     int
-	FirstFull Micros
-	Sent      []Micros
-	Served    []Micros `json:",omitempty"` // not of older builds
-	Peak      float64
-	Phase     float64
+// limiterState is a limiter, with the fields in the same order: limiter.save and limiterState.restore rely on it.
+type limiterState struct {
+	Limit          float64
+	Reported       bool    `json:"Told"`
+	Remaining      float64 `json:"Left"`
+	Pace           float64
+	ReducedAt      Micros `json:"Halved"`
+	Tokens         float64
+	RefilledAt     Micros   `json:"Filled"`
+	WaitUntil      Micros   `json:"Until"`
+	InFlight       int      `json:"Inflight"`
+	Refusals       int      `json:"Fulls"`
+	FirstRefusalAt Micros   `json:"FirstFull"`
+	SentAt         []Micros `json:"Sent"`
+	ServedAt       []Micros `json:"Served,omitempty"` // not written by older builds
+	PeakRate       float64  `json:"Peak"`
+	Jitter         float64  `json:"Phase"`
 }
 
 type destState struct {
-	ID     int64
-	Kind   int
-	Eps    []int
-	Next   int
-	Lane   laneState
-	Hist   histState
-	Used   Micros
-	Came   int
-	DownAt Micros
+	ID           int64
+	Kind         int
+	Endpoints    []int          `json:"Eps"` // numbers of endpoints
+	NextEndpoint int            `json:"Next"`
+	Limiter      limiterState   `json:"Lane"`
+	Latency      histogramState `json:"Hist"`
+	LastUsedAt   Micros         `json:"Used"`
+	Arrivals     int            `json:"Came"`
+	OutageSeenAt Micros         `json:"DownAt"`
 }
 
 type endpointState struct {
 	ID                EndpointID
-	Known             bool // the one of this id, not one that it has replaced
+	Known             bool // the current endpoint of its id, not one that it has replaced
 	Zone              int
 	State             Readiness
-	Dest              int
-	Own               *laneState // its lane, if it has one apart
-	Sent              []Micros
-	Bad               float64
-	Fails, Fulls      int
-	Spoilt, Resets    int
-	GoneAt            Micros
-	LastOK, LastBad   Micros
-	Well              Micros
-	OKSent, OutAt     Micros `json:",omitempty"` // not of older builds
-	Suspect, Cold     bool
-	BackAt, DownAt    Micros
-	TrialAt, TrialGap Micros
-	Inflight          int
-	Slow              float64
-	LastSent, Warm    Micros
+	Dest              int           // index in Dests
+	OwnLimiter        *limiterState `json:"Own"` // nil if it shares that of its destination
+	SentAt            []Micros      `json:"Sent"`
+	FailureRate       float64       `json:"Bad"`
+	Fails, Fulls      int           // failures and refusals, in a row
+	Spoilt, Resets    int           // badAnswers and resets, in a row
+	RemovedAt         Micros        `json:"GoneAt"`
+	LastOK, LastBad   Micros        // lastOK and lastFail
+	HealthyAt         Micros        `json:"Well"`
+	OKSent, OutAt     Micros        `json:",omitempty"` // lastOKSent and ejectedAt; not written by older builds
+	Suspect, Cold     bool          // ejected and cold
+	BackAt, DownAt    Micros        // upAt and downAt
+	TrialAt, TrialGap Micros        // trialAt and trialPause
+	InFlight          int           `json:"Inflight"`
+	SmoothedLatency   float64       `json:"Slow"`
+	LastSent, Warm    Micros        // lastSent and idleConnUntil
 }
 
 type msgState struct {
-	ID          string
-	Class       int
-	Share       float64
-	Dest        int
-	Seq         int
-	First, Came Micros
-	Deadline    Micros
-	Tries, Cuts int
-	MayRun      bool
-	FirstMay    Micros
-	MayZone     int
-	Last        int // -1 for none
-	Rest        Micros
-	Over, Flows bool
+	ID           string
+	Class        int     // index in the settings
+	WorthShare   float64 `json:"Share"`
+	Dest         int     // index in Dests
+	Seq          int
+	First, Came  Micros // submitted and arrived
+	Deadline     Micros
+	Tries, Cuts  int // tries and restarts
+	MayRun       bool
+	MayRunAt     Micros `json:"FirstMay"`
+	MayRunZone   int    `json:"MayZone"`
+	LastEndpoint int    `json:"Last"` // number of an endpoint; -1 for none
+	RetryAt      Micros `json:"Rest"`
+	Over, Flows  bool   // ended and streaming
 }
 
 type attemptState struct {
-	Message               string
-	N, Endpoint, Call     int
-	At                    Micros
-	Cancelled, Cut, Stuck bool
-	Late                  bool
+	Message               string // id
+	N, Endpoint, Call     int    // number of the attempt, number of the endpoint, number of the call
+	SentAt                Micros `json:"At"`
+	Cancelled, Cut, Stuck bool   // cancelled, restarted and stuck
+	Censored              bool   `json:"Late"`
 }
 
-type keyState struct {
-	Queue []string
-	Quiet Micros
-	By    string // empty if none, or if it is forgotten
+type keyQueueState struct {
+	Messages    []string `json:"Queue"` // ids
+	QuietUntil  Micros   `json:"Quiet"`
+	QuietExempt string   `json:"By"` // id; empty if there is none, or if that message is gone
 }
 
-// save writes all bins down, also where nothing was counted: version 1 has them.
-func (h *hist) save() histState {
-	w := h.w
+// save writes all bins even if there is no sample: version 1 has them.
+func (h *histogram) save() histogramState {
+	w := h.bins
 	if w == nil {
-		w = new(weights)
+		w = new(binWeights)
 	}
-	return histState{w[:], h.total, h.cuts, h.at}
+	return histogramState{w[:], h.total, h.censored, h.updatedAt}
 }
 
-func (h *hist) load(x histState) error {
-	if len(x.W) != len(weights{}) {
-		return errSnapshot
+func (h *histogram) load(state histogramState) error {
+	if len(state.Bins) != len(binWeights{}) {
+		return errInconsistentSnapshot
 	}
-	h.total, h.cuts, h.at = x.Total, x.Cuts, x.At
-	if h.total == 0 && h.cuts == 0 {
+	h.total, h.censored, h.updatedAt = state.Total, state.Cuts, state.UpdatedAt
+	if h.total == 0 && h.censored == 0 {
 		return nil
 	}
-	h.w = (*weights)(x.W)
+	h.bins = (*binWeights)(state.Bins)
 	h.update()
 	return nil
 }
 
-func (l *lane) save() laneState {
-	return laneState{l.limit, l.told, l.left, l.pace, l.halved, l.tokens, l.filled, l.until, l.inflight, l.fulls, l.firstFull,
-		l.sent, l.served, l.peak, l.phase}
+func (l *limiter) save() limiterState {
+	return limiterState{
+		l.limit,
+		l.reported,
+		l.remaining,
+		l.pace,
+		l.reducedAt,
+		l.tokens,
+		l.refilledAt,
+		l.waitUntil,
+		l.inFlight,
+		l.refusals,
+		l.firstRefusalAt,
+		l.sentAt,
+		l.servedAt,
+		l.peakRate,
+		l.jitter,
+	}
 }
 
-func (x laneState) lane() *lane {
-	return &lane{x.Limit, x.Told, x.Left, x.Pace, x.Halved, x.Tokens, x.Filled, x.Until, x.Inflight, x.Fulls, x.FirstFull,
-		x.Sent, x.Served, x.Peak, x.Phase}
+func (state limiterState) restore() *limiter {
+	return &limiter{
+		state.Limit,
+		state.Reported,
+		state.Remaining,
+		state.Pace,
+		state.ReducedAt,
+		state.Tokens,
+		state.RefilledAt,
+		state.WaitUntil,
+		state.InFlight,
+		state.Refusals,
+		state.FirstRefusalAt,
+		state.SentAt,
+		state.ServedAt,
+		state.PeakRate,
+		state.Jitter,
+	}
 }
 
-// numbers gives each endpoint that anything refers to a place in a list.
-type numbers struct {
-	place map[*endpoint]int
+// endpointNumbers numbers the endpoints that anything refers to, in the order of the first references.
+type endpointNumbers struct {
+	index map[*endpoint]int
 	list  []*endpoint
 }
 
-func (n *numbers) of(e *endpoint) int {
+// numberOf returns the number of e; -1 for nil.
+func (n *endpointNumbers) numberOf(e *endpoint) int {
 	if e == nil {
 		return -1
 	}
-	i, ok := n.place[e]
+	i, ok := n.index[e]
 	if !ok {
 		i = len(n.list)
-		n.place[e], n.list = i, append(n.list, e)
+		n.index[e], n.list = i, append(n.list, e)
 	}
 	return i
 }
 
-// Snapshot writes down the state. The Sender must not be stepped on in this process after another has taken it up.
+// Snapshot returns the state for Restore. Once another process has restored it, this Sender must not be stepped
+// any more.
 func (s *Sender) Snapshot() ([]byte, error) {
-	source, err := s.source.MarshalBinary()
+	rngState, err := s.rngSource.MarshalBinary()
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	x := snapshot{Version: snapshotVersion, Rand: source, Now: s.now, Step: s.step, Seq: s.seq, ForgetAt: s.forgetAt,
-		AskAt: s.askAt, AskGap: s.askGap, Unsure: s.unsure, Logs: s.logs, Turned: s.turned, Short: s.short, Held: s.open,
-		Keys: map[string]keyState{}}
-	for _, u := range s.usage {
-		x.Usage = append(x.Usage, usageState{u.n, u.at})
-	}
-	for i := range s.byClass {
-		x.ByClass = append(x.ByClass, s.byClass[i].save())
-	}
-	eps := &numbers{place: map[*endpoint]int{}}
-	places := map[*dest]int{}
-	for i, d := range s.order {
-		places[d] = i
-		y := destState{ID: d.id, Kind: d.kind, Next: d.next, Lane: d.lane.save(), Hist: d.hist.save(), Used: d.used,
-			Came: d.came, DownAt: d.downAt}
-		for _, e := range d.eps {
-			y.Eps = append(y.Eps, eps.of(e))
+	snap := snapshot{
+		Version:        snapshotVersion,
+		RNGState:       rngState,
+		Now:            s.now,
+		Step:           s.step,
+		LastSeq:        s.lastSeq,
+		NextCleanupAt:  s.nextCleanupAt,
+		AskAt:          s.askAt,
+		AskGap:         s.askGap,
+		ListStaleUntil: s.listStaleUntil,
+		LogLines:       s.logLines,
+		RejectRate:     s.rejectRate,
+		ScarceUntil:    s.scarceUntil,
+		HeldCount:      s.openCount,
+		KeyQueues:      map[string]keyQueueState{},
+	}
+	for _, usage := range s.tenantUsage {
+		snap.TenantUsage = append(snap.TenantUsage, tenantUsageState{usage.count, usage.updatedAt})
+	}
+	for i := range s.classLatency {
+		snap.ClassLatency = append(snap.ClassLatency, s.classLatency[i].save())
+	}
+	numbers := &endpointNumbers{index: map[*endpoint]int{}}
+	destIndex := map[*dest]int{}
+	for i, d := range s.destOrder {
+		destIndex[d] = i
+		state := destState{
+			ID:           d.id,
+			Kind:         d.kind,
+			NextEndpoint: d.nextEndpoint,
+			Limiter:      d.limiter.save(),
+			Latency:      d.latency.save(),
+			LastUsedAt:   d.lastUsedAt,
+			Arrivals:     d.arrivals,
+			OutageSeenAt: d.outageSeenAt,
+		}
+		for _, e := range d.endpoints {
+			state.Endpoints = append(state.Endpoints, numbers.numberOf(e))
 		}
-		x.Dests = append(x.Dests, y)
+		snap.Dests = append(snap.Dests, state)
 	}
-	for _, e := range s.gone {
-		x.Gone = append(x.Gone, eps.of(e))
+	for _, e := range s.removed {
+		snap.Removed = append(snap.Removed, numbers.numberOf(e))
 	}
-	held, over := []*msg{}, []*msg{}
+	held, ended := []*msg{}, []*msg{}
 	for _, m := range s.held {
-		if !m.over {
+		if !m.ended {
 			held = append(held, m)
 		}
 	}
 	for _, m := range s.msgs {
-		if m.over {
-			over = append(over, m)
+		if m.ended {
+			ended = append(ended, m)
 		}
 	}
-	slices.SortFunc(over, func(a, b *msg) int { return a.seq - b.seq })
-	for _, m := range slices.Concat(held, over) {
-		x.Messages = append(x.Messages, msgState{m.id, m.ci, m.share, places[m.dest], m.seq, m.first, m.came, m.deadline, m.tries,
-			m.cuts, m.mayRun, m.firstMay, m.mayZone, eps.of(m.last), m.rest, m.over, m.flows})
+	slices.SortFunc(ended, func(a, b *msg) int { return a.seq - b.seq })
+	for _, m := range slices.Concat(held, ended) {
+		snap.Messages = append(snap.Messages, msgState{
+			m.id,
+			m.classIndex,
+			m.worthShare,
+			destIndex[m.dest],
+			m.seq,
+			m.submitted,
+			m.arrived,
+			m.deadline,
+			m.tries,
+			m.restarts,
+			m.mayRun,
+			m.mayRunAt,
+			m.mayRunZone,
+			numbers.numberOf(m.lastEndpoint),
+			m.retryAt,
+			m.ended,
+			m.streaming,
+		})
 	}
 	calls := map[*call]int{}
-	for _, a := range s.flying {
+	for _, a := range s.inFlight {
 		i, ok := calls[a.call]
 		if !ok {
 			i = len(calls)
 			calls[a.call] = i
 		}
-		x.Flying = append(x.Flying, attemptState{a.m.id, a.n, eps.of(a.ep), i, a.at, a.cancelled, a.cut, a.stuck, a.late})
-	}
-	x.Calls = len(calls)
-	for key, l := range s.keys {
-		y := keyState{Quiet: l.quiet}
-		for _, m := range l.q {
-			y.Queue = append(y.Queue, m.id)
+		snap.InFlight = append(snap.InFlight, attemptState{
+			a.msg.id,
+			a.number,
+			numbers.numberOf(a.endpoint),
+			i,
+			a.sentAt,
+			a.cancelled,
+			a.restarted,
+			a.stuck,
+			a.censored,
+		})
+	}
+	snap.CallCount = len(calls)
+	for key, queue := range s.keyQueues {
+		state := keyQueueState{QuietUntil: queue.quietUntil}
+		for _, m := range queue.messages {
+			state.Messages = append(state.Messages, m.id)
+		}
+		if queue.quietExempt != nil && s.msgs[queue.quietExempt.id] == queue.quietExempt {
+			state.QuietExempt = queue.quietExempt.id
 		}
-		if l.by != nil && s.msgs[l.by.id] == l.by {
-			y.By = l.by.id
+		snap.KeyQueues[key] = state
+	}
+	for _, e := range numbers.list {
+		state := endpointState{
+			e.id,
+			s.endpoints[e.id] == e,
+			e.zone,
+			e.state,
+			destIndex[e.dest],
+			nil,
+			e.sentAt,
+			e.failureRate,
+			e.failures,
+			e.refusals,
+			e.badAnswers,
+			e.resets,
+			e.removedAt,
+			e.lastOK,
+			e.lastFail,
+			e.healthyAt,
+			e.lastOKSent,
+			e.ejectedAt,
+			e.ejected,
+			e.cold,
+			e.upAt,
+			e.downAt,
+			e.trialAt,
+			e.trialPause,
+			e.inFlight,
+			e.smoothedLatency,
+			e.lastSent,
+			e.idleConnUntil,
 		}
-		x.Keys[key] = y
-	}
-	for _, e := range eps.list {
-		y := endpointState{e.id, s.eps[e.id] == e, e.zone, e.state, places[e.dest], nil, e.sent, e.bad, e.fails, e.fulls,
-			e.spoilt, e.resets, e.goneAt, e.lastOK, e.lastBad, e.well, e.okSent, e.outAt, e.ejected, e.cold, e.backAt, e.downAt, e.trialAt,
-			e.trialGap, e.inflight, e.slow, e.lastSent, e.warm}
-		if e.lane != e.dest.lane {
-			own := e.lane.save()
-			y.Own = &own
+		if e.limiter != e.dest.limiter {
+			own := e.limiter.save()
+			state.OwnLimiter = &own
 		}
-		x.Endpoints = append(x.Endpoints, y)
+		snap.Endpoints = append(snap.Endpoints, state)
 	}
-	return json.Marshal(x)
+	return json.Marshal(snap)
 }
 
-// Restore makes a Sender that goes on where the snapshot was taken. Its clock goes on too. No timer is out.
-func Restore(set Settings, text []byte) (s *Sender, err error) {
-	var x snapshot
-	if err := json.Unmarshal(text, &x); err != nil {
+// Restore returns a Sender that continues where the snapshot was taken, with the same clock. No timer of it is
+// set yet.
+func Restore(cfg Settings, data []byte) (s *Sender, err error) {
+	var snap snapshot
+	if err := json.Unmarshal(data, &snap); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if x.Version != snapshotVersion {
-		return nil, fmt.Errorf("snapshot: version %d, want %d", x.Version, snapshotVersion)
+	if snap.Version != snapshotVersion {
+		return nil, fmt.Errorf("snapshot: version %d, want %d", snap.Version, snapshotVersion)
 	}
-	if s, err = New(set, 0); err != nil {
+	if s, err = New(cfg, 0); err != nil {
 		return nil, err
 	}
-	if len(x.ByClass) != len(s.byClass) || len(x.Usage) != len(s.usage) || x.Held < 0 || x.Held > len(x.Messages) ||
-		x.Calls < 0 || x.Calls > len(x.Flying) {
-		return nil, errSnapshot
+	if len(snap.ClassLatency) != len(s.classLatency) || len(snap.TenantUsage) != len(s.tenantUsage) ||
+		snap.HeldCount < 0 || snap.HeldCount > len(snap.Messages) ||
+		snap.CallCount < 0 || snap.CallCount > len(snap.InFlight) {
+		return nil, errInconsistentSnapshot
 	}
-	if err := s.source.UnmarshalBinary(x.Rand); err != nil {
+	if err := s.rngSource.UnmarshalBinary(snap.RNGState); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	s.now, s.step, s.seq, s.forgetAt, s.askAt, s.askGap = x.Now, x.Step, x.Seq, x.ForgetAt, x.AskAt, x.AskGap
-	s.logs, s.unsure = x.Logs, x.Unsure
-	for kind, share := range x.Turned {
-		s.turned[kind] = share
+	s.now, s.step, s.lastSeq, s.nextCleanupAt, s.askAt, s.askGap =
+		snap.Now, snap.Step, snap.LastSeq, snap.NextCleanupAt, snap.AskAt, snap.AskGap
+	s.logLines, s.listStaleUntil = snap.LogLines, snap.ListStaleUntil
+	for kind, rate := range snap.RejectRate {
+		s.rejectRate[kind] = rate
 	}
-	for kind, until := range x.Short {
-		s.short[kind] = until
+	for kind, until := range snap.ScarceUntil {
+		s.scarceUntil[kind] = until
 	}
-	for i, u := range x.Usage {
-		s.usage[i] = usage{u.N, u.At}
+	for i, usage := range snap.TenantUsage {
+		s.tenantUsage[i] = tenantUsage{usage.Count, usage.UpdatedAt}
 	}
-	for i, h := range x.ByClass {
-		if err := s.byClass[i].load(h); err != nil {
+	for i, state := range snap.ClassLatency {
+		if err := s.classLatency[i].load(state); err != nil {
 			return nil, err
 		}
 	}
-	for _, y := range x.Dests {
-		d := &dest{id: y.ID, kind: y.Kind, next: y.Next, lane: y.Lane.lane(), used: y.Used, came: y.Came, downAt: y.DownAt}
-		if err := d.hist.load(y.Hist); err != nil {
+	for _, state := range snap.Dests {
+		d := &dest{
+			id:           state.ID,
+			kind:         state.Kind,
+			nextEndpoint: state.NextEndpoint,
+			limiter:      state.Limiter.restore(),
+			lastUsedAt:   state.LastUsedAt,
+			arrivals:     state.Arrivals,
+			outageSeenAt: state.OutageSeenAt,
+		}
+		if err := d.latency.load(state.Latency); err != nil {
 			return nil, err
 		}
-		s.dests[d.id], s.order = d, append(s.order, d)
-		if d.lane.told {
-			s.told++
+		s.dests[d.id], s.destOrder = d, append(s.destOrder, d)
+		if d.limiter.reported {
+			s.reportedLimits++
 		}
 	}
-	eps, err := s.restoreEndpoints(&x)
+	endpoints, err := s.restoreEndpoints(&snap)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.restoreMessages(&x, eps); err != nil {
+	if err := s.restoreMessages(&snap, endpoints); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// restoreEndpoints brings back the endpoints, in the order of their numbers.
-func (s *Sender) restoreEndpoints(x *snapshot) ([]*endpoint, error) {
-	var eps []*endpoint
-	for _, y := range x.Endpoints {
-		if y.Dest < 0 || y.Dest >= len(s.order) {
-			return nil, errSnapshot
+// restoreEndpoints restores the endpoints and returns them in the order of their numbers.
+func (s *Sender) restoreEndpoints(snap *snapshot) ([]*endpoint, error) {
+	var endpoints []*endpoint
+	for _, state := range snap.Endpoints {
+		if state.Dest < 0 || state.Dest >= len(s.destOrder) {
+			return nil, errInconsistentSnapshot
+		}
+		d := s.destOrder[state.Dest]
+		e := &endpoint{
+			id:              state.ID,
+			zone:            state.Zone,
+			state:           Gone,
+			dest:            d,
+			limiter:         d.limiter,
+			sentAt:          state.SentAt,
+			failureRate:     state.FailureRate,
+			failures:        state.Fails,
+			refusals:        state.Fulls,
+			badAnswers:      state.Spoilt,
+			resets:          state.Resets,
+			removedAt:       state.RemovedAt,
+			lastOK:          state.LastOK,
+			lastFail:        state.LastBad,
+			healthyAt:       state.HealthyAt,
+			lastOKSent:      state.OKSent,
+			ejectedAt:       state.OutAt,
+			cold:            state.Cold,
+			upAt:            state.BackAt,
+			downAt:          state.DownAt,
+			trialAt:         state.TrialAt,
+			trialPause:      state.TrialGap,
+			inFlight:        state.InFlight,
+			smoothedLatency: state.SmoothedLatency,
+			lastSent:        state.LastSent,
+			idleConnUntil:   state.Warm,
 		}
-		d := s.order[y.Dest]
-		e := &endpoint{id: y.ID, zone: y.Zone, state: Gone, dest: d, lane: d.lane, sent: y.Sent, bad: y.Bad,
-			fails: y.Fails, fulls: y.Fulls, spoilt: y.Spoilt, resets: y.Resets, goneAt: y.GoneAt, lastOK: y.LastOK,
-			lastBad: y.LastBad, well: y.Well, okSent: y.OKSent, outAt: y.OutAt, cold: y.Cold, backAt: y.BackAt, downAt: y.DownAt,
-			trialAt: y.TrialAt, trialGap: y.TrialGap, inflight: y.Inflight, slow: y.Slow, lastSent: y.LastSent, warm: y.Warm}
-		s.setStatus(e, y.State, y.Suspect)
-		if y.Own != nil {
-			e.lane = y.Own.lane()
+		s.setStatus(e, state.State, state.Suspect)
+		if state.OwnLimiter != nil {
+			e.limiter = state.OwnLimiter.restore()
 		}
-		if y.Known {
-			s.eps[e.id] = e
+		if state.Known {
+			s.endpoints[e.id] = e
 		}
-		eps = append(eps, e)
+		endpoints = append(endpoints, e)
 	}
-	for i, y := range x.Dests {
-		for _, k := range y.Eps {
-			if k < 0 || k >= len(eps) {
-				return nil, errSnapshot
+	for i, state := range snap.Dests {
+		for _, number := range state.Endpoints {
+			if number < 0 || number >= len(endpoints) {
+				return nil, errInconsistentSnapshot
 			}
-			s.order[i].eps = append(s.order[i].eps, eps[k])
+			s.destOrder[i].endpoints = append(s.destOrder[i].endpoints, endpoints[number])
 		}
 	}
-	for _, k := range x.Gone {
-		if k < 0 || k >= len(eps) {
-			return nil, errSnapshot
+	for _, number := range snap.Removed {
+		if number < 0 || number >= len(endpoints) {
+			return nil, errInconsistentSnapshot
 		}
-		s.gone = append(s.gone, eps[k])
+		s.removed = append(s.removed, endpoints[number])
 	}
-	return eps, nil
+	return endpoints, nil
 }
 
-// restoreMessages brings back the messages, what is out of them, and the order of their keys.
-func (s *Sender) restoreMessages(x *snapshot, eps []*endpoint) error {
-	for i, y := range x.Messages {
-		if y.Class < 0 || y.Class >= len(s.set.Classes) || y.Dest < 0 || y.Dest >= len(s.order) || y.Last >= len(eps) {
-			return errSnapshot
+// restoreMessages restores the messages, their attempts in flight and the queues of their keys.
+func (s *Sender) restoreMessages(snap *snapshot, endpoints []*endpoint) error {
+	for i, state := range snap.Messages {
+		if state.Class < 0 || state.Class >= len(s.cfg.Classes) ||
+			state.Dest < 0 || state.Dest >= len(s.destOrder) || state.LastEndpoint >= len(endpoints) {
+			return errInconsistentSnapshot
+		}
+		m := &msg{
+			id:         state.ID,
+			class:      &s.cfg.Classes[state.Class],
+			classIndex: state.Class,
+			worthShare: state.WorthShare,
+			dest:       s.destOrder[state.Dest],
+			seq:        state.Seq,
+			submitted:  state.First,
+			arrived:    state.Came,
+			deadline:   state.Deadline,
+			tries:      state.Tries,
+			restarts:   state.Cuts,
+			mayRun:     state.MayRun,
+			mayRunAt:   state.MayRunAt,
+			mayRunZone: state.MayRunZone,
+			retryAt:    state.RetryAt,
+			ended:      state.Over,
+			streaming:  state.Flows,
 		}
-		m := &msg{id: y.ID, class: &s.set.Classes[y.Class], ci: y.Class, share: y.Share, dest: s.order[y.Dest], seq: y.Seq,
-			first: y.First, came: y.Came, deadline: y.Deadline, tries: y.Tries, cuts: y.Cuts, mayRun: y.MayRun, firstMay: y.FirstMay,
-			mayZone: y.MayZone, rest: y.Rest, over: y.Over, flows: y.Flows}
-		if y.Last >= 0 {
-			m.last = eps[y.Last]
+		if state.LastEndpoint >= 0 {
+			m.lastEndpoint = endpoints[state.LastEndpoint]
 		}
-		if y.Over != (i >= x.Held) || s.msgs[m.id] != nil {
-			return errSnapshot
+		if state.Over != (i >= snap.HeldCount) || s.msgs[m.id] != nil {
+			return errInconsistentSnapshot
 		}
 		s.msgs[m.id] = m
-		m.dest.msgs++
-		if !m.over {
-			s.hold(m)
+		m.dest.messageCount++
+		if !m.ended {
+			s.addHeld(m)
 		}
 	}
-	calls := make([]call, x.Calls)
-	for _, y := range x.Flying {
-		m := s.msgs[y.Message]
-		if m == nil || m.out != nil || y.Endpoint < 0 || y.Endpoint >= len(eps) || y.Call < 0 || y.Call >= len(calls) {
-			return errSnapshot
+	calls := make([]call, snap.CallCount)
+	for _, state := range snap.InFlight {
+		m := s.msgs[state.Message]
+		if m == nil || m.inFlight != nil ||
+			state.Endpoint < 0 || state.Endpoint >= len(endpoints) || state.Call < 0 || state.Call >= len(calls) {
+			return errInconsistentSnapshot
 		}
-		c := &calls[y.Call]
-		c.n++
-		c.left++
-		a := &attempt{m: m, n: y.N, ep: eps[y.Endpoint], at: y.At, call: c, cancelled: y.Cancelled, cut: y.Cut,
-			stuck: y.Stuck, late: y.Late}
-		m.out, s.flying = a, append(s.flying, a)
-	}
-	s.busy = x.Calls
-	for key, y := range x.Keys {
-		l := &keyLine{quiet: y.Quiet, by: s.msgs[y.By]}
-		for _, id := range y.Queue {
+		c := &calls[state.Call]
+		c.messages++
+		c.unfinished++
+		a := &attempt{
+			msg:       m,
+			number:    state.N,
+			endpoint:  endpoints[state.Endpoint],
+			sentAt:    state.SentAt,
+			call:      c,
+			cancelled: state.Cancelled,
+			restarted: state.Cut,
+			stuck:     state.Stuck,
+			censored:  state.Censored,
+		}
+		m.inFlight, s.inFlight = a, append(s.inFlight, a)
+	}
+	s.busy = snap.CallCount
+	for key, state := range snap.KeyQueues {
+		queue := &keyQueue{quietUntil: state.QuietUntil, quietExempt: s.msgs[state.QuietExempt]}
+		for _, id := range state.Messages {
 			m := s.msgs[id]
 			if m == nil {
-				return errSnapshot
+				return errInconsistentSnapshot
 			}
-			m.line, l.q = l, append(l.q, m)
+			m.keyQueue, queue.messages = queue, append(queue.messages, m)
 		}
-		s.keys[key] = l
+		s.keyQueues[key] = queue
 	}
 	for _, m := range s.held {
-		if m.out == nil {
+		if m.inFlight == nil {
 			s.enqueue(m)
 		}
 	}
--- a/logic/snapshot_test.go
+++ b/logic/snapshot_test.go
@@ -12,18 +12,19 @@
 	"testing"
 )
 
-// sameAs checks that a twin does what the Sender does. Timers apart: a twin begins without one.
-func (w *world) sameAs(acts, twin []Action) {
+// checkTwin checks that a restored Sender takes the same actions as the original. Timers are left out: a restored
+// Sender starts without one.
+func (w *world) checkTwin(actions, twinActions []Action) {
 	w.t.Helper()
 	timer := func(a Action) bool { _, ok := a.(SetTimer); return ok }
-	want, got := slices.DeleteFunc(slices.Clone(acts), timer), slices.DeleteFunc(twin, timer)
+	want, got := slices.DeleteFunc(slices.Clone(actions), timer), slices.DeleteFunc(twinActions, timer)
 	if !reflect.DeepEqual(append([]Action{}, want...), append([]Action{}, got...)) {
-		w.bad("a restored module does %v, want %v", got, want)
+		w.bad("the restored Sender does %v, want %v", got, want)
 	}
 }
 
-// renew takes a new twin.
-func (w *world) renew() {
+// replaceTwin restores a new twin from a snapshot of the Sender.
+func (w *world) replaceTwin() {
 	w.t.Helper()
 	text, err := w.s.Snapshot()
 	if err != nil {
@@ -38,18 +39,18 @@
 		w.t.Fatal(err)
 	}
 	if !bytes.Equal(text, again) {
-		w.bad("a snapshot of the restored module differs:\n%s\n%s", text, again)
+		w.bad("a snapshot of the restored Sender differs:\n%s\n%s", text, again)
 	}
 }
 
-// A module that another process takes up goes on as if nothing had happened, whatever is out or due.
-func TestSnapshotGoesOn(t *testing.T) {
+// A restored Sender takes the same actions as the original, whatever is in flight or due at the snapshot.
+func TestRestoredSenderActsTheSame(t *testing.T) {
 	for name, set := range variants() {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, set, 11)
 			w.each = func() {
 				if w.rnd.IntN(100) == 0 {
-					w.renew()
+					w.replaceTwin()
 				}
 			}
 			w.play()
@@ -60,9 +61,9 @@
 	}
 }
 
-// The snapshot of testdata is from a build that held the bins of each histogram from the start. This one goes on from
-// it, and writes the same down, so that such a build can go on from ours. Destination 5 is idle.
-func TestSnapshotOfAnOlderBuild(t *testing.T) {
+// snapshot-v1.json is from a build that allocated the bins of each histogram from the start. This build can restore
+// it and writes the same state, so that the older build can restore it again. Destination 5 is idle.
+func TestRestoreFromOlderBuild(t *testing.T) {
 	text, err := os.ReadFile("testdata/snapshot-v1.json")
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if used, idle := s.dests[9].hist, s.dests[5].hist; used.w == nil || used.median == 0 || idle.w != nil {
+	if used, idle := s.dests[9].latency, s.dests[5].latency; used.bins == nil || used.median == 0 || idle.bins != nil {
 		t.Errorf("destination 9: %+v, destination 5: %+v", used, idle)
 	}
 	again, err := s.Snapshot()
@@ -85,13 +86,13 @@
 	if !reflect.DeepEqual(want, got) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if len(got.Dests[1].Hist.W) != binCount+1 {
-		t.Errorf("an idle destination has %d bins in the snapshot", len(got.Dests[1].Hist.W))
+	if len(got.Dests[1].Latency.Bins) != binCount+1 {
+		t.Errorf("an idle destination has %d bins in the snapshot", len(got.Dests[1].Latency.Bins))
 	}
 }
 
-// What does not fit together is refused, not taken up in part.
-func TestSnapshotThatDoesNotFit(t *testing.T) {
+// A snapshot that is inconsistent, or does not match the settings, is refused as a whole.
+func TestRestoreRefusesInconsistentSnapshot(t *testing.T) {
 	r := newRig(t, base())
 	r.step(100, list(2), r.call(0), r.call(2))
 	text, err := r.s.Snapshot()
@@ -107,7 +108,7 @@
 		"unknown endpoint": strings.Replace(string(text), `"Endpoint":1`, `"Endpoint":7`, 1),
 	} {
 		if bad == string(text) {
-			t.Errorf("%s: the text is as it was", name)
+			t.Errorf("%s: the replacement changed nothing", name)
 		}
 		if _, err := Restore(base(), []byte(bad)); err == nil {
 			t.Errorf("%s: restored", name)
@@ -116,16 +117,16 @@
 	other := base()
 	other.Classes = other.Classes[:1]
 	if _, err := Restore(other, text); err == nil {
-		t.Error("restored under other settings")
+		t.Error("restored with other settings")
 	}
 	if _, err := Restore(base(), text); err != nil {
 		t.Error(err)
 	}
 }
 
-// A snapshot that an older build wrote, with calls out, is taken up whole and written down again byte for byte, so
-// that the older build can take it back; and what was held goes on.
-func TestSnapshotOfAnOlderBuildWithCallsOut(t *testing.T) {
+// A snapshot of an older build with calls in flight is restored in full and written again byte for byte, so that
+// the older build can take it back. Each held message then ends as it does with the reference.
+func TestRestoreFromOlderBuildWithCallsInFlight(t *testing.T) {
 	for _, name := range []string{"ordered", "batches"} {
 		text, err := os.ReadFile("testdata/snapshot-" + name + ".json")
 		if err != nil {
@@ -136,33 +137,33 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkBooks(t, s)
+		checkIndexes(t, s)
 		again, err := s.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !bytes.Equal(text, again) {
-			t.Errorf("%s: written down again it differs:\n%s\n%s", name, text, again)
+			t.Errorf("%s: written again, the snapshot differs:\n%s\n%s", name, text, again)
 		}
-		held, out := s.open, len(s.flying)
-		if held == 0 || out == 0 {
-			t.Fatalf("%s: %d held, %d out", name, held, out)
+		held, inFlight := s.openCount, len(s.inFlight)
+		if held == 0 || inFlight == 0 {
+			t.Fatalf("%s: %d held, %d in flight", name, held, inFlight)
 		}
-		other, err := Restore(set, text)
+		reference, err := Restore(set, text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ends := 0
-		for now := s.now; ends < held && now < s.now+20*Second; now += Second / 10 {
+		ended := 0
+		for now := s.now; ended < held && now < s.now+20*Second; now += Second / 10 {
 			acts := s.Step(now, nil)
-			if want := walk(other, now, nil); !reflect.DeepEqual(acts, want) {
-				t.Fatalf("%s: at %d it does %v, want %v", name, now, acts, want)
+			if want := referenceStep(reference, now, nil); !reflect.DeepEqual(acts, want) {
+				t.Fatalf("%s: at %d the Sender does %v, want %v", name, now, acts, want)
 			}
-			checkBooks(t, s)
-			ends += len(only[Refuse](acts)) + len(only[Fail](acts))
+			checkIndexes(t, s)
+			ended += len(only[Refuse](acts)) + len(only[Fail](acts))
 		}
-		if ends != held {
-			t.Errorf("%s: %d of %d end", name, ends, held)
+		if ended != held {
+			t.Errorf("%s: %d of %d messages end", name, ended, held)
 		}
 	}
 }
