--- a/internal/hollow/discovery.go
+++ b/internal/hollow/discovery.go
@@ -35,8 +35,8 @@
 }
 
 // known is the list as the directory reads it.
-func (l list) known() node.List {
-	out := node.List{Generation: l.Generation, Reset: l.Reset, Instances: make([]node.Instance, len(l.Instances))}
+func (l list) known() node.EndpointList {
+	out := node.EndpointList{Generation: l.Generation, Reset: l.Reset, Instances: make([]node.Instance, len(l.Instances))}
 	for i, x := range l.Instances {
 		out.Instances[i] = x.Instance
 	}
@@ -84,7 +84,7 @@
 	lag     []logic.Micros // of a generation, the longest time to its being in force at a sender
 	behind  []int          // of a generation, senders where it is not in force
 
-	last      node.List // the whole list that was built last
+	last      node.EndpointList // the whole list that was built last
 	lastBytes int64
 	delta     list // the changes that were built last, and from where
 	deltaFrom int64
@@ -104,7 +104,7 @@
 // add puts an endpoint on the list.
 func (d *discovery) add(e *endpoint, g int64) *row {
 	r := &row{ep: e, added: g, instance: instance{Instance: node.Instance{ID: fmt.Sprintf("s-%08x", e.number), HostPort: e.addr,
-		Zone: d.zones[e.machine.zone], Kind: kindName, Dest: int64(e.dest.id), Weight: 1}}}
+		Zone: d.zones[e.machine.zone], MachineType: kindName, Dest: int64(e.dest.id), Weight: 1}}}
 	if d.f.sc.Destinations.Nominal {
 		r.Weight = d.f.sc.Destinations.Rate
 	}
@@ -117,7 +117,7 @@
 }
 
 // whole is the list of a generation.
-func (d *discovery) whole(g int64) node.List {
+func (d *discovery) whole(g int64) node.EndpointList {
 	if d.last.Generation != g {
 		l := list{Generation: g, Reset: true}
 		for _, r := range d.rows {
@@ -131,7 +131,7 @@
 }
 
 // between is what a watch from one generation is told in another.
-func (d *discovery) between(from, to int64) (node.List, int64) {
+func (d *discovery) between(from, to int64) (node.EndpointList, int64) {
 	if d.delta.Generation != to || d.deltaFrom != from {
 		seen := map[*row]bool{}
 		d.delta, d.deltaFrom = list{Generation: to}, from
--- a/internal/hollow/live.go
+++ b/internal/hollow/live.go
@@ -219,7 +219,7 @@
 				return err
 			}
 			x := node.Instance{ID: fmt.Sprintf("s-%08x", len(whole.Instances)), HostPort: addr, Zone: fmt.Sprint("z", zone),
-				Kind: kindName, Dest: int64(i), Lifecycle: "up", Weight: 1}
+				MachineType: kindName, Dest: int64(i), Lifecycle: "up", Weight: 1}
 			if l.sc.Destinations.Nominal {
 				x.Weight = l.sc.Destinations.Rate
 			}
--- a/internal/hollow/sender.go
+++ b/internal/hollow/sender.go
@@ -105,7 +105,7 @@
 	s.idle, s.noticed = map[logic.EndpointID][]*conn{}, map[*outage]*noting{}
 	known := f.disc.whole(s.agent)
 	began := time.Now()
-	s.next = append(s.next, logic.Endpoints{Form: logic.ListCached, Entries: s.dir.Take(known, s.wall())})
+	s.next = append(s.next, logic.Endpoints{Form: logic.ListCached, Entries: s.dir.Apply(known, s.wall())})
 	for _, m := range s.owed() {
 		s.open++
 		c := s.event(m)
@@ -311,9 +311,9 @@
 }
 
 // list hands the process what its agent was told.
-func (s *sender) list(l node.List) {
+func (s *sender) list(l node.EndpointList) {
 	began := time.Now()
-	rows := s.dir.Take(l, s.wall())
+	rows := s.dir.Apply(l, s.wall())
 	s.f.rec.takes.add(began)
 	form := logic.ListDelta
 	if l.Reset {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -85,7 +85,7 @@
 // Callers without a whole call block nobody, however many they are, and a deadline ends them. The loop is not asked:
 // here nothing runs it.
 func TestAdminBesideHalfCalls(t *testing.T) {
-	n := newNode(t, configText(newPlatform(t), List{}))
+	n := newNode(t, configText(newPlatform(t), EndpointList{}))
 	defer n.journal.Close()
 	n.clients.turn(serving)
 	addr := operators(t, n)
--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -20,50 +20,52 @@
 )
 
 const (
-	maxAnswer = 64 << 10              // head and body of an answer, with interim ones ahead
-	headTime  = time.Second           // for the rest of an answer that matters, once it has begun
-	tailTime  = 50 * time.Millisecond // for what does not; a connection that is slower is not used again
+	maxResponseSize = 64 << 10              // head and body of an answer, with interim ones ahead
+	headTimeout     = time.Second           // for the rest of an answer that matters, once it has begun
+	drainTimeout    = 50 * time.Millisecond // for what does not; a connection that is slower is not used again
 )
 
 // loadHeader carries a load report.
-const loadHeader = "Endpoint-Load-Metrics"
+const loadReportHeader = "Endpoint-Load-Metrics"
 
 // errSpoilt says that an answer can't be read.
-var errSpoilt = errors.New("spoilt answer")
+var errMalformedResponse = errors.New("spoilt answer")
 
 // readAnswer reads the answer to a call that was written, and says whether the
 // connection can carry another. net/http's reader would not do: the first line
 // counts even where the rest of the head can't be read, and lengths that leave a
 // doubt are no lengths.
-func readAnswer(r *bufio.Reader, limit *cutoff) (result, bool) { return readWhole(r, limit, nil) }
+func readResponse(r *bufio.Reader, limit *callDeadline) (callResult, bool) {
+	return readResponseBody(r, limit, nil)
+}
 
 // readWhole also takes the body, if it is wanted. Then 200 counts only with all that follows.
-func readWhole(r *bufio.Reader, limit *cutoff, body *bytes.Buffer) (result, bool) {
+func readResponseBody(r *bufio.Reader, limit *callDeadline, body *bytes.Buffer) (callResult, bool) {
 	for {
-		limit.wait(0)
+		limit.limitIO(0)
 		if _, err := r.Peek(1); err != nil {
 			if !isTimeout(err) {
-				return limit.broken(err), false
+				return limit.resultOfError(err), false
 			}
-			given := limit.outcome()
-			limit.giveUp()
+			given := limit.timeoutOutcome()
+			limit.abort()
 			if _, err := r.Peek(1); err != nil {
-				return result{outcome: given}, false
+				return callResult{outcome: given}, false
 			}
 		}
-		limit.wait(headTime)
-		status, err := readStatus(r)
+		limit.limitIO(headTimeout)
+		status, err := readStatusLine(r)
 		if err != nil {
-			return limit.broken(err), false
+			return limit.resultOfError(err), false
 		}
 		if status == http.StatusOK && body == nil { // true whatever follows
-			limit.wait(tailTime)
-			header, keep, err := readRest(r, status, io.Discard)
-			return result{outcome: logic.Completed, load: header.Get(loadHeader)}, err == nil && keep
+			limit.limitIO(drainTimeout)
+			header, keep, err := readHeaderAndBody(r, status, io.Discard)
+			return callResult{outcome: logic.Completed, loadReport: header.Get(loadReportHeader)}, err == nil && keep
 		}
 		if status/100 == 1 && status != http.StatusSwitchingProtocols {
 			if _, err := readHeader(r); err != nil {
-				return limit.broken(err), false
+				return limit.resultOfError(err), false
 			}
 			continue // an interim answer; the outcome is yet to come
 		}
@@ -71,30 +73,30 @@
 		if body != nil {
 			to = body
 		}
-		header, keep, err := readRest(r, status, to)
+		header, keep, err := readHeaderAndBody(r, status, to)
 		if err != nil && status != http.StatusInternalServerError {
-			return limit.broken(err), false
+			return limit.resultOfError(err), false
 		}
-		out := outcomeOf(status, header)
-		out.load = header.Get(loadHeader)
+		out := resultOfResponse(status, header)
+		out.loadReport = header.Get(loadReportHeader)
 		return out, keep && err == nil
 	}
 }
 
 // broken is the outcome of an answer that did not come whole.
-func (l *cutoff) broken(err error) result {
+func (l *callDeadline) resultOfError(err error) callResult {
 	switch {
-	case l.over():
-		return result{outcome: l.outcome()}
-	case errors.Is(err, errSpoilt), isTimeout(err):
-		return result{outcome: logic.Spoilt}
+	case l.ended():
+		return callResult{outcome: l.timeoutOutcome()}
+	case errors.Is(err, errMalformedResponse), isTimeout(err):
+		return callResult{outcome: logic.Spoilt}
 	}
-	return result{outcome: logic.Severed}
+	return callResult{outcome: logic.Severed}
 }
 
 // readStatus reads the first line of an answer, however long. A line that does not end says nothing: what it
 // tells so far was not written whole, and the call may end either way.
-func readStatus(r *bufio.Reader) (int, error) {
+func readStatusLine(r *bufio.Reader) (int, error) {
 	line, err := r.ReadSlice('\n')
 	text := string(line)
 	for errors.Is(err, bufio.ErrBufferFull) {
@@ -103,33 +105,33 @@
 	if err != nil {
 		return 0, err
 	}
-	if len(text) < 13 || !strings.HasPrefix(text, "HTTP/1.") || !digits(text[7:8]) || text[8] != ' ' ||
-		!digits(text[9:12]) || !strings.ContainsAny(text[12:13], " \r\n") {
-		return 0, fmt.Errorf("%w: first line %.40q", errSpoilt, text)
+	if len(text) < 13 || !strings.HasPrefix(text, "HTTP/1.") || !allDigits(text[7:8]) || text[8] != ' ' ||
+		!allDigits(text[9:12]) || !strings.ContainsAny(text[12:13], " \r\n") {
+		return 0, fmt.Errorf("%w: first line %.40q", errMalformedResponse, text)
 	}
 	return strconv.Atoi(text[9:12])
 }
 
-func digits(s string) bool {
+func allDigits(s string) bool {
 	return s != "" && strings.Trim(s, "0123456789") == ""
 }
 
 func readHeader(r *bufio.Reader) (http.Header, error) {
 	header, err := textproto.NewReader(r).ReadMIMEHeader()
-	return http.Header(header), spoilt(err)
+	return http.Header(header), markMalformed(err)
 }
 
 // spoilt marks an error as one of what was read, unless it comes from the connection itself.
-func spoilt(err error) error {
+func markMalformed(err error) error {
 	var n net.Error
 	if err == nil || errors.As(err, &n) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return err
 	}
-	return fmt.Errorf("%w: %w", errSpoilt, err)
+	return fmt.Errorf("%w: %w", errMalformedResponse, err)
 }
 
 // readRest reads head and body, and says whether the connection can be used again.
-func readRest(r *bufio.Reader, status int, body io.Writer) (http.Header, bool, error) {
+func readHeaderAndBody(r *bufio.Reader, status int, body io.Writer) (http.Header, bool, error) {
 	header, err := readHeader(r)
 	if err != nil {
 		return header, false, err
@@ -138,22 +140,22 @@
 	keep := !strings.EqualFold(header.Get("Connection"), "close")
 	switch {
 	case len(lengths)+len(codings) > 1:
-		return header, false, fmt.Errorf("%w: more than one length", errSpoilt)
+		return header, false, fmt.Errorf("%w: more than one length", errMalformedResponse)
 	case status == http.StatusNoContent || status == http.StatusNotModified:
 	case len(lengths) == 1:
 		n, err := strconv.ParseInt(lengths[0], 10, 64)
-		if err != nil || !digits(lengths[0]) || n > maxAnswer {
-			return header, false, fmt.Errorf("%w: length %.40q", errSpoilt, lengths[0])
+		if err != nil || !allDigits(lengths[0]) || n > maxResponseSize {
+			return header, false, fmt.Errorf("%w: length %.40q", errMalformedResponse, lengths[0])
 		}
 		if _, err := io.CopyN(body, r, n); err != nil {
 			return header, false, err
 		}
 	case len(codings) == 1:
 		if !strings.EqualFold(codings[0], "chunked") {
-			return header, false, fmt.Errorf("%w: coding %.40q", errSpoilt, codings[0])
+			return header, false, fmt.Errorf("%w: coding %.40q", errMalformedResponse, codings[0])
 		}
 		if _, err := io.Copy(body, httputil.NewChunkedReader(r)); err != nil {
-			return header, false, spoilt(err)
+			return header, false, markMalformed(err)
 		}
 		if _, err := readHeader(r); err != nil { // trailers
 			return header, false, err
@@ -168,27 +170,27 @@
 }
 
 // outcomeOf reads an answer that came whole.
-func outcomeOf(status int, header http.Header) result {
+func resultOfResponse(status int, header http.Header) callResult {
 	switch status {
 	case http.StatusOK:
-		return result{outcome: logic.Completed, wait: waitOf(header)}
+		return callResult{outcome: logic.Completed, retryAfter: parseRetryAfter(header)}
 	case http.StatusTooManyRequests:
-		return result{outcome: logic.Full, wait: waitOf(header)}
+		return callResult{outcome: logic.Full, retryAfter: parseRetryAfter(header)}
 	case http.StatusServiceUnavailable:
 		if header.Get("X-Line-Busy") == "1" {
-			return result{outcome: logic.Moot}
+			return callResult{outcome: logic.Moot}
 		}
-		return result{outcome: logic.Full}
+		return callResult{outcome: logic.Full}
 	case http.StatusGatewayTimeout:
-		return result{outcome: logic.Moot}
+		return callResult{outcome: logic.Moot}
 	case http.StatusGone:
-		return result{outcome: logic.Moot, over: true}
+		return callResult{outcome: logic.Moot, messageGone: true}
 	}
-	return result{outcome: logic.Errored}
+	return callResult{outcome: logic.Errored}
 }
 
 // waitOf is the wait that an answer tells; 0 if none.
-func waitOf(header http.Header) time.Duration {
+func parseRetryAfter(header http.Header) time.Duration {
 	ms, err := strconv.ParseInt(header.Get("X-Come-Back-Ms"), 10, 64)
 	if err != nil || ms < 0 {
 		return 0
@@ -197,7 +199,7 @@
 }
 
 // loadOf reads a load report: the values in the order of names. One that can't be read is none.
-func loadOf(report string, names []string) []float64 {
+func parseLoadReport(report string, names []string) []float64 {
 	if report == "" || len(names) == 0 {
 		return nil
 	}
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -16,10 +16,10 @@
 
 // bulkStep is a sender that is not running and has decided to send each message to an endpoint of a kind that
 // takes batches.
-func bulkStep(t *testing.T, bodies map[string]string) (*Node, *endpoint) {
+func newBulkNode(t *testing.T, bodies map[string]string) (*Node, *endpoint) {
 	t.Helper()
 	e, p := newEndpoint(t), newPlatform(t)
-	cfg, err := ParseConfig(configText(p, List{}))
+	cfg, err := ParseConfig(configText(p, EndpointList{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,17 +30,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { n.journal.Close() })
-	rows := n.dir.Take(List{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
+	rows := n.dir.Apply(EndpointList{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
 	for _, id := range slices.Sorted(maps.Keys(bodies)) {
 		m := Message{ID: id, Class: "safe", Dest: 1, Body: []byte(bodies[id])}
-		n.held[id] = takenOn(t, n, m)
+		n.held[id] = addHeldMessage(t, n, m)
 		n.callOut(t.Context(), logic.CallOut{ID: id, GiveUp: micros(patience), Endpoint: rows[0].Endpoint}, true)
 	}
 	return n, e
 }
 
 // takenOn puts a message on the books, with time left.
-func takenOn(t *testing.T, n *Node, m Message) *held {
+func addHeldMessage(t *testing.T, n *Node, m Message) *held {
 	t.Helper()
 	m.Deadline = n.clock.Now() + (2 * patience).Microseconds()
 	mustAppend(t, n.journal, record{Op: opAccept, Entry: &Entry{Message: m}})
@@ -48,7 +48,7 @@
 }
 
 // ends collects the outcomes of so many calls.
-func ends(t *testing.T, n *Node, count int) map[string]logic.Outcome {
+func collectOutcomes(t *testing.T, n *Node, count int) map[string]logic.Outcome {
 	t.Helper()
 	out := map[string]logic.Outcome{}
 	for range count {
@@ -59,7 +59,7 @@
 }
 
 // bulkBody answers 200 with a body.
-func bulkBody(c *inCall, body string) {
+func replyWithBody(c *inCall, body string) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	c.done <- true
 }
@@ -67,7 +67,7 @@
 // What one step sends to one endpoint is one call: so the module counts slots, pace and budget.
 func TestBulkIsOneCall(t *testing.T) {
 	bodies := map[string]string{"a": "body of a", "b": "\x00\xff", "c": ""}
-	n, e := bulkStep(t, bodies)
+	n, e := newBulkNode(t, bodies)
 	n.launch(t.Context())
 	in := await(t, e.calls, "call")
 	if in.req.URL.Path != "/inbox/bulk" || in.req.Header.Get("X-Expires-In-Ms") != "20000" {
@@ -84,9 +84,9 @@
 	if !maps.Equal(got, bodies) {
 		t.Errorf("sent %q", got)
 	}
-	bulkBody(in, `[{"id":"a","state":"done"},{"id":"b","state":"busy"},{"id":"c","state":"failed"}]`)
+	replyWithBody(in, `[{"id":"a","state":"done"},{"id":"b","state":"busy"},{"id":"c","state":"failed"}]`)
 	want := map[string]logic.Outcome{"a": logic.Completed, "b": logic.Full, "c": logic.Errored}
-	if got := ends(t, n, 3); !maps.Equal(got, want) {
+	if got := collectOutcomes(t, n, 3); !maps.Equal(got, want) {
 		t.Errorf("outcomes %v, want %v", got, want)
 	}
 	e.none(t)
@@ -96,8 +96,8 @@
 }
 
 // A call is known by its first message: one that is out of time before the others would take their answers with it.
-func TestBulkLastDeadlineFirst(t *testing.T) {
-	n, e := bulkStep(t, map[string]string{"a": "x", "b": "y", "c": "z"})
+func TestBulkLatestDeadlineFirst(t *testing.T) {
+	n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y", "c": "z"})
 	for id, deadline := range map[string]int64{"a": 2, "b": 1, "c": 3} {
 		n.held[id].msg.Deadline = deadline
 	}
@@ -114,15 +114,15 @@
 	if !slices.Equal(got, []string{"c", "a", "b"}) {
 		t.Errorf("sent in the order %v", got)
 	}
-	bulkBody(in, `[{"id":"c","state":"failed"},{"id":"a","state":"done"},{"id":"b","state":"busy"}]`)
+	replyWithBody(in, `[{"id":"c","state":"failed"},{"id":"a","state":"done"},{"id":"b","state":"busy"}]`)
 	want := map[string]logic.Outcome{"a": logic.Completed, "b": logic.Full, "c": logic.Errored}
-	if got := ends(t, n, 3); !maps.Equal(got, want) {
+	if got := collectOutcomes(t, n, 3); !maps.Equal(got, want) {
 		t.Errorf("outcomes %v, want %v", got, want)
 	}
 }
 
 // An answer for all holds for each; of one that can't be read, any message may have run.
-func TestBulkAnswers(t *testing.T) {
+func TestBulkResponses(t *testing.T) {
 	for name, x := range map[string]struct {
 		answer string
 		a, b   logic.Outcome
@@ -135,7 +135,7 @@
 		"one absent": {"HTTP/1.1 200 x\r\nContent-Length: 27\r\n\r\n[{\"id\":\"a\",\"state\":\"done\"}]", logic.Completed, logic.Spoilt},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n, e := bulkStep(t, map[string]string{"a": "x", "b": "y"})
+			n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y"})
 			n.launch(t.Context())
 			in := await(t, e.calls, "call")
 			io.WriteString(in.conn, x.answer)
@@ -143,7 +143,7 @@
 				in.conn.Close()
 			}
 			in.done <- false
-			if got := ends(t, n, 2); got["a"] != x.a || got["b"] != x.b {
+			if got := collectOutcomes(t, n, 2); got["a"] != x.a || got["b"] != x.b {
 				t.Errorf("outcomes %v", got)
 			}
 		})
@@ -154,22 +154,22 @@
 // others have their answer.
 func TestBulkCancelOne(t *testing.T) {
 	for _, copies := range []bool{true, false} {
-		n, e := bulkStep(t, map[string]string{"a": "x", "b": "y", "c": "z"})
-		n.caller.copies = copies
+		n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y", "c": "z"})
+		n.caller.allowSecondCopies = copies
 		n.launch(t.Context())
 		in := await(t, e.calls, "call")
 		n.held["a"].stop()
 		if copies {
-			if got := ends(t, n, 1); got["a"] != logic.Recalled {
+			if got := collectOutcomes(t, n, 1); got["a"] != logic.Recalled {
 				t.Fatalf("outcomes %v", got)
 			}
 		}
-		bulkBody(in, `[{"id":"a","state":"failed"},{"id":"b","state":"done"},{"id":"c","state":"busy"}]`)
+		replyWithBody(in, `[{"id":"a","state":"failed"},{"id":"b","state":"done"},{"id":"c","state":"busy"}]`)
 		want := map[string]logic.Outcome{"b": logic.Completed, "c": logic.Full}
 		if !copies {
 			want["a"] = logic.Errored
 		}
-		if got := ends(t, n, len(want)); !maps.Equal(got, want) {
+		if got := collectOutcomes(t, n, len(want)); !maps.Equal(got, want) {
 			t.Errorf("copies %v: outcomes %v, want %v", copies, got, want)
 		}
 	}
@@ -177,12 +177,12 @@
 
 // Once all are called off, the endpoint is told by the end of the connection.
 func TestBulkCancelAll(t *testing.T) {
-	n, e := bulkStep(t, map[string]string{"a": "x", "b": "y"})
+	n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y"})
 	n.launch(t.Context())
 	in := await(t, e.calls, "call")
 	n.held["a"].stop()
 	n.held["b"].stop()
-	if got := ends(t, n, 2); got["a"] != logic.Recalled || got["b"] != logic.Recalled {
+	if got := collectOutcomes(t, n, 2); got["a"] != logic.Recalled || got["b"] != logic.Recalled {
 		t.Errorf("outcomes %v", got)
 	}
 	in.awaitEnd(t)
@@ -191,8 +191,8 @@
 }
 
 // A body holds 64 KiB: messages that would not fit go in a call of their own.
-func TestBulkBody(t *testing.T) {
-	n, e := bulkStep(t, map[string]string{"a": strings.Repeat("x", 40<<10), "b": strings.Repeat("y", 40<<10), "c": "z"})
+func TestBulkBodyLimit(t *testing.T) {
+	n, e := newBulkNode(t, map[string]string{"a": strings.Repeat("x", 40<<10), "b": strings.Repeat("y", 40<<10), "c": "z"})
 	n.launch(t.Context())
 	for range 2 {
 		in := await(t, e.calls, "call")
@@ -201,6 +201,6 @@
 		}
 		in.reply(503)
 	}
-	ends(t, n, 3)
+	collectOutcomes(t, n, 3)
 	e.none(t)
 }
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -13,48 +13,48 @@
 	"rundeal/logic"
 )
 
-func newCall(t *testing.T, addr, body string, giveUp time.Duration) *call {
+func newTestCall(t *testing.T, addr, body string, giveUp time.Duration) *call {
 	t.Helper()
 	m := &Message{ID: "m1", Key: "k1", Body: []byte(body)}
-	req, err := deliverRequest(m, addr, giveUp)
+	req, err := newDeliveryRequest(m, addr, giveUp)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &call{id: m.ID, ep: 1, addr: addr, giveUp: giveUp, request: req, state: new(atomic.Int32)}
+	return &call{id: m.ID, endpoint: 1, addr: addr, timeout: giveUp, request: req, state: new(atomic.Int32)}
 }
 
-func testCaller() *caller {
-	return newCaller(time.Second, 10*time.Second, 4, shares{calls: 16, idle: 16}, new(atomic.Int64))
+func newTestEndpointClient() *endpointClient {
+	return newEndpointClient(time.Second, 10*time.Second, 4, shares{calls: 16, idle: 16}, new(atomic.Int64))
 }
 
 // goDo makes a call in the background.
-func goDo(ctx context.Context, c *caller, in *call) <-chan result {
-	ch := make(chan result, 1)
+func doAsync(ctx context.Context, c *endpointClient, in *call) <-chan callResult {
+	ch := make(chan callResult, 1)
 	go func() { ch <- c.do(ctx, in) }()
 	return ch
 }
 
 // An answer that is read as the wrong outcome resends what may have run, or gives up what never ran.
-func TestAnswers(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	c.settle = 0
+func TestOutcomeOfResponse(t *testing.T) {
+	e, c := newEndpoint(t), newTestEndpointClient()
+	c.reuseDelay = 0
 	for _, x := range []struct {
 		status  int
 		headers []string
-		want    result
+		want    callResult
 	}{
-		{200, nil, result{outcome: logic.Completed}},
-		{500, nil, result{outcome: logic.Errored}},
-		{400, nil, result{outcome: logic.Errored}},
-		{429, []string{"X-Come-Back-Ms: 250"}, result{outcome: logic.Full, wait: 250 * time.Millisecond}},
-		{429, []string{"X-Come-Back-Ms: -1"}, result{outcome: logic.Full}},
-		{429, []string{"X-Come-Back-Ms: soon"}, result{outcome: logic.Full}},
-		{503, nil, result{outcome: logic.Full}},
-		{503, []string{"X-Line-Busy: 1"}, result{outcome: logic.Moot}},
-		{504, nil, result{outcome: logic.Moot}},
-		{410, nil, result{outcome: logic.Moot, over: true}},
+		{200, nil, callResult{outcome: logic.Completed}},
+		{500, nil, callResult{outcome: logic.Errored}},
+		{400, nil, callResult{outcome: logic.Errored}},
+		{429, []string{"X-Come-Back-Ms: 250"}, callResult{outcome: logic.Full, retryAfter: 250 * time.Millisecond}},
+		{429, []string{"X-Come-Back-Ms: -1"}, callResult{outcome: logic.Full}},
+		{429, []string{"X-Come-Back-Ms: soon"}, callResult{outcome: logic.Full}},
+		{503, nil, callResult{outcome: logic.Full}},
+		{503, []string{"X-Line-Busy: 1"}, callResult{outcome: logic.Moot}},
+		{504, nil, callResult{outcome: logic.Moot}},
+		{410, nil, callResult{outcome: logic.Moot, messageGone: true}},
 	} {
-		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
 		in := await(t, e.calls, "call")
 		if in.body != "hello" || in.id() != "m1" || in.req.Header.Get("Idempotency-Key") != "k1" ||
 			in.req.Header.Get("X-Expires-In-Ms") != "20000" || in.req.URL.Path != "/inbox" {
@@ -62,7 +62,7 @@
 		}
 		in.reply(x.status, x.headers...)
 		r := await(t, got, "result")
-		r.idle = 0 // for the log alone
+		r.idleTime = 0 // for the log alone
 		if r != x.want {
 			t.Errorf("%d %v: got %+v, want %+v", x.status, x.headers, r, x.want)
 		}
@@ -86,10 +86,10 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	c := testCaller()
+	c := newTestEndpointClient()
 	c.dialer.Control = small
 	// Far more than both buffers hold, so that the last byte cannot have been written.
-	got := goDo(t.Context(), c, newCall(t, ln.Addr().String(), strings.Repeat("x", 8<<20), patience))
+	got := doAsync(t.Context(), c, newTestCall(t, ln.Addr().String(), strings.Repeat("x", 8<<20), patience))
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -106,13 +106,13 @@
 
 // After the last byte it may have run, however the connection ends.
 func TestBreakAfterLastByte(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+	e, c := newEndpoint(t), newTestEndpointClient()
+	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
 	await(t, e.calls, "call").reset()
 	if r := await(t, got, "result"); r.outcome != logic.Severed {
 		t.Errorf("reset: got %+v, want Severed", r)
 	}
-	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
 	in := await(t, e.calls, "call")
 	io.WriteString(in.conn, "HTTP/1.1 2")
 	in.conn.Close()
@@ -124,21 +124,21 @@
 
 // A port that nobody listens on.
 func TestConnectionRefused(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
+	e, c := newEndpoint(t), newTestEndpointClient()
 	e.ln.Close()
-	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.RefusedConn {
+	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", patience)); r.outcome != logic.RefusedConn {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 }
 
 // A connection that the endpoint has closed, or that is about to be closed for its age, would turn the next call
 // into a reset, which an unsafe message does not survive.
-func TestStaleConnection(t *testing.T) {
-	e, c := newEndpoint(t), newCaller(time.Second, time.Hour, 4, shares{calls: 16, idle: 16}, new(atomic.Int64))
-	c.settle = 0
+func TestUnusableConnectionIsNotReused(t *testing.T) {
+	e, c := newEndpoint(t), newEndpointClient(time.Second, time.Hour, 4, shares{calls: 16, idle: 16}, new(atomic.Int64))
+	c.reuseDelay = 0
 	call := func(end func(*inCall)) {
 		t.Helper()
-		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
 		end(await(t, e.calls, "call"))
 		if r := await(t, got, "result"); r.outcome != logic.Completed {
 			t.Fatalf("got %+v, want Completed", r)
@@ -147,7 +147,7 @@
 	call(func(in *inCall) { in.replyAndClose(200) })
 	for stop := time.Now().Add(patience); ; { // until the end of the connection has come
 		c.mu.Lock()
-		gone := len(c.idle[1]) == 0 || !c.good(c.idle[1][0])
+		gone := len(c.idle[1]) == 0 || !c.reusable(c.idle[1][0])
 		c.mu.Unlock()
 		if gone {
 			break
@@ -161,32 +161,32 @@
 		t.Fatalf("%d connections, want a second after the first was closed", n)
 	}
 	c.mu.Lock()
-	c.idle[1][0].since = time.Now().Add(200*time.Millisecond - time.Hour)
+	c.idle[1][0].idleSince = time.Now().Add(200*time.Millisecond - time.Hour)
 	c.mu.Unlock()
 	call(func(in *inCall) { in.reply(200) })
 	if n := len(e.conns); n != 3 {
 		t.Fatalf("%d connections, want a third after the second grew old", n)
 	}
 	c.mu.Lock()
-	c.idle[1][0].since = time.Now().Add(-2 * time.Hour)
+	c.idle[1][0].idleSince = time.Now().Add(-2 * time.Hour)
 	c.mu.Unlock()
-	c.sweep()
-	if c.count != 0 || len(c.idle) != 0 {
+	c.closeUnusable()
+	if c.idleCount != 0 || len(c.idle) != 0 {
 		t.Errorf("an old connection is kept after a sweep")
 	}
 }
 
 // A connection that comes up, or is found, when its call has been called off carries nothing: the message may be over.
-func TestCalledOffBeforeTheWrite(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	c.settle = 0
+func TestCancelledBeforeWrite(t *testing.T) {
+	e, c := newEndpoint(t), newTestEndpointClient()
+	c.reuseDelay = 0
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 30 {
-		got := goDo(t.Context(), c, newCall(t, e.addr(), "first", patience)) // leaves a kept connection
+		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "first", patience)) // leaves a kept connection
 		await(t, e.calls, "call").reply(200)
 		await(t, got, "result")
-		if r := c.do(ctx, newCall(t, e.addr(), "over", patience)); r.outcome != logic.RefusedConn {
+		if r := c.do(ctx, newTestCall(t, e.addr(), "over", patience)); r.outcome != logic.RefusedConn {
 			t.Fatalf("got %+v, want RefusedConn", r)
 		}
 	}
@@ -195,11 +195,11 @@
 
 // A call that is given up must be over for the endpoint too before its outcome is told: the next attempt would be
 // a second copy.
-func TestGiveUp(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	c.linger = 2 * patience // only the endpoint's own end of the call can cut it short
+func TestAbort(t *testing.T) {
+	e, c := newEndpoint(t), newTestEndpointClient()
+	c.abortGrace = 2 * patience // only the endpoint's own end of the call can cut it short
 	ctx, cancel := context.WithCancel(t.Context())
-	got := goDo(ctx, c, newCall(t, e.addr(), "hello", patience))
+	got := doAsync(ctx, c, newTestCall(t, e.addr(), "hello", patience))
 	in := await(t, e.calls, "call")
 	cancel()
 	in.awaitEnd(t)
@@ -207,7 +207,7 @@
 	if r := await(t, got, "result"); r.outcome != logic.Recalled {
 		t.Errorf("cancelled: got %+v, want Recalled", r)
 	}
-	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", 30*time.Millisecond))
+	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
 	in.awaitEnd(t)
 	in.reset()
@@ -215,7 +215,7 @@
 		t.Errorf("timed out: got %+v, want Overdue", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
-	got = goDo(ctx, c, newCall(t, e.addr(), "hello", patience))
+	got = doAsync(ctx, c, newTestCall(t, e.addr(), "hello", patience))
 	in = await(t, e.calls, "call")
 	cancel()
 	in.awaitEnd(t)
@@ -223,35 +223,35 @@
 	if r := await(t, got, "result"); r.outcome != logic.Completed {
 		t.Errorf("answered while it was given up: got %+v, want Completed", r)
 	}
-	c.linger = time.Millisecond // an endpoint that does not react
-	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", 30*time.Millisecond))
+	c.abortGrace = time.Millisecond // an endpoint that does not react
+	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
 	if r := await(t, got, "result"); r.outcome != logic.Overdue {
 		t.Errorf("silent: got %+v, want Overdue", r)
 	}
 	in.awaitEnd(t)
-	if c.count != 0 {
-		t.Errorf("%d connections kept after calls that were given up", c.count)
+	if c.idleCount != 0 {
+		t.Errorf("%d connections kept after calls that were given up", c.idleCount)
 	}
 }
 
 // A call that still connects when it is called off has not run.
-func TestGiveUpWhileConnecting(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
+func TestCancelWhileConnecting(t *testing.T) {
+	e, c := newEndpoint(t), newTestEndpointClient()
 	ctx, cancel := context.WithCancel(t.Context())
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
-	if r := c.do(ctx, newCall(t, e.addr(), "hello", patience)); r.outcome != logic.RefusedConn {
+	if r := c.do(ctx, newTestCall(t, e.addr(), "hello", patience)); r.outcome != logic.RefusedConn {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 	e.none(t)
 }
 
 // A wait or a drain that becomes known while a call connects binds it: it must not be written afterwards.
-func TestHeldWhileConnecting(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	in := newCall(t, e.addr(), "hello", patience)
+func TestAbortedWhileConnecting(t *testing.T) {
+	e, c := newEndpoint(t), newTestEndpointClient()
+	in := newTestCall(t, e.addr(), "hello", patience)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
-		in.state.CompareAndSwap(callConnecting, callHeld)
+		in.state.CompareAndSwap(callConnecting, callAborted)
 		return nil
 	}
 	if r := c.do(t.Context(), in); r.outcome != logic.Moot {
@@ -262,8 +262,8 @@
 
 // Connecting takes time: a repeat that would be written after the destination has forgotten its key is not made.
 func TestWriteBy(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	in := newCall(t, e.addr(), "hello", patience)
+	e, c := newEndpoint(t), newTestEndpointClient()
+	in := newTestCall(t, e.addr(), "hello", patience)
 	in.writeBy = time.Now().Add(-time.Millisecond)
 	if r := c.do(t.Context(), in); r.outcome != logic.Moot {
 		t.Errorf("got %+v, want Moot", r)
@@ -272,9 +272,9 @@
 }
 
 // An interim answer is not the outcome.
-func TestInterimAnswer(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+func TestInterimResponse(t *testing.T) {
+	e, c := newEndpoint(t), newTestEndpointClient()
+	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
 	in := await(t, e.calls, "call")
 	io.WriteString(in.conn, "HTTP/1.1 102 Processing\r\n\r\n")
 	in.reply(200)
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -172,10 +172,10 @@
 func TestUnknownDestination(t *testing.T) {
 	p, e := newPlatform(t), newEndpoint(t)
 	p.silent = true
-	n := startNode(t, p, t.TempDir(), List{})
+	n := startNode(t, p, t.TempDir(), EndpointList{})
 	c := dial(t, n.addr)
 	c.put("a", "safe", "-BUSY 1000")
-	p.set(func() { p.silent, p.list = false, List{Generation: 1, Reset: true, Instances: instances(e)} })
+	p.set(func() { p.silent, p.list = false, EndpointList{Generation: 1, Reset: true, Instances: instances(e)} })
 	taken(t, p, 1)
 	c.put("b", "safe", "+OK")
 	await(t, e.calls, "call").reply(200)
--- a/internal/node/close_test.go
+++ b/internal/node/close_test.go
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	cfg, err := ParseConfig(configText(newPlatform(t), List{}))
+	cfg, err := ParseConfig(configText(newPlatform(t), EndpointList{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -275,7 +275,7 @@
 	n, _, p, _ := world(t, 1)
 	stopClean(t, n)
 	check("stopped", n.Node)
-	old := newNode(t, configText(p, List{}))
+	old := newNode(t, configText(p, EndpointList{}))
 	defer old.lock.Close()
 	defer old.journal.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -32,7 +32,7 @@
 	StateDir  string
 	Seed      uint64
 	Limits    Limits
-	Known     List
+	Known     EndpointList
 	Deploy    wire.Deployment
 	Classes   map[string]int
 	Tenants   map[string]int
@@ -88,7 +88,7 @@
 		Discovery string          `json:"discovery"`
 		Seed      string          `json:"seed"`
 		Limits    Limits          `json:"limits"`
-		Known     List            `json:"known"`
+		Known     EndpointList    `json:"known"`
 		Settings  json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &in); err != nil {
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -116,7 +116,7 @@
 			t.Run(fmt.Sprintf("%s, %v", name, sig), func(t *testing.T) {
 				t.Parallel()
 				w := &crossing{p: newPlatform(t), e: newEndpoint(t), dir: t.TempDir(), sig: sig, lives: sig == syscall.SIGHUP}
-				w.known = List{Generation: 1, Reset: true, Instances: instances(w.e)}
+				w.known = EndpointList{Generation: 1, Reset: true, Instances: instances(w.e)}
 				w.p.list = w.known
 				var x *process
 				step(t, w, func(y *process) {
@@ -162,7 +162,7 @@
 	p     *platform
 	e     *endpoint
 	dir   string
-	known List
+	known EndpointList
 	sig   syscall.Signal
 	lives bool   // the process goes on after the signal
 	open  string // the message that a kill leaves in the journal
@@ -243,7 +243,7 @@
 func TestEffectComesFromTheSettings(t *testing.T) {
 	for _, swapped := range []bool{false, true} {
 		p, e := newPlatform(t), newEndpoint(t)
-		p.list = List{Generation: 1, Reset: true, Instances: instances(e)}
+		p.list = EndpointList{Generation: 1, Reset: true, Instances: instances(e)}
 		text := string(configText(p, p.list))
 		if swapped {
 			text = strings.NewReplacer(`"retryable"`, `"fragile"`, `"fragile"`, `"retryable"`).Replace(text)
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -69,7 +69,7 @@
 // out, notices reach the platform, and operators and new clients are answered, with the crowd still there.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	p, e, added := newPlatform(t), newEndpoint(t), newEndpoint(t)
-	known := List{Generation: 1, Reset: true, Instances: instances(e)}
+	known := EndpointList{Generation: 1, Reset: true, Instances: instances(e)}
 	p.list, p.silent = known, true
 	x := startProcess(t, p, t.TempDir(), known)
 	t.Cleanup(func() { x.kill() })
@@ -89,7 +89,9 @@
 	}
 	p.srv.CloseClientConnections() // what comes next needs a new one
 	await(t, p.asked, "call for the list on a new connection")
-	p.set(func() { p.silent, p.list = false, List{Generation: 2, Reset: true, Instances: instances(e, added)} })
+	p.set(func() {
+		p.silent, p.list = false, EndpointList{Generation: 2, Reset: true, Instances: instances(e, added)}
+	})
 	taken(t, p, 2)
 	if got := ask(t, x.admin, "ready\n"); got != "+OK\n" {
 		t.Errorf("operators get %q", got)
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -15,10 +15,10 @@
 )
 
 // A list may come in pieces of any size. One that stops coming costs a deadline, not the whole time of a watch.
-func TestListInPieces(t *testing.T) {
+func TestListInChunks(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			text, err := json.Marshal(List{Generation: 3, Reset: true})
+			text, err := json.Marshal(EndpointList{Generation: 3, Reset: true})
 			if err != nil {
 				t.Error(err)
 			}
@@ -33,12 +33,12 @@
 				<-r.Context().Done()
 			}
 		}))
-		d := newDiscovery("", 1, slog.New(slog.DiscardHandler), nil)
+		d := newDiscoveryClient("", 1, slog.New(slog.DiscardHandler), nil)
 		if !whole {
-			d.rest = 50 * time.Millisecond
+			d.bodyTimeout = 50 * time.Millisecond
 		}
 		at := time.Now()
-		list, err := d.get(t.Context(), srv.URL, patience)
+		list, err := d.fetch(t.Context(), srv.URL, patience)
 		if whole && (err != nil || list.Generation != 3) {
 			t.Errorf("%+v, %v", list, err)
 		}
@@ -50,17 +50,17 @@
 }
 
 // Found on the day of a large herd: 56 senders that started at once all asked within 0.3 s, and half were turned away.
-func TestFirstWatchesSpreadWithTheSenders(t *testing.T) {
-	for senders, want := range map[int]time.Duration{1: firstWatch, 80: 2 * time.Second, 10000: lastWatch} {
-		d := newDiscovery("", senders, slog.New(slog.DiscardHandler), nil)
-		if got := d.firstSpread(); got != want {
+func TestStartSpreadGrowsWithSenders(t *testing.T) {
+	for senders, want := range map[int]time.Duration{1: minStartSpread, 80: 2 * time.Second, 10000: maxStartSpread} {
+		d := newDiscoveryClient("", senders, slog.New(slog.DiscardHandler), nil)
+		if got := d.fleetStartSpread(); got != want {
 			t.Errorf("%d senders: within %v, want %v", senders, got, want)
 		}
 	}
 }
 
 // agent answers calls for the list as a test says, one after the other, and passes on what was asked.
-func agent(t *testing.T, answers ...http.HandlerFunc) (*discovery, <-chan any, <-chan string) {
+func newScriptedDiscovery(t *testing.T, answers ...http.HandlerFunc) (*discoveryClient, <-chan any, <-chan string) {
 	t.Helper()
 	asked, events, i := make(chan string, 64), make(chan any, 64), new(atomic.Int32)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -73,12 +73,12 @@
 		answers[k-1](w, r)
 	}))
 	t.Cleanup(func() { srv.CloseClientConnections(); srv.Close() })
-	d := newDiscovery(strings.TrimPrefix(srv.URL, "http://"), 1, slog.New(slog.DiscardHandler), events)
-	d.hold, d.rest, d.draw = 10*time.Millisecond, 50*time.Millisecond, func(int64) int64 { return 0 }
+	d := newDiscoveryClient(strings.TrimPrefix(srv.URL, "http://"), 1, slog.New(slog.DiscardHandler), events)
+	d.watchHold, d.bodyTimeout, d.randN = 10*time.Millisecond, 50*time.Millisecond, func(int64) int64 { return 0 }
 	return d, events, asked
 }
 
-func sends(list List, indent string) http.HandlerFunc {
+func respondWithList(list EndpointList, indent string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		enc := json.NewEncoder(w)
 		enc.SetIndent("", indent)
@@ -89,8 +89,8 @@
 // A watch that falls silent, stalls in a list, breaks or can't be read is opened anew, before the module need hear of
 // it: what it misses counts as told 6 s later, and the module asks again later each time. Where discovery is asked and
 // turns the next call away as well, the module is told; an agent of our own is asked until it answers.
-func TestBrokenWatchIsOpenedAnew(t *testing.T) {
-	one, two := List{Generation: 1, Reset: true}, List{Generation: 2, Reset: true, Instances: []Instance{{ID: "s-1"}}}
+func TestFailedWatchIsRetried(t *testing.T) {
+	one, two := EndpointList{Generation: 1, Reset: true}, EndpointList{Generation: 2, Reset: true, Instances: []Instance{{ID: "s-1"}}}
 	for name, breaks := range map[string]http.HandlerFunc{
 		"silent":     func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 		"unreadable": func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "{]") },
@@ -105,12 +105,12 @@
 			t.Run(fmt.Sprintf("%s, pushed %v", name, pushed), func(t *testing.T) {
 				t.Parallel()
 				away := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
-				d, events, asked := agent(t, sends(one, ""), breaks, sends(two, "  "), away, sends(one, ""))
+				d, events, asked := newScriptedDiscovery(t, respondWithList(one, ""), breaks, respondWithList(two, "  "), away, respondWithList(one, ""))
 				d.pushed = pushed
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
-				d.watch(ctx)
-				for _, want := range []List{one, two} {
+				d.startWatch(ctx)
+				for _, want := range []EndpointList{one, two} {
 					ev := await(t, events, "news").(listEvent)
 					if ev.err != nil || ev.list.Generation != want.Generation || len(ev.list.Instances) != len(want.Instances) {
 						t.Fatalf("got %+v, want %+v", ev, want)
@@ -131,14 +131,14 @@
 
 // What the agent has counts as told from the first moment of a process: many senders must not wait for each other.
 // Found on roll: calls to endpoints that had gone, 1.2 to 1.8 s after restarts.
-func TestFirstWatchOfPushedListIsAtOnce(t *testing.T) {
+func TestFirstWatchOfPushedListStartsAtOnce(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
-		d := newDiscovery("", 300, slog.New(slog.DiscardHandler), nil)
-		d.pushed, d.started = pushed, true
-		if at := d.begin(); (at == 0) != pushed {
+		d := newDiscoveryClient("", 300, slog.New(slog.DiscardHandler), nil)
+		d.pushed, d.hasList = pushed, true
+		if at := d.watchStartSpread(); (at == 0) != pushed {
 			t.Errorf("pushed %v: the first watch begins within %v", pushed, at)
 		}
-		if d.heard = true; d.begin() != 0 {
+		if d.receivedList = true; d.watchStartSpread() != 0 {
 			t.Error("a later one waits")
 		}
 	}
@@ -146,17 +146,17 @@
 
 // Only the first watch of a process waits for its turn: one after a failed call has waited by then, and news would
 // count as told before it.
-func TestOnlyTheFirstWatchWaits(t *testing.T) {
+func TestOnlyFirstWatchIsDelayed(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	d := newDiscovery("", 300, slog.New(slog.DiscardHandler), make(chan any, 1))
-	d.started = true
-	if d.begin() == 0 {
+	d := newDiscoveryClient("", 300, slog.New(slog.DiscardHandler), make(chan any, 1))
+	d.hasList = true
+	if d.watchStartSpread() == 0 {
 		t.Error("the first one does not wait")
 	}
-	d.watch(ctx)
-	d.takes(listEvent{err: io.EOF})
-	if at := d.begin(); at != 0 {
+	d.startWatch(ctx)
+	d.accept(listEvent{err: io.EOF})
+	if at := d.watchStartSpread(); at != 0 {
 		t.Errorf("the next one begins within %v", at)
 	}
 }
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -113,8 +113,8 @@
 			step.Steps[0].Offset = -offset
 			at := time.Now()
 			p.set(func() {
-				p.list = List{Generation: 2, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1", Zone: "a",
-					Kind: "std", Dest: 2, Lifecycle: "draining"})}
+				p.list = EndpointList{Generation: 2, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1", Zone: "a",
+					MachineType: "std", Dest: 2, Lifecycle: "draining"})}
 			})
 			x = startFaulty(t, p, dir, configText(p, p.list), step)
 			x.addr = await(t, x.ready, "ready program")
@@ -225,7 +225,7 @@
 // A configuration that cannot be read for a moment is read again: the signal does not come twice.
 func TestReloadOutlivesAReadThatFails(t *testing.T) {
 	old, fresh, e, dir := newPlatform(t), newPlatform(t), newEndpoint(t), t.TempDir()
-	known := List{Generation: 5, Reset: true, Instances: instances(e)}
+	known := EndpointList{Generation: 5, Reset: true, Instances: instances(e)}
 	old.list, fresh.list = known, known
 	now := planTime()
 	x := startFaulty(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "open",
@@ -440,7 +440,7 @@
 func TestTakeOverWithoutHandoverHeedsTheList(t *testing.T) {
 	p, dir := newPlatform(t), t.TempDir()
 	stays, drains := newEndpoint(t), newEndpoint(t)
-	old := List{Generation: 1, Reset: true, Instances: instances(stays, drains)}
+	old := EndpointList{Generation: 1, Reset: true, Instances: instances(stays, drains)}
 	p.list = old
 	text := []byte(strings.Replace(string(configText(p, old)), `"on_request"`, `"pushed"`, 1))
 	x := execProcess(t, p, dir, text)
@@ -448,7 +448,7 @@
 	p.set(func() {
 		news := instances(stays, drains)
 		news[1].Lifecycle = "draining"
-		p.list = List{Generation: 2, Instances: news[1:]}
+		p.list = EndpointList{Generation: 2, Instances: news[1:]}
 	})
 	x.says("generation=2")
 	ids := takeOn(t, x, stays, 16000, 6)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -70,7 +70,7 @@
 	State    int32
 }
 
-func callState(c *call) remoteCall { return remoteCall{c.id, c.attempt, c.ep, c.state.Load()} }
+func callState(c *call) remoteCall { return remoteCall{c.id, c.attempt, c.endpoint, c.state.Load()} }
 
 type remoteReply struct {
 	Call    remoteCall
@@ -209,7 +209,7 @@
 			open++
 		}
 		if c := x.Call; c != nil {
-			h.call = &call{id: c.ID, attempt: c.Attempt, ep: c.Endpoint, msg: h.msg, state: new(atomic.Int32)}
+			h.call = &call{id: c.ID, attempt: c.Attempt, endpoint: c.Endpoint, msg: h.msg, state: new(atomic.Int32)}
 			h.call.state.Store(c.State)
 		}
 		all[x.Message.ID] = h
@@ -234,9 +234,9 @@
 			n.notices.add(*e.End)
 		}
 	}
-	n.disc.heard, n.follow = st.Heard, st.Watching
+	n.disc.receivedList, n.follow = st.Heard, st.Watching
 	if st.Discovery == n.disc.addr { // generations of another address need not follow on
-		n.disc.gen, n.disc.started = st.Gen, st.Started
+		n.disc.generation, n.disc.hasList = st.Gen, st.Started
 	}
 	n.log.Info("handed over", "held", open, "calls", len(n.before.out))
 	return nil
@@ -299,12 +299,12 @@
 			return nil
 		}
 		delete(p.out, c.id)
-		return []replyEvent{{c, result{outcome: r.Outcome, wait: r.Wait, over: r.Over, load: r.Load, idle: r.Idle}, r.Took}}
+		return []replyEvent{{c, callResult{outcome: r.Outcome, retryAfter: r.Wait, messageGone: r.Over, loadReport: r.Load, idleTime: r.Idle}, r.Took}}
 	}
 	if ev.gone {
 		for id, c := range p.out {
 			delete(p.out, id)
-			out = append(out, replyEvent{c, result{outcome: logic.Severed}, 0})
+			out = append(out, replyEvent{c, callResult{outcome: logic.Severed}, 0})
 		}
 	}
 	return out
@@ -449,9 +449,9 @@
 // handoverState collects what the journal does not hold.
 func (n *Node) handoverState() (*handover, error) {
 	now := time.Now()
-	st := &handover{Now: micros(now.Sub(n.start)), Wall: n.clock.Of(now), Recent: maps.Clone(n.recent), Last: n.dir.last,
-		Discovery: n.disc.addr, Gen: n.disc.gen, Started: n.disc.started,
-		Heard: n.disc.heard, Watching: n.disc.watching}
+	st := &handover{Now: micros(now.Sub(n.start)), Wall: n.clock.Of(now), Recent: maps.Clone(n.recent), Last: n.dir.lastID,
+		Discovery: n.disc.addr, Gen: n.disc.generation, Started: n.disc.hasList,
+		Heard: n.disc.receivedList, Watching: n.disc.watching}
 	var err error
 	if st.Module, err = n.sender.Snapshot(); err != nil {
 		return nil, err
@@ -465,9 +465,9 @@
 		}
 		st.Held = append(st.Held, x)
 	}
-	for id, to := range n.dir.eps {
-		x := targetState{ID: id, Name: to.name, Addr: to.addr, Zone: to.zone, Kind: to.kind, Dest: to.dest, Shut: n.dir.shut[id]}
-		if at, ok := n.dir.gone[id]; ok {
+	for id, to := range n.dir.endpoints {
+		x := targetState{ID: id, Name: to.instanceID, Addr: to.addr, Zone: to.zone, Kind: to.kind, Dest: to.dest, Shut: n.dir.unavailable[id]}
+		if at, ok := n.dir.removedAt[id]; ok {
 			x.Gone = n.clock.Of(at)
 		}
 		st.Targets = append(st.Targets, x)
@@ -477,17 +477,17 @@
 
 // restore brings the directory back.
 func (d *Directory) restore(st *handover, clock *clock.Lasting) {
-	d.last = st.Last
+	d.lastID = st.Last
 	for _, x := range st.Targets {
-		to := target{name: x.Name, addr: x.Addr, zone: x.Zone, kind: x.Kind, dest: x.Dest}
+		to := endpointInfo{instanceID: x.Name, addr: x.Addr, zone: x.Zone, kind: x.Kind, dest: x.Dest}
 		if x.Gone != 0 {
-			d.gone[x.ID] = clock.At(x.Gone)
+			d.removedAt[x.ID] = clock.At(x.Gone)
 		}
 		if x.Shut || x.Gone != 0 {
-			d.shut[x.ID] = true
+			d.unavailable[x.ID] = true
 		}
-		d.ids[x.Name], d.eps[x.ID] = x.ID, to
-		d.dests[x.Dest]++
+		d.ids[x.Name], d.endpoints[x.ID] = x.ID, to
+		d.destCounts[x.Dest]++
 	}
 }
 
@@ -495,8 +495,8 @@
 // idle, and to report how calls end. What is not over within the time after SIGTERM goes with the process.
 func (n *Node) retire(work context.Context) {
 	n.ln.Close() // the successor has it too: what waits in its queue is not lost
-	n.disc.halt()
-	n.caller.releaseAll()
+	n.disc.close()
+	n.caller.closeAllIdle()
 	n.clients.stopReading(n.closing.Add(stopSends))
 	n.clients.turn(replaced)
 	n.figures.open.Store(0)
@@ -569,7 +569,7 @@
 		if h := r.n.held[c.id]; h != nil && h.call == c {
 			r.n.landed(h)
 		}
-		p.Reply = &remoteReply{Call: callState(c), Outcome: x.outcome, Wait: x.wait, Over: x.over, Load: x.load, Idle: x.idle,
+		p.Reply = &remoteReply{Call: callState(c), Outcome: x.outcome, Wait: x.retryAfter, Over: x.messageGone, Load: x.loadReport, Idle: x.idleTime,
 			Took: ev.took}
 	case healthEvent:
 		p.Health = &ev
@@ -594,8 +594,8 @@
 		if h == nil || h.call == nil || h.call.attempt != p.Cancel.Attempt {
 			return
 		}
-		if p.Cancel.State == callHeld {
-			h.call.state.CompareAndSwap(callConnecting, callHeld)
+		if p.Cancel.State == callAborted {
+			h.call.state.CompareAndSwap(callConnecting, callAborted)
 		}
 		h.stop()
 	}
@@ -609,5 +609,5 @@
 	cfg.Limits = limits
 	most := shareOut(&cfg)
 	n.clients.setMost(most.clients)
-	n.caller.setMost(most)
+	n.caller.setLimits(most)
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -25,12 +25,12 @@
 	p     *platform
 	e     *endpoint
 	dir   string
-	known List
+	known EndpointList
 }
 
 func newUpgradeWorld(t *testing.T) *upgradeWorld {
 	p, e := newPlatform(t), newEndpoint(t)
-	w := &upgradeWorld{t: t, p: p, e: e, dir: t.TempDir(), known: List{Generation: 1, Reset: true, Instances: instances(e)}}
+	w := &upgradeWorld{t: t, p: p, e: e, dir: t.TempDir(), known: EndpointList{Generation: 1, Reset: true, Instances: instances(e)}}
 	p.list = w.known
 	return w
 }
@@ -231,7 +231,7 @@
 func TestReloadDuringUpgrade(t *testing.T) {
 	w := newUpgradeWorld(t)
 	fresh := newPlatform(t)
-	fresh.list = List{Generation: 7, Reset: true, Instances: instances(w.e)}
+	fresh.list = EndpointList{Generation: 7, Reset: true, Instances: instances(w.e)}
 	x := w.start()
 	c := dial(t, x.addr)
 	c.put("u", "unsafe", "+OK")
@@ -404,11 +404,11 @@
 // A call of the process before is out for this one too: a wait holds it back while it connects there, and its
 // endpoint is in use until it ends.
 func TestCallOfTheProcessBeforeIsOut(t *testing.T) {
-	old, n := emptyNode(t, t.TempDir()), emptyNode(t, t.TempDir())
+	old, n := newStoppedNode(t, t.TempDir()), newStoppedNode(t, t.TempDir())
 	rec := accept("a", 10)
 	mustAppend(t, n.journal, rec)
 	old.held["a"] = &held{msg: &rec.Entry.Message}
-	old.goesOut(old.held["a"], &call{id: "a", ep: 7, state: new(atomic.Int32)}, func() {})
+	old.goesOut(old.held["a"], &call{id: "a", endpoint: 7, state: new(atomic.Int32)}, func() {})
 	st, err := old.handoverState()
 	if err != nil {
 		t.Fatal(err)
@@ -421,10 +421,10 @@
 	if c == nil || !n.calls()[7] {
 		t.Fatalf("call %v, endpoints in use %v", c, n.calls())
 	}
-	if n.holdWait(7); c.state.Load() != callHeld {
+	if n.holdWait(7); c.state.Load() != callAborted {
 		t.Errorf("a wait leaves the call in state %d", c.state.Load())
 	}
-	n.reply(replyEvent{call: c, result: result{outcome: logic.Moot}})
+	n.reply(replyEvent{call: c, result: callResult{outcome: logic.Moot}})
 	if len(n.calls()) != 0 {
 		t.Errorf("endpoints in use after the end: %v", n.calls())
 	}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -149,7 +149,7 @@
 	asked   chan string // each call for the list
 	refused chan int    // each notice turned away: the number of lines
 	mu      sync.Mutex
-	list    List
+	list    EndpointList
 	news    chan struct{} // closed when the list changes
 	down    bool          // answers 503 to all
 	silent  bool          // never answers a call for the list
@@ -227,17 +227,17 @@
 func instances(eps ...*endpoint) []Instance {
 	var out []Instance
 	for i, e := range eps {
-		out = append(out, Instance{ID: fmt.Sprintf("s-%d", i), HostPort: e.addr(), Zone: "a", Kind: "std", Dest: 1,
+		out = append(out, Instance{ID: fmt.Sprintf("s-%d", i), HostPort: e.addr(), Zone: "a", MachineType: "std", Dest: 1,
 			Lifecycle: "up", Weight: 100})
 	}
 	return out
 }
 
 // oneEndpoint is a platform that lists one endpoint, a folder for a sender, and the list that its configuration has.
-func oneEndpoint(t *testing.T) (p *platform, e *endpoint, dir string, known List) {
+func oneEndpoint(t *testing.T) (p *platform, e *endpoint, dir string, known EndpointList) {
 	t.Helper()
 	p, e = newPlatform(t), newEndpoint(t)
-	known = List{Generation: 1, Reset: true, Instances: instances(e)}
+	known = EndpointList{Generation: 1, Reset: true, Instances: instances(e)}
 	p.list = known
 	return p, e, t.TempDir(), known
 }
@@ -257,7 +257,7 @@
 "specifics":{"batch_by_kind":[1],"call_slots":6,"late":"halves","separate_routes":[false]}}`
 
 // configText is a configuration file.
-func configText(p *platform, known List) []byte {
+func configText(p *platform, known EndpointList) []byte {
 	b, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0",
 		"discovery": strings.TrimPrefix(p.srv.URL, "http://"), "seed": "1f",
 		"limits": Limits{Cores: 1, MemoryMB: 192, Sockets: 256, DiskMB: 3}, "known": known,
@@ -291,7 +291,7 @@
 	done chan error
 }
 
-func startNode(t *testing.T, p *platform, dir string, known List, with ...func(*Node)) *testNode {
+func startNode(t *testing.T, p *platform, dir string, known EndpointList, with ...func(*Node)) *testNode {
 	t.Helper()
 	return startWith(t, string(configText(p, known)), dir, with...)
 }
@@ -387,7 +387,7 @@
 	for range endpoints {
 		eps = append(eps, newEndpoint(t))
 	}
-	known := List{Generation: 1, Reset: true, Instances: instances(eps...)}
+	known := EndpointList{Generation: 1, Reset: true, Instances: instances(eps...)}
 	p.list = known
 	n := startNode(t, p, t.TempDir(), known, with...)
 	return n, dial(t, n.addr), p, eps
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -7,27 +7,27 @@
 )
 
 // maxList bounds a list on the wire. An endpoint takes about 160 bytes there at most, so that three times 70,000 pass.
-const maxList = 32 << 20
+const maxListSize = 32 << 20
 
 // errLongList says that a list was not read to its end.
-var errLongList = fmt.Errorf("list of more than %d bytes", maxList)
+var errListTooLong = fmt.Errorf("list of more than %d bytes", maxListSize)
 
 // readList decodes discovery's answer an entry at a time: its text never stands in memory as a whole.
-func readList(r io.Reader) (List, error) {
-	in := &io.LimitedReader{R: r, N: maxList + 1}
-	var list List
+func readList(r io.Reader) (EndpointList, error) {
+	in := &io.LimitedReader{R: r, N: maxListSize + 1}
+	var list EndpointList
 	err := list.decode(json.NewDecoder(in))
 	switch {
 	case err != nil && in.N <= 0: // the text was cut
-		return List{}, errLongList
+		return EndpointList{}, errListTooLong
 	case err != nil:
-		return List{}, fmt.Errorf("read list: %w", err)
+		return EndpointList{}, fmt.Errorf("read list: %w", err)
 	}
 	return list, nil
 }
 
-func (l *List) decode(dec *json.Decoder) error {
-	if err := expect(dec, json.Delim('{')); err != nil {
+func (l *EndpointList) decode(dec *json.Decoder) error {
+	if err := expectDelim(dec, json.Delim('{')); err != nil {
 		return err
 	}
 	for dec.More() {
@@ -49,10 +49,10 @@
 			return err
 		}
 	}
-	return expect(dec, json.Delim('}'))
+	return expectDelim(dec, json.Delim('}'))
 }
 
-func (l *List) decodeInstances(dec *json.Decoder) error {
+func (l *EndpointList) decodeInstances(dec *json.Decoder) error {
 	open, err := dec.Token()
 	if err != nil || open == nil { // null is an empty list
 		return err
@@ -67,11 +67,11 @@
 		}
 		l.Instances = append(l.Instances, in)
 	}
-	return expect(dec, json.Delim(']'))
+	return expectDelim(dec, json.Delim(']'))
 }
 
 // expect reads a bracket. At the end of the text there is none.
-func expect(dec *json.Decoder, want json.Delim) error {
+func expectDelim(dec *json.Decoder, want json.Delim) error {
 	got, err := dec.Token()
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -27,7 +27,7 @@
 // replyEvent is the one outcome of an attempt.
 type replyEvent struct {
 	call   *call
-	result result
+	result callResult
 	took   time.Duration
 }
 
@@ -70,9 +70,9 @@
 	log     *slog.Logger
 	journal *Journal
 	sender  *logic.Sender
-	caller  *caller
+	caller  *endpointClient
 	dir     *Directory
-	disc    *discovery
+	disc    *discoveryClient
 	notices *notices
 	clients *clients
 	admin   *admin
@@ -103,7 +103,7 @@
 	after   *successor       // nil if there is none
 	puts    []putEvent
 	records []record
-	calling []outgoing // calls of the step at hand
+	calling []pendingCall // calls of the step at hand
 	clock   *clock.Lasting
 	decided int64 // when the step at hand began, on the clock
 	permits *permits
@@ -129,12 +129,12 @@
 	figures := newFigures(cfg)
 	// The module asks for the list only where it must, and anywhere after a failed call.
 	n := &Node{cfg: cfg, log: log, lock: lock, follow: !set.OnRequest, sender: sender, dir: NewDirectory(cfg), figures: figures,
-		caller: newCaller(span(cfg.Deploy.ConnectTimeout), span(set.ConnIdle), set.Slots, shareOut(cfg), &figures.relayed),
+		caller: newEndpointClient(span(cfg.Deploy.ConnectTimeout), span(set.ConnIdle), set.Slots, shareOut(cfg), &figures.relayed),
 		events: make(chan any, eventRoom), ready: make(chan net.Addr, 1), again: make(chan struct{}, 1), began: began, start: time.Now(), stages: spent, due: time.NewTimer(time.Hour), held: map[string]*held{}, out: map[string]*held{}, recent: map[string]int64{},
 		clock: clock.New(), flush: time.NewTimer(time.Hour), failing: failures{log: log, what: "journal"}}
 	n.permits = newPermits(n)
-	n.caller.copies = cfg.Deploy.SecondCopies
-	n.disc = newDiscovery(cfg.Discovery, set.Senders, log, n.events)
+	n.caller.allowSecondCopies = cfg.Deploy.SecondCopies
+	n.disc = newDiscoveryClient(cfg.Discovery, set.Senders, log, n.events)
 	n.disc.pushed = !set.OnRequest
 	n.notices = newNotices(cfg.Discovery, log, n.events)
 	n.clients = newClients(cfg, log, n.events, figures)
@@ -190,7 +190,7 @@
 	defer n.lock.Close()
 	defer n.journal.Close()
 	if n.follow {
-		n.disc.watch(work)
+		n.disc.startWatch(work)
 	}
 	if n.stoodBy && n.before == nil {
 		n.awaitList(work)
@@ -260,7 +260,7 @@
 func (n *Node) awaitList(work context.Context) {
 	late := time.NewTimer(listWait)
 	defer late.Stop()
-	for n.follow && !n.disc.heard {
+	for n.follow && !n.disc.receivedList {
 		select {
 		case ev := <-n.events:
 			n.take(work, ev)
@@ -283,7 +283,7 @@
 	}
 	if cfg.Discovery != n.disc.addr {
 		n.notices.move(cfg.Discovery)
-		n.disc.move(cfg.Discovery)
+		n.disc.setAddr(cfg.Discovery)
 	}
 }
 
@@ -338,9 +338,9 @@
 		case <-n.flush.C:
 			n.record(nil)
 		case <-sweep.C:
-			n.caller.sweep()
-			if len(n.dir.gone) > 0 {
-				n.dir.forget(time.Now(), n.calls())
+			n.caller.closeUnusable()
+			if len(n.dir.removedAt) > 0 {
+				n.dir.purgeRemoved(time.Now(), n.calls())
 			}
 			n.forget()
 			n.permits.forget()
@@ -387,8 +387,8 @@
 // resume hands the module what the journal holds, with what became of it so far.
 func (n *Node) resume() {
 	if n.cfg.Known.Generation != 0 || len(n.cfg.Known.Instances) > 0 {
-		n.disc.gen, n.disc.started = n.cfg.Known.Generation, true
-		n.next = append(n.next, logic.Endpoints{Form: logic.ListCached, Entries: n.dir.Take(n.cfg.Known, time.Now())})
+		n.disc.generation, n.disc.hasList = n.cfg.Known.Generation, true
+		n.next = append(n.next, logic.Endpoints{Form: logic.ListCached, Entries: n.dir.Apply(n.cfg.Known, time.Now())})
 	}
 	for _, e := range n.journal.Entries() {
 		if e.End != nil {
@@ -492,10 +492,10 @@
 func (n *Node) admission(m *Message) string {
 	most := n.cfg.Deploy.Settings.MaxOpen
 	switch {
-	case !n.dir.serves(m.Dest) && n.disc.heard:
+	case !n.dir.hasDest(m.Dest) && n.disc.receivedList:
 		n.figures.refused.add(string(refusedUnknown))
 		return answerUnknown
-	case !n.dir.serves(m.Dest): // nobody has told yet what there is
+	case !n.dir.hasDest(m.Dest): // nobody has told yet what there is
 		n.figures.refused.add(string(refusedNoList))
 		return busy(logic.Second)
 	case most > 0 && n.open >= most:
@@ -526,18 +526,18 @@
 }
 
 func (n *Node) list(ev listEvent) {
-	if !n.disc.takes(ev) {
+	if !n.disc.accept(ev) {
 		return
 	}
 	if ev.err != nil {
-		n.next = append(n.next, logic.Endpoints{Form: logic.ListFailed, Took: micros(ev.took)})
+		n.next = append(n.next, logic.Endpoints{Form: logic.ListFailed, Took: micros(ev.elapsed)})
 		return
 	}
 	form := logic.ListDelta
 	if ev.list.Reset {
 		form = logic.ListFull
 	}
-	rows := n.dir.Take(ev.list, time.Now())
+	rows := n.dir.Apply(ev.list, time.Now())
 	if ev.list.Reset || len(rows) > 0 { // not each watch that ends without news
 		n.log.Info("list", "generation", ev.list.Generation, "whole", ev.list.Reset, "entries", len(ev.list.Instances))
 	}
@@ -551,12 +551,12 @@
 	})
 	for ep, is := range ready {
 		if !is {
-			n.caller.release(ep)
+			n.caller.closeIdleTo(ep)
 		}
 	}
 	if ev.list.Reset { // it leaves out what is gone
-		for id := range n.dir.gone {
-			n.caller.release(id)
+		for id := range n.dir.removedAt {
+			n.caller.closeIdleTo(id)
 		}
 	}
 	n.next = append(n.next, logic.Endpoints{Form: form, Entries: rows})
@@ -566,7 +566,7 @@
 func (n *Node) calls() map[logic.EndpointID]bool {
 	out := map[logic.EndpointID]bool{}
 	for _, h := range n.out {
-		out[h.call.ep] = true
+		out[h.call.endpoint] = true
 	}
 	return out
 }
@@ -614,32 +614,32 @@
 	}
 	h.trail.heard(r)
 	n.figures.attempts.add(outcomeNames[r.outcome])
-	if r.wait > 0 {
-		n.permits.told(ev.call.ep, r.wait)
-		n.holdWait(ev.call.ep)
+	if r.retryAfter > 0 {
+		n.permits.told(ev.call.endpoint, r.retryAfter)
+		n.holdWait(ev.call.endpoint)
 	}
 	ended := h.over
-	done := r.outcome == logic.Completed || r.over
+	done := r.outcome == logic.Completed || r.messageGone
 	switch {
 	case ended:
 	case done:
 		n.records = append(n.records, record{Op: opDone, ID: ev.call.id})
-		if late := time.Since(h.trail.came) > span(n.cfg.classOf(h.msg).Aim); late || r.over {
-			n.badEnd(h, map[bool]string{true: "over", false: "late"}[r.over])
+		if late := time.Since(h.trail.came) > span(n.cfg.classOf(h.msg).Aim); late || r.messageGone {
+			n.badEnd(h, map[bool]string{true: "over", false: "late"}[r.messageGone])
 		}
 		if r.outcome == logic.Completed {
 			n.figures.fulfilled(h.msg.Class)
 		}
 		n.finish(ev.call.id, h)
-	case r.outcome == logic.Unsent && !ev.call.recorded: // the journal knows nothing of it
+	case r.outcome == logic.Unsent && !ev.call.journaled: // the journal knows nothing of it
 	default:
 		n.records = append(n.records, record{Op: opOutcome, ID: ev.call.id, MayRun: mayHaveRun(r.outcome), Unsent: r.outcome == logic.Unsent})
 	}
 	if h.over {
 		delete(n.held, ev.call.id)
 	}
-	n.next = append(n.next, logic.Reply{ID: ev.call.id, NoMore: ended || done, Endpoint: ev.call.ep,
-		Attempt: ev.call.attempt, Outcome: r.outcome, Took: micros(ev.took), Wait: micros(r.wait), Load: loadOf(r.load, n.cfg.Deploy.Reports)})
+	n.next = append(n.next, logic.Reply{ID: ev.call.id, NoMore: ended || done, Endpoint: ev.call.endpoint,
+		Attempt: ev.call.attempt, Outcome: r.outcome, Took: micros(ev.took), Wait: micros(r.retryAfter), Load: parseLoadReport(r.loadReport, n.cfg.Deploy.Reports)})
 }
 
 // badEnd logs the course of a message that was not delivered in the time wanted.
@@ -708,7 +708,7 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.CallOut:
-			n.records = append(n.records, record{Op: opSend, ID: a.ID, At: n.decided, Zone: n.dir.eps[a.Endpoint].zone})
+			n.records = append(n.records, record{Op: opSend, ID: a.ID, At: n.decided, Zone: n.dir.endpoints[a.Endpoint].zone})
 		case logic.Refuse, logic.Fail:
 			x := noticeOf(a)
 			if answers[x.ID] == "" && n.journal.Entry(x.ID) != nil {
@@ -754,7 +754,7 @@
 // show brings the operators' figures up to date.
 func (n *Node) show() {
 	n.figures.open.Store(int64(n.open))
-	n.figures.entries.Store(int64(n.dir.listed()))
+	n.figures.entries.Store(int64(n.dir.listedCount()))
 	n.figures.avoided.Store(int64(n.sender.OutOfRotation()))
 }
 
@@ -827,9 +827,9 @@
 	case logic.Probe:
 		n.probe(work, a.Endpoint)
 	case logic.Release:
-		n.caller.release(a.Endpoint)
+		n.caller.closeIdleTo(a.Endpoint)
 	case logic.Listen:
-		n.disc.watch(work)
+		n.disc.startWatch(work)
 	case logic.Log:
 		n.log.Info(a.Text)
 	}
@@ -846,37 +846,37 @@
 	attempt := h.tries
 	h.tries++
 	h.trail.sent(a.Endpoint)
-	to := n.dir.eps[a.Endpoint]
-	in := &call{id: a.ID, attempt: attempt, ep: a.Endpoint, addr: to.addr, giveUp: span(a.GiveUp), msg: h.msg, state: new(atomic.Int32), carries: 1}
+	to := n.dir.endpoints[a.Endpoint]
+	in := &call{id: a.ID, attempt: attempt, endpoint: a.Endpoint, addr: to.addr, timeout: span(a.GiveUp), msg: h.msg, state: new(atomic.Int32), messageCount: 1}
 	c := n.cfg.classOf(h.msg)
-	in.fragile = c.Effect == logic.Unsafe
+	in.nonRetryable = c.Effect == logic.Unsafe
 	if e := n.journal.Entry(a.ID); e != nil && e.MayRun && c.Effect == logic.Keyed { // a repeat: by the end of the window it must be written
 		in.writeBy = n.clock.At(e.FirstMay).Add(span(c.Window))
 	}
 	ctx, stop := context.WithCancel(work)
 	n.goesOut(h, in, stop)
 	var err error
-	in.recorded = written
-	if in.request, err = deliverRequest(h.msg, to.addr, in.giveUp); err != nil || !written || !permitted {
+	in.journaled = written
+	if in.request, err = newDeliveryRequest(h.msg, to.addr, in.timeout); err != nil || !written || !permitted {
 		if err != nil {
 			n.log.Error("call", "err", err)
 		}
-		ev := replyEvent{in, result{outcome: logic.Unsent}, 0}
+		ev := replyEvent{in, callResult{outcome: logic.Unsent}, 0}
 		if written { // it will not work later either
 			ev.result.outcome = logic.Moot
 		}
 		time.AfterFunc(jitter(retryPause), func() { n.events <- ev }) // a full disk, say: room may come
 		return
 	}
-	n.calling = append(n.calling, outgoing{ctx, in})
+	n.calling = append(n.calling, pendingCall{ctx, in})
 }
 
 // launch makes the calls that the step has decided on. Those to one endpoint go as one, as far as its kind allows:
 // so the module counts them, and so does the endpoint.
 func (n *Node) launch(work context.Context) {
-	var group []outgoing
+	var group []pendingCall
 	for rest := n.calling; len(rest) > 0; {
-		group, rest = together(rest, n.batch(rest[0].ep))
+		group, rest = splitBulk(rest, n.batch(rest[0].endpoint))
 		go n.call(work, group)
 	}
 	n.calling = nil
@@ -885,21 +885,21 @@
 // batch is how many messages one call to ep may carry.
 func (n *Node) batch(ep logic.EndpointID) int {
 	kinds := n.cfg.Deploy.Settings.Kinds
-	if kind := n.dir.eps[ep].kind; kind >= 0 && kind < len(kinds) {
+	if kind := n.dir.endpoints[ep].kind; kind >= 0 && kind < len(kinds) {
 		return kinds[kind].Batch
 	}
 	return 1
 }
 
-func (n *Node) call(work context.Context, group []outgoing) {
+func (n *Node) call(work context.Context, group []pendingCall) {
 	at := time.Now()
 	if len(group) > 1 {
-		n.caller.doBulk(work, group, func(in *call, r result) { n.events <- replyEvent{in, r, time.Since(at)} })
+		n.caller.doBulk(work, group, func(in *call, r callResult) { n.events <- replyEvent{in, r, time.Since(at)} })
 		return
 	}
 	r := n.caller.do(group[0].ctx, group[0].call)
 	took := time.Since(at)
-	if r.local {
+	if r.localFailure {
 		pause(group[0].ctx, jitter(retryPause)) // descriptors, say: room may come
 	}
 	n.events <- replyEvent{group[0].call, r, took}
@@ -909,7 +909,7 @@
 // would reach the endpoint long after. They end as never sent.
 func (n *Node) hold(match func(ep logic.EndpointID) bool) {
 	for _, h := range n.out {
-		if match(h.call.ep) && h.call.state.CompareAndSwap(callConnecting, callHeld) {
+		if match(h.call.endpoint) && h.call.state.CompareAndSwap(callConnecting, callAborted) {
 			h.stop()
 		}
 	}
@@ -917,16 +917,16 @@
 
 // holdWait holds calls to where a wait was told: the destination, or the one route where routes are apart.
 func (n *Node) holdWait(ep logic.EndpointID) {
-	to, apart := n.dir.eps[ep], n.dir.apart(ep)
-	n.hold(func(x logic.EndpointID) bool { return x == ep || !apart && n.dir.eps[x].dest == to.dest })
+	to, apart := n.dir.endpoints[ep], n.dir.separateRoute(ep)
+	n.hold(func(x logic.EndpointID) bool { return x == ep || !apart && n.dir.endpoints[x].dest == to.dest })
 }
 
 func (n *Node) probe(work context.Context, ep logic.EndpointID) {
-	addr := n.dir.eps[ep].addr
+	addr := n.dir.endpoints[ep].addr
 	go func() {
 		out := logic.RefusedConn
-		if req, err := probeRequest(addr); err == nil {
-			out = n.caller.do(work, &call{ep: ep, addr: addr, giveUp: probeTime, request: req, state: new(atomic.Int32)}).outcome
+		if req, err := newProbeRequest(addr); err == nil {
+			out = n.caller.do(work, &call{endpoint: ep, addr: addr, timeout: probeTimeout, request: req, state: new(atomic.Int32)}).outcome
 		}
 		n.events <- healthEvent{ep, out}
 	}()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -87,7 +87,7 @@
 // The hold has a limit; what comes above it is turned away, and so is what the journal has no room for.
 func TestDoor(t *testing.T) {
 	p := newPlatform(t)
-	cfg, err := ParseConfig(configText(p, List{}))
+	cfg, err := ParseConfig(configText(p, EndpointList{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	defer n.journal.Close()
-	n.dir.Take(List{Reset: true, Instances: []Instance{{ID: "s", HostPort: "127.0.0.1:1", Dest: 1, Lifecycle: "up"}}}, time.Now())
+	n.dir.Apply(EndpointList{Reset: true, Instances: []Instance{{ID: "s", HostPort: "127.0.0.1:1", Dest: 1, Lifecycle: "up"}}}, time.Now())
 	answer := make(chan string, 1)
 	put := putEvent{Message{ID: "a", Class: "safe", Dest: 1, Body: make([]byte, 100)}, answer}
 	n.open = cfg.Deploy.Settings.MaxOpen
@@ -273,7 +273,7 @@
 	n, c, p, e := world(t, 2)
 	list := instances(e...)
 	list[0].Lifecycle = "draining"
-	p.set(func() { p.list = List{Generation: 2, Instances: list[:1]} })
+	p.set(func() { p.list = EndpointList{Generation: 2, Instances: list[:1]} })
 	taken(t, p, 2)
 	for i := range 4 {
 		c.put(fmt.Sprint("m", i), "safe", "+OK")
@@ -282,7 +282,7 @@
 	e[0].none(t)
 	moved := newEndpoint(t)
 	list[1].HostPort = moved.addr()
-	p.set(func() { p.list = List{Generation: 3, Instances: list[1:]} })
+	p.set(func() { p.list = EndpointList{Generation: 3, Instances: list[1:]} })
 	taken(t, p, 3)
 	c.put("m", "safe", "+OK")
 	await(t, moved.calls, "call").reply(200)
@@ -295,13 +295,13 @@
 	p := newPlatform(t)
 	p.down = true
 	e := newEndpoint(t)
-	n := startNode(t, p, t.TempDir(), List{Generation: 1, Reset: true, Instances: instances(e)})
+	n := startNode(t, p, t.TempDir(), EndpointList{Generation: 1, Reset: true, Instances: instances(e)})
 	dial(t, n.addr).put("a", "safe", "+OK")
 	await(t, e.calls, "call").reply(200)
 	taken(t, p, 1)
 	taken(t, p, 1)
 	moved := newEndpoint(t)
-	p.set(func() { p.down, p.list = false, List{Generation: 2, Reset: true, Instances: instances(moved)} })
+	p.set(func() { p.down, p.list = false, EndpointList{Generation: 2, Reset: true, Instances: instances(moved)} })
 	taken(t, p, 2)
 	dial(t, n.addr).put("b", "safe", "+OK")
 	await(t, moved.calls, "call").reply(200)
@@ -312,7 +312,7 @@
 	p := newPlatform(t)
 	p.silent = true
 	e := newEndpoint(t)
-	n := startNode(t, p, t.TempDir(), List{Generation: 1, Reset: true, Instances: instances(e)})
+	n := startNode(t, p, t.TempDir(), EndpointList{Generation: 1, Reset: true, Instances: instances(e)})
 	await(t, p.asked, "call for the list")
 	dial(t, n.addr).put("a", "safe", "+OK")
 	await(t, e.calls, "call").reply(200)
@@ -446,13 +446,13 @@
 		{"wait, one limit", false, func(n *Node) { n.holdWait(1) }, [4]bool{true, true, false, false}},
 		{"wait, routes apart", true, func(n *Node) { n.holdWait(1) }, [4]bool{true, false, false, false}},
 		{"drain", false, func(n *Node) {
-			n.list(listEvent{list: List{Instances: []Instance{{ID: "b", Dest: 1, Lifecycle: "draining"}}}})
+			n.list(listEvent{list: EndpointList{Instances: []Instance{{ID: "b", Dest: 1, Lifecycle: "draining"}}}})
 		}, [4]bool{false, true, false, false}},
 		{"whole list", false, func(n *Node) {
-			n.list(listEvent{list: List{Reset: true, Instances: []Instance{{ID: "a", Dest: 1, Lifecycle: "up"}}}})
+			n.list(listEvent{list: EndpointList{Reset: true, Instances: []Instance{{ID: "a", Dest: 1, Lifecycle: "up"}}}})
 		}, [4]bool{false, true, true, false}},
 	} {
-		cfg, err := ParseConfig(configText(newPlatform(t), List{}))
+		cfg, err := ParseConfig(configText(newPlatform(t), EndpointList{}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -463,11 +463,11 @@
 			t.Fatal(err)
 		}
 		defer n.journal.Close()
-		n.dir.Take(List{Instances: []Instance{{ID: "a", HostPort: "h:1", Kind: "std", Dest: 1},
-			{ID: "b", HostPort: "h:2", Kind: "std", Dest: 1}, {ID: "c", HostPort: "h:3", Kind: "std", Dest: 2}}}, time.Now())
+		n.dir.Apply(EndpointList{Instances: []Instance{{ID: "a", HostPort: "h:1", MachineType: "std", Dest: 1},
+			{ID: "b", HostPort: "h:2", MachineType: "std", Dest: 1}, {ID: "c", HostPort: "h:3", MachineType: "std", Dest: 2}}}, time.Now())
 		var calls []*call
 		for i, ep := range []logic.EndpointID{1, 2, 3, 1} {
-			calls = append(calls, &call{ep: ep, state: new(atomic.Int32)})
+			calls = append(calls, &call{endpoint: ep, state: new(atomic.Int32)})
 			calls[i].id = fmt.Sprint("m", i)
 			n.held[calls[i].id] = new(held)
 			n.goesOut(n.held[calls[i].id], calls[i], func() {})
@@ -475,7 +475,7 @@
 		calls[3].state.Store(callWritten)
 		x.learn(n)
 		for i, c := range calls {
-			if got := c.state.Load() == callHeld; got != x.held[i] {
+			if got := c.state.Load() == callAborted; got != x.held[i] {
 				t.Errorf("%s: call %d held: %v", x.name, i, got)
 			}
 		}
@@ -496,7 +496,7 @@
 // call that failed.
 func TestPushedListIsFollowed(t *testing.T) {
 	p, old, fresh := newPlatform(t), newEndpoint(t), newEndpoint(t)
-	known := List{Generation: 1, Reset: true, Instances: instances(old)}
+	known := EndpointList{Generation: 1, Reset: true, Instances: instances(old)}
 	p.list = known
 	n := newNode(t, []byte(strings.Replace(string(configText(p, known)), "on_request", "pushed", 1)))
 	ctx, stop := context.WithCancel(t.Context())
@@ -510,7 +510,7 @@
 	await(t, p.asked, "watch after a failed call")
 	both := instances(old, fresh)
 	both[0].Lifecycle = "draining"
-	p.set(func() { p.down, p.list = false, List{Generation: 2, Instances: both} })
+	p.set(func() { p.down, p.list = false, EndpointList{Generation: 2, Instances: both} })
 	for q := ""; !strings.Contains(q, "from=2"); { // the news has been read
 		q = await(t, p.asked, "watch from the new list")
 	}
--- a/internal/node/permit.go
+++ b/internal/node/permit.go
@@ -81,7 +81,7 @@
 // checkSend holds a send at a time against the rules.
 func (p *permits) checkSend(h *held, ep logic.EndpointID, now int64) violation {
 	n := p.node
-	to, known := n.dir.eps[ep]
+	to, known := n.dir.endpoints[ep]
 	e := n.journal.Entry(h.msg.ID)
 	set := &n.cfg.Deploy.Settings
 	switch {
@@ -97,7 +97,7 @@
 		return alreadyOut
 	case !known || to.dest != h.msg.Dest:
 		return otherPlace
-	case !n.dir.ready(ep):
+	case !n.dir.available(ep):
 		return endpointShut
 	case time.Now().Before(p.waits[p.lane(ep)]):
 		return waitTold
@@ -135,8 +135,8 @@
 
 // lane is what a wait told by an endpoint binds.
 func (p *permits) lane(ep logic.EndpointID) waitKey {
-	to := p.node.dir.eps[ep]
-	if p.node.dir.apart(ep) {
+	to := p.node.dir.endpoints[ep]
+	if p.node.dir.separateRoute(ep) {
 		return waitKey{to.dest, ep}
 	}
 	return waitKey{dest: to.dest}
@@ -194,7 +194,7 @@
 // write decides, at the last moment, whether a call may be written: from here on it may have run.
 func (in *call) write() bool {
 	if !in.writeBy.IsZero() && time.Now().After(in.writeBy) {
-		in.state.CompareAndSwap(callConnecting, callHeld)
+		in.state.CompareAndSwap(callConnecting, callAborted)
 	}
 	return in.state.CompareAndSwap(callConnecting, callWritten)
 }
--- a/internal/node/permit_test.go
+++ b/internal/node/permit_test.go
@@ -22,7 +22,7 @@
 		{notTakenOn, "safe", func(n *Node, _ *held, _ *Entry) { delete(n.journal.entries, id) }},
 		{alreadyOut, "safe", func(_ *Node, h *held, _ *Entry) { h.call = &call{} }},
 		{otherPlace, "safe", func(_ *Node, h *held, _ *Entry) { h.msg.Dest = 2 }},
-		{endpointShut, "safe", func(n *Node, _ *held, _ *Entry) { n.dir.shut[1] = true }},
+		{endpointShut, "safe", func(n *Node, _ *held, _ *Entry) { n.dir.unavailable[1] = true }},
 		{waitTold, "safe", func(n *Node, _ *held, _ *Entry) { n.permits.told(1, time.Minute) }},
 		{triesUsedUp, "safe", func(_ *Node, h *held, _ *Entry) { h.tries = 3 }},
 		{timeUp, "safe", func(n *Node, h *held, _ *Entry) { h.msg.Deadline = n.clock.Now() - 1 }},
@@ -57,7 +57,7 @@
 // What was decided in time and has become too late since is not sent, and breaks no rule.
 func TestPermitsDenyWhatHasBecomeTooLate(t *testing.T) {
 	n := quietNode(t, newEndpoint(t))
-	h := takenOn(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
+	h := addHeldMessage(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
 	e := n.journal.Entry("m")
 	window := int64(n.cfg.classOf(h.msg).Window)
 	e.MayRun, e.FirstMay = true, n.clock.Now()-window-1
@@ -73,7 +73,7 @@
 // What waits for a step is no younger for it: the module is told the time that is left at the step.
 func TestTimesAreThoseOfTheStep(t *testing.T) {
 	n := quietNode(t, newEndpoint(t))
-	h := takenOn(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
+	h := addHeldMessage(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
 	n.held["m"] = h
 	n.journal.Entry("m").FirstMay = h.msg.Deadline - 7_000_000
 	c := n.callOf(h.msg)
@@ -113,10 +113,10 @@
 // quietNode is a sender that owns a journal and knows one endpoint, and does nothing.
 func quietNode(t *testing.T, e *endpoint) *Node {
 	t.Helper()
-	n := newNode(t, configText(newPlatform(t), List{}))
+	n := newNode(t, configText(newPlatform(t), EndpointList{}))
 	t.Cleanup(func() { n.journal.Close() })
-	n.dir.Take(List{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
-	if !n.dir.ready(logic.EndpointID(1)) {
+	n.dir.Apply(EndpointList{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
+	if !n.dir.available(logic.EndpointID(1)) {
 		t.Fatal("the endpoint is not known")
 	}
 	return n
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -53,7 +53,7 @@
 }
 
 // startProcess starts it and waits until it serves.
-func startProcess(t *testing.T, p *platform, dir string, known List) *process {
+func startProcess(t *testing.T, p *platform, dir string, known EndpointList) *process {
 	t.Helper()
 	x := launchProcess(t, p, dir, known)
 	x.addr = await(t, x.ready, "ready program")
@@ -61,7 +61,7 @@
 }
 
 // launchProcess starts it with what the platform would tell it, and waits until it can be asked and signalled.
-func launchProcess(t *testing.T, p *platform, dir string, known List) *process {
+func launchProcess(t *testing.T, p *platform, dir string, known EndpointList) *process {
 	t.Helper()
 	x := execProcess(t, p, dir, configText(p, known))
 	x.admin = await(t, x.asked, "operators' address")
@@ -264,7 +264,7 @@
 	if err := os.Mkdir(filepath.Join(dir, lockName), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := ParseConfig(configText(p, List{}))
+	cfg, err := ParseConfig(configText(p, EndpointList{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -278,8 +278,8 @@
 // meanwhile is returned, and a notice that nobody confirmed is sent again.
 func TestKillWithoutCallOut(t *testing.T) {
 	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
-	known := List{Generation: 1, Reset: true, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1",
-		Zone: "a", Kind: "std", Dest: 2, Lifecycle: "draining"})}
+	known := EndpointList{Generation: 1, Reset: true, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1",
+		Zone: "a", MachineType: "std", Dest: 2, Lifecycle: "draining"})}
 	p.list, p.deaf = known, true
 	x := startProcess(t, p, dir, known)
 	c := dial(t, x.addr)
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -15,7 +15,7 @@
 const readyTime = 10 * time.Second
 
 // withDisk is a configuration with so much room for the journal.
-func withDisk(t *testing.T, p *platform, known List, mb float64) []byte {
+func withDisk(t *testing.T, p *platform, known EndpointList, mb float64) []byte {
 	t.Helper()
 	var text map[string]any
 	if err := json.Unmarshal(configText(p, known), &text); err != nil {
@@ -77,7 +77,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			p, e := newPlatform(t), newEndpoint(t)
-			known := List{Generation: 1, Reset: true, Instances: instances(e)}
+			known := EndpointList{Generation: 1, Reset: true, Instances: instances(e)}
 			p.list = known
 			text := withDisk(t, p, known, x.disk)
 			var dirs []string
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -78,6 +78,6 @@
 	}
 	n.log.Info("reload: discovery moves", "from", n.disc.addr, "to", cfg.Discovery)
 	n.notices.move(cfg.Discovery)
-	n.disc.move(cfg.Discovery)
-	n.disc.watch(work) // at once: what it has to tell counts as told soon
+	n.disc.setAddr(cfg.Discovery)
+	n.disc.startWatch(work) // at once: what it has to tell counts as told soon
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -31,7 +31,7 @@
 // move, a batch that the old address has not confirmed too. The environment still names the old address.
 func TestReload(t *testing.T) {
 	old, fresh, e, added := newPlatform(t), newPlatform(t), newEndpoint(t), newEndpoint(t)
-	known := List{Generation: 5, Reset: true, Instances: instances(e)}
+	known := EndpointList{Generation: 5, Reset: true, Instances: instances(e)}
 	old.list = known
 	x := startProcess(t, old, t.TempDir(), known)
 	await(t, old.asked, "watch")
@@ -56,7 +56,7 @@
 	await(t, e.calls, "call").reply(500)
 	await(t, old.refused, "notice")
 	// The new address numbers its lists anew: a watch from the old number would wait for ever.
-	fresh.list = List{Generation: 2, Reset: true, Instances: instances(e, added)}
+	fresh.list = EndpointList{Generation: 2, Reset: true, Instances: instances(e, added)}
 	x.hup(configText(fresh, known))
 	if n := await(t, fresh.notices, "notice at the new address"); n != (Notice{ID: "fails", State: "failed"}) {
 		t.Errorf("notice %+v", n)
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -22,25 +22,25 @@
 var listSizes = []int{700, 7000, 35000, 70000}
 
 // instanceText is the i-th entry of a list as discovery writes it. Two endpoints serve a destination.
-func instanceText(i int) string {
+func instanceJSON(i int) string {
 	return fmt.Sprintf(`{"instanceId":"s-%08x","hostPort":"10.%d.%d.%d:6379","zone":"a","machineType":"std","cell":%d,`+
 		`"lifecycle":"up","weight":4.5,"startedAtMs":1764646000000}`, i, i>>16, i>>8&255, i&255, i/2)
 }
 
 // listText is a whole list on the wire.
-func listText(n int) []byte {
+func listJSON(n int) []byte {
 	b := []byte(`{"generation":41,"reset":true,"instances":[`)
 	for i := range n {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = append(b, instanceText(i)...)
+		b = append(b, instanceJSON(i)...)
 	}
 	return append(b, "]}"...)
 }
 
 // allocated is what f allocates, in bytes.
-func allocated(f func()) uint64 {
+func allocatedBytes(f func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	f()
@@ -49,15 +49,15 @@
 }
 
 // A whole list of the size that is expected arrives, and reading it allocates so much for each endpoint at any size.
-func TestWholeListScale(t *testing.T) {
+func TestFullListScale(t *testing.T) {
 	for _, n := range listSizes {
-		text := listText(n)
+		text := listJSON(n)
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(text) }))
-		d := newDiscovery("", 1, slog.New(slog.DiscardHandler), nil)
-		d.rest = patience
-		var list List
+		d := newDiscoveryClient("", 1, slog.New(slog.DiscardHandler), nil)
+		d.bodyTimeout = patience
+		var list EndpointList
 		var err error
-		each := allocated(func() { list, err = d.get(t.Context(), srv.URL, patience) }) / uint64(n)
+		each := allocatedBytes(func() { list, err = d.fetch(t.Context(), srv.URL, patience) }) / uint64(n)
 		srv.Close()
 		if err != nil {
 			t.Errorf("%d endpoints, %d bytes: %v", n, len(text), err)
@@ -74,9 +74,9 @@
 }
 
 // endless repeats a text.
-type endless struct{ text, rest string }
+type repeatingReader struct{ text, rest string }
 
-func (e *endless) Read(b []byte) (int, error) {
+func (e *repeatingReader) Read(b []byte) (int, error) {
 	if e.rest == "" {
 		e.rest = e.text
 	}
@@ -86,22 +86,22 @@
 }
 
 // A list without end is given up at the bound, which the error names; one that is cut short is no such list.
-func TestLongListIsRefused(t *testing.T) {
+func TestTooLongListIsRejected(t *testing.T) {
 	const start = `{"generation":41,"reset":true,"instances":[`
-	_, err := readList(io.MultiReader(strings.NewReader(start), &endless{text: instanceText(1) + ","}))
-	if !errors.Is(err, errLongList) || !strings.Contains(err.Error(), fmt.Sprint(maxList)) {
+	_, err := readList(io.MultiReader(strings.NewReader(start), &repeatingReader{text: instanceJSON(1) + ","}))
+	if !errors.Is(err, errListTooLong) || !strings.Contains(err.Error(), fmt.Sprint(maxListSize)) {
 		t.Errorf("without end: %v", err)
 	}
-	whole := listText(3)
+	whole := listJSON(3)
 	for i := range whole {
-		if list, err := readList(bytes.NewReader(whole[:i])); err == nil || errors.Is(err, errLongList) {
+		if list, err := readList(bytes.NewReader(whole[:i])); err == nil || errors.Is(err, errListTooLong) {
 			t.Fatalf("cut after %d bytes: %+v, %v", i, list, err)
 		}
 	}
 }
 
 // least is the shortest time that f takes of some runs, each with a number of its own.
-func least(runs int, f func(i int)) time.Duration {
+func shortestRun(runs int, f func(i int)) time.Duration {
 	best := time.Duration(math.MaxInt64)
 	for i := range runs {
 		at := time.Now()
@@ -112,10 +112,10 @@
 }
 
 // listedNode is a sender that has a whole list of n endpoints, and is not run.
-func listedNode(tb testing.TB, n int) *Node {
+func newNodeWithList(tb testing.TB, n int) *Node {
 	tb.Helper()
-	x := emptyNode(tb, tb.TempDir())
-	list, err := readList(bytes.NewReader(listText(n)))
+	x := newStoppedNode(tb, tb.TempDir())
+	list, err := readList(bytes.NewReader(listJSON(n)))
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -124,9 +124,9 @@
 	return x
 }
 
-func emptyNode(tb testing.TB, dir string) *Node {
+func newStoppedNode(tb testing.TB, dir string) *Node {
 	tb.Helper()
-	cfg, err := ParseConfig(configText(&platform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, List{}))
+	cfg, err := ParseConfig(configText(&platform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, EndpointList{}))
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -143,8 +143,8 @@
 }
 
 // change is news of one endpoint: it drains, or is up again.
-func change(i int) listEvent {
-	text := fmt.Sprintf(`{"generation":42,"instances":[%s]}`, instanceText(3))
+func endpointChange(i int) listEvent {
+	text := fmt.Sprintf(`{"generation":42,"instances":[%s]}`, instanceJSON(3))
 	if i%2 == 0 {
 		text = strings.Replace(text, `"up"`, `"draining"`, 1)
 	}
@@ -157,7 +157,7 @@
 
 // flat checks that what is to cost the same at any size does: a walk over a hundred times as many takes about a hundred
 // times as long.
-func flat(t *testing.T, what string, sizes []int, took map[int]time.Duration) {
+func checkConstantCost(t *testing.T, what string, sizes []int, took map[int]time.Duration) {
 	t.Helper()
 	t.Logf("%s: %v", what, took)
 	small, large := sizes[0], sizes[len(sizes)-1]
@@ -170,27 +170,27 @@
 func TestListChangeScale(t *testing.T) {
 	changed, swept := map[int]time.Duration{}, map[int]time.Duration{}
 	for _, size := range listSizes {
-		n := listedNode(t, size)
-		changed[size] = least(50, func(i int) {
-			n.list(change(i))
+		n := newNodeWithList(t, size)
+		changed[size] = shortestRun(50, func(i int) {
+			n.list(endpointChange(i))
 			n.step(t.Context())
 		})
-		swept[size] = least(50, func(int) { n.dir.forget(time.Now(), nil) })
-		if n.dir.listed() != size {
-			t.Errorf("%d endpoints are listed, want %d", n.dir.listed(), size)
+		swept[size] = shortestRun(50, func(int) { n.dir.purgeRemoved(time.Now(), nil) })
+		if n.dir.listedCount() != size {
+			t.Errorf("%d endpoints are listed, want %d", n.dir.listedCount(), size)
 		}
 	}
-	flat(t, "a change", listSizes, changed)
-	flat(t, "a look for those long gone", listSizes, swept)
+	checkConstantCost(t, "a change", listSizes, changed)
+	checkConstantCost(t, "a look for those long gone", listSizes, swept)
 }
 
 // heldSizes are numbers of messages held.
-var heldSizes = []int{1000, 5000, 20000, 100000}
+var backlogSizes = []int{1000, 5000, 20000, 100000}
 
 // holding is a sender that holds so many messages with no call out, and is not run.
-func holding(tb testing.TB, size int) *Node {
+func newNodeWithBacklog(tb testing.TB, size int) *Node {
 	tb.Helper()
-	n := listedNode(tb, listSizes[0])
+	n := newNodeWithList(tb, listSizes[0])
 	for i := range size {
 		n.held[fmt.Sprint(i)] = &held{msg: new(Message)}
 	}
@@ -198,24 +198,24 @@
 }
 
 // The change of one endpoint, a wait that is told, and the look for endpoints in use cost the same with any backlog.
-func TestListChangeBesideBacklogScale(t *testing.T) {
+func TestListChangeWithBacklogScale(t *testing.T) {
 	changed, waited, used := map[int]time.Duration{}, map[int]time.Duration{}, map[int]time.Duration{}
-	for _, size := range heldSizes {
-		n := holding(t, size)
-		changed[size] = least(50, func(i int) {
-			n.list(change(i))
+	for _, size := range backlogSizes {
+		n := newNodeWithBacklog(t, size)
+		changed[size] = shortestRun(50, func(i int) {
+			n.list(endpointChange(i))
 			n.next = nil
 		})
-		waited[size] = least(50, func(int) { n.holdWait(1) })
-		used[size] = least(50, func(int) { n.calls() })
+		waited[size] = shortestRun(50, func(int) { n.holdWait(1) })
+		used[size] = shortestRun(50, func(int) { n.calls() })
 	}
-	flat(t, "a change", heldSizes, changed)
-	flat(t, "a told wait", heldSizes, waited)
-	flat(t, "a look for endpoints in use", heldSizes, used)
+	checkConstantCost(t, "a change", backlogSizes, changed)
+	checkConstantCost(t, "a told wait", backlogSizes, waited)
+	checkConstantCost(t, "a look for endpoints in use", backlogSizes, used)
 }
 
 // heap is what the live objects take after a collection.
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -223,29 +223,29 @@
 }
 
 // messageSizes are numbers of messages in the journal. The last one is what the door lets in, see doorFull.
-var messageSizes = []int{1000, 5000, 20000, 0}
+var journalSizes = []int{1000, 5000, 20000, 0}
 
 // messageBody is the body of a message of the usual size.
-const messageBody = 200
+const messageBodySize = 200
 
 // accepted records the i-th message, for a destination that no endpoint serves.
-func accepted(i int) record {
-	rec := accept(fmt.Sprintf("%016x", i), messageBody)
+func acceptRecord(i int) record {
+	rec := accept(fmt.Sprintf("%016x", i), messageBodySize)
 	rec.Entry.Key, rec.Entry.Dest = fmt.Sprintf("key-%016x", i), -1
 	rec.Entry.Deadline = time.Now().Add(time.Hour).UnixMicro()
 	return rec
 }
 
 // filled is a journal in dir with n messages; with those that the door lets in if n is 0.
-func filled(tb testing.TB, dir string, n int) *Journal {
+func filledJournal(tb testing.TB, dir string, n int) *Journal {
 	tb.Helper()
 	j, err := OpenJournal(dir, 0, false)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { j.Close() })
-	for i := 0; n == 0 && j.Room(messageBody) || i < n; i++ {
-		if err := j.Append([]record{accepted(i)}); err != nil {
+	for i := 0; n == 0 && j.Room(messageBodySize) || i < n; i++ {
+		if err := j.Append([]record{acceptRecord(i)}); err != nil {
 			tb.Fatal(err)
 		}
 	}
@@ -260,11 +260,11 @@
 }
 
 // A whole list from the wire to the module, of a process that has none, with what is kept of it.
-func BenchmarkWholeList(b *testing.B) {
+func BenchmarkFullList(b *testing.B) {
 	for _, size := range listSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			text := listText(size)
-			cfg := emptyNode(b, b.TempDir()).cfg
+			text := listJSON(size)
+			cfg := newStoppedNode(b, b.TempDir()).cfg
 			take := func() (*Directory, *logic.Sender) {
 				list, err := readList(bytes.NewReader(text))
 				if err != nil {
@@ -275,12 +275,12 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				s.Step(0, []logic.Event{logic.Endpoints{Form: logic.ListFull, Entries: d.Take(list, time.Now())}})
+				s.Step(0, []logic.Event{logic.Endpoints{Form: logic.ListFull, Entries: d.Apply(list, time.Now())}})
 				return d, s
 			}
-			before := heap()
+			before := heapBytes()
 			d, s := take()
-			kept := heap() - before
+			kept := heapBytes() - before
 			runtime.KeepAlive(d)
 			runtime.KeepAlive(s)
 			b.ReportAllocs()
@@ -299,7 +299,7 @@
 func BenchmarkReadList(b *testing.B) {
 	for _, size := range listSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			text := listText(size)
+			text := listJSON(size)
 			for b.Loop() {
 				if _, err := readList(bytes.NewReader(text)); err != nil {
 					b.Fatal(err)
@@ -316,28 +316,28 @@
 		b.Run(name, func(b *testing.B) {
 			i := 0
 			for b.Loop() {
-				n.list(change(i))
+				n.list(endpointChange(i))
 				n.next = nil
 				i++
 			}
 		})
 	}
 	for _, size := range listSizes {
-		run(fmt.Sprintf("%dendpoints/0held", size), listedNode(b, size))
+		run(fmt.Sprintf("%dendpoints/0held", size), newNodeWithList(b, size))
 	}
-	for _, size := range heldSizes {
-		run(fmt.Sprintf("%dendpoints/%dheld", listSizes[0], size), holding(b, size))
+	for _, size := range backlogSizes {
+		run(fmt.Sprintf("%dendpoints/%dheld", listSizes[0], size), newNodeWithBacklog(b, size))
 	}
 }
 
 // A message taken on, sent and delivered, beside so many others in the journal: the cost of its three records.
 func BenchmarkJournalAppend(b *testing.B) {
-	for _, size := range messageSizes {
+	for _, size := range journalSizes {
 		b.Run(sizeName(size), func(b *testing.B) {
-			j := filled(b, b.TempDir(), size)
+			j := filledJournal(b, b.TempDir(), size)
 			i := 1 << 32
 			for b.Loop() {
-				rec := accepted(i)
+				rec := acceptRecord(i)
 				id := rec.Entry.ID
 				if err := j.Append([]record{rec, {Op: opSend, ID: id, At: 1}, {Op: opDone, ID: id}}); err != nil {
 					b.Fatal(err)
@@ -350,16 +350,16 @@
 
 // The start of a process that finds so many messages in the journal, with what each takes of the disk and of memory.
 func BenchmarkJournalReplay(b *testing.B) {
-	for _, size := range messageSizes {
+	for _, size := range journalSizes {
 		b.Run(sizeName(size), func(b *testing.B) {
 			dir := b.TempDir()
-			onDisk := filled(b, dir, size).size
-			before := heap()
+			onDisk := filledJournal(b, dir, size).size
+			before := heapBytes()
 			j, err := OpenJournal(dir, 0, false)
 			if err != nil {
 				b.Fatal(err)
 			}
-			kept, owed := heap()-before, len(j.entries)
+			kept, owed := heapBytes()-before, len(j.entries)
 			j.Close()
 			for b.Loop() {
 				j, err := OpenJournal(dir, 0, false)
@@ -378,9 +378,9 @@
 
 // The rewrite of a journal with so many messages, for which everything else waits.
 func BenchmarkJournalCompact(b *testing.B) {
-	for _, size := range messageSizes {
+	for _, size := range journalSizes {
 		b.Run(sizeName(size), func(b *testing.B) {
-			j := filled(b, b.TempDir(), size)
+			j := filledJournal(b, b.TempDir(), size)
 			for b.Loop() {
 				if err := j.Compact(); err != nil {
 					b.Fatal(err)
@@ -411,14 +411,14 @@
 	}
 	run := func(name string, endpoints int, dir string) {
 		b.Run(name, func(b *testing.B) {
-			list, err := readList(bytes.NewReader(listText(endpoints)))
+			list, err := readList(bytes.NewReader(listJSON(endpoints)))
 			if err != nil {
 				b.Fatal(err)
 			}
 			text := configText(&platform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, list)
-			before := heap()
+			before := heapBytes()
 			n := start(b, text, dir)
-			kept, owed := heap()-before, n.open
+			kept, owed := heapBytes()-before, n.open
 			n.journal.Close()
 			n.lock.Close()
 			for b.Loop() {
@@ -433,9 +433,9 @@
 	for _, size := range listSizes {
 		run(fmt.Sprintf("%dendpoints", size), size, b.TempDir())
 	}
-	for _, size := range messageSizes {
+	for _, size := range journalSizes {
 		dir := b.TempDir()
-		filled(b, dir, size)
+		filledJournal(b, dir, size)
 		run("journal-"+sizeName(size), 2, dir)
 	}
 }
@@ -444,7 +444,7 @@
 func BenchmarkHandoverState(b *testing.B) {
 	for _, size := range listSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n := listedNode(b, size)
+			n := newNodeWithList(b, size)
 			var frame []byte
 			for b.Loop() {
 				st, err := n.handoverState()
@@ -469,7 +469,7 @@
 			q.add(Notice{ID: fmt.Sprintf("%016x", i), State: "failed"})
 		}
 		var ids []string
-		each := allocated(func() { ids = q.confirmed(10) })
+		each := allocatedBytes(func() { ids = q.confirmed(10) })
 		if len(ids) != 10 || ids[9] != fmt.Sprintf("%016x", 9) || len(q.ids) != size-10 || len(q.queue) != size-10 ||
 			q.ids[0] != fmt.Sprintf("%016x", 10) || !strings.Contains(string(q.queue[0]), q.ids[0]) {
 			t.Errorf("%d notices: confirmed %v, left %d and %d from %q on", size, ids, len(q.ids), len(q.queue), q.ids[0])
@@ -485,12 +485,12 @@
 func BenchmarkNotices(b *testing.B) {
 	for _, size := range []int{1000, 5000, 20000, 80000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			before := heap()
+			before := heapBytes()
 			q := newNotices("", slog.New(slog.DiscardHandler), nil)
 			for i := range size {
 				q.add(Notice{ID: fmt.Sprintf("%016x", i), State: "returned", AfterMS: 500})
 			}
-			kept := heap() - before
+			kept := heapBytes() - before
 			all, ids := q.queue, q.ids
 			for b.Loop() {
 				q.queue, q.ids = all, ids
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -24,62 +24,62 @@
 )
 
 // toldAfter is when a change counts as told, counted from the moment from which discovery had it and could be reached.
-const toldAfter = 6 * time.Second
+const changeDeadline = 6 * time.Second
 
 // movedAfter is when what a new address has counts as told, counted from the signal.
-const movedAfter = 4 * time.Second
+const addressChangeDeadline = 4 * time.Second
 
 // station is discovery in memory. A fault strikes the call that is held, and each that comes while it lasts; what it
 // has struck stays as it is when the fault is over.
-type station struct {
-	mu     sync.Mutex
-	fault  string
-	list   List
-	turn   chan struct{} // closed when the list or the fault changes
-	over   chan struct{} // closed at the end of the play
-	calls  chan string   // each call that begins: its query
-	struck chan struct{} // each call that a fault strikes
-	told   time.Time     // when the list was last written
+type fakeDiscovery struct {
+	mu       sync.Mutex
+	fault    string
+	list     EndpointList
+	changed  chan struct{} // closed when the list or the fault changes
+	closed   chan struct{} // closed at the end of the play
+	requests chan string   // each call that begins: its query
+	faulted  chan struct{} // each call that a fault strikes
+	lastSent time.Time     // when the list was last written
 }
 
-func newStation(list List, fault string) *station {
-	return &station{fault: fault, list: list, turn: make(chan struct{}), over: make(chan struct{}),
-		calls: make(chan string, 4096), struck: make(chan struct{}, 4096)}
+func newFakeDiscovery(list EndpointList, fault string) *fakeDiscovery {
+	return &fakeDiscovery{fault: fault, list: list, changed: make(chan struct{}), closed: make(chan struct{}),
+		requests: make(chan string, 4096), faulted: make(chan struct{}, 4096)}
 }
 
 // now changes the station in one step.
-func (s *station) now(fault string, list List) {
+func (s *fakeDiscovery) set(fault string, list EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault, s.list = fault, list
-	close(s.turn)
-	s.turn = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (s *station) look() (fault string, list List, turn <-chan struct{}) {
+func (s *fakeDiscovery) state() (fault string, list EndpointList, turn <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fault, s.list, s.turn
+	return s.fault, s.list, s.changed
 }
 
 // dial makes a connection, as the network would.
-func (s *station) dial(ctx context.Context) (net.Conn, error) {
+func (s *fakeDiscovery) dial(ctx context.Context) (net.Conn, error) {
 	here, there := net.Pipe()
-	switch fault, _, _ := s.look(); fault {
+	switch fault, _, _ := s.state(); fault {
 	case "refuses":
-		s.struck <- struct{}{}
+		s.faulted <- struct{}{}
 		return nil, syscall.ECONNREFUSED
 	case "vanishes":
-		s.struck <- struct{}{}
-		pause(ctx, dialTime)
+		s.faulted <- struct{}{}
+		pause(ctx, discoveryDialTimeout)
 		return nil, errors.Join(os.ErrDeadlineExceeded, ctx.Err())
 	case "creeps": // each step takes its time, and the last one does not come
-		s.struck <- struct{}{}
-		pause(ctx, dialTime-100*time.Millisecond)
+		s.faulted <- struct{}{}
+		pause(ctx, discoveryDialTimeout-100*time.Millisecond)
 		go func() {
 			defer there.Close()
 			if _, err := http.ReadRequest(bufio.NewReader(there)); err == nil {
-				s.strike(there, fault)
+				s.applyFault(there, fault)
 			}
 		}()
 		return here, nil
@@ -88,46 +88,46 @@
 	return here, nil
 }
 
-func (s *station) serve(conn net.Conn) {
+func (s *fakeDiscovery) serve(conn net.Conn) {
 	defer conn.Close()
 	for r := bufio.NewReader(conn); ; {
 		req, err := http.ReadRequest(r)
-		if err != nil || !s.answer(conn, req) {
+		if err != nil || !s.respond(conn, req) {
 			return
 		}
 	}
 }
 
 // answer says whether the connection goes on.
-func (s *station) answer(conn net.Conn, req *http.Request) bool {
-	s.calls <- req.URL.RawQuery
+func (s *fakeDiscovery) respond(conn net.Conn, req *http.Request) bool {
+	s.requests <- req.URL.RawQuery
 	from, _ := strconv.ParseInt(req.URL.Query().Get("from"), 10, 64)
 	hold, _ := strconv.Atoi(req.URL.Query().Get("hold_ms"))
 	end := time.NewTimer(time.Duration(hold) * time.Millisecond)
 	defer end.Stop()
 	for {
-		fault, list, turn := s.look()
+		fault, list, turn := s.state()
 		if fault != "" {
-			s.struck <- struct{}{}
-			return s.strike(conn, fault)
+			s.faulted <- struct{}{}
+			return s.applyFault(conn, fault)
 		}
 		if list.Generation > from {
 			s.mu.Lock()
-			s.told = time.Now()
+			s.lastSent = time.Now()
 			s.mu.Unlock()
-			return s.write(conn, list)
+			return s.writeList(conn, list)
 		}
 		select {
 		case <-turn:
 		case <-end.C:
-			return s.write(conn, List{Generation: from})
-		case <-s.over:
+			return s.writeList(conn, EndpointList{Generation: from})
+		case <-s.closed:
 			return false
 		}
 	}
 }
 
-func (s *station) strike(conn net.Conn, fault string) bool {
+func (s *fakeDiscovery) applyFault(conn net.Conn, fault string) bool {
 	switch fault {
 	case "refuses", "resets":
 		return false
@@ -143,11 +143,11 @@
 		_, err := io.WriteString(conn, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
-	<-s.over // it says nothing, for good
+	<-s.closed // it says nothing, for good
 	return false
 }
 
-func (s *station) write(conn net.Conn, list List) bool {
+func (s *fakeDiscovery) writeList(conn net.Conn, list EndpointList) bool {
 	b, err := json.Marshal(list)
 	if err == nil {
 		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
@@ -156,37 +156,37 @@
 }
 
 // noClients is a listener that nobody calls.
-type noClients struct {
+type idleListener struct {
 	closed chan struct{}
 	once   sync.Once
 }
 
-func (l *noClients) Accept() (net.Conn, error) {
+func (l *idleListener) Accept() (net.Conn, error) {
 	<-l.closed
 	return nil, net.ErrClosed
 }
 
-func (l *noClients) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
-func (l *noClients) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *idleListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
+func (l *idleListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // play is a sender whose discovery fails in some way at some moment.
-type play struct {
-	pushed bool
-	at     string // "first call", "watch" or "SIGHUP"
-	fault  string
-	calls  int // that the fault strikes before discovery can be reached, besides a watch that is held
-	seed   int
+type discoveryFailure struct {
+	pushed      bool
+	phase       string // "first call", "watch" or "SIGHUP"
+	fault       string
+	failedCalls int // that the fault strikes before discovery can be reached, besides a watch that is held
+	seed        int
 }
 
 // run returns how long after discovery could be reached again the change was written to the sender. Time is the
 // bubble's. Every draw is the longest, but for the module's own.
-func (p play) run(t *testing.T) (told time.Duration) {
+func (p discoveryFailure) run(t *testing.T) (told time.Duration) {
 	const oldAddr, freshAddr = "127.0.0.2:1", "127.0.0.3:1"
 	row := func(id, addr, state string) Instance {
-		return Instance{ID: id, HostPort: addr, Zone: "a", Kind: "std", Dest: 1, Lifecycle: state, Weight: 100}
+		return Instance{ID: id, HostPort: addr, Zone: "a", MachineType: "std", Dest: 1, Lifecycle: state, Weight: 100}
 	}
-	before := List{Generation: 1, Reset: true, Instances: []Instance{row("old", oldAddr, "up"), row("fresh", freshAddr, "up")}}
-	after := List{Generation: 2, Reset: true, Instances: []Instance{row("old", oldAddr, "draining"), row("fresh", freshAddr, "up")}}
+	before := EndpointList{Generation: 1, Reset: true, Instances: []Instance{row("old", oldAddr, "up"), row("fresh", freshAddr, "up")}}
+	after := EndpointList{Generation: 2, Reset: true, Instances: []Instance{row("old", oldAddr, "draining"), row("fresh", freshAddr, "up")}}
 	text := func(discovery string) string {
 		deploy := strings.Replace(settings, `"balancers":1`, `"balancers":300`, 1)
 		if p.pushed {
@@ -199,9 +199,9 @@
 		}
 		return string(b)
 	}
-	stations := map[string]*station{"127.0.0.4:1": newStation(before, ""), "127.0.0.5:1": newStation(before, p.fault)}
+	stations := map[string]*fakeDiscovery{"127.0.0.4:1": newFakeDiscovery(before, ""), "127.0.0.5:1": newFakeDiscovery(before, p.fault)}
 	first, hit := stations["127.0.0.4:1"], stations["127.0.0.4:1"]
-	switch p.at {
+	switch p.phase {
 	case "first call":
 		first.fault = p.fault
 	case "SIGHUP":
@@ -212,7 +212,7 @@
 	if err := os.MkdirAll(filepath.Join(dir, socketName, "x"), 0o700); err != nil { // no Unix socket: its clock is not ours
 		t.Fatal(err)
 	}
-	ln, signals := &noClients{closed: make(chan struct{})}, make(chan os.Signal)
+	ln, signals := &idleListener{closed: make(chan struct{})}, make(chan os.Signal)
 	var mu sync.Mutex
 	sent, toOld, start := map[string][]time.Time{}, make(chan struct{}, 4096), time.Now()
 	n := startWith(t, text("127.0.0.4:1"), dir, func(n *Node) {
@@ -221,8 +221,8 @@
 		n.disc.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return stations[addr].dial(ctx)
 		}
-		n.disc.draw = func(most int64) int64 {
-			if most == int64(watchHold/4) { // what is taken off the hold
+		n.disc.randN = func(most int64) int64 {
+			if most == int64(maxWatchHold/4) { // what is taken off the hold
 				return 0
 			}
 			return most - 1
@@ -248,7 +248,7 @@
 			t.Error(err)
 		}
 		for _, s := range stations {
-			close(s.over)
+			close(s.closed)
 		}
 	})
 	go func() { // a client; its messages come to the loop as a session hands them on
@@ -270,44 +270,44 @@
 		}
 	}()
 
-	if p.at != "first call" {
+	if p.phase != "first call" {
 		await(t, toOld, "attempt at the old endpoint")
-		for len(first.calls) > 0 {
-			<-first.calls
+		for len(first.requests) > 0 {
+			<-first.requests
 		}
 		for range 2 { // the one before is answered, so this is not the first
-			if q := <-first.calls; !strings.HasPrefix(q, "from=1&") {
+			if q := <-first.requests; !strings.HasPrefix(q, "from=1&") {
 				t.Fatalf("call for %q, want a watch", q)
 			}
 		}
 	}
-	switch p.at {
+	switch p.phase {
 	case "watch":
-		hit.now(p.fault, before)
-		await(t, hit.struck, "held watch")
+		hit.set(p.fault, before)
+		await(t, hit.faulted, "held watch")
 	case "SIGHUP":
 		signals <- syscall.SIGHUP
 	}
-	for range p.calls {
-		await(t, hit.struck, "call that fails")
+	for range p.failedCalls {
+		await(t, hit.faulted, "call that fails")
 	}
-	hit.now("", after)
+	hit.set("", after)
 	back := time.Now()
-	time.Sleep(toldAfter + 4*time.Second)
+	time.Sleep(changeDeadline + 4*time.Second)
 
 	mu.Lock()
 	defer mu.Unlock()
 	hit.mu.Lock()
 	defer hit.mu.Unlock()
-	if hit.told.Before(back) {
+	if hit.lastSent.Before(back) {
 		t.Fatalf("%+v: not told within %v", p, time.Since(back))
 	}
 	if back.Sub(start) > time.Second && (len(sent[oldAddr]) == 0 || sent[oldAddr][0].After(back)) {
 		t.Errorf("%+v: nothing was sent to the old endpoint before", p)
 	}
-	late, served, within := 0, false, toldAfter
-	if p.at == "SIGHUP" && p.calls == 1 { // it was back a moment after the signal
-		within = movedAfter
+	late, served, within := 0, false, changeDeadline
+	if p.phase == "SIGHUP" && p.failedCalls == 1 { // it was back a moment after the signal
+		within = addressChangeDeadline
 	}
 	for _, at := range sent[oldAddr] {
 		if at.Sub(back) > within {
@@ -319,25 +319,25 @@
 	}
 	if late > 0 || !served {
 		t.Errorf("%+v: %d attempts at an endpoint that drains, after the change counted as told (the list came at %v); attempts elsewhere: %v",
-			p, late, hit.told.Sub(back), served)
+			p, late, hit.lastSent.Sub(back), served)
 	}
-	return hit.told.Sub(back)
+	return hit.lastSent.Sub(back)
 }
 
 // Whatever becomes of calls to discovery, and of however many in a row: what it had to tell from the moment from which
 // it could be reached is heeded 6 s later, with the longest of all pauses and the call before it begun just then.
-func TestChangeIsHeededAfterAnyFailure(t *testing.T) {
+func TestChangeTakesEffectAfterAnyFailure(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for _, at := range []string{"first call", "watch", "SIGHUP"} {
 			for _, fault := range []string{"refuses", "resets", "silent", "stops", "turns away", "turns away late", "vanishes", "creeps"} {
 				t.Run(fmt.Sprintf("pushed %v, %s, %s", pushed, at, fault), func(t *testing.T) {
 					t.Parallel()
 					var longest time.Duration
-					counts := map[string][]int{"first call": {1, 2, 6}, "watch": {0, 1, 2, 6}, "SIGHUP": {1, moveTries + 1, 3 * (moveTries + 1)}}
+					counts := map[string][]int{"first call": {1, 2, 6}, "watch": {0, 1, 2, 6}, "SIGHUP": {1, addressChangeAttempts + 1, 3 * (addressChangeAttempts + 1)}}
 					for _, calls := range counts[at] {
 						for seed := range map[bool]int{false: 2, true: 1}[pushed] { // only the module draws by it
 							synctest.Test(t, func(t *testing.T) {
-								longest = max(longest, play{pushed, at, fault, calls, seed}.run(t))
+								longest = max(longest, discoveryFailure{pushed, at, fault, calls, seed}.run(t))
 							})
 						}
 					}
@@ -349,24 +349,24 @@
 }
 
 // fleet is many senders that ask one discovery, each with a watch held there.
-func fleet(t *testing.T, s *station, senders int) {
+func startWatchers(t *testing.T, s *fakeDiscovery, senders int) {
 	t.Helper()
 	for range senders {
-		d := newDiscovery("127.0.0.4:1", senders, slog.New(slog.DiscardHandler), make(chan any, 64))
+		d := newDiscoveryClient("127.0.0.4:1", senders, slog.New(slog.DiscardHandler), make(chan any, 64))
 		d.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { return s.dial(ctx) }
 		ctx, stop := context.WithCancel(t.Context())
-		t.Cleanup(func() { stop(); d.halt() })
-		d.watch(ctx)
+		t.Cleanup(func() { stop(); d.close() })
+		d.startWatch(ctx)
 	}
-	t.Cleanup(func() { close(s.over) })
+	t.Cleanup(func() { close(s.closed) })
 	synctest.Wait()
 	for range 2 * senders { // the list, and the watch
-		await(t, s.calls, "call")
+		await(t, s.requests, "call")
 	}
 }
 
 // fullest counts what comes through ch, for so many spans of time, and returns the most in one span, and all.
-func fullest[T any](ch <-chan T, span time.Duration, spans int) (most, all int) {
+func countPerInterval[T any](ch <-chan T, span time.Duration, spans int) (most, all int) {
 	for range spans {
 		time.Sleep(span)
 		synctest.Wait()
@@ -380,15 +380,15 @@
 }
 
 // News ends all watches of a fleet at one moment, and the next ones begin in step. They do not end in step.
-func TestWatchesOfAFleetEndApart(t *testing.T) {
+func TestWatchExpiryIsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStation(List{Generation: 1, Reset: true}, "")
-		fleet(t, s, 300)
-		s.now("", List{Generation: 2, Reset: true})
+		s := newFakeDiscovery(EndpointList{Generation: 1, Reset: true}, "")
+		startWatchers(t, s, 300)
+		s.set("", EndpointList{Generation: 2, Reset: true})
 		for range 300 {
-			await(t, s.calls, "watch after the news")
+			await(t, s.requests, "watch after the news")
 		}
-		if most, all := fullest(s.calls, 100*time.Millisecond, 41); most > 100 || all != 300 {
+		if most, all := countPerInterval(s.requests, 100*time.Millisecond, 41); most > 100 || all != 300 {
 			t.Errorf("%d watches, %d of them within 0.1 s", all, most)
 		}
 	})
@@ -396,27 +396,27 @@
 
 // Discovery goes, and breaks all watches. Go's client tries a kept connection that broke once more at once; from then
 // on the fleet comes back over some seconds, and not all at once.
-func TestFleetComesBackApart(t *testing.T) {
+func TestRetriesOfManySendersAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStation(List{Generation: 1, Reset: true}, "")
-		fleet(t, s, 300)
-		s.now("refuses", List{Generation: 1, Reset: true})
+		s := newFakeDiscovery(EndpointList{Generation: 1, Reset: true}, "")
+		startWatchers(t, s, 300)
+		s.set("refuses", EndpointList{Generation: 1, Reset: true})
 		for range 600 {
-			await(t, s.struck, "watch that breaks")
+			await(t, s.faulted, "watch that breaks")
 		}
-		if most, all := fullest(s.struck, time.Second, 6); most > 150 || all != 300 {
+		if most, all := countPerInterval(s.faulted, time.Second, 6); most > 150 || all != 300 {
 			t.Errorf("%d calls, %d of them within a second", all, most)
 		}
 	})
 }
 
 // Over real sockets: a watch falls silent, and the next call finds an endpoint that drains.
-func TestSilentWatchOnSockets(t *testing.T) {
+func TestSilentWatchOverTCP(t *testing.T) {
 	for _, mode := range []string{"on_request", "pushed"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			old, fresh := newEndpoint(t), newEndpoint(t)
-			known := List{Generation: 1, Reset: true, Instances: instances(old, fresh)}
+			known := EndpointList{Generation: 1, Reset: true, Instances: instances(old, fresh)}
 			drains := instances(old, fresh)
 			drains[0].Lifecycle = "draining"
 			var calls atomic.Int32
@@ -426,7 +426,7 @@
 				case 1:
 					silent <- time.Now()
 				case 2:
-					json.NewEncoder(w).Encode(List{Generation: 2, Instances: drains[:1]})
+					json.NewEncoder(w).Encode(EndpointList{Generation: 2, Instances: drains[:1]})
 					return
 				default:
 					heeded <- struct{}{}
@@ -437,7 +437,7 @@
 			n := startWith(t, strings.Replace(string(configText(p, known)), "on_request", mode, 1), t.TempDir())
 			at := await(t, silent, "watch")
 			await(t, heeded, "watch from the new list")
-			if took := time.Since(at); took > toldAfter+2*time.Second { // and the grace of a drain
+			if took := time.Since(at); took > changeDeadline+2*time.Second { // and the grace of a drain
 				t.Errorf("heeded after %v", took)
 			}
 			c := dial(t, n.addr)
--- a/internal/node/trail.go
+++ b/internal/node/trail.go
@@ -29,9 +29,9 @@
 }
 
 // heard notes an outcome, with the time for which a kept connection had been idle.
-func (t *trail) heard(r result) {
+func (t *trail) heard(r callResult) {
 	t.text = fmt.Appendf(t.text, ":%s@%d", outcomeNames[r.outcome], t.ms())
-	if r.idle > 0 {
-		t.text = fmt.Appendf(t.text, "(idle %d)", r.idle.Milliseconds())
+	if r.idleTime > 0 {
+		t.text = fmt.Appendf(t.text, "(idle %d)", r.idleTime.Milliseconds())
 	}
 }
--- a/internal/node/window_test.go
+++ b/internal/node/window_test.go
@@ -10,13 +10,13 @@
 )
 
 // shortWindow is a configuration whose class keyed drops repeats for one second, each zone by itself.
-func shortWindow(p *platform, known List) string {
+func shortWindowConfig(p *platform, known EndpointList) string {
 	return strings.Replace(string(configText(p, known)), `"group":"all","window_s":25`, `"group":"zone","window_s":1`, 1)
 }
 
 // twoZones lists an endpoint in each of two zones.
-func twoZones(a, b *endpoint) List {
-	list := List{Generation: 1, Reset: true, Instances: instances(a, b)}
+func twoZoneList(a, b *endpoint) EndpointList {
+	list := EndpointList{Generation: 1, Reset: true, Instances: instances(a, b)}
 	list.Instances[1].Zone = "b"
 	return list
 }
@@ -24,9 +24,9 @@
 // A window of a second goes on while no process runs: what may have run is sent again only in what is left of it, and
 // where its first send went; once it is over the message has failed, and the platform hears so at once. What has surely
 // not run is tried all the same.
-func TestWindowGoesOnOverARestart(t *testing.T) {
+func TestDedupWindowContinuesAcrossRestart(t *testing.T) {
 	p, a, b, dir := newPlatform(t), newEndpoint(t), newEndpoint(t), t.TempDir()
-	p.list = twoZones(a, b)
+	p.list = twoZoneList(a, b)
 	j := openJournal(t, dir, 3e6)
 	now := time.Now()
 	taken := func(id, class string) record {
@@ -47,7 +47,7 @@
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	n := startWith(t, shortWindow(p, p.list), dir)
+	n := startWith(t, shortWindowConfig(p, p.list), dir)
 	failed := map[string]bool{"over": true, "answered late": true, "unsafe": true}
 	for len(failed) > 0 { // before any call is answered, and long before their time is up
 		x := await(t, p.notices, "notice")
@@ -81,9 +81,9 @@
 
 // A repeat must be written by the end of the window that began before the restart, not of one that the restart begins;
 // where that is over, the first step ends the message and makes no attempt.
-func TestRestartGoesOnInTheFirstWindow(t *testing.T) {
+func TestRestartKeepsFirstDedupWindow(t *testing.T) {
 	p, a, b := newPlatform(t), newEndpoint(t), newEndpoint(t)
-	cfg, err := ParseConfig([]byte(shortWindow(p, twoZones(a, b))))
+	cfg, err := ParseConfig([]byte(shortWindowConfig(p, twoZoneList(a, b))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,11 +122,11 @@
 
 // A kill with a keyed call out, and a start right behind it: the repeat is in the window and the zone of the first send,
 // or, where the machine is too slow for that, the message has failed. Never both, and never late.
-func TestKillInAShortWindow(t *testing.T) {
+func TestKillWithinShortDedupWindow(t *testing.T) {
 	for range 3 {
 		p, a, b, dir := newPlatform(t), newEndpoint(t), newEndpoint(t), t.TempDir()
-		p.list = twoZones(a, b)
-		text := []byte(shortWindow(p, p.list))
+		p.list = twoZoneList(a, b)
+		text := []byte(shortWindowConfig(p, p.list))
 		x := execProcess(t, p, dir, text)
 		dial(t, await(t, x.ready, "ready program")).put("m", "keyed", "+OK")
 		var first *inCall
@@ -144,7 +144,7 @@
 		await(t, y.ready, "ready program")
 		select {
 		case in := <-calls:
-			e := openJournal(t, copyOf(t, dir), 3e6).Entry("m")
+			e := openJournal(t, copyJournal(t, dir), 3e6).Entry("m")
 			if in.id() != first.id() || e.Tries != 2 || e.FirstMay != at {
 				t.Errorf("call with %s, journal %+v", in.id(), e)
 			}
@@ -171,7 +171,7 @@
 }
 
 // copyOf is a folder with the journal of dir as it is now: to open that itself would cut off what is being written.
-func copyOf(t *testing.T, dir string) string {
+func copyJournal(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
 	text, err := os.ReadFile(filepath.Join(dir, journalName))
