--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -20,96 +20,98 @@
 )
 
 const (
-	maxResponseSize = 64 << 10              // head and body of an answer, with interim ones ahead
-	headTimeout     = time.Second           // for the rest of an answer that matters, once it has begun
-	drainTimeout    = 50 * time.Millisecond // for what does not; a connection that is slower is not used again
+	maxResponseSize = 64 << 10              // bytes of a response, interim responses before it included
+	headTimeout     = time.Second           // for the rest of a response that determines the outcome, once it has begun
+	drainTimeout    = 50 * time.Millisecond // for the rest of a 200 response; a slower connection is not reused
 )
 
-// loadHeader carries a load report.
+// loadReportHeader carries an endpoint's load report.
 const loadReportHeader = "Endpoint-Load-Metrics"
 
-// errSpoilt says that an answer can't be read.
-var errMalformedResponse = errors.New("spoilt answer")
+var errMalformedResponse = errors.New("malformed response")
 
-// readAnswer reads the answer to a call that was written, and says whether the
-// connection can carry another. net/http's reader would not do: the first line
-// counts even where the rest of the head can't be read, and lengths that leave a
-// doubt are no lengths.
-func readResponse(r *bufio.Reader, limit *callDeadline) (callResult, bool) {
-	return readResponseBody(r, limit, nil)
+// readResponse reads the response to a written request and reports whether the
+// connection can be reused. It does not use net/http's reader for two reasons: a
+// status line of 200 counts even if the rest of the header is malformed, and
+// ambiguous body lengths must be rejected.
+func readResponse(r *bufio.Reader, deadline *callDeadline) (callResult, bool) {
+	return readResponseBody(r, deadline, nil)
 }
 
-// readWhole also takes the body, if it is wanted. Then 200 counts only with all that follows.
-func readResponseBody(r *bufio.Reader, limit *callDeadline, body *bytes.Buffer) (callResult, bool) {
+// readResponseBody is readResponse that also copies the body if body is not nil.
+// In that case a 200 response counts only if it is read completely.
+func readResponseBody(r *bufio.Reader, deadline *callDeadline, body *bytes.Buffer) (callResult, bool) {
 	for {
-		limit.limitIO(0)
+		deadline.limitIO(0)
 		if _, err := r.Peek(1); err != nil {
 			if !isTimeout(err) {
-				return limit.resultOfError(err), false
+				return deadline.resultOfError(err), false
 			}
-			given := limit.timeoutOutcome()
-			limit.abort()
+			timedOut := deadline.timeoutOutcome()
+			deadline.abort()
 			if _, err := r.Peek(1); err != nil {
-				return callResult{outcome: given}, false
+				return callResult{outcome: timedOut}, false
 			}
 		}
-		limit.limitIO(headTimeout)
+		deadline.limitIO(headTimeout)
 		status, err := readStatusLine(r)
 		if err != nil {
-			return limit.resultOfError(err), false
+			return deadline.resultOfError(err), false
 		}
-		if status == http.StatusOK && body == nil { // true whatever follows
-			limit.limitIO(drainTimeout)
-			header, keep, err := readHeaderAndBody(r, status, io.Discard)
-			return callResult{outcome: logic.Completed, loadReport: header.Get(loadReportHeader)}, err == nil && keep
+		if status == http.StatusOK && body == nil { // delivered, whatever follows
+			deadline.limitIO(drainTimeout)
+			header, reusable, err := readHeaderAndBody(r, status, io.Discard)
+			return callResult{outcome: logic.Completed, loadReport: header.Get(loadReportHeader)}, err == nil && reusable
 		}
 		if status/100 == 1 && status != http.StatusSwitchingProtocols {
 			if _, err := readHeader(r); err != nil {
-				return limit.resultOfError(err), false
+				return deadline.resultOfError(err), false
 			}
-			continue // an interim answer; the outcome is yet to come
+			continue // interim response; the final one follows
 		}
-		var to io.Writer = io.Discard
+		var dst io.Writer = io.Discard
 		if body != nil {
-			to = body
+			dst = body
 		}
-		header, keep, err := readHeaderAndBody(r, status, to)
+		header, reusable, err := readHeaderAndBody(r, status, dst)
 		if err != nil && status != http.StatusInternalServerError {
-			return limit.resultOfError(err), false
+			return deadline.resultOfError(err), false
 		}
-		out := resultOfResponse(status, header)
-		out.loadReport = header.Get(loadReportHeader)
-		return out, keep && err == nil
+		res := resultOfResponse(status, header)
+		res.loadReport = header.Get(loadReportHeader)
+		return res, reusable && err == nil
 	}
 }
 
-// broken is the outcome of an answer that did not come whole.
-func (l *callDeadline) resultOfError(err error) callResult {
+// resultOfError returns the result of a call whose response could not be read
+// completely because of err.
+func (d *callDeadline) resultOfError(err error) callResult {
 	switch {
-	case l.ended():
-		return callResult{outcome: l.timeoutOutcome()}
+	case d.ended():
+		return callResult{outcome: d.timeoutOutcome()}
 	case errors.Is(err, errMalformedResponse), isTimeout(err):
 		return callResult{outcome: logic.Spoilt}
 	}
 	return callResult{outcome: logic.Severed}
 }
 
-// readStatus reads the first line of an answer, however long. A line that does not end says nothing: what it
-// tells so far was not written whole, and the call may end either way.
+// readStatusLine reads the status line of a response, of any length. An
+// incomplete line is an error even if a status code is visible: the endpoint has
+// not finished writing it, and the call may still end either way.
 func readStatusLine(r *bufio.Reader) (int, error) {
 	line, err := r.ReadSlice('\n')
-	text := string(line)
+	start := string(line)
 	for errors.Is(err, bufio.ErrBufferFull) {
 		_, err = r.ReadSlice('\n')
 	}
 	if err != nil {
 		return 0, err
 	}
-	if len(text) < 13 || !strings.HasPrefix(text, "HTTP/1.") || !allDigits(text[7:8]) || text[8] != ' ' ||
-		!allDigits(text[9:12]) || !strings.ContainsAny(text[12:13], " \r\n") {
-		return 0, fmt.Errorf("%w: first line %.40q", errMalformedResponse, text)
+	if len(start) < 13 || !strings.HasPrefix(start, "HTTP/1.") || !allDigits(start[7:8]) || start[8] != ' ' ||
+		!allDigits(start[9:12]) || !strings.ContainsAny(start[12:13], " \r\n") {
+		return 0, fmt.Errorf("%w: status line %.40q", errMalformedResponse, start)
 	}
-	return strconv.Atoi(text[9:12])
+	return strconv.Atoi(start[9:12])
 }
 
 func allDigits(s string) bool {
@@ -121,38 +123,40 @@
 	return http.Header(header), markMalformed(err)
 }
 
-// spoilt marks an error as one of what was read, unless it comes from the connection itself.
+// markMalformed wraps a parse error with errMalformedResponse. Errors of the
+// connection itself are returned unchanged.
 func markMalformed(err error) error {
-	var n net.Error
-	if err == nil || errors.As(err, &n) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
+	var netErr net.Error
+	if err == nil || errors.As(err, &netErr) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return err
 	}
 	return fmt.Errorf("%w: %w", errMalformedResponse, err)
 }
 
-// readRest reads head and body, and says whether the connection can be used again.
+// readHeaderAndBody reads what follows the status line and reports whether the
+// connection can be reused.
 func readHeaderAndBody(r *bufio.Reader, status int, body io.Writer) (http.Header, bool, error) {
 	header, err := readHeader(r)
 	if err != nil {
 		return header, false, err
 	}
-	lengths, codings := header.Values("Content-Length"), header.Values("Transfer-Encoding")
-	keep := !strings.EqualFold(header.Get("Connection"), "close")
+	lengths, encodings := header.Values("Content-Length"), header.Values("Transfer-Encoding")
+	reusable := !strings.EqualFold(header.Get("Connection"), "close")
 	switch {
-	case len(lengths)+len(codings) > 1:
-		return header, false, fmt.Errorf("%w: more than one length", errMalformedResponse)
+	case len(lengths)+len(encodings) > 1:
+		return header, false, fmt.Errorf("%w: more than one body length", errMalformedResponse)
 	case status == http.StatusNoContent || status == http.StatusNotModified:
 	case len(lengths) == 1:
 		n, err := strconv.ParseInt(lengths[0], 10, 64)
 		if err != nil || !allDigits(lengths[0]) || n > maxResponseSize {
-			return header, false, fmt.Errorf("%w: length %.40q", errMalformedResponse, lengths[0])
+			return header, false, fmt.Errorf("%w: Content-Length %.40q", errMalformedResponse, lengths[0])
 		}
 		if _, err := io.CopyN(body, r, n); err != nil {
 			return header, false, err
 		}
-	case len(codings) == 1:
-		if !strings.EqualFold(codings[0], "chunked") {
-			return header, false, fmt.Errorf("%w: coding %.40q", errMalformedResponse, codings[0])
+	case len(encodings) == 1:
+		if !strings.EqualFold(encodings[0], "chunked") {
+			return header, false, fmt.Errorf("%w: Transfer-Encoding %.40q", errMalformedResponse, encodings[0])
 		}
 		if _, err := io.Copy(body, httputil.NewChunkedReader(r)); err != nil {
 			return header, false, markMalformed(err)
@@ -160,16 +164,16 @@
 		if _, err := readHeader(r); err != nil { // trailers
 			return header, false, err
 		}
-	default: // the body ends with the connection
-		keep = false
+	default: // the end of the connection delimits the body
+		reusable = false
 		if _, err := io.Copy(body, r); err != nil {
 			return header, false, err
 		}
 	}
-	return header, keep && r.Buffered() == 0, nil
+	return header, reusable && r.Buffered() == 0, nil
 }
 
-// outcomeOf reads an answer that came whole.
+// resultOfResponse returns the result for a complete response.
 func resultOfResponse(status int, header http.Header) callResult {
 	switch status {
 	case http.StatusOK:
@@ -189,7 +193,7 @@
 	return callResult{outcome: logic.Errored}
 }
 
-// waitOf is the wait that an answer tells; 0 if none.
+// parseRetryAfter returns the wait that a response asks for, 0 if none.
 func parseRetryAfter(header http.Header) time.Duration {
 	ms, err := strconv.ParseInt(header.Get("X-Come-Back-Ms"), 10, 64)
 	if err != nil || ms < 0 {
@@ -198,26 +202,27 @@
 	return time.Duration(min(ms, maxHold.Milliseconds())) * time.Millisecond
 }
 
-// loadOf reads a load report: the values in the order of names. One that can't be read is none.
+// parseLoadReport returns the values of a load report in the order of names, and
+// nil if the report is empty or malformed.
 func parseLoadReport(report string, names []string) []float64 {
 	if report == "" || len(names) == 0 {
 		return nil
 	}
-	out := make([]float64, len(names))
+	values := make([]float64, len(names))
 	for _, pair := range strings.Split(report, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
-		x, err := strconv.ParseFloat(value, 64)
-		if !ok || err != nil || math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
+		v, err := strconv.ParseFloat(value, 64)
+		if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return nil
 		}
 		if i := slices.Index(names, name); i >= 0 {
-			out[i] = x
+			values[i] = v
 		}
 	}
-	return out
+	return values
 }
 
 func isTimeout(err error) bool {
-	var t net.Error
-	return errors.As(err, &t) && t.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -15,29 +15,30 @@
 	"rundeal/logic"
 )
 
-// maxBulkBody bounds the body of a bulk call; one that would be longer goes as several.
+// maxBulkBody limits the body of a bulk call, in bytes. More messages are sent as several calls.
 const maxBulkBody = 64 << 10
 
-// outgoing is a call that the step at hand has decided on.
+// pendingCall is a call that the current step has decided on and not started yet.
 type pendingCall struct {
 	ctx context.Context
 	*call
 }
 
-// bulkItem is one message of a bulk call.
+// bulkItem is one message in the body of a bulk request.
 type bulkItem struct {
 	ID   string `json:"id"`
 	Key  string `json:"key,omitempty"`
 	Body []byte `json:"body"`
 }
 
-// bulkEnd is the end of one message of a bulk call.
+// bulkStatus is the outcome of one message in the body of a bulk response.
 type bulkStatus struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 }
 
-// bulkOutcomes are the outcomes of the states that a bulkEnd may have. Any other state can't be read.
+// bulkResultsByState are the results for the known values of bulkStatus.State.
+// Any other value makes the result malformed.
 var bulkResultsByState = map[string]callResult{
 	"done":    {outcome: logic.Completed},
 	"failed":  {outcome: logic.Errored},
@@ -46,187 +47,192 @@
 	"used_up": {outcome: logic.Moot},
 }
 
-// bulkSize is what m adds to the body of a bulk call, or a little less than that.
+// bulkItemSize estimates how many bytes m adds to the body of a bulk request. It
+// may be slightly too low, since it does not count escaped characters.
 func bulkItemSize(m *Message) int {
 	return len(`{"id":"","key":"","body":""},`) + len(m.ID) + len(m.Key) + (len(m.Body)+2)/3*4
 }
 
-// together splits off the calls at the head of list that go as one: to one endpoint, as many as its kind allows
-// and a body holds.
-func splitBulk(list []pendingCall, most int) (group, rest []pendingCall) {
+// splitBulk selects the calls that are sent together with the first one: those to
+// the same endpoint, up to maxMessages and the body limit. The others are returned as rest.
+func splitBulk(calls []pendingCall, maxMessages int) (group, rest []pendingCall) {
 	size := 2
-	for _, o := range list {
-		n := bulkItemSize(o.msg)
-		if o.endpoint == list[0].endpoint && len(group) < max(most, 1) && (len(group) == 0 || size+n <= maxBulkBody) {
-			group = append(group, o)
-			size += n
+	for _, pc := range calls {
+		itemSize := bulkItemSize(pc.msg)
+		if pc.endpoint == calls[0].endpoint && len(group) < max(maxMessages, 1) && (len(group) == 0 || size+itemSize <= maxBulkBody) {
+			group = append(group, pc)
+			size += itemSize
 		} else {
-			rest = append(rest, o)
+			rest = append(rest, pc)
 		}
 	}
 	return group, rest
 }
 
-// bulk is a call with several messages. Each has its one result: with the answer, or before that if it is given up
-// while others still wait for the answer. Where no second copies are allowed a message stays with the call to its
-// end, since the result lets it be sent again; a call that all have given up ends.
+// bulkCall is a call in flight with several messages. Each message gets exactly one
+// result: from the response, or earlier if it times out or is cancelled while
+// others still wait for the response. If second copies are not allowed, a message
+// gets no result before the call ends, since a result permits sending it again.
+// The call is cancelled once no message waits for it.
 type bulkCall struct {
 	mu                sync.Mutex
-	pending           map[*call]bool // without a result; false once given up
+	pending           map[*call]bool // messages without a result; false once nothing waits for them
 	allowSecondCopies bool
 	cancel            context.CancelFunc
 	report            func(*call, callResult)
 }
 
-// settle gives in its result, unless it has one. The last one ends the call.
-func (b *bulkCall) resolve(in *call, r callResult) {
+// resolve reports the result of cl, unless it already has one. The last result ends the call.
+func (b *bulkCall) resolve(cl *call, res callResult) {
 	b.mu.Lock()
-	_, waits := b.pending[in]
-	delete(b.pending, in)
+	_, pending := b.pending[cl]
+	delete(b.pending, cl)
 	last := len(b.pending) == 0
 	b.mu.Unlock()
-	if waits {
-		b.report(in, r)
+	if pending {
+		b.report(cl, res)
 	}
 	if last {
 		b.cancel()
 	}
 }
 
-// settleAll gives r to all that have no result.
-func (b *bulkCall) resolveAll(list []*call, r callResult) {
-	for _, in := range list {
-		b.resolve(in, r)
+// resolveAll resolves the given calls with the same result.
+func (b *bulkCall) resolveAll(calls []*call, res callResult) {
+	for _, cl := range calls {
+		b.resolve(cl, res)
 	}
 }
 
-// giveUp settles a message whose own context is over, by its time-out or by a cancel.
-func (b *bulkCall) abandon(in *call, why error) {
-	r := callResult{outcome: logic.Recalled}
+// abandon handles a message whose own context ended because of a timeout or a cancellation.
+func (b *bulkCall) abandon(cl *call, cause error) {
+	res := callResult{outcome: logic.Recalled}
 	switch {
-	case in.state.CompareAndSwap(callConnecting, callAborted):
-		r.outcome = logic.RefusedConn
-	case in.state.Load() == callAborted:
-		r.outcome = logic.Moot
+	case cl.state.CompareAndSwap(callConnecting, callAborted):
+		res.outcome = logic.RefusedConn
+	case cl.state.Load() == callAborted:
+		res.outcome = logic.Moot
 	case !b.allowSecondCopies:
-		b.detach(in)
+		b.detach(cl)
 		return
-	case errors.Is(why, context.DeadlineExceeded):
-		r.outcome = logic.Overdue
+	case errors.Is(cause, context.DeadlineExceeded):
+		res.outcome = logic.Overdue
 	}
-	b.resolve(in, r)
+	b.resolve(cl, res)
 }
 
-// leave notes that nothing waits for a message any more, and ends the call if it was the last one.
-func (b *bulkCall) detach(in *call) {
+// detach notes that nothing waits for a message any more, and ends the call if it was the last one.
+func (b *bulkCall) detach(cl *call) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.pending[in] {
-		b.pending[in] = false
+	if b.pending[cl] {
+		b.pending[cl] = false
 	}
-	for _, waits := range b.pending {
-		if waits {
+	for _, waiting := range b.pending {
+		if waiting {
 			return
 		}
 	}
 	b.cancel()
 }
 
-// doBulk makes one call of several and tells each one's result. It returns when the call is over.
-func (c *endpointClient) doBulk(ctx context.Context, group []pendingCall, tell func(*call, callResult)) {
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	b := &bulkCall{pending: map[*call]bool{}, allowSecondCopies: c.allowSecondCopies, cancel: end, report: tell}
-	first := *group[0].call // stands for all: where it goes, how long it waits, which connection it may use
-	for _, o := range group {
-		b.pending[o.call] = true
-		first.timeout, first.nonRetryable = max(first.timeout, o.timeout), first.nonRetryable || o.nonRetryable
-	}
-	for _, o := range group {
-		own, stop := context.WithTimeout(o.ctx, o.timeout)
+// doBulk sends several messages in one call and reports the result of each. It
+// returns when the call has ended.
+func (c *endpointClient) doBulk(ctx context.Context, group []pendingCall, report func(*call, callResult)) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	bc := &bulkCall{pending: map[*call]bool{}, allowSecondCopies: c.allowSecondCopies, cancel: cancel, report: report}
+	combined := *group[0].call // address, timeout and connection choice of the bulk call
+	for _, pc := range group {
+		bc.pending[pc.call] = true
+		combined.timeout, combined.nonRetryable = max(combined.timeout, pc.timeout), combined.nonRetryable || pc.nonRetryable
+	}
+	for _, pc := range group {
+		callCtx, stop := context.WithTimeout(pc.ctx, pc.timeout)
 		defer stop()
-		defer context.AfterFunc(own, func() { b.abandon(o.call, own.Err()) })()
+		defer context.AfterFunc(callCtx, func() { bc.abandon(pc.call, callCtx.Err()) })()
 	}
-	deadline := time.Now().Add(first.timeout)
-	conn, err := c.getConn(ctx, &first, deadline)
+	deadline := time.Now().Add(combined.timeout)
+	conn, err := c.getConn(ctx, &combined, deadline)
 	var sent []*call
-	for _, o := range group {
-		if o.write() {
-			sent = append(sent, o.call)
+	for _, pc := range group {
+		if pc.write() {
+			sent = append(sent, pc.call)
 		} else {
-			b.resolve(o.call, callResult{outcome: logic.Moot})
+			bc.resolve(pc.call, callResult{outcome: logic.Moot})
 		}
 	}
 	if err != nil {
-		r := callResult{outcome: logic.RefusedConn}
+		res := callResult{outcome: logic.RefusedConn}
 		if isLocalError(err) {
-			r = callResult{outcome: logic.Unsent, localFailure: true}
-			pause(ctx, jitter(retryPause)) // descriptors, say: room may come
+			res = callResult{outcome: logic.Unsent, localFailure: true}
+			pause(ctx, jitter(retryPause)) // for example, file descriptors may become free
 		}
-		b.resolveAll(sent, r)
+		bc.resolveAll(sent, res)
 		return
 	}
 	if len(sent) == 0 {
-		if !c.putIdle(first.endpoint, conn) {
+		if !c.putIdle(combined.endpoint, conn) {
 			c.closeConn(conn)
 		}
 		return
 	}
-	// The call is known by its first message: once that one's time is up, no answer counts for the others.
-	slices.SortStableFunc(sent, func(a, b *call) int { return cmp.Compare(b.msg.Deadline, a.msg.Deadline) })
-	first.request, err = newBulkRequest(sent, first.addr, first.timeout)
+	// The endpoint identifies the call by its first message. Once that message's
+	// deadline has passed, no response counts for the others, so the latest deadline goes first.
+	slices.SortStableFunc(sent, func(a, bc *call) int { return cmp.Compare(bc.msg.Deadline, a.msg.Deadline) })
+	combined.request, err = newBulkRequest(sent, combined.addr, combined.timeout)
 	if err != nil {
 		c.closeConn(conn)
-		b.resolveAll(sent, callResult{outcome: logic.Moot})
+		bc.resolveAll(sent, callResult{outcome: logic.Moot})
 		return
 	}
-	first.messageCount = len(sent)
+	combined.messageCount = len(sent)
 	var body bytes.Buffer
-	r := c.roundTrip(ctx, &first, conn, deadline, &body)
-	if r.outcome != logic.Completed {
-		b.resolveAll(sent, r)
+	res := c.roundTrip(ctx, &combined, conn, deadline, &body)
+	if res.outcome != logic.Completed {
+		bc.resolveAll(sent, res)
 		return
 	}
-	for i, r := range parseBulkResponse(sent, body.Bytes(), r) {
-		b.resolve(sent[i], r)
+	for i, res := range parseBulkResponse(sent, body.Bytes(), res) {
+		bc.resolve(sent[i], res)
 	}
 }
 
-// bulkEnds reads the body of an answer, for each call in turn. A message that it does not name, or not in a way
-// that can be read, may have run.
-func parseBulkResponse(sent []*call, body []byte, answer callResult) []callResult {
-	var ends []bulkStatus
-	if err := json.Unmarshal(body, &ends); err != nil {
-		ends = nil
+// parseBulkResponse returns the result of each call, in the order of sent. A
+// message that is missing from the body, or whose state is malformed, may have been processed.
+func parseBulkResponse(sent []*call, body []byte, response callResult) []callResult {
+	var statuses []bulkStatus
+	if err := json.Unmarshal(body, &statuses); err != nil {
+		statuses = nil
 	}
 	states := map[string]string{}
-	for _, x := range ends {
-		if was, twice := states[x.ID]; twice && was != x.State {
-			x.State = "" // which of the two holds can't be known
+	for _, status := range statuses {
+		if previous, repeated := states[status.ID]; repeated && previous != status.State {
+			status.State = "" // contradictory states are malformed
 		}
-		states[x.ID] = x.State
+		states[status.ID] = status.State
 	}
-	out := make([]callResult, 0, len(sent))
-	for _, in := range sent {
-		r, ok := bulkResultsByState[states[in.id]]
+	results := make([]callResult, 0, len(sent))
+	for _, cl := range sent {
+		res, ok := bulkResultsByState[states[cl.id]]
 		if !ok {
-			r = callResult{outcome: logic.Spoilt}
+			res = callResult{outcome: logic.Spoilt}
 		}
-		r.retryAfter, r.loadReport, r.idleTime = answer.retryAfter, answer.loadReport, answer.idleTime
-		out = append(out, r)
+		res.retryAfter, res.loadReport, res.idleTime = response.retryAfter, response.loadReport, response.idleTime
+		results = append(results, res)
 	}
-	return out
+	return results
 }
 
-// bulkRequest is the request that hands the messages of several calls to an endpoint.
-func newBulkRequest(list []*call, addr string, giveUp time.Duration) (*http.Request, error) {
-	items := make([]bulkItem, 0, len(list))
-	for _, in := range list {
-		items = append(items, bulkItem{ID: in.msg.ID, Key: in.msg.Key, Body: append([]byte{}, in.msg.Body...)})
+// newBulkRequest builds the request that delivers the messages of several calls to an endpoint.
+func newBulkRequest(calls []*call, addr string, timeout time.Duration) (*http.Request, error) {
+	items := make([]bulkItem, 0, len(calls))
+	for _, cl := range calls {
+		items = append(items, bulkItem{ID: cl.msg.ID, Key: cl.msg.Key, Body: append([]byte{}, cl.msg.Body...)})
 	}
 	body, err := json.Marshal(items)
 	if err != nil {
-		return nil, fmt.Errorf("bulk to %s: %w", addr, err)
+		return nil, fmt.Errorf("bulk request to %s: %w", addr, err)
 	}
-	return newPostRequest(addr, "/inbox/bulk", body, giveUp)
+	return newPostRequest(addr, "/inbox/bulk", body, timeout)
 }
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -20,89 +20,103 @@
 )
 
 const (
-	abortGracePeriod = 50 * time.Millisecond  // for the endpoint to see that a call is given up
-	idleExpiryMargin = 500 * time.Millisecond // a connection is not used this close to the end of its idle time
-	reuseDelay       = 20 * time.Millisecond  // after an answer, for what comes behind it to show
-	freshConnPeriod  = 5 * time.Second        // after a kept connection broke, fragile calls make new ones
+	abortGracePeriod = 50 * time.Millisecond  // for the endpoint to notice that a call was aborted
+	idleExpiryMargin = 500 * time.Millisecond // an idle connection is not reused this close to its idle timeout
+	reuseDelay       = 20 * time.Millisecond  // after a response, so that unsolicited data behind it shows up before the next call
+	freshConnPeriod  = 5 * time.Second        // after a reused connection broke, non-retryable calls open new connections
 	probeTimeout     = 1500 * time.Millisecond
 )
 
-// call is one attempt, or a probe if it has no message.
+// call is one attempt to send a message, or a health probe if msg is nil.
 type call struct {
 	id           string
 	attempt      int
 	endpoint     logic.EndpointID
 	addr         string
 	timeout      time.Duration
-	nonRetryable bool      // a reset is its end: it keeps off kept connections while those break
-	writeBy      time.Time // not to be written after this; zero for no such time
+	nonRetryable bool      // a connection reset fails the message for good, so no reuse while reused connections break
+	writeBy      time.Time // the request must not be written after this; zero for no limit
 	msg          *Message
 	request      *http.Request
 	state        *atomic.Int32
-	messageCount int // messages
+	messageCount int // messages in the request
 
-	journaled bool // the journal has it
+	journaled bool // the attempt is recorded in the journal
 }
 
-// The states of a call. It goes from the first to one of the others, once.
+// The states of a call. It changes once, from callConnecting to one of the others.
 const (
 	callConnecting int32 = iota
-	callWritten          // from here on it may have run
-	callAborted          // it is not to be written
+	callWritten          // the endpoint may have processed the message from here on
+	callAborted          // the request must not be written
 )
 
-// result is how a call ended.
+// callResult is how a call ended.
 type callResult struct {
 	outcome      logic.Outcome
-	retryAfter   time.Duration // told by a refusal
-	messageGone  bool          // the endpoint says that the message is over
-	localFailure bool          // nothing was sent for want of something at this end
-	loadReport   string        // the load report of the answer, as it came
-	idleTime     time.Duration // for how long the connection was kept before; 0 if it was made for the call
+	retryAfter   time.Duration // the wait that the endpoint asked for; 0 if none
+	messageGone  bool          // the endpoint reports that the message has already ended
+	localFailure bool          // nothing was sent because this host lacked a resource
+	loadReport   string        // value of the load report header, unparsed
+	idleTime     time.Duration // how long the connection had been idle; 0 for a new connection
 }
 
-// idleConn is a connection with no call on it.
+// pooledConn is a connection that is kept for reuse between calls.
 type pooledConn struct {
 	net.Conn
 	reader    *bufio.Reader
 	limited   *io.LimitedReader
 	addr      string
-	idleSince time.Time // when it became idle; zero if it never was
+	idleSince time.Time // when it last became idle; zero for a new connection
 }
 
-// errNoRoom says that this process has no descriptor to spare for a call.
-var errConnLimit = errors.New("no room for another connection")
+// errConnLimit means that a call would exceed this process's limit on connections to endpoints.
+var errConnLimit = errors.New("connection limit reached")
 
-// caller makes calls over connections that it keeps. It never sends anything
-// twice, and it knows whether the last byte was written: that tells what never
-// ran from what may have run. net/http's transport does neither.
+// endpointClient makes calls over a pool of connections. It never resends a
+// request on its own, and it knows whether the last byte was written, which
+// separates messages that were never processed from those that may have been.
+// net/http's transport provides neither.
 type endpointClient struct {
 	dialer             net.Dialer
 	abortGrace         time.Duration
 	reuseDelay         time.Duration
 	idleTimeout        time.Duration
 	maxIdlePerEndpoint int
-	allowSecondCopies  bool // a message may be sent again while a call with it is out
+	allowSecondCopies  bool // a message may be sent again while an earlier call with it is in flight
 	limits             shares
-	messagesWritten    *atomic.Int64 // messages written whole
+	messagesWritten    *atomic.Int64 // messages in completely written requests
 	mu                 sync.Mutex
 	idle               map[logic.EndpointID][]*pooledConn
-	idleCount          int       // idle connections
-	connCount          int       // connections, those that are being made too
-	lastReuseFailure   time.Time // when a kept connection last broke under a call
+	idleCount          int
+	connCount          int       // all connections, including those being established
+	lastReuseFailure   time.Time // when a reused connection last broke during a call
 }
 
-func newEndpointClient(connectTime, idleTime time.Duration, perEndpoint int, most shares, relayed *atomic.Int64) *endpointClient {
-	return &endpointClient{dialer: net.Dialer{Timeout: connectTime}, abortGrace: abortGracePeriod, reuseDelay: reuseDelay, idleTimeout: idleTime,
-		maxIdlePerEndpoint: max(perEndpoint, 1), limits: most, messagesWritten: relayed, idle: map[logic.EndpointID][]*pooledConn{}}
+func newEndpointClient(
+	dialTimeout, idleTimeout time.Duration,
+	maxIdlePerEndpoint int,
+	limits shares,
+	messagesWritten *atomic.Int64,
+) *endpointClient {
+	return &endpointClient{
+		dialer:             net.Dialer{Timeout: dialTimeout},
+		abortGrace:         abortGracePeriod,
+		reuseDelay:         reuseDelay,
+		idleTimeout:        idleTimeout,
+		maxIdlePerEndpoint: max(maxIdlePerEndpoint, 1),
+		limits:             limits,
+		messagesWritten:    messagesWritten,
+		idle:               map[logic.EndpointID][]*pooledConn{},
+	}
 }
 
-// do makes a call. When ctx is cancelled the call is called off.
-func (c *endpointClient) do(ctx context.Context, in *call) callResult {
-	deadline := time.Now().Add(in.timeout)
-	conn, err := c.getConn(ctx, in, deadline)
-	if !in.write() {
-		if err == nil && !c.putIdle(in.endpoint, conn) {
+// do makes a call. Cancelling ctx aborts it.
+func (c *endpointClient) do(ctx context.Context, cl *call) callResult {
+	deadline := time.Now().Add(cl.timeout)
+	conn, err := c.getConn(ctx, cl, deadline)
+	if !cl.write() {
+		if err == nil && !c.putIdle(cl.endpoint, conn) {
 			c.closeConn(conn)
 		}
 		return callResult{outcome: logic.Moot}
@@ -113,124 +127,128 @@
 		}
 		return callResult{outcome: logic.RefusedConn}
 	}
-	return c.roundTrip(ctx, in, conn, deadline, nil)
+	return c.roundTrip(ctx, cl, conn, deadline, nil)
 }
 
-// exchange writes a request and reads its answer, the body too if it is wanted. Then conn is kept or closed.
-func (c *endpointClient) roundTrip(ctx context.Context, in *call, conn *pooledConn, deadline time.Time, body *bytes.Buffer) callResult {
-	var b bytes.Buffer
-	if err := in.request.Write(&b); err != nil {
+// roundTrip writes a request and reads its response. If body is not nil, the
+// response body is copied to it. Afterwards conn is returned to the pool or closed.
+func (c *endpointClient) roundTrip(ctx context.Context, cl *call, conn *pooledConn, deadline time.Time, body *bytes.Buffer) callResult {
+	var buf bytes.Buffer
+	if err := cl.request.Write(&buf); err != nil {
 		c.closeConn(conn)
 		return callResult{outcome: logic.RefusedConn}
 	}
-	idle := time.Duration(0)
+	idleTime := time.Duration(0)
 	if !conn.idleSince.IsZero() {
-		idle = time.Since(conn.idleSince)
+		idleTime = time.Since(conn.idleSince)
 	}
-	limit := &callDeadline{conn: conn, deadline: deadline, grace: c.abortGrace}
-	stop := context.AfterFunc(ctx, limit.cancel)
-	if ctx.Err() != nil { // called off before this: nothing is written, whichever comes first here
-		limit.cancel()
+	cd := &callDeadline{conn: conn, deadline: deadline, grace: c.abortGrace}
+	stop := context.AfterFunc(ctx, cd.cancel)
+	if ctx.Err() != nil { // AfterFunc runs asynchronously: make sure that nothing is written
+		cd.cancel()
 	}
-	limit.limitIO(0)
-	if _, err := conn.Write(b.Bytes()); err != nil {
+	cd.limitIO(0)
+	if _, err := conn.Write(buf.Bytes()); err != nil {
 		stop()
 		c.closeConn(conn)
-		return callResult{outcome: logic.RefusedConn} // its last byte was not written
+		return callResult{outcome: logic.RefusedConn} // the last byte was not written
 	}
-	c.messagesWritten.Add(int64(in.messageCount))
+	c.messagesWritten.Add(int64(cl.messageCount))
 	conn.limited.N = maxResponseSize
-	r, keep := readResponseBody(conn.reader, limit, body)
-	r.idleTime = idle
-	if r.outcome == logic.Severed && !conn.idleSince.IsZero() {
+	res, reusable := readResponseBody(conn.reader, cd, body)
+	res.idleTime = idleTime
+	if res.outcome == logic.Severed && !conn.idleSince.IsZero() {
 		c.mu.Lock()
 		c.lastReuseFailure = time.Now()
 		c.mu.Unlock()
 	}
-	if conn.limited.N <= 0 && r.outcome != logic.Completed {
-		r = callResult{outcome: logic.Spoilt} // it goes on for ever, say
+	if conn.limited.N <= 0 && res.outcome != logic.Completed {
+		res = callResult{outcome: logic.Spoilt} // the response exceeds the size limit
 	}
-	if !stop() || !keep || limit.ended() || !c.putIdle(in.endpoint, conn) {
+	if !stop() || !reusable || cd.ended() || !c.putIdle(cl.endpoint, conn) {
 		c.closeConn(conn)
 	}
-	return r
+	return res
 }
 
-// cutoff bounds the time of a call. The call's own deadline and a cancel hold until
-// it has ended, whatever has come of an answer by then.
+// callDeadline bounds the time of a call. The call's own deadline and its
+// cancellation apply until the call has ended, even when part of a response
+// has already arrived.
 type callDeadline struct {
 	conn      net.Conn
 	deadline  time.Time
 	grace     time.Duration
 	mu        sync.Mutex
-	cancelled bool // cancelled
-	aborted   bool // given up: no more than the linger time is left
+	cancelled bool
+	aborted   bool // our side of the connection is closed; only the grace period is left
 }
 
-func (l *callDeadline) cancel() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.cancelled = true; !l.aborted {
-		l.conn.SetDeadline(time.Unix(1, 0))
+func (d *callDeadline) cancel() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.cancelled = true; !d.aborted {
+		d.conn.SetDeadline(time.Unix(1, 0))
 	}
 }
 
-// wait gives what comes next so much time at most, or if 0 all that the call has.
-func (l *callDeadline) limitIO(d time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	switch at := time.Now().Add(d); {
-	case l.aborted:
-	case l.cancelled:
-		l.conn.SetDeadline(time.Unix(1, 0))
-	case d == 0 || at.After(l.deadline.Add(l.grace)):
-		if d > 0 {
-			l.conn.SetDeadline(l.deadline.Add(l.grace))
+// limitIO gives the next reads and writes the given time at most, or all of the
+// call's remaining time if timeout is 0.
+func (d *callDeadline) limitIO(timeout time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	switch until := time.Now().Add(timeout); {
+	case d.aborted:
+	case d.cancelled:
+		d.conn.SetDeadline(time.Unix(1, 0))
+	case timeout == 0 || until.After(d.deadline.Add(d.grace)):
+		if timeout > 0 {
+			d.conn.SetDeadline(d.deadline.Add(d.grace))
 			return
 		}
-		l.conn.SetDeadline(l.deadline)
+		d.conn.SetDeadline(d.deadline)
 	default:
-		l.conn.SetDeadline(at)
+		d.conn.SetDeadline(until)
 	}
 }
 
-// giveUp tells the endpoint that the call is given up, by the end of our sending, and
-// leaves it a moment to see that: a next call must not meet this one. An answer that is
-// on its way counts.
-func (l *callDeadline) abort() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.aborted = true
-	var conn net.Conn = l.conn
+// abort closes our side of the connection, which tells the endpoint that the call
+// is aborted, and leaves it the grace period to react, so that the next call with
+// the message does not overlap this one. A response that arrives in that time still counts.
+func (d *callDeadline) abort() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.aborted = true
+	var conn net.Conn = d.conn
 	if c, ok := conn.(*pooledConn); ok {
 		conn = c.Conn
 	}
 	if t, ok := conn.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	l.conn.SetDeadline(time.Now().Add(l.grace))
+	d.conn.SetDeadline(time.Now().Add(d.grace))
 }
 
-// outcome is that of a call without an answer in time.
-func (l *callDeadline) timeoutOutcome() logic.Outcome {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.cancelled {
+// timeoutOutcome is the outcome of a call whose response did not arrive in time.
+func (d *callDeadline) timeoutOutcome() logic.Outcome {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.cancelled {
 		return logic.Recalled
 	}
 	return logic.Overdue
 }
 
-// over says whether the connection may be of no more use: it is given up, or a cancel may touch it yet.
-func (l *callDeadline) ended() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.aborted || l.cancelled
+// ended reports whether the call was aborted or cancelled. Its connection must not
+// be reused, since the cancellation may still change the connection's deadline.
+func (d *callDeadline) ended() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.aborted || d.cancelled
 }
 
-// connect takes a kept connection or makes one.
-func (c *endpointClient) getConn(ctx context.Context, in *call, deadline time.Time) (*pooledConn, error) {
-	if conn := c.takeIdle(in); conn != nil {
+// getConn returns an idle connection or establishes a new one.
+func (c *endpointClient) getConn(ctx context.Context, cl *call, deadline time.Time) (*pooledConn, error) {
+	if conn := c.takeIdle(cl); conn != nil {
 		return conn, nil
 	}
 	if !c.reserveConn() {
@@ -238,26 +256,37 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	conn, err := c.dialer.DialContext(ctx, "tcp", in.addr)
+	conn, err := c.dialer.DialContext(ctx, "tcp", cl.addr)
 	if err != nil {
 		c.unreserveConn()
 		return nil, err
 	}
-	limit := &io.LimitedReader{R: conn}
-	return &pooledConn{Conn: conn, reader: bufio.NewReader(limit), limited: limit, addr: in.addr}, nil
+	limited := &io.LimitedReader{R: conn}
+	return &pooledConn{Conn: conn, reader: bufio.NewReader(limited), limited: limited, addr: cl.addr}, nil
 }
 
-// ownFault says whether a connection failed for want of something at this end, which tells nothing of the endpoint.
+// isLocalError reports whether connecting failed because this host lacks a
+// resource or a network, which says nothing about the endpoint.
 func isLocalError(err error) bool {
-	for _, own := range []error{errConnLimit, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN} {
-		if errors.Is(err, own) {
+	for _, target := range []error{
+		errConnLimit,
+		syscall.EMFILE,
+		syscall.ENFILE,
+		syscall.ENOBUFS,
+		syscall.ENOMEM,
+		syscall.EADDRNOTAVAIL,
+		syscall.ENETUNREACH,
+		syscall.ENETDOWN,
+	} {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
 	return false
 }
 
-// reserve takes a place for a connection; an idle one makes room for it.
+// reserveConn counts a new connection against the limit. At the limit it closes
+// the oldest idle connection to make room; it returns false if there is none.
 func (c *endpointClient) reserveConn() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -274,13 +303,14 @@
 	c.connCount--
 }
 
-// drop closes a connection that carries a call.
+// closeConn closes a connection that is in use by a call.
 func (c *endpointClient) closeConn(conn *pooledConn) {
 	conn.Close()
 	c.unreserveConn()
 }
 
-// The rest is about idle connections. What is named close… is called under the lock.
+// The functions below manage idle connections. Those with the suffix Locked
+// require c.mu to be held.
 
 func (c *endpointClient) closeIdleLocked(conn *pooledConn) {
 	conn.Close()
@@ -289,22 +319,23 @@
 }
 
 func (c *endpointClient) closeOldestLocked() bool {
-	var from logic.EndpointID
+	var owner logic.EndpointID
 	var oldest *pooledConn
 	for ep, list := range c.idle {
 		if oldest == nil || list[0].idleSince.Before(oldest.idleSince) {
-			from, oldest = ep, list[0]
+			owner, oldest = ep, list[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	c.setIdleLocked(from, c.idle[from][1:])
+	c.setIdleLocked(owner, c.idle[owner][1:])
 	c.closeIdleLocked(oldest)
 	return true
 }
 
-// keep sets the idle connections to ep, in the order in which they became idle.
+// setIdleLocked replaces the idle connections to ep. The list is ordered by the
+// time at which they became idle.
 func (c *endpointClient) setIdleLocked(ep logic.EndpointID, list []*pooledConn) {
 	if len(list) == 0 {
 		delete(c.idle, ep)
@@ -313,13 +344,14 @@
 	}
 }
 
-// take returns the kept connection to ep that was used last, if it is still good. One
-// whose last answer came just now is left: more may be on its way behind that.
-func (c *endpointClient) takeIdle(in *call) *pooledConn {
+// takeIdle returns the most recently used idle connection to the call's endpoint
+// that can be reused, and closes those that cannot. It skips connections whose last
+// response is younger than the reuse delay: unsolicited data may still follow.
+func (c *endpointClient) takeIdle(cl *call) *pooledConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ep, addr := in.endpoint, in.addr
-	if in.nonRetryable && time.Since(c.lastReuseFailure) < freshConnPeriod {
+	ep, addr := cl.endpoint, cl.addr
+	if cl.nonRetryable && time.Since(c.lastReuseFailure) < freshConnPeriod {
 		return nil
 	}
 	list := slices.Clone(c.idle[ep])
@@ -339,8 +371,8 @@
 	return nil
 }
 
-// good says whether a kept connection may carry a call: neither about to be closed
-// for its age nor closed already, nor with an answer on it that nobody asked for.
+// reusable reports whether an idle connection can carry another call: it is not
+// close to its idle timeout, not closed by the endpoint, and holds no unsolicited data.
 func (c *endpointClient) reusable(conn *pooledConn) bool {
 	if time.Since(conn.idleSince) > c.idleTimeout-min(idleExpiryMargin, c.idleTimeout/4) {
 		return false
@@ -349,7 +381,7 @@
 	return alive && !data
 }
 
-// put keeps a connection for the next call; false if there is no room.
+// putIdle keeps a connection for reuse. It returns false if the pool is full.
 func (c *endpointClient) putIdle(ep logic.EndpointID, conn *pooledConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -363,7 +395,7 @@
 	return true
 }
 
-// release closes the kept connections to ep.
+// closeIdleTo closes the idle connections to ep.
 func (c *endpointClient) closeIdleTo(ep logic.EndpointID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -373,7 +405,7 @@
 	delete(c.idle, ep)
 }
 
-// releaseAll closes all kept connections.
+// closeAllIdle closes all idle connections.
 func (c *endpointClient) closeAllIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -381,35 +413,36 @@
 	}
 }
 
-// setMost bounds the connections anew; the oldest kept ones above the bound go.
-func (c *endpointClient) setLimits(most shares) {
+// setLimits changes the limits on connections and closes the oldest idle
+// connections that exceed them.
+func (c *endpointClient) setLimits(limits shares) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.limits = most
-	for (c.connCount > most.calls || c.idleCount > most.idle) && c.closeOldestLocked() {
+	c.limits = limits
+	for (c.connCount > limits.calls || c.idleCount > limits.idle) && c.closeOldestLocked() {
 	}
 }
 
-// sweep closes kept connections that are no good any more.
+// closeUnusable closes the idle connections that cannot be reused any more.
 func (c *endpointClient) closeUnusable() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for ep, list := range c.idle {
-		var kept []*pooledConn
+		var usable []*pooledConn
 		for _, conn := range list {
 			if c.reusable(conn) {
-				kept = append(kept, conn)
+				usable = append(usable, conn)
 			} else {
 				c.closeIdleLocked(conn)
 			}
 		}
-		c.setIdleLocked(ep, kept)
+		c.setIdleLocked(ep, usable)
 	}
 }
 
-// deliverRequest is the request that hands m to an endpoint.
-func newDeliveryRequest(m *Message, addr string, giveUp time.Duration) (*http.Request, error) {
-	req, err := newPostRequest(addr, "/inbox", m.Body, giveUp)
+// newDeliveryRequest builds the request that delivers m to an endpoint.
+func newDeliveryRequest(m *Message, addr string, timeout time.Duration) (*http.Request, error) {
+	req, err := newPostRequest(addr, "/inbox", m.Body, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -420,16 +453,16 @@
 	return req, nil
 }
 
-func newPostRequest(addr, path string, body []byte, giveUp time.Duration) (*http.Request, error) {
+func newPostRequest(addr, path string, body []byte, timeout time.Duration) (*http.Request, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("request to %s: %w", addr, err)
 	}
-	req.Header.Set("X-Expires-In-Ms", strconv.FormatInt(max(giveUp.Milliseconds(), 1), 10))
+	req.Header.Set("X-Expires-In-Ms", strconv.FormatInt(max(timeout.Milliseconds(), 1), 10))
 	return req, nil
 }
 
-// probeRequest asks an endpoint whether it is well.
+// newProbeRequest builds the health check request to an endpoint.
 func newProbeRequest(addr string) (*http.Request, error) {
 	return http.NewRequest(http.MethodGet, "http://"+addr+"/alive", nil)
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -16,27 +16,39 @@
 )
 
 const (
-	maxWatchHold          = 4 * time.Second         // how long a watch may wait for news: what a silent one misses counts as told after 6 s
-	watchTimeoutMargin    = time.Second             // and how much later its answer may come
-	listTimeout           = 2500 * time.Millisecond // for the whole list: after a move it counts as told 4 s later, so there is time for two calls
-	discoveryDialTimeout  = 2 * time.Second
-	maxRetryInterval      = 5400 * time.Millisecond // from a call that fails to the next, counted from their starts: news counts as told after 6 s
-	minStartSpread        = 300 * time.Millisecond  // within this a start begins to watch, at least: many may start at one moment
-	startSpreadPerSender  = 25 * time.Millisecond   // and within so much for each sender that there is ...
-	maxStartSpread        = 3 * time.Second         // ... but this at most: news counts as told 6 s after a start
-	emptyResponsePause    = 100 * time.Millisecond  // between watches that are answered at once with nothing
-	removedRetention      = time.Minute             // an endpoint off the list is remembered so long: it may come back
-	addressChangeAttempts = 4                       // calls to a new address that may fail before the module is told
-	shortRetryPause       = 200 * time.Millisecond  // after each
+	// A sender must act on a change 6 s after discovery could have delivered it, even if a watch hangs.
+	// maxWatchHold plus watchTimeoutMargin leaves time for a new call after a silent watch.
+	maxWatchHold       = 4 * time.Second // longest time that discovery may hold a watch open without a change
+	watchTimeoutMargin = time.Second     // after the hold time, for the response to arrive
+
+	// For a full list. After a change of discovery's address the sender must act on the new list
+	// within 4 s, so this leaves time for two calls.
+	listTimeout          = 2500 * time.Millisecond
+	discoveryDialTimeout = 2 * time.Second
+
+	// Longest interval between the starts of a failed call and the next one, within the 6 s for a change.
+	maxRetryInterval = 5400 * time.Millisecond
+
+	// Many senders may start at the same moment, so each delays its first watch by a random time.
+	// The range of that delay grows with the number of senders.
+	minStartSpread       = 300 * time.Millisecond
+	startSpreadPerSender = 25 * time.Millisecond
+	maxStartSpread       = 3 * time.Second // a change must take effect 6 s after a start
+
+	emptyResponsePause   = 100 * time.Millisecond // between watches that return at once without a change
+	removedRetention     = time.Minute            // removed endpoints are remembered for this long, since they may return
+	addressChangeRetries = 4                      // failed calls to a new address before package logic is notified
+	shortRetryPause      = 200 * time.Millisecond // after each of those, and after failed calls to the local agent
 )
 
-// errTurnedAway says that discovery has answered without a list: it may be overbooked, and wants no call at once.
-var errDiscoveryStatus = errors.New("discovery answered")
+// errDiscoveryStatus means that discovery responded with an error status. It may be
+// overloaded and should not be called again at once.
+var errDiscoveryStatus = errors.New("discovery returned status")
 
-// EndpointList is discovery's answer.
+// EndpointList is discovery's response.
 type EndpointList struct {
 	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"` // the whole list
+	Reset      bool       `json:"reset"` // a full list that replaces the previous one
 	Instances  []Instance `json:"instances"`
 }
 
@@ -51,64 +63,72 @@
 	Weight      float64 `json:"weight"`
 }
 
-// listEvent is news of the list, or of a call for it that failed.
+// listEvent is a response from discovery, or a failed call to it.
 type listEvent struct {
 	list    EndpointList
 	err     error
-	elapsed time.Duration // by the call that failed
-	epoch   int           // of the address that it comes from
+	elapsed time.Duration // duration of the failed call
+	epoch   int           // of the discovery address that was called
 }
 
-// Directory maps the list's names to the module's numbers. The loop owns it.
+// Directory maps the instance ids of the endpoint list to the endpoint numbers
+// of package logic. It belongs to the event loop.
 type Directory struct {
 	zones       []string
 	kinds       []logic.Kind
 	ids         map[string]logic.EndpointID
 	endpoints   map[logic.EndpointID]endpointInfo
-	destCounts  map[int64]int                  // how many of eps a destination has
-	removedAt   map[logic.EndpointID]time.Time // of eps, those that were taken off the list, and when
-	unavailable map[logic.EndpointID]bool      // of eps, those that want no new calls
+	destCounts  map[int64]int                  // number of entries in endpoints per destination
+	removedAt   map[logic.EndpointID]time.Time // when entries of endpoints were removed from the list
+	unavailable map[logic.EndpointID]bool      // entries of endpoints that accept no new calls
 	lastID      logic.EndpointID
 }
 
-// target is where an endpoint can be reached.
+// endpointInfo is what the list says about an endpoint.
 type endpointInfo struct {
-	instanceID string // on the list
+	instanceID string
 	addr       string
 	zone       int
 	dest       int64
 	kind       int
 }
 
-// NewDirectory makes an empty directory for a deployment.
+// NewDirectory returns an empty directory for a deployment.
 func NewDirectory(cfg *Config) *Directory {
-	return &Directory{zones: cfg.Deploy.Zones, kinds: cfg.Deploy.Settings.Kinds,
-		ids: map[string]logic.EndpointID{}, endpoints: map[logic.EndpointID]endpointInfo{}, destCounts: map[int64]int{},
-		removedAt: map[logic.EndpointID]time.Time{}, unavailable: map[logic.EndpointID]bool{}}
+	return &Directory{
+		zones:       cfg.Deploy.Zones,
+		kinds:       cfg.Deploy.Settings.Kinds,
+		ids:         map[string]logic.EndpointID{},
+		endpoints:   map[logic.EndpointID]endpointInfo{},
+		destCounts:  map[int64]int{},
+		removedAt:   map[logic.EndpointID]time.Time{},
+		unavailable: map[logic.EndpointID]bool{},
+	}
 }
 
-// ready says whether an endpoint is listed and takes new calls.
+// available reports whether an endpoint is listed and accepts new calls.
 func (d *Directory) available(id logic.EndpointID) bool {
 	_, known := d.endpoints[id]
 	return known && !d.unavailable[id]
 }
 
-// apart says whether an endpoint is a route of its own.
+// separateRoute reports whether an endpoint's machine type is a route of its own.
 func (d *Directory) separateRoute(id logic.EndpointID) bool {
 	kind := d.endpoints[id].kind
 	return kind >= 0 && kind < len(d.kinds) && d.kinds[kind].Apart
 }
 
-// Addr is where an endpoint can be reached, as hostPort of the list; empty if it is not known.
+// Addr returns the hostPort of an endpoint, empty if the endpoint is unknown.
 func (d *Directory) Addr(id logic.EndpointID) string { return d.endpoints[id].addr }
 
-// listed is how many endpoints are on the list.
+// listedCount returns the number of endpoints on the list.
 func (d *Directory) listedCount() int { return len(d.endpoints) - len(d.removedAt) }
 
-// serves says whether a destination has an endpoint, or had one a short while ago.
+// hasDest reports whether a destination has an endpoint, including recently removed ones.
 func (d *Directory) hasDest(dest int64) bool { return d.destCounts[dest] > 0 }
 
-// forget drops endpoints that have long been off the list, but for those in use.
+// purgeRemoved deletes endpoints that were removed from the list more than
+// removedRetention ago, except those in use.
 func (d *Directory) purgeRemoved(now time.Time, inUse map[logic.EndpointID]bool) {
 	for id, at := range d.removedAt {
 		if now.Sub(at) > removedRetention && !inUse[id] {
@@ -118,78 +138,90 @@
 }
 
 func (d *Directory) deleteEntry(id logic.EndpointID) {
-	to, ok := d.endpoints[id]
+	info, ok := d.endpoints[id]
 	if !ok {
 		return
 	}
 	delete(d.endpoints, id)
 	delete(d.removedAt, id)
 	delete(d.unavailable, id)
-	delete(d.ids, to.instanceID)
-	if d.destCounts[to.dest]--; d.destCounts[to.dest] == 0 {
-		delete(d.destCounts, to.dest)
+	delete(d.ids, info.instanceID)
+	if d.destCounts[info.dest]--; d.destCounts[info.dest] == 0 {
+		delete(d.destCounts, info.dest)
 	}
 }
 
-// Apply turns a list that came at a time into the module's entries. An endpoint keeps its number as long
-// as it is on the list, whatever its address, and for a while after.
-func (d *Directory) Apply(l EndpointList, now time.Time) []logic.Entry {
-	rows := make([]logic.Entry, 0, len(l.Instances))
-	if l.Reset {
-		on := map[string]bool{}
-		for _, in := range l.Instances {
-			on[in.ID] = true
+// Apply updates the directory with a list that arrived at the given time and
+// returns the entries for package logic. An endpoint keeps its number while it is
+// on the list, even if its address changes, and for some time after its removal.
+func (d *Directory) Apply(list EndpointList, now time.Time) []logic.Entry {
+	entries := make([]logic.Entry, 0, len(list.Instances))
+	if list.Reset {
+		present := map[string]bool{}
+		for _, inst := range list.Instances {
+			present[inst.ID] = true
 		}
-		for id, to := range d.endpoints {
-			if !on[to.instanceID] {
+		for id, info := range d.endpoints {
+			if !present[info.instanceID] {
 				d.markRemoved(id, now)
 			}
 		}
 	}
-	for _, in := range l.Instances {
-		id, ok := d.ids[in.ID]
-		if !ok && in.Lifecycle == "removed" {
-			continue // it was never on our list, or is forgotten
+	for _, inst := range list.Instances {
+		id, ok := d.ids[inst.ID]
+		if !ok && inst.Lifecycle == "removed" {
+			continue // never seen, or already purged
 		}
 		if !ok {
 			d.lastID++
 			id = d.lastID
-			d.ids[in.ID] = id
+			d.ids[inst.ID] = id
+		}
+		entry := logic.Entry{
+			Endpoint: id,
+			Zone:     slices.Index(d.zones, inst.Zone),
+			Dest:     inst.Dest,
+			Nominal:  inst.Weight,
+			Kind:     slices.IndexFunc(d.kinds, func(k logic.Kind) bool { return k.Name == inst.MachineType }),
 		}
-		row := logic.Entry{Endpoint: id, Zone: slices.Index(d.zones, in.Zone), Dest: in.Dest, Nominal: in.Weight,
-			Kind: slices.IndexFunc(d.kinds, func(k logic.Kind) bool { return k.Name == in.MachineType })}
-		switch in.Lifecycle {
+		switch inst.Lifecycle {
 		case "up":
-			row.State = logic.Ready
+			entry.State = logic.Ready
 		case "removed":
-			row.State = logic.Gone
-		default: // a state that is not known is no invitation to send
-			row.State = logic.Draining
+			entry.State = logic.Gone
+		default: // send nothing new to an endpoint in an unknown state
+			entry.State = logic.Draining
 		}
-		to, listed := d.endpoints[id]
-		if listed {
-			d.destCounts[to.dest]--
+		info, known := d.endpoints[id]
+		if known {
+			d.destCounts[info.dest]--
 		}
-		if in.HostPort != "" || !listed {
-			to = endpointInfo{instanceID: in.ID, addr: in.HostPort, zone: row.Zone, dest: row.Dest, kind: row.Kind}
+		if inst.HostPort != "" || !known {
+			info = endpointInfo{
+				instanceID: inst.ID,
+				addr:       inst.HostPort,
+				zone:       entry.Zone,
+				dest:       entry.Dest,
+				kind:       entry.Kind,
+			}
 		}
-		d.destCounts[to.dest]++
-		if row.State == logic.Gone {
+		d.destCounts[info.dest]++
+		if entry.State == logic.Gone {
 			d.markRemoved(id, now)
 		} else {
 			delete(d.removedAt, id)
 		}
-		if d.endpoints[id] = to; row.State == logic.Ready {
+		if d.endpoints[id] = info; entry.State == logic.Ready {
 			delete(d.unavailable, id)
 		} else {
 			d.unavailable[id] = true
 		}
-		rows = append(rows, row)
+		entries = append(entries, entry)
 	}
-	return rows
+	return entries
 }
 
-// leave notes that an endpoint is off the list.
+// markRemoved notes that an endpoint is no longer on the list.
 func (d *Directory) markRemoved(id logic.EndpointID, now time.Time) {
 	if _, ok := d.removedAt[id]; !ok {
 		d.removedAt[id] = now
@@ -197,34 +229,49 @@
 	d.unavailable[id] = true
 }
 
-// discovery asks for the list. Where it is asked, a watch runs from its start until calls fail or discovery moves.
-// Where the list is pushed, the address is an agent of our own: what that has counts as told from the start of the
-// process, watch or no watch, so the first one begins at once and ends only with a move. The loop owns it.
+// discoveryClient follows the endpoint list. In on-request mode it calls discovery
+// itself: a watch runs from the moment it is requested until a call fails or
+// discovery's address changes. In pushed mode the address is that of a local agent.
+// A sender must act on what the agent has from the start of the process, so the
+// first watch begins without delay and ends only when the address changes.
+// It belongs to the event loop.
 type discoveryClient struct {
 	addr         string
 	pushed       bool
 	client       *http.Client
 	log          *slog.Logger
 	events       chan<- any
-	senders      int   // that ask it
-	generation   int64 // of the list that the loop has
-	hasList      bool  // there is such a list
+	senders      int   // number of senders that call discovery
+	generation   int64 // of the list that the event loop has
+	hasList      bool  // the event loop has a list, perhaps a cached one
 	watching     bool
-	receivedList bool                   // from discovery itself, in the life of this process
-	epoch        int                    // counts the addresses
-	stopWatch    context.CancelFunc     // of the watch
-	watchHold    time.Duration          // of a watch
-	bodyTimeout  time.Duration          // for an answer that has begun to come whole
-	randN        func(most int64) int64 // a number below most, by chance
+	receivedList bool                // discovery has sent a list since the start of this process
+	epoch        int                 // number of address changes
+	stopWatch    context.CancelFunc  // stops the current watch
+	watchHold    time.Duration       // longest hold time of a watch
+	bodyTimeout  time.Duration       // for the body of a response, after its header
+	randN        func(n int64) int64 // random number in [0, n)
 }
 
 func newDiscoveryClient(addr string, senders int, log *slog.Logger, events chan<- any) *discoveryClient {
-	return &discoveryClient{addr: addr, senders: senders, log: log, events: events, watchHold: maxWatchHold, bodyTimeout: listTimeout, randN: rand.Int64N, client: &http.Client{Transport: &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: discoveryDialTimeout}).DialContext,
-		MaxIdleConnsPerHost: 1, MaxConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}}}
+	return &discoveryClient{
+		addr:        addr,
+		senders:     senders,
+		log:         log,
+		events:      events,
+		watchHold:   maxWatchHold,
+		bodyTimeout: listTimeout,
+		randN:       rand.Int64N,
+		client: &http.Client{Transport: &http.Transport{
+			DialContext:         (&net.Dialer{Timeout: discoveryDialTimeout}).DialContext,
+			MaxIdleConnsPerHost: 1,
+			MaxConnsPerHost:     4,
+			IdleConnTimeout:     30 * time.Second,
+		}},
+	}
 }
 
-// halt ends the watch.
+// close stops the watch and closes idle connections.
 func (d *discoveryClient) close() {
 	if d.stopWatch != nil {
 		d.stopWatch()
@@ -232,16 +279,16 @@
 	d.client.CloseIdleConnections()
 }
 
-// move ends the watch and turns to another address. The list there is asked for
-// whole, since its generations need not follow on from those of the old one.
+// setAddr stops the watch and changes the address. The next watch requests a full
+// list, since generations at the new address need not continue those of the old one.
 func (d *discoveryClient) setAddr(addr string) {
 	d.close()
 	d.addr, d.hasList, d.watching = addr, false, false
 	d.epoch++
 }
 
-// takes notes what a watch has brought, and says whether it is news: a watch at an
-// address left behind has nothing to tell.
+// accept updates the state with an event of a watch. It returns false for events
+// from a previous address, which must be ignored.
 func (d *discoveryClient) accept(ev listEvent) bool {
 	if ev.epoch != d.epoch {
 		return false
@@ -254,17 +301,24 @@
 	return true
 }
 
-// watch begins to follow the list, unless it does so already.
+// startWatch starts a watch unless one is running.
 func (d *discoveryClient) startWatch(ctx context.Context) {
 	if d.watching {
 		return
 	}
 	d.watching = true
-	w := listWatch{client: d, baseURL: "http://" + d.addr + "/discovery/hosts", epoch: d.epoch, generation: d.generation, hasList: d.hasList, startSpread: d.watchStartSpread()}
+	w := listWatch{
+		client:      d,
+		baseURL:     "http://" + d.addr + "/discovery/hosts",
+		epoch:       d.epoch,
+		generation:  d.generation,
+		hasList:     d.hasList,
+		startSpread: d.watchStartSpread(),
+	}
 	ctx, stop := context.WithCancel(ctx)
 	d.stopWatch = stop
 	if d.epoch > 0 && !d.hasList {
-		w.retriesLeft = addressChangeAttempts
+		w.retriesLeft = addressChangeRetries
 	}
 	go func() {
 		defer stop()
@@ -272,9 +326,11 @@
 	}()
 }
 
-// begin is the span within which the watch begins. What discovery has to tell after a start counts as told 6 s later,
-// and the list of the start will do for a part of that; what an agent of our own has counts as told at once. Only the
-// first watch waits: a later one follows a call that failed, and the pause after that.
+// watchStartSpread is the range of the random delay before a watch. In on-request
+// mode the sender has 6 s after its start to act on changes, and the cached list is
+// good enough for part of that time. In pushed mode it must act at once on what the
+// local agent has. Only the first watch is delayed: later ones follow a failed call
+// and the pause after it.
 func (d *discoveryClient) watchStartSpread() time.Duration {
 	if d.pushed || d.receivedList || !d.hasList || d.stopWatch != nil {
 		return 0
@@ -282,65 +338,68 @@
 	return d.fleetStartSpread()
 }
 
-// firstSpread is the span within which all senders that start at one moment begin to watch. Discovery serves so many
-// a second, and turns away who waits too long.
+// fleetStartSpread is the range over which senders that start at the same moment
+// begin their watches. Discovery serves a limited number of calls per second and
+// rejects those that wait too long.
 func (d *discoveryClient) fleetStartSpread() time.Duration {
 	return min(max(minStartSpread, time.Duration(d.senders)*startSpreadPerSender), maxStartSpread)
 }
 
-// watch is a row of calls, each after the last answer at once, so that nothing is
-// missed in between.
+// listWatch is a sequence of long-polling calls. Each follows the previous response
+// immediately, so that no change is missed in between.
 type listWatch struct {
 	client      *discoveryClient
 	baseURL     string
 	epoch       int
 	generation  int64
 	hasList     bool
-	retriesLeft int           // calls that may fail before the watch does
-	startSpread time.Duration // the first call comes at any time within this
+	retriesLeft int           // failed calls that are retried before the watch fails
+	startSpread time.Duration // range of the random delay before the first call
 }
 
 func (w *listWatch) run(ctx context.Context) {
 	pause(ctx, time.Duration(w.client.randN(int64(w.startSpread)+1)))
-	well, said := false, false // the last answer was a list; a failure was logged
+	healthy, logged := false, false // the last call returned a list; the current run of failures was logged
 	for ctx.Err() == nil {
-		url, limit := w.baseURL, listTimeout
+		url, timeout := w.baseURL, listTimeout
 		if w.hasList {
 			hold := w.holdTime()
 			url = fmt.Sprintf("%s?from=%d&hold_ms=%d", url, w.generation, hold.Milliseconds())
-			limit = hold + watchTimeoutMargin
+			timeout = hold + watchTimeoutMargin
 		}
-		at := time.Now()
-		list, err := w.client.fetch(ctx, url, limit)
+		start := time.Now()
+		list, err := w.client.fetch(ctx, url, timeout)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			if !said || !w.client.pushed { // once for a row of failures
+			if !logged || !w.client.pushed { // in pushed mode, once per run of failures
 				w.client.log.Warn("discovery", "err", err)
 			}
-			said = true
-			away := errors.Is(err, errDiscoveryStatus)
-			again := w.client.pushed || well && !away // one that was well has fallen silent, or broke: opened anew
-			well = false
-			if w.retriesLeft--; again || w.retriesLeft >= 0 {
-				w.pauseAfterFailure(ctx, maxRetryInterval-time.Since(at), away)
+			logged = true
+			gotStatus := errors.Is(err, errDiscoveryStatus)
+			// In on-request mode, retry if a working watch timed out or its connection broke.
+			retry := w.client.pushed || healthy && !gotStatus
+			healthy = false
+			if w.retriesLeft--; retry || w.retriesLeft >= 0 {
+				w.pauseAfterFailure(ctx, maxRetryInterval-time.Since(start), gotStatus)
 				continue
 			}
-			w.client.events <- listEvent{err: err, elapsed: time.Since(at), epoch: w.epoch}
+			w.client.events <- listEvent{err: err, elapsed: time.Since(start), epoch: w.epoch}
 			return
 		}
 		w.generation, w.hasList, w.retriesLeft = list.Generation, true, 0
-		well, said = true, false
+		healthy, logged = true, false
 		w.client.events <- listEvent{list: list, epoch: w.epoch}
-		if len(list.Instances) == 0 && time.Since(at) < emptyResponsePause {
+		if len(list.Instances) == 0 && time.Since(start) < emptyResponsePause {
 			pause(ctx, jitter(emptyResponsePause))
 		}
 	}
 }
 
-// hold is how long the next watch may wait. News answers the watches of all senders at one moment, and the next begin
-// in step: where they ask one discovery, those must not end in step too.
+// holdTime is the hold time of the next watch. A change ends the watches of all
+// senders at once, so that their next ones begin together. In on-request mode the
+// hold time is random, so that those do not also expire together.
 func (w *listWatch) holdTime() time.Duration {
 	if w.client.pushed {
 		return w.client.watchHold
@@ -348,19 +407,21 @@
 	return w.client.watchHold - time.Duration(w.client.randN(int64(w.client.watchHold/4)))
 }
 
-// rest waits after a call that failed, for no longer than left. What fails for all senders at once, or is too much for
-// who answers them, is asked again over the span of a start; an agent of our own and a new address, soon.
-func (w *listWatch) pauseAfterFailure(ctx context.Context, left time.Duration, away bool) {
-	rest := shortRetryPause
-	if w.retriesLeft < 0 && (away || !w.client.pushed) {
-		rest = max(min(w.client.fleetStartSpread(), left*2/3), shortRetryPause) // a half more by chance
+// pauseAfterFailure waits before the call after a failed one, remaining at most.
+// Calls that probably failed for all senders at once, or that were rejected because
+// of load, are spread over the same range as starts. Calls to a local agent or to a
+// new address are retried soon.
+func (w *listWatch) pauseAfterFailure(ctx context.Context, remaining time.Duration, gotStatus bool) {
+	spread := shortRetryPause
+	if w.retriesLeft < 0 && (gotStatus || !w.client.pushed) {
+		spread = max(min(w.client.fleetStartSpread(), remaining*2/3), shortRetryPause) // the pause is 0.5 to 1.5 times this
 	}
-	pause(ctx, rest/2+time.Duration(w.client.randN(int64(rest))))
+	pause(ctx, spread/2+time.Duration(w.client.randN(int64(spread))))
 }
 
-func (d *discoveryClient) fetch(ctx context.Context, url string, limit time.Duration) (EndpointList, error) {
+func (d *discoveryClient) fetch(ctx context.Context, url string, timeout time.Duration) (EndpointList, error) {
 	var list EndpointList
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -371,7 +432,7 @@
 		return list, err
 	}
 	defer resp.Body.Close()
-	defer time.AfterFunc(d.bodyTimeout, cancel).Stop() // one that falls silent in the middle must not cost a whole watch
+	defer time.AfterFunc(d.bodyTimeout, cancel).Stop() // a body that stalls must not use up the whole watch timeout
 	if resp.StatusCode != http.StatusOK {
 		io.Copy(io.Discard, io.LimitReader(resp.Body, maxListSize))
 		return list, fmt.Errorf("%w %s", errDiscoveryStatus, resp.Status)
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -6,19 +6,21 @@
 	"io"
 )
 
-// maxList bounds a list on the wire. An endpoint takes about 160 bytes there at most, so that three times 70,000 pass.
+// maxListSize limits an encoded list, in bytes. An endpoint takes about 160 bytes at
+// most, so three times 70,000 endpoints fit.
 const maxListSize = 32 << 20
 
-// errLongList says that a list was not read to its end.
+// errListTooLong means that a list exceeds maxListSize and was not read to its end.
 var errListTooLong = fmt.Errorf("list of more than %d bytes", maxListSize)
 
-// readList decodes discovery's answer an entry at a time: its text never stands in memory as a whole.
+// readList decodes discovery's response one entry at a time, so that the encoded
+// list is never in memory as a whole.
 func readList(r io.Reader) (EndpointList, error) {
-	in := &io.LimitedReader{R: r, N: maxListSize + 1}
+	limited := &io.LimitedReader{R: r, N: maxListSize + 1}
 	var list EndpointList
-	err := list.decode(json.NewDecoder(in))
+	err := list.decode(json.NewDecoder(limited))
 	switch {
-	case err != nil && in.N <= 0: // the text was cut
+	case err != nil && limited.N <= 0: // the input was cut off at the limit
 		return EndpointList{}, errListTooLong
 	case err != nil:
 		return EndpointList{}, fmt.Errorf("read list: %w", err)
@@ -53,31 +55,31 @@
 }
 
 func (l *EndpointList) decodeInstances(dec *json.Decoder) error {
-	open, err := dec.Token()
-	if err != nil || open == nil { // null is an empty list
+	first, err := dec.Token()
+	if err != nil || first == nil { // null means an empty list
 		return err
 	}
-	if open != json.Delim('[') {
-		return fmt.Errorf("instances begin with %v", open)
+	if first != json.Delim('[') {
+		return fmt.Errorf("instances: want an array, got %v", first)
 	}
 	for dec.More() {
-		var in Instance
-		if err := dec.Decode(&in); err != nil {
+		var inst Instance
+		if err := dec.Decode(&inst); err != nil {
 			return err
 		}
-		l.Instances = append(l.Instances, in)
+		l.Instances = append(l.Instances, inst)
 	}
 	return expectDelim(dec, json.Delim(']'))
 }
 
-// expect reads a bracket. At the end of the text there is none.
+// expectDelim reads the given delimiter. The end of the input is unexpected here.
 func expectDelim(dec *json.Decoder, want json.Delim) error {
 	got, err := dec.Token()
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	if err == nil && got != want {
-		return fmt.Errorf("%v where %v should be", got, want)
+		return fmt.Errorf("got %v, want %v", got, want)
 	}
 	return err
 }
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -333,7 +333,7 @@
 				t.Run(fmt.Sprintf("pushed %v, %s, %s", pushed, at, fault), func(t *testing.T) {
 					t.Parallel()
 					var longest time.Duration
-					counts := map[string][]int{"first call": {1, 2, 6}, "watch": {0, 1, 2, 6}, "SIGHUP": {1, addressChangeAttempts + 1, 3 * (addressChangeAttempts + 1)}}
+					counts := map[string][]int{"first call": {1, 2, 6}, "watch": {0, 1, 2, 6}, "SIGHUP": {1, addressChangeRetries + 1, 3 * (addressChangeRetries + 1)}}
 					for _, calls := range counts[at] {
 						for seed := range map[bool]int{false: 2, true: 1}[pushed] { // only the module draws by it
 							synctest.Test(t, func(t *testing.T) {
