--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -19,29 +19,30 @@
 
 func newReader(s string) *bufio.Reader { return bufio.NewReader(strings.NewReader(s)) }
 
-// spoilt are answers that can't be read and leave the connection open.
+// malformedResponses are responses that cannot be parsed and leave the connection open.
 var malformedResponses = map[string]string{
-	"noise":               "\x00\x17\x03 noise\r\n\r\n",
-	"no version":          "HELLO 200 OK\r\n\r\n",
-	"no status":           "HTTP/1.1 \r\n\r\n",
-	"long status":         "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n",
-	"endless line":        strings.Repeat("x", 8192),
-	"head that is noise":  "HTTP/1.1 503 x\r\n\x01\x02 noise\r\n\r\n",
-	"head without end":    "HTTP/1.1 429 x\r\nX-Come-Back-Ms: 5\r\n",
-	"short body":          "HTTP/1.1 503 x\r\nContent-Length: 10\r\n\r\nabc",
-	"negative length":     "HTTP/1.1 429 x\r\nContent-Length: -5\r\n\r\n",
-	"signed length":       "HTTP/1.1 503 x\r\nContent-Length: +0\r\n\r\n",
-	"two lengths":         "HTTP/1.1 503 x\r\nContent-Length: 0\r\nContent-Length: 3\r\n\r\nabc",
-	"length and chunked":  "HTTP/1.1 504 x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-	"other coding":        "HTTP/1.1 503 x\r\nTransfer-Encoding: gzip\r\n\r\nabc",
-	"bad chunk":           "HTTP/1.1 410 x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-	"3 GB":                "HTTP/1.1 503 x\r\nContent-Length: 3000000000\r\n\r\nabc",
-	"endless body":        "HTTP/1.1 503 x\r\nConnection: close\r\n\r\n" + strings.Repeat("x", 2*maxResponseSize),
-	"endless interim":     strings.Repeat("HTTP/1.1 102 x\r\n\r\n", maxResponseSize/10),
-	"interim, then noise": "HTTP/1.1 100 Continue\r\n\r\nnoise\r\n\r\n",
+	"binary data":        "\x00\x17\x03 noise\r\n\r\n",
+	"no version":         "HELLO 200 OK\r\n\r\n",
+	"no status":          "HTTP/1.1 \r\n\r\n",
+	"long status":        "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n",
+	"very long line":     strings.Repeat("x", 8192),
+	"binary header":      "HTTP/1.1 503 x\r\n\x01\x02 noise\r\n\r\n",
+	"unfinished header":  "HTTP/1.1 429 x\r\nX-Come-Back-Ms: 5\r\n",
+	"short body":         "HTTP/1.1 503 x\r\nContent-Length: 10\r\n\r\nabc",
+	"negative length":    "HTTP/1.1 429 x\r\nContent-Length: -5\r\n\r\n",
+	"signed length":      "HTTP/1.1 503 x\r\nContent-Length: +0\r\n\r\n",
+	"two lengths":        "HTTP/1.1 503 x\r\nContent-Length: 0\r\nContent-Length: 3\r\n\r\nabc",
+	"length and chunked": "HTTP/1.1 504 x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+	"other encoding":     "HTTP/1.1 503 x\r\nTransfer-Encoding: gzip\r\n\r\nabc",
+	"bad chunk":          "HTTP/1.1 410 x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+	"3 GB":               "HTTP/1.1 503 x\r\nContent-Length: 3000000000\r\n\r\nabc",
+	"endless body":       "HTTP/1.1 503 x\r\nConnection: close\r\n\r\n" + strings.Repeat("x", 2*maxResponseSize),
+	"endless interim":    strings.Repeat("HTTP/1.1 102 x\r\n\r\n", maxResponseSize/10),
+	"interim, then text": "HTTP/1.1 100 Continue\r\n\r\nnoise\r\n\r\n",
 }
 
-// An answer that can't be read has run: it is neither a refusal nor an outage, and its connection ends.
+// A message whose response is malformed may have been processed: this is neither a
+// refusal nor an outage. The connection is closed.
 func TestMalformedResponses(t *testing.T) {
 	for name, text := range malformedResponses {
 		t.Run(name, func(t *testing.T) {
@@ -51,22 +52,28 @@
 			in := await(t, e.calls, "call")
 			io.WriteString(in.conn, text)
 			if r := await(t, got, "result"); r.outcome != logic.Spoilt || r.messageGone {
-				t.Errorf("got %+v, want Spoilt", r)
+				t.Errorf("got %+v, want the outcome of a malformed response", r)
 			}
 			in.awaitEnd(t)
 			in.done <- false
 			if c.connCount != 0 {
-				t.Errorf("%d connections on the books", c.connCount)
+				t.Errorf("%d connections still counted", c.connCount)
 			}
 		})
 	}
 }
 
-// A first line that says 200 is a delivery, whatever follows; the connection is of no further use.
+// A status line of 200 is a delivery, whatever follows. The connection is not reused.
 func TestMalformedAfterStatusOK(t *testing.T) {
-	for name, rest := range map[string]string{"noise": "\x01\x02\r\n\r\n", "no end": "A: b\r\n", "short": "Content-Length: 5\r\n\r\nab",
-		"3 GB": "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<16), "negative": "Content-Length: -1\r\n\r\n",
-		"two": "Content-Length: 0\r\nContent-Length: 0\r\n\r\n", "second copy": "Content-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"} {
+	for name, rest := range map[string]string{
+		"binary header":     "\x01\x02\r\n\r\n",
+		"unfinished header": "A: b\r\n",
+		"short body":        "Content-Length: 5\r\n\r\nab",
+		"3 GB":              "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<16),
+		"negative length":   "Content-Length: -1\r\n\r\n",
+		"two lengths":       "Content-Length: 0\r\nContent-Length: 0\r\n\r\n",
+		"second response":   "Content-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e, c := newEndpoint(t), newTestEndpointClient()
@@ -74,7 +81,7 @@
 			in := await(t, e.calls, "call")
 			go io.WriteString(in.conn, "HTTP/1.1 200 OK\r\n"+rest)
 			if r := await(t, got, "result"); r.outcome != logic.Completed {
-				t.Errorf("got %+v, want Completed", r)
+				t.Errorf("got %+v, want a delivery", r)
 			}
 			in.awaitEnd(t)
 			in.done <- false
@@ -82,8 +89,8 @@
 	}
 }
 
-// A first line that stops short says nothing, 200 or not: a message taken for delivered on the strength of it never
-// ends. A long one that comes whole is as true as any.
+// An incomplete status line is not an outcome, even if it shows 200: a message counted as
+// delivered because of it would be neither retried nor reported. A long but complete line counts.
 func TestTruncatedStatusLine(t *testing.T) {
 	for _, line := range []string{"HTTP/1.1 200 OK\r", "HTTP/1.1 200 O", "HTTP/1.1 200 ", "HTTP/1.1 200", "HTTP/1.1 503 x\r",
 		"HTTP/1.1 200 " + strings.Repeat("x", 8192), "HTTP/1.1 200 " + strings.Repeat("x", 8192) + "\n"} {
@@ -112,8 +119,8 @@
 	}
 }
 
-// A spoilt answer may have run: what may be repeated is sent again, at once and elsewhere too, what may not has
-// failed. What says 200 is over for every class.
+// After a malformed response, messages of classes that permit retries are sent again,
+// and those of the unsafe class have failed. A status line of 200 ends the message in every class.
 func TestMalformedResponseByClass(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
@@ -132,7 +139,7 @@
 			} else {
 				in = await(t, e[0].calls, "call again")
 				if in.id() != "a" || in.req.Header.Get("Idempotency-Key") != key {
-					t.Errorf("sent again as %v", in.req.Header)
+					t.Errorf("retried with header %v", in.req.Header)
 				}
 				in.reply(200)
 			}
@@ -149,8 +156,9 @@
 	}
 }
 
-// A second answer behind the first must never answer the next call: on a connection whose answer has just come the
-// next one is not made, and one with something on it is closed.
+// An unsolicited second response must never be taken for the response to the next
+// call. A connection whose response has just arrived is not reused yet, and one
+// with unsolicited data is closed.
 func TestUnsolicitedResponse(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	c.reuseDelay = time.Hour
@@ -161,14 +169,14 @@
 	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
 	second := await(t, e.calls, "call")
 	if second.conn == first.conn {
-		t.Fatal("the next call came before what is behind the answer could show")
+		t.Fatal("the connection was reused before the reuse delay was over")
 	}
 	io.WriteString(first.conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	second.reply(500)
 	if r := await(t, got, "result"); r.outcome != logic.Errored {
-		t.Errorf("got %+v, want Errored", r)
+		t.Errorf("got %+v, want the outcome of an error response", r)
 	}
-	for stop := time.Now().Add(patience); ; { // until the surplus has come
+	for stop := time.Now().Add(patience); ; { // until the unsolicited response has arrived
 		c.mu.Lock()
 		good := c.reusable(c.idle[1][0])
 		c.mu.Unlock()
@@ -176,22 +184,22 @@
 			break
 		}
 		if time.Now().After(stop) {
-			t.Fatal("the connection stays good")
+			t.Fatal("the connection is still considered reusable")
 		}
 	}
 	c.reuseDelay = 0
 	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
 	third := await(t, e.calls, "call")
 	if third.conn == first.conn {
-		t.Error("a call on a connection with an answer on it")
+		t.Error("a connection with unsolicited data was reused")
 	}
 	third.reply(429)
 	if r := await(t, got, "result"); r.outcome != logic.Full {
-		t.Errorf("got %+v, want Full", r)
+		t.Errorf("got %+v, want the outcome of a refusal", r)
 	}
 }
 
-// After an interim answer the call keeps its own deadline, and can still be cancelled.
+// After an interim response the call keeps its own deadline, and can still be cancelled.
 func TestDeadlineAfterInterimResponse(t *testing.T) {
 	for _, x := range []struct {
 		name string
@@ -200,7 +208,7 @@
 		want logic.Outcome
 	}{
 		{"late", patience, func(_ func(), in *inCall) {
-			time.Sleep(headTimeout + headTimeout/4) // the time that the rest of a head has
+			time.Sleep(headTimeout + headTimeout/4) // longer than the timeout for the rest of a header
 			in.reply(200)
 		}, logic.Completed},
 		{"cancelled", patience, func(cancel func(), in *inCall) { cancel(); in.awaitEnd(t); in.reset() }, logic.Recalled},
@@ -222,14 +230,14 @@
 	}
 }
 
-// A call for which this process has no descriptor was never sent, and says nothing of the endpoint; an idle
-// connection makes room.
+// A call that gets no file descriptor was never sent and says nothing about the
+// endpoint. Idle connections are closed to make room.
 func TestNoFreeDescriptor(t *testing.T) {
 	e, c := newEndpoint(t), newEndpointClient(time.Second, time.Hour, 4, shares{calls: 1, idle: 1}, new(atomic.Int64))
 	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
 	in := await(t, e.calls, "call")
 	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", patience)); r.outcome != logic.Unsent || !r.localFailure {
-		t.Errorf("got %+v, want Unsent for a local cause", r)
+		t.Errorf("got %+v, want a local failure", r)
 	}
 	in.reply(200)
 	await(t, got, "result")
@@ -237,19 +245,20 @@
 	call := newTestCall(t, other.addr(), "hello", patience)
 	call.endpoint = 2
 	got = doAsync(t.Context(), c, call)
-	await(t, other.calls, "call where an idle connection made room").reply(200)
+	await(t, other.calls, "call after an idle connection was closed").reply(200)
 	await(t, got, "result")
 	c.closeIdleTo(2)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return syscall.EMFILE }
 	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", patience)); r.outcome != logic.Unsent || !r.localFailure {
-		t.Errorf("got %+v, want Unsent for a local cause", r)
+		t.Errorf("got %+v, want a local failure", r)
 	}
 	if c.connCount != 0 || c.idleCount != 0 {
-		t.Errorf("%d connections, %d idle on the books", c.connCount, c.idleCount)
+		t.Errorf("%d connections, %d idle ones still counted", c.connCount, c.idleCount)
 	}
 }
 
-// Endpoints are ever new: what is off the list for long is forgotten, and no number is given twice.
+// Endpoints come and go all the time. Those removed long ago are deleted, and no
+// endpoint number is used twice.
 func TestDirectoryChurn(t *testing.T) {
 	cfg, err := ParseConfig(configText(newPlatform(t), EndpointList{}))
 	if err != nil {
@@ -258,18 +267,18 @@
 	d := NewDirectory(cfg)
 	seen := map[logic.EndpointID]bool{}
 	now := time.Now()
-	held := false
+	keptInUse := false
 	for i := range 1000 {
-		at := fmt.Sprintf("127.0.0.1:%d", 1+i%3) // at the address of one that has gone
-		l := EndpointList{Instances: []Instance{{ID: fmt.Sprint("s-", i), HostPort: at, Dest: 1, Lifecycle: "up"}}}
+		addr := fmt.Sprintf("127.0.0.1:%d", 1+i%3) // the address of a removed endpoint
+		list := EndpointList{Instances: []Instance{{ID: fmt.Sprint("s-", i), HostPort: addr, Dest: 1, Lifecycle: "up"}}}
 		if i > 0 {
-			l.Instances = append(l.Instances, Instance{ID: fmt.Sprint("s-", i-1), Dest: 1, Lifecycle: "removed"})
+			list.Instances = append(list.Instances, Instance{ID: fmt.Sprint("s-", i-1), Dest: 1, Lifecycle: "removed"})
 		}
-		rows := d.Apply(l, time.Now())
-		if seen[rows[0].Endpoint] {
-			t.Fatalf("number %d is given twice", rows[0].Endpoint)
+		entries := d.Apply(list, time.Now())
+		if seen[entries[0].Endpoint] {
+			t.Fatalf("number %d is used twice", entries[0].Endpoint)
 		}
-		seen[rows[0].Endpoint] = true
+		seen[entries[0].Endpoint] = true
 		if d.listedCount() != 1 {
 			t.Fatalf("%d endpoints are listed, want 1", d.listedCount())
 		}
@@ -277,10 +286,10 @@
 		if i%10 == 9 {
 			now = now.Add(2 * removedRetention)
 			for id := range d.removedAt {
-				held = true
+				keptInUse = true
 				d.purgeRemoved(now, map[logic.EndpointID]bool{id: true})
 				if _, ok := d.endpoints[id]; !ok {
-					t.Fatal("an endpoint with a call out is forgotten")
+					t.Fatal("an endpoint with a call in flight is deleted")
 				}
 				break
 			}
@@ -290,50 +299,50 @@
 			t.Fatal("the wrong destinations are known")
 		}
 	}
-	if !held {
-		t.Error("no endpoint was off the list with a call out")
+	if !keptInUse {
+		t.Error("no removed endpoint had a call in flight")
 	}
 	d.Apply(EndpointList{Reset: true}, time.Now())
 	d.purgeRemoved(time.Now().Add(2*removedRetention), nil)
 	if len(d.endpoints)+len(d.ids)+len(d.destCounts)+len(d.removedAt) != 0 {
-		t.Errorf("left: %d endpoints, %d names, %d destinations, %d gone", len(d.endpoints), len(d.ids), len(d.destCounts), len(d.removedAt))
+		t.Errorf("left: %d endpoints, %d ids, %d destinations, %d removal times", len(d.endpoints), len(d.ids), len(d.destCounts), len(d.removedAt))
 	}
 }
 
-// Endpoints come, go and come back, by changes and by whole lists. Which are listed is known throughout, also to a
-// process that takes over, and none of those is forgotten.
+// Endpoints come, go and return, by incremental and by full lists. The directory knows
+// which ones are listed at any time, also after a handover, and deletes none of those.
 func TestDirectoryListedCount(t *testing.T) {
 	n := newStoppedNode(t, t.TempDir())
 	rnd := rand.New(rand.NewPCG(3, 1))
-	on := map[string]bool{}
+	present := map[string]bool{}
 	for i := range 500 {
-		l := EndpointList{Reset: rnd.IntN(10) == 0}
-		if l.Reset {
-			clear(on)
+		list := EndpointList{Reset: rnd.IntN(10) == 0}
+		if list.Reset {
+			clear(present)
 		}
 		for range rnd.IntN(5) {
-			in := Instance{ID: fmt.Sprint("s-", rnd.IntN(8)), HostPort: "127.0.0.1:1", Dest: 1,
+			inst := Instance{ID: fmt.Sprint("s-", rnd.IntN(8)), HostPort: "127.0.0.1:1", Dest: 1,
 				Lifecycle: []string{"up", "draining", "removed"}[rnd.IntN(3)]}
-			if delete(on, in.ID); in.Lifecycle != "removed" {
-				on[in.ID] = true
+			if delete(present, inst.ID); inst.Lifecycle != "removed" {
+				present[inst.ID] = true
 			}
-			l.Instances = append(l.Instances, in)
+			list.Instances = append(list.Instances, inst)
 		}
-		n.dir.Apply(l, time.Now())
+		n.dir.Apply(list, time.Now())
 		st, err := n.handoverState()
 		if err != nil {
 			t.Fatal(err)
 		}
-		later := NewDirectory(n.cfg)
-		later.restore(st, n.clock)
-		for who, d := range map[string]*Directory{"this process": n.dir, "the next": later} {
-			if d.listedCount() != len(on) {
-				t.Fatalf("list %d: %s has %d endpoints, want %d", i, who, d.listedCount(), len(on))
+		successor := NewDirectory(n.cfg)
+		successor.restore(st, n.clock)
+		for who, d := range map[string]*Directory{"this process": n.dir, "the successor": successor} {
+			if d.listedCount() != len(present) {
+				t.Fatalf("list %d: %s has %d endpoints, want %d", i, who, d.listedCount(), len(present))
 			}
-			if who == "the next" || rnd.IntN(20) == 0 {
+			if who == "the successor" || rnd.IntN(20) == 0 {
 				d.purgeRemoved(time.Now().Add(2*removedRetention), nil)
-				if len(d.endpoints) != len(on) || len(d.removedAt) != 0 {
-					t.Fatalf("list %d: %s keeps %d endpoints, want %d", i, who, len(d.endpoints), len(on))
+				if len(d.endpoints) != len(present) || len(d.removedAt) != 0 {
+					t.Fatalf("list %d: %s keeps %d endpoints, want %d", i, who, len(d.endpoints), len(present))
 				}
 			}
 		}
@@ -347,21 +356,22 @@
 		}
 	}
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n")
-	f.Fuzz(func(t *testing.T, in string) {
+	f.Fuzz(func(t *testing.T, text string) {
 		conn, peer := net.Pipe()
 		defer conn.Close()
 		defer peer.Close()
-		r, keep := readResponse(newReader(in), &callDeadline{conn: conn, deadline: time.Now().Add(patience)})
-		if r.outcome == logic.Completed && !(strings.Contains(in, "HTTP/1.") && strings.Contains(in, " 200")) {
-			t.Errorf("%q is read as a delivery", in)
+		r, reusable := readResponse(newReader(text), &callDeadline{conn: conn, deadline: time.Now().Add(patience)})
+		if r.outcome == logic.Completed && !(strings.Contains(text, "HTTP/1.") && strings.Contains(text, " 200")) {
+			t.Errorf("%q counts as a delivery", text)
 		}
-		if keep && r.outcome == logic.Spoilt {
-			t.Errorf("%q: the connection is kept", in)
+		if reusable && r.outcome == logic.Spoilt {
+			t.Errorf("%q: the connection is kept", text)
 		}
 	})
 }
 
-// Connections to an endpoint that is taken off the list are given back, and a new one at its address starts afresh.
+// Connections to an endpoint that is removed from the list are closed. A new endpoint
+// at the same address gets new connections.
 func TestRemovedEndpoint(t *testing.T) {
 	n, c, p, e := world(t, 1)
 	c.put("a", "safe", "+OK")
@@ -396,34 +406,36 @@
 	stopClean(t, n)
 }
 
-// While kept connections break under calls, a call that a reset would end for good goes over a new one.
+// After a reused connection broke, a non-retryable call, which a reset would fail for
+// good, uses a new connection.
 func TestNonRetryableAvoidsFailingConnections(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	c.reuseDelay = 0
-	call := func(fragile bool, end func(*inCall)) (*inCall, callResult) {
+	call := func(nonRetryable bool, end func(*inCall)) (*inCall, callResult) {
 		t.Helper()
 		in := newTestCall(t, e.addr(), "hello", patience)
-		in.nonRetryable = fragile
+		in.nonRetryable = nonRetryable
 		got := doAsync(t.Context(), c, in)
 		out := await(t, e.calls, "call")
 		end(out)
 		return out, await(t, got, "result")
 	}
-	answered := func(in *inCall) { in.reply(200) }
-	first, _ := call(true, answered)
-	if second, _ := call(true, answered); second.conn != first.conn {
-		t.Error("kept connections are not used while none breaks")
+	ok := func(in *inCall) { in.reply(200) }
+	first, _ := call(true, ok)
+	if second, _ := call(true, ok); second.conn != first.conn {
+		t.Error("no connection is reused although none broke")
 	}
 	if _, r := call(false, (*inCall).reset); r.outcome != logic.Severed {
-		t.Errorf("got %+v, want Severed", r)
+		t.Errorf("got %+v, want the outcome of a broken connection", r)
 	}
-	third, _ := call(false, answered)
-	if fourth, _ := call(true, answered); fourth.conn == third.conn {
-		t.Error("a fragile call over a kept connection while those break")
+	third, _ := call(false, ok)
+	if fourth, _ := call(true, ok); fourth.conn == third.conn {
+		t.Error("a non-retryable call reused a connection after one broke")
 	}
 }
 
-// The limit that an answer tells is what bounds the pace: the module must hear it, with any outcome.
+// Package logic limits its rate by the load that endpoints report, so it must receive
+// the report with any outcome.
 func TestLoadReportReachesLogic(t *testing.T) {
 	for _, status := range []int{200, 503, 500} {
 		n, e := newBulkNode(t, map[string]string{"a": "x"})
@@ -448,6 +460,6 @@
 		}
 	}
 	if got := parseLoadReport("x1=25", nil); got != nil {
-		t.Errorf("reports that the settings do not name: %v", got)
+		t.Errorf("values that the settings do not name: %v", got)
 	}
 }
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -14,8 +14,8 @@
 	"rundeal/logic"
 )
 
-// bulkStep is a sender that is not running and has decided to send each message to an endpoint of a kind that
-// takes batches.
+// newBulkNode returns a sender that is not running and has decided to send each message to an
+// endpoint whose machine type accepts batches.
 func newBulkNode(t *testing.T, bodies map[string]string) (*Node, *endpoint) {
 	t.Helper()
 	e, p := newEndpoint(t), newPlatform(t)
@@ -39,7 +39,7 @@
 	return n, e
 }
 
-// takenOn puts a message on the books, with time left.
+// addHeldMessage records a message in the journal, with time left until its deadline.
 func addHeldMessage(t *testing.T, n *Node, m Message) *held {
 	t.Helper()
 	m.Deadline = n.clock.Now() + (2 * patience).Microseconds()
@@ -47,7 +47,7 @@
 	return &held{msg: &n.journal.Entry(m.ID).Message, trail: trail{came: time.Now()}}
 }
 
-// ends collects the outcomes of so many calls.
+// collectOutcomes returns the outcomes of the next count calls, by message id.
 func collectOutcomes(t *testing.T, n *Node, count int) map[string]logic.Outcome {
 	t.Helper()
 	out := map[string]logic.Outcome{}
@@ -58,13 +58,14 @@
 	return out
 }
 
-// bulkBody answers 200 with a body.
+// replyWithBody responds with status 200 and a body.
 func replyWithBody(c *inCall, body string) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	c.done <- true
 }
 
-// What one step sends to one endpoint is one call: so the module counts slots, pace and budget.
+// All messages that one step sends to one endpoint go in one call, since package logic
+// counts slots, rate and budget that way.
 func TestBulkIsOneCall(t *testing.T) {
 	bodies := map[string]string{"a": "body of a", "b": "\x00\xff", "c": ""}
 	n, e := newBulkNode(t, bodies)
@@ -95,7 +96,8 @@
 	}
 }
 
-// A call is known by its first message: one that is out of time before the others would take their answers with it.
+// The endpoint identifies a bulk call by its first message. If that message's deadline passed
+// before the others', their responses would not count either.
 func TestBulkLatestDeadlineFirst(t *testing.T) {
 	n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y", "c": "z"})
 	for id, deadline := range map[string]int64{"a": 2, "b": 1, "c": 3} {
@@ -121,7 +123,8 @@
 	}
 }
 
-// An answer for all holds for each; of one that can't be read, any message may have run.
+// A response to the whole call applies to each message. If it is malformed, any message
+// may have been processed.
 func TestBulkResponses(t *testing.T) {
 	for name, x := range map[string]struct {
 		answer string
@@ -130,7 +133,7 @@
 		"full":       {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", logic.Full, logic.Full},
 		"no slot":    {"HTTP/1.1 503 x\r\nX-Line-Busy: 1\r\nContent-Length: 0\r\n\r\n", logic.Moot, logic.Moot},
 		"error":      {"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", logic.Errored, logic.Errored},
-		"spoilt":     {"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nnot JSON!", logic.Spoilt, logic.Spoilt},
+		"malformed":  {"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nnot JSON!", logic.Spoilt, logic.Spoilt},
 		"cut short":  {"HTTP/1.1 200 x\r\nContent-Length: 99\r\n\r\n[]", logic.Severed, logic.Severed},
 		"one absent": {"HTTP/1.1 200 x\r\nContent-Length: 27\r\n\r\n[{\"id\":\"a\",\"state\":\"done\"}]", logic.Completed, logic.Spoilt},
 	} {
@@ -150,8 +153,8 @@
 	}
 }
 
-// One message that is called off ends at once where it may be sent again beside the call, else with the call; the
-// others have their answer.
+// A cancelled message ends at once if second copies are allowed, and with the call
+// otherwise. The other messages get their results from the response.
 func TestBulkCancelOne(t *testing.T) {
 	for _, copies := range []bool{true, false} {
 		n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y", "c": "z"})
@@ -175,7 +178,7 @@
 	}
 }
 
-// Once all are called off, the endpoint is told by the end of the connection.
+// Once all messages are cancelled, the connection is closed, which tells the endpoint.
 func TestBulkCancelAll(t *testing.T) {
 	n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y"})
 	n.launch(t.Context())
@@ -190,7 +193,7 @@
 	in.done <- false
 }
 
-// A body holds 64 KiB: messages that would not fit go in a call of their own.
+// A body is limited to 64 KiB. Messages that do not fit go in another call.
 func TestBulkBodyLimit(t *testing.T) {
 	n, e := newBulkNode(t, map[string]string{"a": strings.Repeat("x", 40<<10), "b": strings.Repeat("y", 40<<10), "c": "z"})
 	n.launch(t.Context())
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -13,28 +13,29 @@
 	"rundeal/logic"
 )
 
-func newTestCall(t *testing.T, addr, body string, giveUp time.Duration) *call {
+func newTestCall(t *testing.T, addr, body string, timeout time.Duration) *call {
 	t.Helper()
 	m := &Message{ID: "m1", Key: "k1", Body: []byte(body)}
-	req, err := newDeliveryRequest(m, addr, giveUp)
+	req, err := newDeliveryRequest(m, addr, timeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &call{id: m.ID, endpoint: 1, addr: addr, timeout: giveUp, request: req, state: new(atomic.Int32)}
+	return &call{id: m.ID, endpoint: 1, addr: addr, timeout: timeout, request: req, state: new(atomic.Int32)}
 }
 
 func newTestEndpointClient() *endpointClient {
 	return newEndpointClient(time.Second, 10*time.Second, 4, shares{calls: 16, idle: 16}, new(atomic.Int64))
 }
 
-// goDo makes a call in the background.
-func doAsync(ctx context.Context, c *endpointClient, in *call) <-chan callResult {
+// doAsync makes a call in the background.
+func doAsync(ctx context.Context, c *endpointClient, cl *call) <-chan callResult {
 	ch := make(chan callResult, 1)
-	go func() { ch <- c.do(ctx, in) }()
+	go func() { ch <- c.do(ctx, cl) }()
 	return ch
 }
 
-// An answer that is read as the wrong outcome resends what may have run, or gives up what never ran.
+// If a response were mapped to the wrong outcome, a message that may have been
+// processed would be sent again, or one that never was would be given up.
 func TestOutcomeOfResponse(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	c.reuseDelay = 0
@@ -58,21 +59,22 @@
 		in := await(t, e.calls, "call")
 		if in.body != "hello" || in.id() != "m1" || in.req.Header.Get("Idempotency-Key") != "k1" ||
 			in.req.Header.Get("X-Expires-In-Ms") != "20000" || in.req.URL.Path != "/inbox" {
-			t.Fatalf("request went out changed: %+v %q", in.req, in.body)
+			t.Fatalf("unexpected request: %+v %q", in.req, in.body)
 		}
 		in.reply(x.status, x.headers...)
 		r := await(t, got, "result")
-		r.idleTime = 0 // for the log alone
+		r.idleTime = 0 // only for the log
 		if r != x.want {
 			t.Errorf("%d %v: got %+v, want %+v", x.status, x.headers, r, x.want)
 		}
 	}
 	if n := len(e.conns); n != 1 {
-		t.Errorf("%d connections for calls one after the other, want 1", n)
+		t.Errorf("%d connections for sequential calls, want 1", n)
 	}
 }
 
-// A break before the last byte proves that the call never ran; nothing may be taken for more than it is.
+// A connection that breaks before the last byte of the request is written proves
+// that the endpoint never processed the call.
 func TestBreakBeforeLastByte(t *testing.T) {
 	small := func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -88,7 +90,7 @@
 	defer ln.Close()
 	c := newTestEndpointClient()
 	c.dialer.Control = small
-	// Far more than both buffers hold, so that the last byte cannot have been written.
+	// Far more than both socket buffers hold, so that the last byte cannot have been written.
 	got := doAsync(t.Context(), c, newTestCall(t, ln.Addr().String(), strings.Repeat("x", 8<<20), patience))
 	conn, err := ln.Accept()
 	if err != nil {
@@ -100,17 +102,18 @@
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
 	if r := await(t, got, "result"); r.outcome != logic.RefusedConn {
-		t.Errorf("got %+v, want RefusedConn", r)
+		t.Errorf("got %+v, want the outcome of a refused connection", r)
 	}
 }
 
-// After the last byte it may have run, however the connection ends.
+// Once the last byte of the request is written the call may have been processed,
+// however the connection ends.
 func TestBreakAfterLastByte(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
 	await(t, e.calls, "call").reset()
 	if r := await(t, got, "result"); r.outcome != logic.Severed {
-		t.Errorf("reset: got %+v, want Severed", r)
+		t.Errorf("reset: got %+v, want the outcome of a broken connection", r)
 	}
 	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
 	in := await(t, e.calls, "call")
@@ -118,21 +121,20 @@
 	in.conn.Close()
 	in.done <- false
 	if r := await(t, got, "result"); r.outcome != logic.Severed {
-		t.Errorf("half an answer: got %+v, want Severed", r)
+		t.Errorf("partial response: got %+v, want the outcome of a broken connection", r)
 	}
 }
 
-// A port that nobody listens on.
 func TestConnectionRefused(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	e.ln.Close()
 	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", patience)); r.outcome != logic.RefusedConn {
-		t.Errorf("got %+v, want RefusedConn", r)
+		t.Errorf("got %+v, want the outcome of a refused connection", r)
 	}
 }
 
-// A connection that the endpoint has closed, or that is about to be closed for its age, would turn the next call
-// into a reset, which an unsafe message does not survive.
+// Reusing a connection that the endpoint has closed, or will soon close as idle, ends
+// the next call with a reset, after which a message of an unsafe class has failed.
 func TestUnusableConnectionIsNotReused(t *testing.T) {
 	e, c := newEndpoint(t), newEndpointClient(time.Second, time.Hour, 4, shares{calls: 16, idle: 16}, new(atomic.Int64))
 	c.reuseDelay = 0
@@ -141,19 +143,19 @@
 		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
 		end(await(t, e.calls, "call"))
 		if r := await(t, got, "result"); r.outcome != logic.Completed {
-			t.Fatalf("got %+v, want Completed", r)
+			t.Fatalf("got %+v, want a delivery", r)
 		}
 	}
 	call(func(in *inCall) { in.replyAndClose(200) })
-	for stop := time.Now().Add(patience); ; { // until the end of the connection has come
+	for limit := time.Now().Add(patience); ; { // until the client has noticed the close
 		c.mu.Lock()
-		gone := len(c.idle[1]) == 0 || !c.reusable(c.idle[1][0])
+		unusable := len(c.idle[1]) == 0 || !c.reusable(c.idle[1][0])
 		c.mu.Unlock()
-		if gone {
+		if unusable {
 			break
 		}
-		if time.Now().After(stop) {
-			t.Fatal("the closed connection stays good")
+		if time.Now().After(limit) {
+			t.Fatal("the closed connection is still considered reusable")
 		}
 	}
 	call(func(in *inCall) { in.reply(200) })
@@ -165,39 +167,40 @@
 	c.mu.Unlock()
 	call(func(in *inCall) { in.reply(200) })
 	if n := len(e.conns); n != 3 {
-		t.Fatalf("%d connections, want a third after the second grew old", n)
+		t.Fatalf("%d connections, want a third after the second reached its idle timeout", n)
 	}
 	c.mu.Lock()
 	c.idle[1][0].idleSince = time.Now().Add(-2 * time.Hour)
 	c.mu.Unlock()
 	c.closeUnusable()
 	if c.idleCount != 0 || len(c.idle) != 0 {
-		t.Errorf("an old connection is kept after a sweep")
+		t.Errorf("an expired connection is kept after closeUnusable")
 	}
 }
 
-// A connection that comes up, or is found, when its call has been called off carries nothing: the message may be over.
+// If a call is cancelled while it gets its connection, nothing may be written: the
+// message may already have ended.
 func TestCancelledBeforeWrite(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	c.reuseDelay = 0
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 30 {
-		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "first", patience)) // leaves a kept connection
+		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "first", patience)) // leaves an idle connection
 		await(t, e.calls, "call").reply(200)
 		await(t, got, "result")
 		if r := c.do(ctx, newTestCall(t, e.addr(), "over", patience)); r.outcome != logic.RefusedConn {
-			t.Fatalf("got %+v, want RefusedConn", r)
+			t.Fatalf("got %+v, want the outcome of a refused connection", r)
 		}
 	}
 	e.none(t)
 }
 
-// A call that is given up must be over for the endpoint too before its outcome is told: the next attempt would be
-// a second copy.
+// The endpoint must have seen the end of an aborted call before the outcome is
+// reported. Otherwise the next attempt would be a second copy.
 func TestAbort(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
-	c.abortGrace = 2 * patience // only the endpoint's own end of the call can cut it short
+	c.abortGrace = 2 * patience // so only the endpoint can end the call earlier
 	ctx, cancel := context.WithCancel(t.Context())
 	got := doAsync(ctx, c, newTestCall(t, e.addr(), "hello", patience))
 	in := await(t, e.calls, "call")
@@ -205,14 +208,14 @@
 	in.awaitEnd(t)
 	in.reset()
 	if r := await(t, got, "result"); r.outcome != logic.Recalled {
-		t.Errorf("cancelled: got %+v, want Recalled", r)
+		t.Errorf("cancelled: got %+v, want the outcome of a cancelled call", r)
 	}
 	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
 	in.awaitEnd(t)
 	in.reset()
 	if r := await(t, got, "result"); r.outcome != logic.Overdue {
-		t.Errorf("timed out: got %+v, want Overdue", r)
+		t.Errorf("timed out: got %+v, want the outcome of a timeout", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
 	got = doAsync(ctx, c, newTestCall(t, e.addr(), "hello", patience))
@@ -221,32 +224,33 @@
 	in.awaitEnd(t)
 	in.reply(200)
 	if r := await(t, got, "result"); r.outcome != logic.Completed {
-		t.Errorf("answered while it was given up: got %+v, want Completed", r)
+		t.Errorf("response during the grace period: got %+v, want a delivery", r)
 	}
 	c.abortGrace = time.Millisecond // an endpoint that does not react
 	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
 	if r := await(t, got, "result"); r.outcome != logic.Overdue {
-		t.Errorf("silent: got %+v, want Overdue", r)
+		t.Errorf("silent: got %+v, want the outcome of a timeout", r)
 	}
 	in.awaitEnd(t)
 	if c.idleCount != 0 {
-		t.Errorf("%d connections kept after calls that were given up", c.idleCount)
+		t.Errorf("%d connections kept after aborted calls", c.idleCount)
 	}
 }
 
-// A call that still connects when it is called off has not run.
+// A call that is cancelled while connecting was never processed.
 func TestCancelWhileConnecting(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	ctx, cancel := context.WithCancel(t.Context())
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
 	if r := c.do(ctx, newTestCall(t, e.addr(), "hello", patience)); r.outcome != logic.RefusedConn {
-		t.Errorf("got %+v, want RefusedConn", r)
+		t.Errorf("got %+v, want the outcome of a refused connection", r)
 	}
 	e.none(t)
 }
 
-// A wait or a drain that becomes known while a call connects binds it: it must not be written afterwards.
+// If the destination asks for a wait, or the endpoint starts to drain, while a call
+// is still connecting, the request must not be written.
 func TestAbortedWhileConnecting(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	in := newTestCall(t, e.addr(), "hello", patience)
@@ -255,23 +259,24 @@
 		return nil
 	}
 	if r := c.do(t.Context(), in); r.outcome != logic.Moot {
-		t.Errorf("got %+v, want Moot", r)
+		t.Errorf("got %+v, want the outcome of a call that was never sent", r)
 	}
 	e.none(t)
 }
 
-// Connecting takes time: a repeat that would be written after the destination has forgotten its key is not made.
+// Connecting takes time. A retry must not be written after the destination has
+// forgotten the idempotency key.
 func TestWriteBy(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	in := newTestCall(t, e.addr(), "hello", patience)
 	in.writeBy = time.Now().Add(-time.Millisecond)
 	if r := c.do(t.Context(), in); r.outcome != logic.Moot {
-		t.Errorf("got %+v, want Moot", r)
+		t.Errorf("got %+v, want the outcome of a call that was never sent", r)
 	}
 	e.none(t)
 }
 
-// An interim answer is not the outcome.
+// An interim (1xx) response is not the outcome.
 func TestInterimResponse(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
@@ -279,6 +284,6 @@
 	io.WriteString(in.conn, "HTTP/1.1 102 Processing\r\n\r\n")
 	in.reply(200)
 	if r := await(t, got, "result"); r.outcome != logic.Completed {
-		t.Errorf("got %+v, want Completed", r)
+		t.Errorf("got %+v, want a delivery", r)
 	}
 }
--- a/internal/node/told_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -23,23 +23,23 @@
 	"time"
 )
 
-// toldAfter is when a change counts as told, counted from the moment from which discovery had it and could be reached.
+// changeDeadline is when a sender must act on a change, counted from the moment at which discovery had it and was reachable.
 const changeDeadline = 6 * time.Second
 
-// movedAfter is when what a new address has counts as told, counted from the signal.
+// addressChangeDeadline is when a sender must act on the list at a new discovery address, counted from the signal to reload.
 const addressChangeDeadline = 4 * time.Second
 
-// station is discovery in memory. A fault strikes the call that is held, and each that comes while it lasts; what it
-// has struck stays as it is when the fault is over.
+// fakeDiscovery is an in-memory discovery server. A fault affects the watch that is held and
+// each call that arrives while it lasts. Affected calls do not recover when the fault ends.
 type fakeDiscovery struct {
 	mu       sync.Mutex
 	fault    string
 	list     EndpointList
 	changed  chan struct{} // closed when the list or the fault changes
-	closed   chan struct{} // closed at the end of the play
-	requests chan string   // each call that begins: its query
-	faulted  chan struct{} // each call that a fault strikes
-	lastSent time.Time     // when the list was last written
+	closed   chan struct{} // closed at the end of the scenario
+	requests chan string   // the query of each call that arrives
+	faulted  chan struct{} // one value for each call that a fault affects
+	lastSent time.Time     // when a list was last sent
 }
 
 func newFakeDiscovery(list EndpointList, fault string) *fakeDiscovery {
@@ -47,7 +47,7 @@
 		requests: make(chan string, 4096), faulted: make(chan struct{}, 4096)}
 }
 
-// now changes the station in one step.
+// set changes fault and list atomically.
 func (s *fakeDiscovery) set(fault string, list EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,36 +56,36 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *fakeDiscovery) state() (fault string, list EndpointList, turn <-chan struct{}) {
+func (s *fakeDiscovery) state() (fault string, list EndpointList, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fault, s.list, s.changed
 }
 
-// dial makes a connection, as the network would.
+// dial simulates connecting over the network.
 func (s *fakeDiscovery) dial(ctx context.Context) (net.Conn, error) {
-	here, there := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	switch fault, _, _ := s.state(); fault {
 	case "refuses":
 		s.faulted <- struct{}{}
 		return nil, syscall.ECONNREFUSED
-	case "vanishes":
+	case "unreachable":
 		s.faulted <- struct{}{}
 		pause(ctx, discoveryDialTimeout)
 		return nil, errors.Join(os.ErrDeadlineExceeded, ctx.Err())
-	case "creeps": // each step takes its time, and the last one does not come
+	case "slow and stalls": // each step is slow, and the last one never completes
 		s.faulted <- struct{}{}
 		pause(ctx, discoveryDialTimeout-100*time.Millisecond)
 		go func() {
-			defer there.Close()
-			if _, err := http.ReadRequest(bufio.NewReader(there)); err == nil {
-				s.applyFault(there, fault)
+			defer serverConn.Close()
+			if _, err := http.ReadRequest(bufio.NewReader(serverConn)); err == nil {
+				s.applyFault(serverConn, fault)
 			}
 		}()
-		return here, nil
+		return clientConn, nil
 	}
-	go s.serve(there)
-	return here, nil
+	go s.serve(serverConn)
+	return clientConn, nil
 }
 
 func (s *fakeDiscovery) serve(conn net.Conn) {
@@ -98,15 +98,15 @@
 	}
 }
 
-// answer says whether the connection goes on.
+// respond serves one request and reports whether the connection stays open.
 func (s *fakeDiscovery) respond(conn net.Conn, req *http.Request) bool {
 	s.requests <- req.URL.RawQuery
 	from, _ := strconv.ParseInt(req.URL.Query().Get("from"), 10, 64)
 	hold, _ := strconv.Atoi(req.URL.Query().Get("hold_ms"))
-	end := time.NewTimer(time.Duration(hold) * time.Millisecond)
-	defer end.Stop()
+	expiry := time.NewTimer(time.Duration(hold) * time.Millisecond)
+	defer expiry.Stop()
 	for {
-		fault, list, turn := s.state()
+		fault, list, changed := s.state()
 		if fault != "" {
 			s.faulted <- struct{}{}
 			return s.applyFault(conn, fault)
@@ -118,8 +118,8 @@
 			return s.writeList(conn, list)
 		}
 		select {
-		case <-turn:
-		case <-end.C:
+		case <-changed:
+		case <-expiry.C:
 			return s.writeList(conn, EndpointList{Generation: from})
 		case <-s.closed:
 			return false
@@ -131,19 +131,19 @@
 	switch fault {
 	case "refuses", "resets":
 		return false
-	case "creeps":
+	case "slow and stalls":
 		pause(context.Background(), 300*time.Millisecond)
 		fallthrough
-	case "stops": // in the middle of a list
+	case "stalls": // in the middle of a list
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"generation\":2,")
-	case "turns away late":
+	case "late error status":
 		pause(context.Background(), 2*time.Second)
 		fallthrough
-	case "turns away":
+	case "error status":
 		_, err := io.WriteString(conn, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
-	<-s.closed // it says nothing, for good
+	<-s.closed // no response at all
 	return false
 }
 
@@ -155,7 +155,7 @@
 	return err == nil
 }
 
-// noClients is a listener that nobody calls.
+// idleListener is a listener without connections.
 type idleListener struct {
 	closed chan struct{}
 	once   sync.Once
@@ -169,47 +169,64 @@
 func (l *idleListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *idleListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// play is a sender whose discovery fails in some way at some moment.
+// discoveryFailure is a scenario in which discovery fails in a given way and phase.
 type discoveryFailure struct {
 	pushed      bool
 	phase       string // "first call", "watch" or "SIGHUP"
 	fault       string
-	failedCalls int // that the fault strikes before discovery can be reached, besides a watch that is held
+	failedCalls int // calls that fail before discovery is reachable again, not counting a watch that is held
 	seed        int
 }
 
-// run returns how long after discovery could be reached again the change was written to the sender. Time is the
-// bubble's. Every draw is the longest, but for the module's own.
-func (p discoveryFailure) run(t *testing.T) (told time.Duration) {
+// run returns how long after discovery was reachable again the change was sent to the sender. It must run in a
+// synctest bubble. Every random delay is the longest possible, except those of package logic.
+func (p discoveryFailure) run(t *testing.T) (delay time.Duration) {
 	const oldAddr, freshAddr = "127.0.0.2:1", "127.0.0.3:1"
-	row := func(id, addr, state string) Instance {
+	instance := func(id, addr, state string) Instance {
 		return Instance{ID: id, HostPort: addr, Zone: "a", MachineType: "std", Dest: 1, Lifecycle: state, Weight: 100}
 	}
-	before := EndpointList{Generation: 1, Reset: true, Instances: []Instance{row("old", oldAddr, "up"), row("fresh", freshAddr, "up")}}
-	after := EndpointList{Generation: 2, Reset: true, Instances: []Instance{row("old", oldAddr, "draining"), row("fresh", freshAddr, "up")}}
+	oldList := EndpointList{Generation: 1, Reset: true, Instances: []Instance{
+		instance("old", oldAddr, "up"),
+		instance("fresh", freshAddr, "up"),
+	}}
+	newList := EndpointList{Generation: 2, Reset: true, Instances: []Instance{
+		instance("old", oldAddr, "draining"),
+		instance("fresh", freshAddr, "up"),
+	}}
 	text := func(discovery string) string {
 		deploy := strings.Replace(settings, `"balancers":1`, `"balancers":300`, 1)
 		if p.pushed {
 			deploy = strings.Replace(deploy, "on_request", "pushed", 1)
 		}
-		b, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": strconv.Itoa(p.seed),
-			"limits": Limits{Cores: 1, MemoryMB: 192, Sockets: 256, DiskMB: 3}, "known": before, "settings": json.RawMessage(deploy)})
+		b, err := json.Marshal(map[string]any{
+			"name":      "n0",
+			"listen":    "127.0.0.1:0",
+			"discovery": discovery,
+			"seed":      strconv.Itoa(p.seed),
+			"limits":    Limits{Cores: 1, MemoryMB: 192, Sockets: 256, DiskMB: 3},
+			"known":     oldList,
+			"settings":  json.RawMessage(deploy),
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return string(b)
 	}
-	stations := map[string]*fakeDiscovery{"127.0.0.4:1": newFakeDiscovery(before, ""), "127.0.0.5:1": newFakeDiscovery(before, p.fault)}
-	first, hit := stations["127.0.0.4:1"], stations["127.0.0.4:1"]
+	servers := map[string]*fakeDiscovery{
+		"127.0.0.4:1": newFakeDiscovery(oldList, ""),
+		"127.0.0.5:1": newFakeDiscovery(oldList, p.fault),
+	}
+	initial, failing := servers["127.0.0.4:1"], servers["127.0.0.4:1"]
 	switch p.phase {
 	case "first call":
-		first.fault = p.fault
+		initial.fault = p.fault
 	case "SIGHUP":
-		hit = stations["127.0.0.5:1"]
+		failing = servers["127.0.0.5:1"]
 	}
 
 	dir := t.TempDir()
-	if err := os.MkdirAll(filepath.Join(dir, socketName, "x"), 0o700); err != nil { // no Unix socket: its clock is not ours
+	// A folder in place of the handover socket: a real Unix socket would not run on the bubble's clock.
+	if err := os.MkdirAll(filepath.Join(dir, socketName, "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	ln, signals := &idleListener{closed: make(chan struct{})}, make(chan os.Signal)
@@ -219,18 +236,18 @@
 		n.ln = ln
 		n.ReloadOn(signals, func() (*Config, error) { return ParseConfig([]byte(text("127.0.0.5:1"))) })
 		n.disc.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
-			return stations[addr].dial(ctx)
+			return servers[addr].dial(ctx)
 		}
-		n.disc.randN = func(most int64) int64 {
-			if most == int64(maxWatchHold/4) { // what is taken off the hold
+		n.disc.randN = func(n int64) int64 {
+			if n == int64(maxWatchHold/4) { // the reduction of the hold time
 				return 0
 			}
-			return most - 1
+			return n - 1
 		}
 		n.notices.client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 			return nil, syscall.ECONNREFUSED
 		}
-		// Each attempt ends here, for want of a descriptor, and is made again elsewhere: where it went is on record.
+		// Each attempt is recorded and fails here, as if there were no free descriptor, and is retried elsewhere.
 		n.caller.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
 			mu.Lock()
 			defer mu.Unlock()
@@ -240,18 +257,18 @@
 			return syscall.EMFILE
 		}
 	})
-	gone := make(chan struct{})
-	t.Cleanup(func() { // all of it, also after a failure: the bubble's time stands still after this
-		close(gone)
+	stopClient := make(chan struct{})
+	t.Cleanup(func() { // everything must end here, also after a failure: the bubble's clock stops afterwards
+		close(stopClient)
 		n.stop()
 		if err := await(t, n.done, "end of the sender"); err != nil {
 			t.Error(err)
 		}
-		for _, s := range stations {
+		for _, s := range servers {
 			close(s.closed)
 		}
 	})
-	go func() { // a client; its messages come to the loop as a session hands them on
+	go func() { // a client, whose messages reach the event loop as a session would pass them on
 		for i := 0; ; i++ {
 			time.Sleep(200 * time.Millisecond)
 			id, answer := fmt.Sprintf("%06d", i), make(chan string, 1)
@@ -259,12 +276,12 @@
 				Deadline: time.Now().Add(3 * time.Second).UnixMicro()}
 			select {
 			case n.events <- putEvent{m, answer}:
-			case <-gone:
+			case <-stopClient:
 				return
 			}
 			select {
 			case <-answer:
-			case <-gone:
+			case <-stopClient:
 				return
 			}
 		}
@@ -272,83 +289,89 @@
 
 	if p.phase != "first call" {
 		await(t, toOld, "attempt at the old endpoint")
-		for len(first.requests) > 0 {
-			<-first.requests
+		for len(initial.requests) > 0 {
+			<-initial.requests
 		}
-		for range 2 { // the one before is answered, so this is not the first
-			if q := <-first.requests; !strings.HasPrefix(q, "from=1&") {
+		for range 2 { // the second one begins after the first was answered
+			if q := <-initial.requests; !strings.HasPrefix(q, "from=1&") {
 				t.Fatalf("call for %q, want a watch", q)
 			}
 		}
 	}
 	switch p.phase {
 	case "watch":
-		hit.set(p.fault, before)
-		await(t, hit.faulted, "held watch")
+		failing.set(p.fault, oldList)
+		await(t, failing.faulted, "held watch")
 	case "SIGHUP":
 		signals <- syscall.SIGHUP
 	}
 	for range p.failedCalls {
-		await(t, hit.faulted, "call that fails")
+		await(t, failing.faulted, "failing call")
 	}
-	hit.set("", after)
-	back := time.Now()
+	failing.set("", newList)
+	recovered := time.Now()
 	time.Sleep(changeDeadline + 4*time.Second)
 
 	mu.Lock()
 	defer mu.Unlock()
-	hit.mu.Lock()
-	defer hit.mu.Unlock()
-	if hit.lastSent.Before(back) {
-		t.Fatalf("%+v: not told within %v", p, time.Since(back))
+	failing.mu.Lock()
+	defer failing.mu.Unlock()
+	if failing.lastSent.Before(recovered) {
+		t.Fatalf("%+v: the change was not sent within %v", p, time.Since(recovered))
 	}
-	if back.Sub(start) > time.Second && (len(sent[oldAddr]) == 0 || sent[oldAddr][0].After(back)) {
-		t.Errorf("%+v: nothing was sent to the old endpoint before", p)
+	if recovered.Sub(start) > time.Second && (len(sent[oldAddr]) == 0 || sent[oldAddr][0].After(recovered)) {
+		t.Errorf("%+v: nothing was sent to the old endpoint before the change", p)
 	}
-	late, served, within := 0, false, changeDeadline
-	if p.phase == "SIGHUP" && p.failedCalls == 1 { // it was back a moment after the signal
+	lateAttempts, freshUsed, within := 0, false, changeDeadline
+	if p.phase == "SIGHUP" && p.failedCalls == 1 { // the new address was reachable right after the signal
 		within = addressChangeDeadline
 	}
 	for _, at := range sent[oldAddr] {
-		if at.Sub(back) > within {
-			late++
+		if at.Sub(recovered) > within {
+			lateAttempts++
 		}
 	}
 	for _, at := range sent[freshAddr] {
-		served = served || at.Sub(back) > within
+		freshUsed = freshUsed || at.Sub(recovered) > within
 	}
-	if late > 0 || !served {
-		t.Errorf("%+v: %d attempts at an endpoint that drains, after the change counted as told (the list came at %v); attempts elsewhere: %v",
-			p, late, hit.lastSent.Sub(back), served)
+	if lateAttempts > 0 || !freshUsed {
+		t.Errorf("%+v: %d attempts at a draining endpoint after the change had to take effect (list sent after %v); attempts elsewhere: %v",
+			p, lateAttempts, failing.lastSent.Sub(recovered), freshUsed)
 	}
-	return hit.lastSent.Sub(back)
+	return failing.lastSent.Sub(recovered)
 }
 
-// Whatever becomes of calls to discovery, and of however many in a row: what it had to tell from the moment from which
-// it could be reached is heeded 6 s later, with the longest of all pauses and the call before it begun just then.
+// However calls to discovery fail, and however many in a row: the sender acts on a change 6 s after discovery
+// had it and was reachable, even with the longest pauses and with a call that began just before that moment.
 func TestChangeTakesEffectAfterAnyFailure(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for _, at := range []string{"first call", "watch", "SIGHUP"} {
-			for _, fault := range []string{"refuses", "resets", "silent", "stops", "turns away", "turns away late", "vanishes", "creeps"} {
+			for _, fault := range []string{
+				"refuses", "resets", "silent", "stalls", "error status", "late error status", "unreachable", "slow and stalls",
+			} {
 				t.Run(fmt.Sprintf("pushed %v, %s, %s", pushed, at, fault), func(t *testing.T) {
 					t.Parallel()
 					var longest time.Duration
-					counts := map[string][]int{"first call": {1, 2, 6}, "watch": {0, 1, 2, 6}, "SIGHUP": {1, addressChangeRetries + 1, 3 * (addressChangeRetries + 1)}}
+					counts := map[string][]int{
+						"first call": {1, 2, 6},
+						"watch":      {0, 1, 2, 6},
+						"SIGHUP":     {1, addressChangeRetries + 1, 3 * (addressChangeRetries + 1)},
+					}
 					for _, calls := range counts[at] {
-						for seed := range map[bool]int{false: 2, true: 1}[pushed] { // only the module draws by it
+						for seed := range map[bool]int{false: 2, true: 1}[pushed] { // only package logic uses the seed
 							synctest.Test(t, func(t *testing.T) {
 								longest = max(longest, discoveryFailure{pushed, at, fault, calls, seed}.run(t))
 							})
 						}
 					}
-					t.Logf("told %v after discovery could be reached, at most", longest)
+					t.Logf("sent at most %v after discovery was reachable", longest)
 				})
 			}
 		}
 	}
 }
 
-// fleet is many senders that ask one discovery, each with a watch held there.
+// startWatchers starts the discovery clients of many senders and waits until each has a watch at the server.
 func startWatchers(t *testing.T, s *fakeDiscovery, senders int) {
 	t.Helper()
 	for range senders {
@@ -360,85 +383,86 @@
 	}
 	t.Cleanup(func() { close(s.closed) })
 	synctest.Wait()
-	for range 2 * senders { // the list, and the watch
+	for range 2 * senders { // for each, the first list and the watch
 		await(t, s.requests, "call")
 	}
 }
 
-// fullest counts what comes through ch, for so many spans of time, and returns the most in one span, and all.
-func countPerInterval[T any](ch <-chan T, span time.Duration, spans int) (most, all int) {
-	for range spans {
-		time.Sleep(span)
+// countPerInterval counts the values from ch over a number of intervals, and returns the highest count in one
+// interval and the total.
+func countPerInterval[T any](ch <-chan T, interval time.Duration, intervals int) (peak, total int) {
+	for range intervals {
+		time.Sleep(interval)
 		synctest.Wait()
 		n := len(ch)
 		for range n {
 			<-ch
 		}
-		most, all = max(most, n), all+n
+		peak, total = max(peak, n), total+n
 	}
-	return most, all
+	return peak, total
 }
 
-// News ends all watches of a fleet at one moment, and the next ones begin in step. They do not end in step.
+// A change ends the watches of all senders at once, so that the next ones begin together. They must not all expire together.
 func TestWatchExpiryIsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeDiscovery(EndpointList{Generation: 1, Reset: true}, "")
 		startWatchers(t, s, 300)
 		s.set("", EndpointList{Generation: 2, Reset: true})
 		for range 300 {
-			await(t, s.requests, "watch after the news")
+			await(t, s.requests, "watch after the change")
 		}
-		if most, all := countPerInterval(s.requests, 100*time.Millisecond, 41); most > 100 || all != 300 {
-			t.Errorf("%d watches, %d of them within 0.1 s", all, most)
+		if peak, total := countPerInterval(s.requests, 100*time.Millisecond, 41); peak > 100 || total != 300 {
+			t.Errorf("%d watches, %d of them within 0.1 s", total, peak)
 		}
 	})
 }
 
-// Discovery goes, and breaks all watches. Go's client tries a kept connection that broke once more at once; from then
-// on the fleet comes back over some seconds, and not all at once.
+// Discovery fails and all watches break. Go's HTTP client retries once at once after a reused connection broke.
+// The retries after that must be spread over some seconds.
 func TestRetriesOfManySendersAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeDiscovery(EndpointList{Generation: 1, Reset: true}, "")
 		startWatchers(t, s, 300)
 		s.set("refuses", EndpointList{Generation: 1, Reset: true})
 		for range 600 {
-			await(t, s.faulted, "watch that breaks")
+			await(t, s.faulted, "broken watch")
 		}
-		if most, all := countPerInterval(s.faulted, time.Second, 6); most > 150 || all != 300 {
-			t.Errorf("%d calls, %d of them within a second", all, most)
+		if peak, total := countPerInterval(s.faulted, time.Second, 6); peak > 150 || total != 300 {
+			t.Errorf("%d calls, %d of them within a second", total, peak)
 		}
 	})
 }
 
-// Over real sockets: a watch falls silent, and the next call finds an endpoint that drains.
+// Over real TCP connections: a watch gets no response, and the next call reports a draining endpoint.
 func TestSilentWatchOverTCP(t *testing.T) {
 	for _, mode := range []string{"on_request", "pushed"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			old, fresh := newEndpoint(t), newEndpoint(t)
 			known := EndpointList{Generation: 1, Reset: true, Instances: instances(old, fresh)}
-			drains := instances(old, fresh)
-			drains[0].Lifecycle = "draining"
+			draining := instances(old, fresh)
+			draining[0].Lifecycle = "draining"
 			var calls atomic.Int32
-			silent, heeded := make(chan time.Time, 1), make(chan struct{}, 64)
+			silent, applied := make(chan time.Time, 1), make(chan struct{}, 64)
 			p := &platform{srv: httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				switch calls.Add(1) {
 				case 1:
 					silent <- time.Now()
 				case 2:
-					json.NewEncoder(w).Encode(EndpointList{Generation: 2, Instances: drains[:1]})
+					json.NewEncoder(w).Encode(EndpointList{Generation: 2, Instances: draining[:1]})
 					return
 				default:
-					heeded <- struct{}{}
+					applied <- struct{}{}
 				}
 				<-r.Context().Done()
 			}))}
 			t.Cleanup(func() { p.srv.CloseClientConnections(); p.srv.Close() })
 			n := startWith(t, strings.Replace(string(configText(p, known)), "on_request", mode, 1), t.TempDir())
 			at := await(t, silent, "watch")
-			await(t, heeded, "watch from the new list")
-			if took := time.Since(at); took > changeDeadline+2*time.Second { // and the grace of a drain
-				t.Errorf("heeded after %v", took)
+			await(t, applied, "watch after the new list")
+			if took := time.Since(at); took > changeDeadline+2*time.Second { // plus the grace period of a drain
+				t.Errorf("the change took effect after %v", took)
 			}
 			c := dial(t, n.addr)
 			for i := range 4 {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// A list may come in pieces of any size. One that stops coming costs a deadline, not the whole time of a watch.
+// A list may arrive in chunks of any size. One that stalls costs the timeout for a
+// body, not the whole time of a watch.
 func TestListInChunks(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -49,7 +50,8 @@
 	}
 }
 
-// Found on the day of a large herd: 56 senders that started at once all asked within 0.3 s, and half were turned away.
+// The start delay must grow with the number of senders: 56 senders that started at once all
+// called discovery within 0.3 s, and half of them were rejected.
 func TestStartSpreadGrowsWithSenders(t *testing.T) {
 	for senders, want := range map[int]time.Duration{1: minStartSpread, 80: 2 * time.Second, 10000: maxStartSpread} {
 		d := newDiscoveryClient("", senders, slog.New(slog.DiscardHandler), nil)
@@ -59,23 +61,24 @@
 	}
 }
 
-// agent answers calls for the list as a test says, one after the other, and passes on what was asked.
+// newScriptedDiscovery serves calls for the list with the given handlers, one after the other. Later
+// calls get no response. The queries of all calls are sent to the returned channel.
 func newScriptedDiscovery(t *testing.T, answers ...http.HandlerFunc) (*discoveryClient, <-chan any, <-chan string) {
 	t.Helper()
-	asked, events, i := make(chan string, 64), make(chan any, 64), new(atomic.Int32)
+	queries, events, i := make(chan string, 64), make(chan any, 64), new(atomic.Int32)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
-		k := int(i.Add(1))
-		if k > len(answers) {
+		queries <- r.URL.RawQuery
+		call := int(i.Add(1))
+		if call > len(answers) {
 			<-r.Context().Done()
 			return
 		}
-		answers[k-1](w, r)
+		answers[call-1](w, r)
 	}))
 	t.Cleanup(func() { srv.CloseClientConnections(); srv.Close() })
 	d := newDiscoveryClient(strings.TrimPrefix(srv.URL, "http://"), 1, slog.New(slog.DiscardHandler), events)
 	d.watchHold, d.bodyTimeout, d.randN = 10*time.Millisecond, 50*time.Millisecond, func(int64) int64 { return 0 }
-	return d, events, asked
+	return d, events, queries
 }
 
 func respondWithList(list EndpointList, indent string) http.HandlerFunc {
@@ -86,12 +89,13 @@
 	}
 }
 
-// A watch that falls silent, stalls in a list, breaks or can't be read is opened anew, before the module need hear of
-// it: what it misses counts as told 6 s later, and the module asks again later each time. Where discovery is asked and
-// turns the next call away as well, the module is told; an agent of our own is asked until it answers.
+// A watch that gets no response, stalls in a list, breaks or returns malformed data is retried
+// without notifying package logic: the sender must act on a missed change within 6 s, and package logic
+// waits longer before each further watch. If discovery rejects the next call too, package logic is
+// notified in on-request mode. A local agent is called until it responds.
 func TestFailedWatchIsRetried(t *testing.T) {
 	one, two := EndpointList{Generation: 1, Reset: true}, EndpointList{Generation: 2, Reset: true, Instances: []Instance{{ID: "s-1"}}}
-	for name, breaks := range map[string]http.HandlerFunc{
+	for name, failure := range map[string]http.HandlerFunc{
 		"silent":     func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 		"unreadable": func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "{]") },
 		"reset":      func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
@@ -104,59 +108,60 @@
 		for _, pushed := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, pushed %v", name, pushed), func(t *testing.T) {
 				t.Parallel()
-				away := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
-				d, events, asked := newScriptedDiscovery(t, respondWithList(one, ""), breaks, respondWithList(two, "  "), away, respondWithList(one, ""))
+				unavailable := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+				d, events, queries := newScriptedDiscovery(t, respondWithList(one, ""), failure, respondWithList(two, "  "), unavailable, respondWithList(one, ""))
 				d.pushed = pushed
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
 				d.startWatch(ctx)
 				for _, want := range []EndpointList{one, two} {
-					ev := await(t, events, "news").(listEvent)
+					ev := await(t, events, "list event").(listEvent)
 					if ev.err != nil || ev.list.Generation != want.Generation || len(ev.list.Instances) != len(want.Instances) {
 						t.Fatalf("got %+v, want %+v", ev, want)
 					}
 				}
 				for i, want := range []string{"", "from=1&hold_ms=10", "from=1&hold_ms=10"} {
-					if q := await(t, asked, "call"); q != want {
+					if q := await(t, queries, "call"); q != want {
 						t.Errorf("call %d: %q, want %q", i, q, want)
 					}
 				}
-				if ev := await(t, events, "what follows").(listEvent); (ev.err == nil) != pushed {
-					t.Errorf("turned away: %+v", ev)
+				if ev := await(t, events, "event after the error status").(listEvent); (ev.err == nil) != pushed {
+					t.Errorf("after the error status: %+v", ev)
 				}
 			})
 		}
 	}
 }
 
-// What the agent has counts as told from the first moment of a process: many senders must not wait for each other.
-// Found on roll: calls to endpoints that had gone, 1.2 to 1.8 s after restarts.
+// In pushed mode a sender must act on what the local agent has from its start, so the
+// first watch is not delayed by the number of senders. When it was, senders called
+// removed endpoints 1.2 to 1.8 s after restarts.
 func TestFirstWatchOfPushedListStartsAtOnce(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		d := newDiscoveryClient("", 300, slog.New(slog.DiscardHandler), nil)
 		d.pushed, d.hasList = pushed, true
-		if at := d.watchStartSpread(); (at == 0) != pushed {
-			t.Errorf("pushed %v: the first watch begins within %v", pushed, at)
+		if spread := d.watchStartSpread(); (spread == 0) != pushed {
+			t.Errorf("pushed %v: the first watch begins within %v", pushed, spread)
 		}
 		if d.receivedList = true; d.watchStartSpread() != 0 {
-			t.Error("a later one waits")
+			t.Error("a later watch is delayed")
 		}
 	}
 }
 
-// Only the first watch of a process waits for its turn: one after a failed call has waited by then, and news would
-// count as told before it.
+// Only the first watch of a process has a start delay. One after a failed call has already
+// waited, and a further delay would exceed the time within which a change must take effect.
 func TestOnlyFirstWatchIsDelayed(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	d := newDiscoveryClient("", 300, slog.New(slog.DiscardHandler), make(chan any, 1))
 	d.hasList = true
 	if d.watchStartSpread() == 0 {
-		t.Error("the first one does not wait")
+		t.Error("the first watch is not delayed")
 	}
 	d.startWatch(ctx)
 	d.accept(listEvent{err: io.EOF})
-	if at := d.watchStartSpread(); at != 0 {
-		t.Errorf("the next one begins within %v", at)
+	if spread := d.watchStartSpread(); spread != 0 {
+		t.Errorf("the next watch begins within %v", spread)
 	}
 }
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -18,16 +18,16 @@
 	"rundeal/logic"
 )
 
-// listSizes are numbers of endpoints, up to those that are expected within two years.
+// listSizes are numbers of endpoints, up to the number expected within two years.
 var listSizes = []int{700, 7000, 35000, 70000}
 
-// instanceText is the i-th entry of a list as discovery writes it. Two endpoints serve a destination.
+// instanceJSON returns the i-th entry of a list as discovery encodes it. Each destination has two endpoints.
 func instanceJSON(i int) string {
 	return fmt.Sprintf(`{"instanceId":"s-%08x","hostPort":"10.%d.%d.%d:6379","zone":"a","machineType":"std","cell":%d,`+
 		`"lifecycle":"up","weight":4.5,"startedAtMs":1764646000000}`, i, i>>16, i>>8&255, i&255, i/2)
 }
 
-// listText is a whole list on the wire.
+// listJSON returns an encoded full list of n endpoints.
 func listJSON(n int) []byte {
 	b := []byte(`{"generation":41,"reset":true,"instances":[`)
 	for i := range n {
@@ -39,7 +39,7 @@
 	return append(b, "]}"...)
 }
 
-// allocated is what f allocates, in bytes.
+// allocatedBytes returns how many bytes f allocates.
 func allocatedBytes(f func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -48,7 +48,7 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// A whole list of the size that is expected arrives, and reading it allocates so much for each endpoint at any size.
+// Full lists up to the largest expected size can be read, and the allocation per endpoint is bounded at any size.
 func TestFullListScale(t *testing.T) {
 	for _, n := range listSizes {
 		text := listJSON(n)
@@ -57,7 +57,7 @@
 		d.bodyTimeout = patience
 		var list EndpointList
 		var err error
-		each := allocatedBytes(func() { list, err = d.fetch(t.Context(), srv.URL, patience) }) / uint64(n)
+		perEndpoint := allocatedBytes(func() { list, err = d.fetch(t.Context(), srv.URL, patience) }) / uint64(n)
 		srv.Close()
 		if err != nil {
 			t.Errorf("%d endpoints, %d bytes: %v", n, len(text), err)
@@ -66,14 +66,14 @@
 		if len(list.Instances) != n || list.Generation != 41 || !list.Reset || list.Instances[n-1].Dest != int64(n-1)/2 {
 			t.Errorf("%d endpoints: got %d of generation %d", n, len(list.Instances), list.Generation)
 		}
-		t.Logf("%d endpoints: %d bytes on the wire, %d allocated, for each", n, len(text)/n, each)
-		if each > 1000 {
-			t.Errorf("%d endpoints: %d bytes allocated for each", n, each)
+		t.Logf("%d endpoints: %d encoded bytes, %d bytes allocated per endpoint", n, len(text)/n, perEndpoint)
+		if perEndpoint > 1000 {
+			t.Errorf("%d endpoints: %d bytes allocated per endpoint", n, perEndpoint)
 		}
 	}
 }
 
-// endless repeats a text.
+// repeatingReader yields a text over and over.
 type repeatingReader struct{ text, rest string }
 
 func (e *repeatingReader) Read(b []byte) (int, error) {
@@ -85,12 +85,12 @@
 	return n, nil
 }
 
-// A list without end is given up at the bound, which the error names; one that is cut short is no such list.
+// An endless list is rejected at the size limit, which the error names. A truncated list is another error.
 func TestTooLongListIsRejected(t *testing.T) {
 	const start = `{"generation":41,"reset":true,"instances":[`
 	_, err := readList(io.MultiReader(strings.NewReader(start), &repeatingReader{text: instanceJSON(1) + ","}))
 	if !errors.Is(err, errListTooLong) || !strings.Contains(err.Error(), fmt.Sprint(maxListSize)) {
-		t.Errorf("without end: %v", err)
+		t.Errorf("endless list: %v", err)
 	}
 	whole := listJSON(3)
 	for i := range whole {
@@ -100,7 +100,7 @@
 	}
 }
 
-// least is the shortest time that f takes of some runs, each with a number of its own.
+// shortestRun returns the shortest duration of several runs of f, which gets the number of the run.
 func shortestRun(runs int, f func(i int)) time.Duration {
 	best := time.Duration(math.MaxInt64)
 	for i := range runs {
@@ -111,17 +111,17 @@
 	return best
 }
 
-// listedNode is a sender that has a whole list of n endpoints, and is not run.
-func newNodeWithList(tb testing.TB, n int) *Node {
+// newNodeWithList returns a sender that is not running and has a full list of size endpoints.
+func newNodeWithList(tb testing.TB, size int) *Node {
 	tb.Helper()
-	x := newStoppedNode(tb, tb.TempDir())
-	list, err := readList(bytes.NewReader(listJSON(n)))
+	n := newStoppedNode(tb, tb.TempDir())
+	list, err := readList(bytes.NewReader(listJSON(size)))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	x.list(listEvent{list: list})
-	x.step(tb.Context())
-	return x
+	n.list(listEvent{list: list})
+	n.step(tb.Context())
+	return n
 }
 
 func newStoppedNode(tb testing.TB, dir string) *Node {
@@ -131,18 +131,18 @@
 		tb.Fatal(err)
 	}
 	cfg.StateDir, cfg.Limits.DiskMB = dir, 0
-	x, err := New(cfg, slog.New(slog.DiscardHandler))
+	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() {
-		x.journal.Close()
-		x.lock.Close()
+		n.journal.Close()
+		n.lock.Close()
 	})
-	return x
+	return n
 }
 
-// change is news of one endpoint: it drains, or is up again.
+// endpointChange is a change of one endpoint, which alternately drains and is up again.
 func endpointChange(i int) listEvent {
 	text := fmt.Sprintf(`{"generation":42,"instances":[%s]}`, instanceJSON(3))
 	if i%2 == 0 {
@@ -155,8 +155,8 @@
 	return listEvent{list: list}
 }
 
-// flat checks that what is to cost the same at any size does: a walk over a hundred times as many takes about a hundred
-// times as long.
+// checkConstantCost checks that a duration does not grow with the size. If it were linear, it would be about a hundred
+// times as long for the largest size.
 func checkConstantCost(t *testing.T, what string, sizes []int, took map[int]time.Duration) {
 	t.Helper()
 	t.Logf("%s: %v", what, took)
@@ -166,7 +166,7 @@
 	}
 }
 
-// The change of one endpoint, and the look each second for those long gone, cost the same with any list.
+// A change of one endpoint, and the purge of removed endpoints each second, take the same time with a list of any size.
 func TestListChangeScale(t *testing.T) {
 	changed, swept := map[int]time.Duration{}, map[int]time.Duration{}
 	for _, size := range listSizes {
@@ -181,13 +181,13 @@
 		}
 	}
 	checkConstantCost(t, "a change", listSizes, changed)
-	checkConstantCost(t, "a look for those long gone", listSizes, swept)
+	checkConstantCost(t, "a purge of removed endpoints", listSizes, swept)
 }
 
-// heldSizes are numbers of messages held.
+// backlogSizes are numbers of messages held.
 var backlogSizes = []int{1000, 5000, 20000, 100000}
 
-// holding is a sender that holds so many messages with no call out, and is not run.
+// newNodeWithBacklog returns a sender that is not running and holds messages, none with a call in flight.
 func newNodeWithBacklog(tb testing.TB, size int) *Node {
 	tb.Helper()
 	n := newNodeWithList(tb, listSizes[0])
@@ -197,7 +197,8 @@
 	return n
 }
 
-// The change of one endpoint, a wait that is told, and the look for endpoints in use cost the same with any backlog.
+// A change of one endpoint, a wait that an endpoint asks for, and the search for endpoints in use take the same time
+// with a backlog of any size.
 func TestListChangeWithBacklogScale(t *testing.T) {
 	changed, waited, used := map[int]time.Duration{}, map[int]time.Duration{}, map[int]time.Duration{}
 	for _, size := range backlogSizes {
@@ -210,11 +211,11 @@
 		used[size] = shortestRun(50, func(int) { n.calls() })
 	}
 	checkConstantCost(t, "a change", backlogSizes, changed)
-	checkConstantCost(t, "a told wait", backlogSizes, waited)
-	checkConstantCost(t, "a look for endpoints in use", backlogSizes, used)
+	checkConstantCost(t, "a requested wait", backlogSizes, waited)
+	checkConstantCost(t, "a search for endpoints in use", backlogSizes, used)
 }
 
-// heap is what the live objects take after a collection.
+// heapBytes returns the size of the live heap after a garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -222,13 +223,13 @@
 	return int64(m.HeapAlloc)
 }
 
-// messageSizes are numbers of messages in the journal. The last one is what the door lets in, see doorFull.
+// journalSizes are numbers of messages in the journal. 0 stands for as many as the journal admits.
 var journalSizes = []int{1000, 5000, 20000, 0}
 
-// messageBody is the body of a message of the usual size.
+// messageBodySize is the usual size of a message body, in bytes.
 const messageBodySize = 200
 
-// accepted records the i-th message, for a destination that no endpoint serves.
+// acceptRecord returns the record of the i-th message, for a destination without endpoints.
 func acceptRecord(i int) record {
 	rec := accept(fmt.Sprintf("%016x", i), messageBodySize)
 	rec.Entry.Key, rec.Entry.Dest = fmt.Sprintf("key-%016x", i), -1
@@ -236,15 +237,15 @@
 	return rec
 }
 
-// filled is a journal in dir with n messages; with those that the door lets in if n is 0.
-func filledJournal(tb testing.TB, dir string, n int) *Journal {
+// filledJournal opens a journal in dir and fills it with count messages, or with as many as it admits if count is 0.
+func filledJournal(tb testing.TB, dir string, count int) *Journal {
 	tb.Helper()
 	j, err := OpenJournal(dir, 0, false)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { j.Close() })
-	for i := 0; n == 0 && j.Room(messageBodySize) || i < n; i++ {
+	for i := 0; count == 0 && j.Room(messageBodySize) || i < count; i++ {
 		if err := j.Append([]record{acceptRecord(i)}); err != nil {
 			tb.Fatal(err)
 		}
@@ -254,12 +255,12 @@
 
 func sizeName(n int) string {
 	if n == 0 {
-		return "door-full"
+		return "admission-full"
 	}
 	return fmt.Sprint(n)
 }
 
-// A whole list from the wire to the module, of a process that has none, with what is kept of it.
+// A full list is decoded and passed to package logic by a process that has no list. Also reports the heap it keeps.
 func BenchmarkFullList(b *testing.B) {
 	for _, size := range listSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -295,7 +296,7 @@
 	}
 }
 
-// Only the reading of a whole list.
+// A full list is only decoded.
 func BenchmarkReadList(b *testing.B) {
 	for _, size := range listSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -310,7 +311,7 @@
 	}
 }
 
-// News of one endpoint, by the list and by the messages held.
+// A change of one endpoint, by the size of the list and the number of messages held.
 func BenchmarkListChange(b *testing.B) {
 	run := func(name string, n *Node) {
 		b.Run(name, func(b *testing.B) {
@@ -330,7 +331,7 @@
 	}
 }
 
-// A message taken on, sent and delivered, beside so many others in the journal: the cost of its three records.
+// A message is accepted, sent and delivered, with a number of others in the journal: the cost of its three records.
 func BenchmarkJournalAppend(b *testing.B) {
 	for _, size := range journalSizes {
 		b.Run(sizeName(size), func(b *testing.B) {
@@ -348,7 +349,7 @@
 	}
 }
 
-// The start of a process that finds so many messages in the journal, with what each takes of the disk and of memory.
+// A starting process replays a journal with a number of messages. Also reports the disk and heap space per message.
 func BenchmarkJournalReplay(b *testing.B) {
 	for _, size := range journalSizes {
 		b.Run(sizeName(size), func(b *testing.B) {
@@ -359,7 +360,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			kept, owed := heapBytes()-before, len(j.entries)
+			kept, messages := heapBytes()-before, len(j.entries)
 			j.Close()
 			for b.Loop() {
 				j, err := OpenJournal(dir, 0, false)
@@ -368,15 +369,15 @@
 				}
 				j.Close()
 			}
-			b.ReportMetric(float64(owed), "messages")
-			b.ReportMetric(float64(onDisk)/float64(owed), "disk-B/message")
-			b.ReportMetric(float64(kept)/float64(owed), "heap-B/message")
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*owed), "ns/message")
+			b.ReportMetric(float64(messages), "messages")
+			b.ReportMetric(float64(onDisk)/float64(messages), "disk-B/message")
+			b.ReportMetric(float64(kept)/float64(messages), "heap-B/message")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*messages), "ns/message")
 		})
 	}
 }
 
-// The rewrite of a journal with so many messages, for which everything else waits.
+// A journal with a number of messages is compacted, which blocks everything else.
 func BenchmarkJournalCompact(b *testing.B) {
 	for _, size := range journalSizes {
 		b.Run(sizeName(size), func(b *testing.B) {
@@ -390,8 +391,8 @@
 	}
 }
 
-// From a start to ready, but for sockets: the journal is replayed, the list of the configuration and what is owed go
-// to the module, and its first step is made.
+// From start to ready, without sockets: the journal is replayed, the configured list and the unfinished messages are
+// passed to package logic, and its first step runs.
 func BenchmarkStart(b *testing.B) {
 	start := func(b *testing.B, text []byte, dir string) *Node {
 		cfg, err := ParseConfig(text)
@@ -418,7 +419,7 @@
 			text := configText(&platform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, list)
 			before := heapBytes()
 			n := start(b, text, dir)
-			kept, owed := heapBytes()-before, n.open
+			kept, messages := heapBytes()-before, n.open
 			n.journal.Close()
 			n.lock.Close()
 			for b.Loop() {
@@ -427,7 +428,7 @@
 				n.lock.Close()
 			}
 			b.ReportMetric(float64(kept), "heap-B")
-			b.ReportMetric(float64(owed), "messages")
+			b.ReportMetric(float64(messages), "messages")
 		})
 	}
 	for _, size := range listSizes {
@@ -440,7 +441,7 @@
 	}
 }
 
-// The state that a handover passes on, by the list: more than maxFrame is not sent.
+// The size of the state passed on in a handover, by the size of the list. More than one frame is not sent.
 func BenchmarkHandoverState(b *testing.B) {
 	for _, size := range listSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -461,7 +462,7 @@
 	}
 }
 
-// What the platform has confirmed is taken off the queue at the same cost however long that is, and nothing else is.
+// Confirmed notices, and only those, are removed from the queue, at the same cost for a queue of any length.
 func TestNoticesScale(t *testing.T) {
 	for _, size := range []int{1000, 5000, 20000, 80000} {
 		q := newNotices("", slog.New(slog.DiscardHandler), nil)
@@ -469,19 +470,19 @@
 			q.add(Notice{ID: fmt.Sprintf("%016x", i), State: "failed"})
 		}
 		var ids []string
-		each := allocatedBytes(func() { ids = q.confirmed(10) })
+		bytes := allocatedBytes(func() { ids = q.confirmed(10) })
 		if len(ids) != 10 || ids[9] != fmt.Sprintf("%016x", 9) || len(q.ids) != size-10 || len(q.queue) != size-10 ||
 			q.ids[0] != fmt.Sprintf("%016x", 10) || !strings.Contains(string(q.queue[0]), q.ids[0]) {
 			t.Errorf("%d notices: confirmed %v, left %d and %d from %q on", size, ids, len(q.ids), len(q.queue), q.ids[0])
 		}
-		t.Logf("%d notices: %d bytes allocated to take 10 off", size, each)
-		if each > 4096 {
-			t.Errorf("%d notices: %d bytes allocated", size, each)
+		t.Logf("%d notices: %d bytes allocated to remove 10", size, bytes)
+		if bytes > 4096 {
+			t.Errorf("%d notices: %d bytes allocated", size, bytes)
 		}
 	}
 }
 
-// Notices that wait for the platform: what each takes, and what it costs to confirm a body of them.
+// Notices wait for the platform: the heap that each takes, and the time to confirm a request with many of them.
 func BenchmarkNotices(b *testing.B) {
 	for _, size := range []int{1000, 5000, 20000, 80000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/node/window_test.go
+++ b/internal/node/window_test.go
@@ -9,39 +9,39 @@
 	"time"
 )
 
-// shortWindow is a configuration whose class keyed drops repeats for one second, each zone by itself.
+// shortWindowConfig returns a configuration whose keyed class drops duplicates for one second, separately in each zone.
 func shortWindowConfig(p *platform, known EndpointList) string {
 	return strings.Replace(string(configText(p, known)), `"group":"all","window_s":25`, `"group":"zone","window_s":1`, 1)
 }
 
-// twoZones lists an endpoint in each of two zones.
+// twoZoneList returns a list with one endpoint in each of two zones.
 func twoZoneList(a, b *endpoint) EndpointList {
 	list := EndpointList{Generation: 1, Reset: true, Instances: instances(a, b)}
 	list.Instances[1].Zone = "b"
 	return list
 }
 
-// A window of a second goes on while no process runs: what may have run is sent again only in what is left of it, and
-// where its first send went; once it is over the message has failed, and the platform hears so at once. What has surely
-// not run is tried all the same.
+// The deduplication window continues while no process runs. A message that may have been processed is retried only
+// within the rest of the window and in the zone of its first send. After the window it has failed, and the platform is
+// notified at once. Messages that were certainly not processed are sent in any case.
 func TestDedupWindowContinuesAcrossRestart(t *testing.T) {
 	p, a, b, dir := newPlatform(t), newEndpoint(t), newEndpoint(t), t.TempDir()
 	p.list = twoZoneList(a, b)
 	j := openJournal(t, dir, 3e6)
 	now := time.Now()
-	taken := func(id, class string) record {
+	accepted := func(id, class string) record {
 		return record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, Key: "key-" + id, Class: class, Dest: 1,
 			Deadline: now.Add(2 * patience).UnixMicro()}}}
 	}
 	sent := func(id string, at time.Time) record {
 		return record{Op: opSend, ID: id, At: at.UnixMicro(), Zone: 1}
 	}
-	open := now.Add(patience) // by a clock that is ahead, so that the window is open however long the start takes
-	mustAppend(t, j, taken("open", "keyed"), taken("over", "keyed"), taken("answered late", "keyed"), taken("never ran", "keyed"),
-		taken("untried", "keyed"), taken("unsafe", "unsafe"),
-		sent("open", open), sent("over", now.Add(-1001*time.Millisecond)),
+	firstSend := now.Add(patience) // in the future, so that the window is open however long the start takes
+	mustAppend(t, j, accepted("open", "keyed"), accepted("over", "keyed"), accepted("answered late", "keyed"), accepted("never ran", "keyed"),
+		accepted("untried", "keyed"), accepted("unsafe", "unsafe"),
+		sent("open", firstSend), sent("over", now.Add(-1001*time.Millisecond)),
 		sent("answered late", now.Add(-2*time.Second)), record{Op: opOutcome, ID: "answered late", MayRun: true},
-		sent("answered late", now.Add(-500*time.Millisecond)), // the first one counts
+		sent("answered late", now.Add(-500*time.Millisecond)), // the window counts from the first send
 		sent("never ran", now.Add(-2*time.Second)), record{Op: opOutcome, ID: "never ran"},
 		sent("unsafe", now.Add(-time.Millisecond)))
 	if err := j.Close(); err != nil {
@@ -49,29 +49,29 @@
 	}
 	n := startWith(t, shortWindowConfig(p, p.list), dir)
 	failed := map[string]bool{"over": true, "answered late": true, "unsafe": true}
-	for len(failed) > 0 { // before any call is answered, and long before their time is up
+	for len(failed) > 0 { // before any call is answered, and long before the deadlines
 		x := await(t, p.notices, "notice")
 		if !failed[x.ID] || x.State != "failed" {
 			t.Fatalf("notice %+v", x)
 		}
 		delete(failed, x.ID)
 	}
-	tried := map[string]bool{"open": true, "never ran": true, "untried": true}
-	for len(tried) > 0 {
+	expected := map[string]bool{"open": true, "never ran": true, "untried": true}
+	for len(expected) > 0 {
 		var in *inCall
 		select {
 		case in = <-a.calls:
 			if in.id() == "open" {
-				t.Error("sent again to a zone that does not know the first send")
+				t.Error("retried in another zone than the first send")
 			}
 		case in = <-b.calls:
 		case <-time.After(patience):
-			t.Fatalf("not tried: %v", tried)
+			t.Fatalf("not sent: %v", expected)
 		}
-		if !tried[in.id()] {
+		if !expected[in.id()] {
 			t.Errorf("call with %s", in.id())
 		}
-		delete(tried, in.id())
+		delete(expected, in.id())
 		in.reply(200)
 	}
 	stopClean(t, n)
@@ -79,8 +79,8 @@
 	b.none(t)
 }
 
-// A repeat must be written by the end of the window that began before the restart, not of one that the restart begins;
-// where that is over, the first step ends the message and makes no attempt.
+// A retry must be written before the end of the window that began before the restart; the restart does not begin a new
+// one. If that window is over, the first step ends the message without an attempt.
 func TestRestartKeepsFirstDedupWindow(t *testing.T) {
 	p, a, b := newPlatform(t), newEndpoint(t), newEndpoint(t)
 	cfg, err := ParseConfig([]byte(shortWindowConfig(p, twoZoneList(a, b))))
@@ -103,32 +103,32 @@
 	n.resume()
 	n.step(t.Context())
 	if e := n.journal.Entry("over"); e.Tries != 1 || e.End == nil || e.End.State != "failed" {
-		t.Errorf("out of its window, after the first step: %+v", e)
+		t.Errorf("window over, after the first step: %+v", e)
 	}
-	for n.held["m"].call == nil { // the pace lets it through a moment after the start
+	for n.held["m"].call == nil { // the rate limit admits it shortly after the start
 		n.step(t.Context())
 		if time.Since(n.start) > patience {
-			t.Fatal("not sent again")
+			t.Fatal("not retried")
 		}
 	}
 	await(t, a.calls, "call").reply(200)
 	if got, want := n.held["m"].call.writeBy, n.clock.At(first.UnixMicro()).Add(time.Second); !got.Equal(want) {
-		t.Errorf("to be written by %v, want %v", got, want)
+		t.Errorf("to be written before %v, want %v", got, want)
 	}
 	if e := n.journal.Entry("m"); e.Tries != 2 || e.FirstMay != first.UnixMicro() {
 		t.Errorf("the journal has %+v", e)
 	}
 }
 
-// A kill with a keyed call out, and a start right behind it: the repeat is in the window and the zone of the first send,
-// or, where the machine is too slow for that, the message has failed. Never both, and never late.
+// The process is killed with a keyed call in flight and restarted at once. The retry comes within the window and in the
+// zone of the first send or, if the machine is too slow for that, the message has failed. Never both, and never late.
 func TestKillWithinShortDedupWindow(t *testing.T) {
 	for range 3 {
 		p, a, b, dir := newPlatform(t), newEndpoint(t), newEndpoint(t), t.TempDir()
 		p.list = twoZoneList(a, b)
 		text := []byte(shortWindowConfig(p, p.list))
-		x := execProcess(t, p, dir, text)
-		dial(t, await(t, x.ready, "ready program")).put("m", "keyed", "+OK")
+		killed := execProcess(t, p, dir, text)
+		dial(t, await(t, killed.ready, "ready program")).put("m", "keyed", "+OK")
 		var first *inCall
 		calls, others := a.calls, b.calls
 		select {
@@ -138,39 +138,40 @@
 		case <-time.After(patience):
 			t.Fatal("no call")
 		}
-		x.kill()
-		at := openJournal(t, dir, 3e6).Entry("m").FirstMay
-		y := execProcess(t, p, dir, text)
-		await(t, y.ready, "ready program")
+		killed.kill()
+		firstSend := openJournal(t, dir, 3e6).Entry("m").FirstMay
+		restarted := execProcess(t, p, dir, text)
+		await(t, restarted.ready, "ready program")
 		select {
 		case in := <-calls:
 			e := openJournal(t, copyJournal(t, dir), 3e6).Entry("m")
-			if in.id() != first.id() || e.Tries != 2 || e.FirstMay != at {
+			if in.id() != first.id() || e.Tries != 2 || e.FirstMay != firstSend {
 				t.Errorf("call with %s, journal %+v", in.id(), e)
 			}
 			in.reply(200)
 		case n := <-p.notices:
-			t.Logf("too slow to try again: %+v", n)
-			if n != (Notice{ID: "m", State: "failed"}) || time.Since(time.UnixMicro(at)) < 900*time.Millisecond {
+			t.Logf("too slow for a retry: %+v", n)
+			if n != (Notice{ID: "m", State: "failed"}) || time.Since(time.UnixMicro(firstSend)) < 900*time.Millisecond {
 				t.Errorf("notice %+v", n)
 			}
 		case <-others:
-			t.Error("sent again to a zone that does not know the first send")
+			t.Error("retried in another zone than the first send")
 		case <-time.After(patience):
-			t.Fatal("neither sent again nor failed")
+			t.Fatal("neither retried nor failed")
 		}
-		y.term()
-		y.end()
+		restarted.term()
+		restarted.end()
 		if ids := owed(t, dir); ids != nil {
-			t.Errorf("still owed: %v", ids)
+			t.Errorf("unfinished messages: %v", ids)
 		}
 		if len(calls)+len(others)+len(p.notices) != 0 {
-			t.Error("an end, and something behind it")
+			t.Error("another call or notice after the end")
 		}
 	}
 }
 
-// copyOf is a folder with the journal of dir as it is now: to open that itself would cut off what is being written.
+// copyJournal copies the current journal of dir to a new folder. Opening the original would truncate a record that is
+// being written.
 func copyJournal(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
