--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -15,7 +15,7 @@
 	"rundeal/logic"
 )
 
-// maxBulkBody limits the body of a bulk call, in bytes. More messages are sent as several calls.
+// maxBulkBody limits the body of a bulk call, in bytes. Messages that would exceed it go in further calls.
 const maxBulkBody = 64 << 10
 
 // pendingCall is a call that the current step has decided on and not started yet.
@@ -48,7 +48,7 @@
 }
 
 // bulkItemSize estimates how many bytes m adds to the body of a bulk request. It
-// may be slightly too low, since it does not count escaped characters.
+// ignores escape sequences in the id and the key, and that an empty key is omitted.
 func bulkItemSize(m *Message) int {
 	return len(`{"id":"","key":"","body":""},`) + len(m.ID) + len(m.Key) + (len(m.Body)+2)/3*4
 }
