--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -14,12 +14,12 @@
 	"rundeal/logic"
 )
 
-// bulkStep is a sender that is not running and has decided to send each message to an endpoint of a kind that
-// takes batches.
-func bulkStep(t *testing.T, bodies map[string]string) (*Node, *endpoint) {
+// newBulkNode returns a sender that is not running and has decided to send each message to an
+// endpoint whose machine type accepts batches.
+func newBulkNode(t *testing.T, bodies map[string]string) (*Node, *endpoint) {
 	t.Helper()
 	e, p := newEndpoint(t), newPlatform(t)
-	cfg, err := ParseConfig(configText(p, List{}))
+	cfg, err := ParseConfig(configText(p, EndpointList{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,25 +30,25 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { n.journal.Close() })
-	rows := n.dir.Take(List{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
+	rows := n.dir.Apply(EndpointList{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
 	for _, id := range slices.Sorted(maps.Keys(bodies)) {
 		m := Message{ID: id, Class: "safe", Dest: 1, Body: []byte(bodies[id])}
-		n.held[id] = takenOn(t, n, m)
+		n.held[id] = addHeldMessage(t, n, m)
 		n.callOut(t.Context(), logic.CallOut{ID: id, GiveUp: micros(patience), Endpoint: rows[0].Endpoint}, true)
 	}
 	return n, e
 }
 
-// takenOn puts a message on the books, with time left.
-func takenOn(t *testing.T, n *Node, m Message) *held {
+// addHeldMessage records a message in the journal, with time left until its deadline.
+func addHeldMessage(t *testing.T, n *Node, m Message) *held {
 	t.Helper()
 	m.Deadline = n.clock.Now() + (2 * patience).Microseconds()
 	mustAppend(t, n.journal, record{Op: opAccept, Entry: &Entry{Message: m}})
 	return &held{msg: &n.journal.Entry(m.ID).Message, trail: trail{came: time.Now()}}
 }
 
-// ends collects the outcomes of so many calls.
-func ends(t *testing.T, n *Node, count int) map[string]logic.Outcome {
+// collectOutcomes returns the outcomes of the next count calls, by message id.
+func collectOutcomes(t *testing.T, n *Node, count int) map[string]logic.Outcome {
 	t.Helper()
 	out := map[string]logic.Outcome{}
 	for range count {
@@ -58,16 +58,17 @@
 	return out
 }
 
-// bulkBody answers 200 with a body.
-func bulkBody(c *inCall, body string) {
+// replyWithBody responds with status 200 and a body.
+func replyWithBody(c *inCall, body string) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	c.done <- true
 }
 
-// What one step sends to one endpoint is one call: so the module counts slots, pace and budget.
+// All messages that one step sends to one endpoint go in one call, since package logic
+// counts slots, rate and budget that way.
 func TestBulkIsOneCall(t *testing.T) {
 	bodies := map[string]string{"a": "body of a", "b": "\x00\xff", "c": ""}
-	n, e := bulkStep(t, bodies)
+	n, e := newBulkNode(t, bodies)
 	n.launch(t.Context())
 	in := await(t, e.calls, "call")
 	if in.req.URL.Path != "/inbox/bulk" || in.req.Header.Get("X-Expires-In-Ms") != "20000" {
@@ -84,9 +85,9 @@
 	if !maps.Equal(got, bodies) {
 		t.Errorf("sent %q", got)
 	}
-	bulkBody(in, `[{"id":"a","state":"done"},{"id":"b","state":"busy"},{"id":"c","state":"failed"}]`)
+	replyWithBody(in, `[{"id":"a","state":"done"},{"id":"b","state":"busy"},{"id":"c","state":"failed"}]`)
 	want := map[string]logic.Outcome{"a": logic.Completed, "b": logic.Full, "c": logic.Errored}
-	if got := ends(t, n, 3); !maps.Equal(got, want) {
+	if got := collectOutcomes(t, n, 3); !maps.Equal(got, want) {
 		t.Errorf("outcomes %v, want %v", got, want)
 	}
 	e.none(t)
@@ -95,9 +96,10 @@
 	}
 }
 
-// A call is known by its first message: one that is out of time before the others would take their answers with it.
-func TestBulkLastDeadlineFirst(t *testing.T) {
-	n, e := bulkStep(t, map[string]string{"a": "x", "b": "y", "c": "z"})
+// The endpoint identifies a bulk call by its first message. If that message's deadline passed
+// before the others', their responses would not count either.
+func TestBulkLatestDeadlineFirst(t *testing.T) {
+	n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y", "c": "z"})
 	for id, deadline := range map[string]int64{"a": 2, "b": 1, "c": 3} {
 		n.held[id].msg.Deadline = deadline
 	}
@@ -114,15 +116,16 @@
 	if !slices.Equal(got, []string{"c", "a", "b"}) {
 		t.Errorf("sent in the order %v", got)
 	}
-	bulkBody(in, `[{"id":"c","state":"failed"},{"id":"a","state":"done"},{"id":"b","state":"busy"}]`)
+	replyWithBody(in, `[{"id":"c","state":"failed"},{"id":"a","state":"done"},{"id":"b","state":"busy"}]`)
 	want := map[string]logic.Outcome{"a": logic.Completed, "b": logic.Full, "c": logic.Errored}
-	if got := ends(t, n, 3); !maps.Equal(got, want) {
+	if got := collectOutcomes(t, n, 3); !maps.Equal(got, want) {
 		t.Errorf("outcomes %v, want %v", got, want)
 	}
 }
 
-// An answer for all holds for each; of one that can't be read, any message may have run.
-func TestBulkAnswers(t *testing.T) {
+// A response to the whole call applies to each message. If it is malformed, any message
+// may have been processed.
+func TestBulkResponses(t *testing.T) {
 	for name, x := range map[string]struct {
 		answer string
 		a, b   logic.Outcome
@@ -130,12 +133,12 @@
 		"full":       {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", logic.Full, logic.Full},
 		"no slot":    {"HTTP/1.1 503 x\r\nX-Line-Busy: 1\r\nContent-Length: 0\r\n\r\n", logic.Moot, logic.Moot},
 		"error":      {"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", logic.Errored, logic.Errored},
-		"spoilt":     {"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nnot JSON!", logic.Spoilt, logic.Spoilt},
+		"malformed":  {"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nnot JSON!", logic.Spoilt, logic.Spoilt},
 		"cut short":  {"HTTP/1.1 200 x\r\nContent-Length: 99\r\n\r\n[]", logic.Severed, logic.Severed},
 		"one absent": {"HTTP/1.1 200 x\r\nContent-Length: 27\r\n\r\n[{\"id\":\"a\",\"state\":\"done\"}]", logic.Completed, logic.Spoilt},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n, e := bulkStep(t, map[string]string{"a": "x", "b": "y"})
+			n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y"})
 			n.launch(t.Context())
 			in := await(t, e.calls, "call")
 			io.WriteString(in.conn, x.answer)
@@ -143,46 +146,46 @@
 				in.conn.Close()
 			}
 			in.done <- false
-			if got := ends(t, n, 2); got["a"] != x.a || got["b"] != x.b {
+			if got := collectOutcomes(t, n, 2); got["a"] != x.a || got["b"] != x.b {
 				t.Errorf("outcomes %v", got)
 			}
 		})
 	}
 }
 
-// One message that is called off ends at once where it may be sent again beside the call, else with the call; the
-// others have their answer.
+// A cancelled message ends at once if second copies are allowed, and with the call
+// otherwise. The other messages get their results from the response.
 func TestBulkCancelOne(t *testing.T) {
 	for _, copies := range []bool{true, false} {
-		n, e := bulkStep(t, map[string]string{"a": "x", "b": "y", "c": "z"})
-		n.caller.copies = copies
+		n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y", "c": "z"})
+		n.caller.allowSecondCopies = copies
 		n.launch(t.Context())
 		in := await(t, e.calls, "call")
 		n.held["a"].stop()
 		if copies {
-			if got := ends(t, n, 1); got["a"] != logic.Recalled {
+			if got := collectOutcomes(t, n, 1); got["a"] != logic.Recalled {
 				t.Fatalf("outcomes %v", got)
 			}
 		}
-		bulkBody(in, `[{"id":"a","state":"failed"},{"id":"b","state":"done"},{"id":"c","state":"busy"}]`)
+		replyWithBody(in, `[{"id":"a","state":"failed"},{"id":"b","state":"done"},{"id":"c","state":"busy"}]`)
 		want := map[string]logic.Outcome{"b": logic.Completed, "c": logic.Full}
 		if !copies {
 			want["a"] = logic.Errored
 		}
-		if got := ends(t, n, len(want)); !maps.Equal(got, want) {
+		if got := collectOutcomes(t, n, len(want)); !maps.Equal(got, want) {
 			t.Errorf("copies %v: outcomes %v, want %v", copies, got, want)
 		}
 	}
 }
 
-// Once all are called off, the endpoint is told by the end of the connection.
+// Once all messages are cancelled, the connection is closed, which tells the endpoint.
 func TestBulkCancelAll(t *testing.T) {
-	n, e := bulkStep(t, map[string]string{"a": "x", "b": "y"})
+	n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y"})
 	n.launch(t.Context())
 	in := await(t, e.calls, "call")
 	n.held["a"].stop()
 	n.held["b"].stop()
-	if got := ends(t, n, 2); got["a"] != logic.Recalled || got["b"] != logic.Recalled {
+	if got := collectOutcomes(t, n, 2); got["a"] != logic.Recalled || got["b"] != logic.Recalled {
 		t.Errorf("outcomes %v", got)
 	}
 	in.awaitEnd(t)
@@ -190,9 +193,9 @@
 	in.done <- false
 }
 
-// A body holds 64 KiB: messages that would not fit go in a call of their own.
-func TestBulkBody(t *testing.T) {
-	n, e := bulkStep(t, map[string]string{"a": strings.Repeat("x", 40<<10), "b": strings.Repeat("y", 40<<10), "c": "z"})
+// A body is limited to 64 KiB. Messages that do not fit go in another call.
+func TestBulkBodyLimit(t *testing.T) {
+	n, e := newBulkNode(t, map[string]string{"a": strings.Repeat("x", 40<<10), "b": strings.Repeat("y", 40<<10), "c": "z"})
 	n.launch(t.Context())
 	for range 2 {
 		in := await(t, e.calls, "call")
@@ -201,6 +204,6 @@
 		}
 		in.reply(503)
 	}
-	ends(t, n, 3)
+	collectOutcomes(t, n, 3)
 	e.none(t)
 }
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -18,29 +18,29 @@
 	"rundeal/logic"
 )
 
-// listSizes are numbers of endpoints, up to those that are expected within two years.
+// listSizes are numbers of endpoints, up to the number expected within two years.
 var listSizes = []int{700, 7000, 35000, 70000}
 
-// instanceText is the i-th entry of a list as discovery writes it. Two endpoints serve a destination.
-func instanceText(i int) string {
+// instanceJSON returns the i-th entry of a list as discovery encodes it. Each destination has two endpoints.
+func instanceJSON(i int) string {
 	return fmt.Sprintf(`{"instanceId":"s-%08x","hostPort":"10.%d.%d.%d:6379","zone":"a","machineType":"std","cell":%d,`+
 		`"lifecycle":"up","weight":4.5,"startedAtMs":1764646000000}`, i, i>>16, i>>8&255, i&255, i/2)
 }
 
-// listText is a whole list on the wire.
-func listText(n int) []byte {
+// listJSON returns an encoded full list of n endpoints.
+func listJSON(n int) []byte {
 	b := []byte(`{"generation":41,"reset":true,"instances":[`)
 	for i := range n {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = append(b, instanceText(i)...)
+		b = append(b, instanceJSON(i)...)
 	}
 	return append(b, "]}"...)
 }
 
-// allocated is what f allocates, in bytes.
-func allocated(f func()) uint64 {
+// allocatedBytes returns how many bytes f allocates.
+func allocatedBytes(f func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	f()
@@ -48,16 +48,16 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// A whole list of the size that is expected arrives, and reading it allocates so much for each endpoint at any size.
-func TestWholeListScale(t *testing.T) {
+// Full lists up to the largest expected size can be read, and the allocation per endpoint is bounded at any size.
+func TestFullListScale(t *testing.T) {
 	for _, n := range listSizes {
-		text := listText(n)
+		text := listJSON(n)
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(text) }))
-		d := newDiscovery("", 1, slog.New(slog.DiscardHandler), nil)
-		d.rest = patience
-		var list List
+		d := newDiscoveryClient("", 1, slog.New(slog.DiscardHandler), nil)
+		d.bodyTimeout = patience
+		var list EndpointList
 		var err error
-		each := allocated(func() { list, err = d.get(t.Context(), srv.URL, patience) }) / uint64(n)
+		perEndpoint := allocatedBytes(func() { list, err = d.fetch(t.Context(), srv.URL, patience) }) / uint64(n)
 		srv.Close()
 		if err != nil {
 			t.Errorf("%d endpoints, %d bytes: %v", n, len(text), err)
@@ -66,17 +66,17 @@
 		if len(list.Instances) != n || list.Generation != 41 || !list.Reset || list.Instances[n-1].Dest != int64(n-1)/2 {
 			t.Errorf("%d endpoints: got %d of generation %d", n, len(list.Instances), list.Generation)
 		}
-		t.Logf("%d endpoints: %d bytes on the wire, %d allocated, for each", n, len(text)/n, each)
-		if each > 1000 {
-			t.Errorf("%d endpoints: %d bytes allocated for each", n, each)
+		t.Logf("%d endpoints: %d encoded bytes, %d bytes allocated per endpoint", n, len(text)/n, perEndpoint)
+		if perEndpoint > 1000 {
+			t.Errorf("%d endpoints: %d bytes allocated per endpoint", n, perEndpoint)
 		}
 	}
 }
 
-// endless repeats a text.
-type endless struct{ text, rest string }
+// repeatingReader yields a text over and over.
+type repeatingReader struct{ text, rest string }
 
-func (e *endless) Read(b []byte) (int, error) {
+func (e *repeatingReader) Read(b []byte) (int, error) {
 	if e.rest == "" {
 		e.rest = e.text
 	}
@@ -85,23 +85,23 @@
 	return n, nil
 }
 
-// A list without end is given up at the bound, which the error names; one that is cut short is no such list.
-func TestLongListIsRefused(t *testing.T) {
+// An endless list is rejected at the size limit, which the error names. A truncated list is another error.
+func TestTooLongListIsRejected(t *testing.T) {
 	const start = `{"generation":41,"reset":true,"instances":[`
-	_, err := readList(io.MultiReader(strings.NewReader(start), &endless{text: instanceText(1) + ","}))
-	if !errors.Is(err, errLongList) || !strings.Contains(err.Error(), fmt.Sprint(maxList)) {
-		t.Errorf("without end: %v", err)
+	_, err := readList(io.MultiReader(strings.NewReader(start), &repeatingReader{text: instanceJSON(1) + ","}))
+	if !errors.Is(err, errListTooLong) || !strings.Contains(err.Error(), fmt.Sprint(maxListSize)) {
+		t.Errorf("endless list: %v", err)
 	}
-	whole := listText(3)
+	whole := listJSON(3)
 	for i := range whole {
-		if list, err := readList(bytes.NewReader(whole[:i])); err == nil || errors.Is(err, errLongList) {
+		if list, err := readList(bytes.NewReader(whole[:i])); err == nil || errors.Is(err, errListTooLong) {
 			t.Fatalf("cut after %d bytes: %+v, %v", i, list, err)
 		}
 	}
 }
 
-// least is the shortest time that f takes of some runs, each with a number of its own.
-func least(runs int, f func(i int)) time.Duration {
+// shortestRun returns the shortest duration of several runs of f, which gets the number of the run.
+func shortestRun(runs int, f func(i int)) time.Duration {
 	best := time.Duration(math.MaxInt64)
 	for i := range runs {
 		at := time.Now()
@@ -111,40 +111,40 @@
 	return best
 }
 
-// listedNode is a sender that has a whole list of n endpoints, and is not run.
-func listedNode(tb testing.TB, n int) *Node {
+// newNodeWithList returns a sender that is not running and has a full list of size endpoints.
+func newNodeWithList(tb testing.TB, size int) *Node {
 	tb.Helper()
-	x := emptyNode(tb, tb.TempDir())
-	list, err := readList(bytes.NewReader(listText(n)))
+	n := newStoppedNode(tb, tb.TempDir())
+	list, err := readList(bytes.NewReader(listJSON(size)))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	x.list(listEvent{list: list})
-	x.step(tb.Context())
-	return x
+	n.list(listEvent{list: list})
+	n.step(tb.Context())
+	return n
 }
 
-func emptyNode(tb testing.TB, dir string) *Node {
+func newStoppedNode(tb testing.TB, dir string) *Node {
 	tb.Helper()
-	cfg, err := ParseConfig(configText(&platform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, List{}))
+	cfg, err := ParseConfig(configText(&platform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, EndpointList{}))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	cfg.StateDir, cfg.Limits.DiskMB = dir, 0
-	x, err := New(cfg, slog.New(slog.DiscardHandler))
+	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() {
-		x.journal.Close()
-		x.lock.Close()
+		n.journal.Close()
+		n.lock.Close()
 	})
-	return x
+	return n
 }
 
-// change is news of one endpoint: it drains, or is up again.
-func change(i int) listEvent {
-	text := fmt.Sprintf(`{"generation":42,"instances":[%s]}`, instanceText(3))
+// endpointChange is a change of one endpoint, which alternately drains and is up again.
+func endpointChange(i int) listEvent {
+	text := fmt.Sprintf(`{"generation":42,"instances":[%s]}`, instanceJSON(3))
 	if i%2 == 0 {
 		text = strings.Replace(text, `"up"`, `"draining"`, 1)
 	}
@@ -155,9 +155,9 @@
 	return listEvent{list: list}
 }
 
-// flat checks that what is to cost the same at any size does: a walk over a hundred times as many takes about a hundred
-// times as long.
-func flat(t *testing.T, what string, sizes []int, took map[int]time.Duration) {
+// checkConstantCost checks that a duration does not grow with the size. If it were linear, it would be about a hundred
+// times as long for the largest size.
+func checkConstantCost(t *testing.T, what string, sizes []int, took map[int]time.Duration) {
 	t.Helper()
 	t.Logf("%s: %v", what, took)
 	small, large := sizes[0], sizes[len(sizes)-1]
@@ -166,86 +166,87 @@
 	}
 }
 
-// The change of one endpoint, and the look each second for those long gone, cost the same with any list.
+// A change of one endpoint, and the purge of removed endpoints each second, take the same time with a list of any size.
 func TestListChangeScale(t *testing.T) {
 	changed, swept := map[int]time.Duration{}, map[int]time.Duration{}
 	for _, size := range listSizes {
-		n := listedNode(t, size)
-		changed[size] = least(50, func(i int) {
-			n.list(change(i))
+		n := newNodeWithList(t, size)
+		changed[size] = shortestRun(50, func(i int) {
+			n.list(endpointChange(i))
 			n.step(t.Context())
 		})
-		swept[size] = least(50, func(int) { n.dir.forget(time.Now(), nil) })
-		if n.dir.listed() != size {
-			t.Errorf("%d endpoints are listed, want %d", n.dir.listed(), size)
+		swept[size] = shortestRun(50, func(int) { n.dir.purgeRemoved(time.Now(), nil) })
+		if n.dir.listedCount() != size {
+			t.Errorf("%d endpoints are listed, want %d", n.dir.listedCount(), size)
 		}
 	}
-	flat(t, "a change", listSizes, changed)
-	flat(t, "a look for those long gone", listSizes, swept)
+	checkConstantCost(t, "a change", listSizes, changed)
+	checkConstantCost(t, "a purge of removed endpoints", listSizes, swept)
 }
 
-// heldSizes are numbers of messages held.
-var heldSizes = []int{1000, 5000, 20000, 100000}
+// backlogSizes are numbers of messages held.
+var backlogSizes = []int{1000, 5000, 20000, 100000}
 
-// holding is a sender that holds so many messages with no call out, and is not run.
-func holding(tb testing.TB, size int) *Node {
+// newNodeWithBacklog returns a sender that is not running and holds messages, none with a call in flight.
+func newNodeWithBacklog(tb testing.TB, size int) *Node {
 	tb.Helper()
-	n := listedNode(tb, listSizes[0])
+	n := newNodeWithList(tb, listSizes[0])
 	for i := range size {
 		n.held[fmt.Sprint(i)] = &held{msg: new(Message)}
 	}
 	return n
 }
 
-// The change of one endpoint, a wait that is told, and the look for endpoints in use cost the same with any backlog.
-func TestListChangeBesideBacklogScale(t *testing.T) {
+// A change of one endpoint, a wait that an endpoint asks for, and the search for endpoints in use take the same time
+// with a backlog of any size.
+func TestListChangeWithBacklogScale(t *testing.T) {
 	changed, waited, used := map[int]time.Duration{}, map[int]time.Duration{}, map[int]time.Duration{}
-	for _, size := range heldSizes {
-		n := holding(t, size)
-		changed[size] = least(50, func(i int) {
-			n.list(change(i))
+	for _, size := range backlogSizes {
+		n := newNodeWithBacklog(t, size)
+		changed[size] = shortestRun(50, func(i int) {
+			n.list(endpointChange(i))
 			n.next = nil
 		})
-		waited[size] = least(50, func(int) { n.holdWait(1) })
-		used[size] = least(50, func(int) { n.calls() })
+		waited[size] = shortestRun(50, func(int) { n.holdWait(1) })
+		used[size] = shortestRun(50, func(int) { n.calls() })
 	}
-	flat(t, "a change", heldSizes, changed)
-	flat(t, "a told wait", heldSizes, waited)
-	flat(t, "a look for endpoints in use", heldSizes, used)
+	checkConstantCost(t, "a change", backlogSizes, changed)
+	checkConstantCost(t, "a requested wait", backlogSizes, waited)
+	checkConstantCost(t, "a search for endpoints in use", backlogSizes, used)
 }
 
-// heap is what the live objects take after a collection.
-func heap() int64 {
+// heapBytes returns the size of the live heap after a garbage collection.
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// messageSizes are numbers of messages in the journal. The last one is what the door lets in, see doorFull.
-var messageSizes = []int{1000, 5000, 20000, 0}
+// journalSizes are numbers of messages in the journal. 0 stands for as many as the journal admits.
+var journalSizes = []int{1000, 5000, 20000, 0}
 
-// messageBody is the body of a message of the usual size.
-const messageBody = 200
+// messageBodySize is the usual size of a message body, in bytes.
+const messageBodySize = 200
 
-// accepted records the i-th message, for a destination that no endpoint serves.
-func accepted(i int) record {
-	rec := accept(fmt.Sprintf("%016x", i), messageBody)
+// acceptRecord returns the record of the i-th message, for a destination without endpoints.
+func acceptRecord(i int) record {
+	rec := accept(fmt.Sprintf("%016x", i), messageBodySize)
 	rec.Entry.Key, rec.Entry.Dest = fmt.Sprintf("key-%016x", i), -1
 	rec.Entry.Deadline = time.Now().Add(time.Hour).UnixMicro()
 	return rec
 }
 
-// filled is a journal in dir with n messages; with those that the door lets in if n is 0.
-func filled(tb testing.TB, dir string, n int) *Journal {
+// filledJournal opens a journal in dir and fills it with count messages, or with as many as it admits if count is 0.
+func filledJournal(tb testing.TB, dir string, count int) *Journal {
 	tb.Helper()
 	j, err := OpenJournal(dir, 0, false)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { j.Close() })
-	for i := 0; n == 0 && j.Room(messageBody) || i < n; i++ {
-		if err := j.Append([]record{accepted(i)}); err != nil {
+	for i := 0; count == 0 && j.Room(messageBodySize) || i < count; i++ {
+		if err := j.Append([]record{acceptRecord(i)}); err != nil {
 			tb.Fatal(err)
 		}
 	}
@@ -254,17 +255,17 @@
 
 func sizeName(n int) string {
 	if n == 0 {
-		return "door-full"
+		return "admission-full"
 	}
 	return fmt.Sprint(n)
 }
 
-// A whole list from the wire to the module, of a process that has none, with what is kept of it.
-func BenchmarkWholeList(b *testing.B) {
+// A full list is decoded and passed to package logic by a process that has no list. Also reports the heap it keeps.
+func BenchmarkFullList(b *testing.B) {
 	for _, size := range listSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			text := listText(size)
-			cfg := emptyNode(b, b.TempDir()).cfg
+			text := listJSON(size)
+			cfg := newStoppedNode(b, b.TempDir()).cfg
 			take := func() (*Directory, *logic.Sender) {
 				list, err := readList(bytes.NewReader(text))
 				if err != nil {
@@ -275,12 +276,12 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				s.Step(0, []logic.Event{logic.Endpoints{Form: logic.ListFull, Entries: d.Take(list, time.Now())}})
+				s.Step(0, []logic.Event{logic.Endpoints{Form: logic.ListFull, Entries: d.Apply(list, time.Now())}})
 				return d, s
 			}
-			before := heap()
+			before := heapBytes()
 			d, s := take()
-			kept := heap() - before
+			kept := heapBytes() - before
 			runtime.KeepAlive(d)
 			runtime.KeepAlive(s)
 			b.ReportAllocs()
@@ -295,11 +296,11 @@
 	}
 }
 
-// Only the reading of a whole list.
+// A full list is only decoded.
 func BenchmarkReadList(b *testing.B) {
 	for _, size := range listSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			text := listText(size)
+			text := listJSON(size)
 			for b.Loop() {
 				if _, err := readList(bytes.NewReader(text)); err != nil {
 					b.Fatal(err)
@@ -310,34 +311,34 @@
 	}
 }
 
-// News of one endpoint, by the list and by the messages held.
+// A change of one endpoint, by the size of the list and the number of messages held.
 func BenchmarkListChange(b *testing.B) {
 	run := func(name string, n *Node) {
 		b.Run(name, func(b *testing.B) {
 			i := 0
 			for b.Loop() {
-				n.list(change(i))
+				n.list(endpointChange(i))
 				n.next = nil
 				i++
 			}
 		})
 	}
 	for _, size := range listSizes {
-		run(fmt.Sprintf("%dendpoints/0held", size), listedNode(b, size))
+		run(fmt.Sprintf("%dendpoints/0held", size), newNodeWithList(b, size))
 	}
-	for _, size := range heldSizes {
-		run(fmt.Sprintf("%dendpoints/%dheld", listSizes[0], size), holding(b, size))
+	for _, size := range backlogSizes {
+		run(fmt.Sprintf("%dendpoints/%dheld", listSizes[0], size), newNodeWithBacklog(b, size))
 	}
 }
 
-// A message taken on, sent and delivered, beside so many others in the journal: the cost of its three records.
+// A message is accepted, sent and delivered, with a number of others in the journal: the cost of its three records.
 func BenchmarkJournalAppend(b *testing.B) {
-	for _, size := range messageSizes {
+	for _, size := range journalSizes {
 		b.Run(sizeName(size), func(b *testing.B) {
-			j := filled(b, b.TempDir(), size)
+			j := filledJournal(b, b.TempDir(), size)
 			i := 1 << 32
 			for b.Loop() {
-				rec := accepted(i)
+				rec := acceptRecord(i)
 				id := rec.Entry.ID
 				if err := j.Append([]record{rec, {Op: opSend, ID: id, At: 1}, {Op: opDone, ID: id}}); err != nil {
 					b.Fatal(err)
@@ -348,18 +349,18 @@
 	}
 }
 
-// The start of a process that finds so many messages in the journal, with what each takes of the disk and of memory.
+// A starting process replays a journal with a number of messages. Also reports the disk and heap space per message.
 func BenchmarkJournalReplay(b *testing.B) {
-	for _, size := range messageSizes {
+	for _, size := range journalSizes {
 		b.Run(sizeName(size), func(b *testing.B) {
 			dir := b.TempDir()
-			onDisk := filled(b, dir, size).size
-			before := heap()
+			onDisk := filledJournal(b, dir, size).size
+			before := heapBytes()
 			j, err := OpenJournal(dir, 0, false)
 			if err != nil {
 				b.Fatal(err)
 			}
-			kept, owed := heap()-before, len(j.entries)
+			kept, messages := heapBytes()-before, len(j.entries)
 			j.Close()
 			for b.Loop() {
 				j, err := OpenJournal(dir, 0, false)
@@ -368,19 +369,19 @@
 				}
 				j.Close()
 			}
-			b.ReportMetric(float64(owed), "messages")
-			b.ReportMetric(float64(onDisk)/float64(owed), "disk-B/message")
-			b.ReportMetric(float64(kept)/float64(owed), "heap-B/message")
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*owed), "ns/message")
+			b.ReportMetric(float64(messages), "messages")
+			b.ReportMetric(float64(onDisk)/float64(messages), "disk-B/message")
+			b.ReportMetric(float64(kept)/float64(messages), "heap-B/message")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*messages), "ns/message")
 		})
 	}
 }
 
-// The rewrite of a journal with so many messages, for which everything else waits.
+// A journal with a number of messages is compacted, which blocks everything else.
 func BenchmarkJournalCompact(b *testing.B) {
-	for _, size := range messageSizes {
+	for _, size := range journalSizes {
 		b.Run(sizeName(size), func(b *testing.B) {
-			j := filled(b, b.TempDir(), size)
+			j := filledJournal(b, b.TempDir(), size)
 			for b.Loop() {
 				if err := j.Compact(); err != nil {
 					b.Fatal(err)
@@ -390,8 +391,8 @@
 	}
 }
 
-// From a start to ready, but for sockets: the journal is replayed, the list of the configuration and what is owed go
-// to the module, and its first step is made.
+// From start to ready, without sockets: the journal is replayed, the configured list and the unfinished messages are
+// passed to package logic, and its first step runs.
 func BenchmarkStart(b *testing.B) {
 	start := func(b *testing.B, text []byte, dir string) *Node {
 		cfg, err := ParseConfig(text)
@@ -411,14 +412,14 @@
 	}
 	run := func(name string, endpoints int, dir string) {
 		b.Run(name, func(b *testing.B) {
-			list, err := readList(bytes.NewReader(listText(endpoints)))
+			list, err := readList(bytes.NewReader(listJSON(endpoints)))
 			if err != nil {
 				b.Fatal(err)
 			}
 			text := configText(&platform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, list)
-			before := heap()
+			before := heapBytes()
 			n := start(b, text, dir)
-			kept, owed := heap()-before, n.open
+			kept, messages := heapBytes()-before, n.open
 			n.journal.Close()
 			n.lock.Close()
 			for b.Loop() {
@@ -427,24 +428,24 @@
 				n.lock.Close()
 			}
 			b.ReportMetric(float64(kept), "heap-B")
-			b.ReportMetric(float64(owed), "messages")
+			b.ReportMetric(float64(messages), "messages")
 		})
 	}
 	for _, size := range listSizes {
 		run(fmt.Sprintf("%dendpoints", size), size, b.TempDir())
 	}
-	for _, size := range messageSizes {
+	for _, size := range journalSizes {
 		dir := b.TempDir()
-		filled(b, dir, size)
+		filledJournal(b, dir, size)
 		run("journal-"+sizeName(size), 2, dir)
 	}
 }
 
-// The state that a handover passes on, by the list: more than maxFrame is not sent.
+// The size of the state passed on in a handover, by the size of the list. More than one frame is not sent.
 func BenchmarkHandoverState(b *testing.B) {
 	for _, size := range listSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n := listedNode(b, size)
+			n := newNodeWithList(b, size)
 			var frame []byte
 			for b.Loop() {
 				st, err := n.handoverState()
@@ -461,7 +462,7 @@
 	}
 }
 
-// What the platform has confirmed is taken off the queue at the same cost however long that is, and nothing else is.
+// Confirmed notices, and only those, are removed from the queue, at the same cost for a queue of any length.
 func TestNoticesScale(t *testing.T) {
 	for _, size := range []int{1000, 5000, 20000, 80000} {
 		q := newNotices("", slog.New(slog.DiscardHandler), nil)
@@ -469,28 +470,28 @@
 			q.add(Notice{ID: fmt.Sprintf("%016x", i), State: "failed"})
 		}
 		var ids []string
-		each := allocated(func() { ids = q.confirmed(10) })
+		bytes := allocatedBytes(func() { ids = q.confirmed(10) })
 		if len(ids) != 10 || ids[9] != fmt.Sprintf("%016x", 9) || len(q.ids) != size-10 || len(q.queue) != size-10 ||
 			q.ids[0] != fmt.Sprintf("%016x", 10) || !strings.Contains(string(q.queue[0]), q.ids[0]) {
 			t.Errorf("%d notices: confirmed %v, left %d and %d from %q on", size, ids, len(q.ids), len(q.queue), q.ids[0])
 		}
-		t.Logf("%d notices: %d bytes allocated to take 10 off", size, each)
-		if each > 4096 {
-			t.Errorf("%d notices: %d bytes allocated", size, each)
+		t.Logf("%d notices: %d bytes allocated to remove 10", size, bytes)
+		if bytes > 4096 {
+			t.Errorf("%d notices: %d bytes allocated", size, bytes)
 		}
 	}
 }
 
-// Notices that wait for the platform: what each takes, and what it costs to confirm a body of them.
+// Notices wait for the platform: the heap that each takes, and the time to confirm a request with many of them.
 func BenchmarkNotices(b *testing.B) {
 	for _, size := range []int{1000, 5000, 20000, 80000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			before := heap()
+			before := heapBytes()
 			q := newNotices("", slog.New(slog.DiscardHandler), nil)
 			for i := range size {
 				q.add(Notice{ID: fmt.Sprintf("%016x", i), State: "returned", AfterMS: 500})
 			}
-			kept := heap() - before
+			kept := heapBytes() - before
 			all, ids := q.queue, q.ids
 			for b.Loop() {
 				q.queue, q.ids = all, ids
