--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -229,8 +229,8 @@
 // messageBodySize is the usual size of a message body, in bytes.
 const messageBodySize = 200
 
-// acceptRecord returns the record of the i-th message, for a destination without endpoints.
-func acceptRecord(i int) record {
+// numberedAcceptRecord returns the record of the i-th message, for a destination without endpoints.
+func numberedAcceptRecord(i int) record {
 	rec := accept(fmt.Sprintf("%016x", i), messageBodySize)
 	rec.Entry.Key, rec.Entry.Dest = fmt.Sprintf("key-%016x", i), -1
 	rec.Entry.Deadline = time.Now().Add(time.Hour).UnixMicro()
@@ -246,7 +246,7 @@
 	}
 	tb.Cleanup(func() { j.Close() })
 	for i := 0; count == 0 && j.Room(messageBodySize) || i < count; i++ {
-		if err := j.Append([]record{acceptRecord(i)}); err != nil {
+		if err := j.Append([]record{numberedAcceptRecord(i)}); err != nil {
 			tb.Fatal(err)
 		}
 	}
@@ -338,7 +338,7 @@
 			j := filledJournal(b, b.TempDir(), size)
 			i := 1 << 32
 			for b.Loop() {
-				rec := acceptRecord(i)
+				rec := numberedAcceptRecord(i)
 				id := rec.Entry.ID
 				if err := j.Append([]record{rec, {Op: opSend, ID: id, At: 1}, {Op: opDone, ID: id}}); err != nil {
 					b.Fatal(err)
