--- a/cmd/cometrack/main.go
+++ b/cmd/cometrack/main.go
@@ -34,7 +34,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	var cfg *node.Config
-	err := node.Persist(ctx, log, "configuration", func() (err error) {
+	err := node.RetryTransient(ctx, log, "configuration", func() (err error) {
 		cfg, err = node.LoadConfig()
 		return err
 	})
--- a/internal/hollow/sender.go
+++ b/internal/hollow/sender.go
@@ -101,7 +101,7 @@
 		return
 	}
 	s.up, s.upAt, s.module, s.rested = true, f.now, module, f.now-set.Tick
-	s.dir = node.NewDirectory(&node.Config{Deploy: wire.Deployment{Settings: set, Zones: f.disc.zones}})
+	s.dir = node.NewDirectory(&node.Config{Deployment: wire.Deployment{Settings: set, Zones: f.disc.zones}})
 	s.idle, s.noticed = map[logic.EndpointID][]*conn{}, map[*outage]*noting{}
 	known := f.disc.whole(s.agent)
 	began := time.Now()
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	adminPlaces = 24                     // callers at once; the oldest makes room
-	adminTime   = 2 * time.Second        // for a whole call, and as long again for its answer
-	adminLinger = 200 * time.Millisecond // after it, for the caller to read it
-	adminLine   = 256
+	maxAdminConns      = 24                     // callers at once; the oldest makes room
+	adminTimeout       = 2 * time.Second        // for a whole call, and as long again for its answer
+	adminLingerTimeout = 200 * time.Millisecond // after it, for the caller to read it
+	maxAdminLine       = 256
 )
 
 // admin serves the operators: a line a connection, answered at once. It has places of
 // its own and asks the loop nothing, so that it answers when all else is full.
-type admin struct {
-	log   *slog.Logger
-	calls map[string]func() string
+type adminServer struct {
+	log      *slog.Logger
+	commands map[string]func() string
 
-	mu      sync.Mutex
-	callers []net.Conn // in the order in which they came
-	wg      sync.WaitGroup
+	mu    sync.Mutex
+	conns []net.Conn // in the order in which they came
+	wg    sync.WaitGroup
 }
 
-func newAdmin(log *slog.Logger, clients *clients, figures *figures) *admin {
+func newAdminServer(log *slog.Logger, clients *clients, figures *metrics) *adminServer {
 	turn := func(p phase) func() string {
 		return func() string {
 			if got := clients.operate(p); got != p {
@@ -41,7 +41,7 @@
 			return "+OK"
 		}
 	}
-	return &admin{log: log, calls: map[string]func() string{
+	return &adminServer{log: log, commands: map[string]func() string{
 		"ready": func() string {
 			if p := clients.now(); p != serving && p != waiting {
 				return "-ERR " + p.String()
@@ -55,64 +55,64 @@
 }
 
 // serve takes calls until ctx is over, and returns when the last caller is gone.
-func (a *admin) serve(ctx context.Context, ln net.Listener) {
+func (a *adminServer) serve(ctx context.Context, ln net.Listener) {
 	defer a.wg.Wait()
 	defer context.AfterFunc(ctx, func() {
 		ln.Close()
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		for _, conn := range a.callers {
+		for _, conn := range a.conns {
 			conn.Close()
 		}
 	})()
-	failing := failures{log: a.log, what: "operators: accept"}
+	failing := failureLog{log: a.log, operation: "operators: accept"}
 	for {
 		conn, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		failing.note(err)
+		failing.observe(err)
 		if err != nil {
 			pause(ctx, acceptPause)
 			continue
 		}
-		a.admit(conn)
+		a.addConn(conn)
 		a.wg.Add(1)
 		go func() {
 			defer a.wg.Done()
-			a.handle(conn)
-			a.remove(conn)
+			a.handleConn(conn)
+			a.removeConn(conn)
 		}()
 	}
 }
 
 // admit takes a caller on; the oldest goes if all places are taken.
-func (a *admin) admit(conn net.Conn) {
+func (a *adminServer) addConn(conn net.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.callers) >= adminPlaces {
-		a.callers[0].Close()
-		a.callers = a.callers[1:]
+	if len(a.conns) >= maxAdminConns {
+		a.conns[0].Close()
+		a.conns = a.conns[1:]
 	}
-	a.callers = append(a.callers, conn)
+	a.conns = append(a.conns, conn)
 }
 
-func (a *admin) remove(conn net.Conn) {
+func (a *adminServer) removeConn(conn net.Conn) {
 	conn.Close()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for i, x := range a.callers {
+	for i, x := range a.conns {
 		if x == conn {
-			a.callers = append(a.callers[:i:i], a.callers[i+1:]...)
+			a.conns = append(a.conns[:i:i], a.conns[i+1:]...)
 			return
 		}
 	}
 }
 
 // handle answers the one call of a connection.
-func (a *admin) handle(conn net.Conn) {
-	conn.SetDeadline(time.Now().Add(adminTime))
-	r := bufio.NewReaderSize(conn, adminLine)
+func (a *adminServer) handleConn(conn net.Conn) {
+	conn.SetDeadline(time.Now().Add(adminTimeout))
+	r := bufio.NewReaderSize(conn, maxAdminLine)
 	line, err := r.ReadSlice('\n')
 	var answer string
 	switch {
@@ -123,9 +123,9 @@
 	case err != nil:
 		return // the caller is gone
 	default:
-		answer = a.answer(strings.TrimSuffix(strings.TrimSuffix(string(line), "\n"), "\r"))
+		answer = a.execute(strings.TrimSuffix(strings.TrimSuffix(string(line), "\n"), "\r"))
 	}
-	conn.SetDeadline(time.Now().Add(adminTime))
+	conn.SetDeadline(time.Now().Add(adminTimeout))
 	if _, err := io.WriteString(conn, answer+"\n"); err != nil {
 		return
 	}
@@ -133,12 +133,12 @@
 	if t, ok := conn.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	conn.SetDeadline(time.Now().Add(adminLinger))
+	conn.SetDeadline(time.Now().Add(adminLingerTimeout))
 	io.Copy(io.Discard, io.LimitReader(r, lingerBytes))
 }
 
-func (a *admin) answer(call string) string {
-	if f := a.calls[call]; f != nil {
+func (a *adminServer) execute(call string) string {
+	if f := a.commands[call]; f != nil {
 		return f()
 	}
 	if call == "" {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -11,7 +11,7 @@
 )
 
 // operators serves a sender's calls from operators and returns the address.
-func operators(t *testing.T, n *Node) string {
+func startAdmin(t *testing.T, n *Node) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,7 +25,7 @@
 }
 
 // ask makes a call and returns the whole answer.
-func ask(t *testing.T, addr, call string) string {
+func adminCall(t *testing.T, addr, call string) string {
 	t.Helper()
 	c := dial(t, addr)
 	if _, err := io.WriteString(c.conn, call); err != nil {
@@ -35,7 +35,7 @@
 }
 
 // figure reads one of the figures; it must be there once.
-func figure(t *testing.T, text, name string) (n int) {
+func metricValue(t *testing.T, text, name string) (n int) {
 	t.Helper()
 	if strings.Count(text, "\n"+name+"=") != 1 {
 		t.Fatalf("%s is not there once:\n%s", name, text)
@@ -47,7 +47,7 @@
 
 func TestAdminCalls(t *testing.T) {
 	n, _, _, _ := world(t, 1)
-	addr := operators(t, n.Node)
+	addr := startAdmin(t, n.Node)
 	for call, want := range map[string]string{
 		"ready\r\n":                        "+OK\n",
 		"ready\n":                          "+OK\n",
@@ -58,7 +58,7 @@
 		"drain \n":                         "-ERR ",
 		strings.Repeat("x", 60<<10) + "\n": "-ERR ",
 	} {
-		if got := ask(t, addr, call); !strings.HasPrefix(got, want) || strings.Count(got, "\n") != 1 {
+		if got := adminCall(t, addr, call); !strings.HasPrefix(got, want) || strings.Count(got, "\n") != 1 {
 			t.Errorf("%.20q: %q", call, got)
 		}
 	}
@@ -84,19 +84,19 @@
 
 // Callers without a whole call block nobody, however many they are, and a deadline ends them. The loop is not asked:
 // here nothing runs it.
-func TestAdminBesideHalfCalls(t *testing.T) {
+func TestAdminWithIncompleteCalls(t *testing.T) {
 	n := newNode(t, configText(newPlatform(t), List{}))
 	defer n.journal.Close()
 	n.clients.turn(serving)
-	addr := operators(t, n)
+	addr := startAdmin(t, n)
 	var half []*client
-	for range 2 * adminPlaces {
+	for range 2 * maxAdminConns {
 		c := dial(t, addr)
 		io.WriteString(c.conn, "show-")
 		half = append(half, c)
 	}
-	for range adminPlaces / 2 {
-		if got := ask(t, addr, "ready\n"); got != "+OK\n" {
+	for range maxAdminConns / 2 {
+		if got := adminCall(t, addr, "ready\n"); got != "+OK\n" {
 			t.Fatalf("got %q", got)
 		}
 	}
@@ -108,9 +108,9 @@
 }
 
 // Each message counts once, where it ends, and every figure is there from the start.
-func TestFigures(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	n, c, p, e := world(t, 2)
-	addr := operators(t, n.Node)
+	addr := startAdmin(t, n.Node)
 	names := func(text string) (out []string) {
 		for _, line := range strings.Split(text, "\n") {
 			name, _, _ := strings.Cut(line, "=")
@@ -118,7 +118,7 @@
 		}
 		return out
 	}
-	start := ask(t, addr, "show-stat\n")
+	start := adminCall(t, addr, "show-stat\n")
 	want := []string{"+OK"}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		for _, end := range []string{"fulfilled", "throttled", "faulted"} {
@@ -130,10 +130,10 @@
 	for _, v := range violations {
 		want = append(want, "edge_balancer.violation."+string(v))
 	}
-	for _, reason := range refusals {
+	for _, reason := range refusalReasons {
 		want = append(want, "edge_balancer.refused."+string(reason))
 	}
-	for _, reason := range closings {
+	for _, reason := range closeReasons {
 		want = append(want, "edge_balancer.closed."+string(reason))
 	}
 	for _, outcome := range []string{"ok", "error", "full", "timeout", "no-connection", "reset", "recalled", "not-sent", "unreadable", "held-here"} {
@@ -154,7 +154,7 @@
 	c.put("a", "safe", "+OK")
 	await(t, calls, "call").reply(503) // refused, then delivered: two calls, one end
 	c2 := await(t, calls, "second call")
-	open := figure(t, ask(t, addr, "show-stat\n"), "edge_balancer.open_requests")
+	open := metricValue(t, adminCall(t, addr, "show-stat\n"), "edge_balancer.open_requests")
 	if open != 1 {
 		t.Errorf("%d open, want 1", open)
 	}
@@ -170,19 +170,19 @@
 	}
 	var text string
 	for stop := time.Now().Add(patience); ; { // until the last outcome is in
-		text = ask(t, addr, "show-stat\n")
-		if figure(t, text, "edge_balancer.operations.safe.fulfilled") == 1 || time.Now().After(stop) {
+		text = adminCall(t, addr, "show-stat\n")
+		if metricValue(t, text, "edge_balancer.operations.safe.fulfilled") == 1 || time.Now().After(stop) {
 			break
 		}
 	}
 	for name, want := range map[string]int{"operations.safe.fulfilled": 1, "operations.safe.throttled": 1,
 		"operations.safe.faulted": 0, "operations.unsafe.fulfilled": 0, "operations.unsafe.faulted": 1, "relayed": 3,
 		"open_requests": 0, "registry_entries": 2} {
-		if got := figure(t, text, "edge_balancer."+name); got != want {
+		if got := metricValue(t, text, "edge_balancer."+name); got != want {
 			t.Errorf("%s=%d, want %d", name, got, want)
 		}
 	}
-	keyed := figure(t, text, "edge_balancer.operations.keyed.throttled") + figure(t, text, "edge_balancer.operations.keyed.faulted")
+	keyed := metricValue(t, text, "edge_balancer.operations.keyed.throttled") + metricValue(t, text, "edge_balancer.operations.keyed.faulted")
 	if keyed != 1 {
 		t.Errorf("%d ends of the class keyed, want 1", keyed)
 	}
@@ -193,13 +193,13 @@
 // and what is owed is delivered. The end of the drain says yes at once.
 func TestDrainAndResume(t *testing.T) {
 	n, c, _, e := world(t, 1)
-	addr := operators(t, n.Node)
+	addr := startAdmin(t, n.Node)
 	half := dial(t, n.addr)
 	io.WriteString(half.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nhalf\r\n")
 	c.put("a", "unsafe", "+OK")
 	in := await(t, e[0].calls, "call")
 	for range 2 { // it may be said again
-		if got := ask(t, addr, "drain\n"); got != "+OK\n" {
+		if got := adminCall(t, addr, "drain\n"); got != "+OK\n" {
 			t.Fatalf("drain: %q", got)
 		}
 	}
@@ -207,7 +207,7 @@
 	if got := late.do("PING"); !strings.HasPrefix(got, "-ERR") {
 		t.Errorf("PING while draining: %q", got)
 	}
-	if got := ask(t, addr, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
+	if got := adminCall(t, addr, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("ready while draining: %q", got)
 	}
 	late.put("b", "safe", "+OK")
@@ -227,7 +227,7 @@
 	await(t, e[0].calls, "call").reply(200)
 	later.ended()
 	for range 2 {
-		if got := ask(t, addr, "resume\n"); got != "+OK\n" {
+		if got := adminCall(t, addr, "resume\n"); got != "+OK\n" {
 			t.Fatalf("resume: %q", got)
 		}
 	}
@@ -240,7 +240,7 @@
 	back.put("e", "safe", "+OK") // the connection is kept again
 	await(t, e[0].calls, "call").reply(200)
 	stopClean(t, n)
-	if got := ask(t, addr, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
+	if got := adminCall(t, addr, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("resume of a sender that stops: %q", got)
 	}
 }
--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -48,7 +48,7 @@
 
 // bulkSize is what m adds to the body of a bulk call, or a little less than that.
 func bulkSize(m *Message) int {
-	return len(`{"id":"","key":"","body":""},`) + len(m.ID) + len(m.Key) + (len(m.Body)+2)/3*4
+	return len(`{"id":"","key":"","body":""},`) + len(m.ID) + len(m.IdempotencyKey) + (len(m.Body)+2)/3*4
 }
 
 // together splits off the calls at the head of list that go as one: to one endpoint, as many as its kind allows
@@ -222,7 +222,7 @@
 func bulkRequest(list []*call, addr string, giveUp time.Duration) (*http.Request, error) {
 	items := make([]bulkItem, 0, len(list))
 	for _, in := range list {
-		items = append(items, bulkItem{ID: in.msg.ID, Key: in.msg.Key, Body: append([]byte{}, in.msg.Body...)})
+		items = append(items, bulkItem{ID: in.msg.ID, Key: in.msg.IdempotencyKey, Body: append([]byte{}, in.msg.Body...)})
 	}
 	body, err := json.Marshal(items)
 	if err != nil {
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	cfg.StateDir = t.TempDir()
-	cfg.Deploy.Settings.Kinds[0].Batch = 10
+	cfg.Deployment.Settings.Kinds[0].Batch = 10
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -414,8 +414,8 @@
 		return nil, err
 	}
 	req.Header.Set("X-Trace-Id", m.ID)
-	if m.Key != "" {
-		req.Header.Set("Idempotency-Key", m.Key)
+	if m.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", m.IdempotencyKey)
 	}
 	return req, nil
 }
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -15,7 +15,7 @@
 
 func newCall(t *testing.T, addr, body string, giveUp time.Duration) *call {
 	t.Helper()
-	m := &Message{ID: "m1", Key: "k1", Body: []byte(body)}
+	m := &Message{ID: "m1", IdempotencyKey: "k1", Body: []byte(body)}
 	req, err := deliverRequest(m, addr, giveUp)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -33,7 +33,7 @@
 	log      *slog.Logger
 	events   chan<- any
 	clock    *clock.Lasting // set before clients are served
-	figures  *figures
+	figures  *metrics
 	most     int           // connections
 	large    chan struct{} // a place for each large request that is not answered
 	mu       sync.Mutex
@@ -46,7 +46,7 @@
 	wg       sync.WaitGroup
 }
 
-func newClients(cfg *Config, log *slog.Logger, events chan<- any, figures *figures) *clients {
+func newClients(cfg *Config, log *slog.Logger, events chan<- any, figures *metrics) *clients {
 	memory := cfg.Limits.MemoryMB
 	if memory <= 0 {
 		memory = defaultMemory
@@ -62,13 +62,13 @@
 // serve accepts connections until the listener is closed.
 func (c *clients) serve(ln net.Listener) {
 	defer close(c.accepted)
-	failing := failures{log: c.log, what: "accept"}
+	failing := failureLog{log: c.log, operation: "accept"}
 	for {
 		conn, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		failing.note(err)
+		failing.observe(err)
 		if err != nil {
 			// Only where this process is out of descriptors does one that closes make room.
 			if !errors.Is(err, syscall.EMFILE) || !c.evict() {
@@ -140,7 +140,7 @@
 	if idlest == nil {
 		return false
 	}
-	c.figures.closed.add(string(closedEvicted))
+	c.figures.closed.inc(string(closedEvicted))
 	idlest.conn.Close()
 	return true
 }
@@ -164,7 +164,7 @@
 	err = raw.Read(func(fd uintptr) bool {
 		n, err := peekByte(fd)
 		// An error of the moment says nothing of the connection: whoever reads it will see.
-		data = n > 0 || err != nil && momentary(err)
+		data = n > 0 || err != nil && isTransient(err)
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	return data, err
--- a/internal/node/close_test.go
+++ b/internal/node/close_test.go
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	h := &hookConn{TCPConn: conn.(*net.TCPConn), ending: func() {}, reading: func() {}, wrote: func(int) {}}
-	s := &session{c: newClients(cfg, slog.New(slog.DiscardHandler), events, newFigures(cfg)), conn: h, opened: time.Now(), fresh: true}
+	s := &session{c: newClients(cfg, slog.New(slog.DiscardHandler), events, newMetrics(cfg)), conn: h, opened: time.Now(), fresh: true}
 	s.c.phase = serving
 	s.c.sessions[s] = struct{}{}
 	return s, h, c
@@ -285,7 +285,7 @@
 	old.ln = ln
 	go old.clients.serve(ln)
 	old.closing, old.after = time.Now(), &successor{packets: make(chan packet)}
-	old.retire(t.Context())
+	old.relayUntilIdle(t.Context())
 	check("replaced", old)
 }
 
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -25,23 +25,23 @@
 
 // Config is what the platform tells a sender at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Admin     string // where operators call; empty if nowhere
-	Discovery string
-	StateDir  string
-	Seed      uint64
-	Limits    Limits
-	Known     List
-	Deploy    wire.Deployment
-	Classes   map[string]int
-	Tenants   map[string]int
+	Name          string
+	ListenAddr    string
+	AdminAddr     string // where operators call; empty if nowhere
+	DiscoveryAddr string
+	StateDir      string
+	Seed          uint64
+	Limits        Limits
+	KnownList     List
+	Deployment    wire.Deployment
+	Classes       map[string]int
+	Tenants       map[string]int
 }
 
 // classOf is the class of a message. One that the settings do not know any more counts as one that must not be repeated.
 func (c *Config) classOf(m *Message) logic.Class {
 	if i, ok := c.Classes[m.Class]; ok {
-		return c.Deploy.Settings.Classes[i]
+		return c.Deployment.Settings.Classes[i]
 	}
 	return logic.Class{Name: m.Class, Effect: logic.Unsafe}
 }
@@ -61,19 +61,19 @@
 		return nil, fmt.Errorf("config %s: %w", path, err)
 	}
 	cfg.StateDir = os.Getenv("BALANCER_STATE")
-	for name, field := range map[string]*string{"BALANCER_NAME": &cfg.Name, "BALANCER_LISTEN": &cfg.Listen,
-		"BALANCER_ADMIN_ADDR": &cfg.Admin} {
+	for name, field := range map[string]*string{"BALANCER_NAME": &cfg.Name, "BALANCER_LISTEN": &cfg.ListenAddr,
+		"BALANCER_ADMIN_ADDR": &cfg.AdminAddr} {
 		if v := os.Getenv(name); v != "" {
 			*field = v
 		}
 	}
-	if cfg.Discovery == "" { // the file may have been replaced since the start, the environment not
-		cfg.Discovery = os.Getenv("BALANCER_DISCOVERY")
+	if cfg.DiscoveryAddr == "" { // the file may have been replaced since the start, the environment not
+		cfg.DiscoveryAddr = os.Getenv("BALANCER_DISCOVERY")
 	}
-	if cfg.StateDir == "" || cfg.Listen == "" || cfg.Discovery == "" {
+	if cfg.StateDir == "" || cfg.ListenAddr == "" || cfg.DiscoveryAddr == "" {
 		return nil, errors.New("BALANCER_STATE, BALANCER_LISTEN and BALANCER_DISCOVERY must be set")
 	}
-	if _, _, err := net.SplitHostPort(cfg.Discovery); err != nil {
+	if _, _, err := net.SplitHostPort(cfg.DiscoveryAddr); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	return cfg, nil
@@ -98,8 +98,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	cfg := &Config{Name: in.Name, Listen: in.Listen, Admin: in.Admin, Discovery: in.Discovery, Limits: in.Limits, Known: in.Known,
-		Deploy: deploy, Classes: map[string]int{}, Tenants: map[string]int{}}
+	cfg := &Config{Name: in.Name, ListenAddr: in.Listen, AdminAddr: in.Admin, DiscoveryAddr: in.Discovery, Limits: in.Limits, KnownList: in.Known,
+		Deployment: deploy, Classes: map[string]int{}, Tenants: map[string]int{}}
 	if in.Seed != "" {
 		if cfg.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
 			return nil, fmt.Errorf("seed: %w", err)
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -40,7 +40,7 @@
 		"start, not the owner yet": func(t *testing.T, w *crossing, hit func(*process)) {
 			release := holdLock(t, w.dir)
 			x := launchProcess(t, w.p, w.dir, w.known)
-			x.says("waits for the owner's end")
+			x.awaitLog("waits for the owner's end")
 			hit(x)
 			release()
 			if w.lives {
@@ -102,7 +102,7 @@
 			c := dial(t, x.addr)
 			c.put("m", "safe", "+OK")
 			in := await(t, w.e.calls, "call")
-			x.term()
+			x.terminate()
 			for c.line() != "" { // until it sends its clients away
 			}
 			w.lives = false
@@ -138,13 +138,13 @@
 					} else {
 						in.reply(200)
 					}
-					y.term()
-					y.end()
+					y.terminate()
+					y.awaitExit()
 				case w.lives:
-					x.term()
-					x.end()
+					x.terminate()
+					x.awaitExit()
 				default:
-					x.end()
+					x.awaitExit()
 				}
 				if ids := owed(t, w.dir); ids != nil {
 					t.Errorf("still owed: %v", ids)
@@ -315,10 +315,10 @@
 			t.Fatalf("answer %d: %q", answers, line)
 		}
 		if answers++; answers == 100 {
-			x.term()
+			x.terminate()
 		}
 	}
-	x.end()
+	x.awaitExit()
 	ids := owed(t, dir)
 	for len(sent) > 0 {
 		ids = append(ids, <-sent)
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -91,7 +91,7 @@
 	await(t, p.asked, "call for the list on a new connection")
 	p.set(func() { p.silent, p.list = false, List{Generation: 2, Reset: true, Instances: instances(e, added)} })
 	taken(t, p, 2)
-	if got := ask(t, x.admin, "ready\n"); got != "+OK\n" {
+	if got := adminCall(t, x.admin, "ready\n"); got != "+OK\n" {
 		t.Errorf("operators get %q", got)
 	}
 	fails.reply(500)
@@ -115,14 +115,14 @@
 			t.Fatal("the new list is not heeded")
 		}
 	}
-	if got := ask(t, x.admin, "show-stat\n"); !strings.HasPrefix(got, "+OK\n") {
+	if got := adminCall(t, x.admin, "show-stat\n"); !strings.HasPrefix(got, "+OK\n") {
 		t.Errorf("operators get %q", got)
 	}
 	if n := x.descriptors(); n < places || n > sockets {
 		t.Errorf("%d descriptors at the end, want %d to %d", n, places, sockets)
 	}
-	for len(x.said) > 0 { // no side may take those of another
-		if line := <-x.said; strings.Contains(line, "too many open files") {
+	for len(x.logLines) > 0 { // no side may take those of another
+		if line := <-x.logLines; strings.Contains(line, "too many open files") {
 			t.Fatal(line)
 		}
 	}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -82,7 +82,7 @@
 
 // NewDirectory makes an empty directory for a deployment.
 func NewDirectory(cfg *Config) *Directory {
-	return &Directory{zones: cfg.Deploy.Zones, kinds: cfg.Deploy.Settings.Kinds,
+	return &Directory{zones: cfg.Deployment.Zones, kinds: cfg.Deployment.Settings.Kinds,
 		ids: map[string]logic.EndpointID{}, eps: map[logic.EndpointID]target{}, dests: map[int64]int{},
 		gone: map[logic.EndpointID]time.Time{}, shut: map[logic.EndpointID]bool{}}
 }
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -28,7 +28,7 @@
 })
 
 // startFaulty starts the program with a plan and waits until operators can ask it, if it gets that far.
-func startFaulty(t *testing.T, p *platform, dir string, text []byte, plan faultinject.Plan) *process {
+func startWithFaults(t *testing.T, p *platform, dir string, text []byte, plan faultinject.Plan) *process {
 	t.Helper()
 	path, err := faultyProgram()
 	if err != nil {
@@ -43,17 +43,17 @@
 }
 
 // faultsBegin is when faults begin that must not meet the start of a process, which a busy machine makes long.
-const faultsBegin = 4 * time.Second
+const faultDelay = 4 * time.Second
 
 // planTime is the time that plans count from: now, and the program is built.
-func planTime() time.Duration {
+func faultTime() time.Duration {
 	faultyProgram() // startFaulty tells of its error
 	return faultinject.Now()
 }
 
 // faultsFor makes calls on the state folder fail from now on for a while.
 func faultsFor(span time.Duration, errno syscall.Errno, calls ...string) (faults []faultinject.Fault) {
-	now := planTime()
+	now := faultTime()
 	for _, call := range calls {
 		faults = append(faults, faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: errno, From: now, To: now + span, Chance: 1})
 	}
@@ -61,7 +61,7 @@
 }
 
 // takeOn has a sender take on messages that it holds back, since its only endpoint has told it to wait.
-func takeOn(t *testing.T, x *process, e *endpoint, ms, many int) (ids map[string]bool) {
+func acceptHeld(t *testing.T, x *process, e *endpoint, ms, many int) (ids map[string]bool) {
 	t.Helper()
 	c := dial(t, x.addr)
 	c.putFor("first", "safe", ms, "+OK")
@@ -76,7 +76,7 @@
 }
 
 // delivers checks that calls with all of ids come, and nothing else does.
-func delivers(t *testing.T, p *platform, e *endpoint, ids map[string]bool) {
+func expectDelivered(t *testing.T, p *platform, e *endpoint, ids map[string]bool) {
 	t.Helper()
 	for left := len(ids); left > 0; left-- {
 		select {
@@ -95,18 +95,18 @@
 
 // Deadlines are spans of real time: a wall clock that is stepped while no process runs changes nothing for what was
 // taken on. Seen before: stepped forward all of it was given up with no call, stepped back some was never ended.
-func TestWallClockStepsOverARestart(t *testing.T) {
+func TestWallClockStepAcrossRestart(t *testing.T) {
 	for _, offset := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(offset.String(), func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
 			x := startProcess(t, p, dir, known)
-			ids := takeOn(t, x, e, 16000, 6)
+			ids := acceptHeld(t, x, e, 16000, 6)
 			x.kill()
-			step := faultinject.Plan{Steps: []faultinject.Step{{At: planTime(), Offset: offset}}}
-			x = startFaulty(t, p, dir, configText(p, known), step)
+			step := faultinject.Plan{Steps: []faultinject.Step{{At: faultTime(), Offset: offset}}}
+			x = startWithFaults(t, p, dir, configText(p, known), step)
 			x.addr = await(t, x.ready, "ready program")
-			delivers(t, p, e, ids)
+			expectDelivered(t, p, e, ids)
 			x.kill()
 			e.none(t)
 			// What has no endpoint ends in its time.
@@ -116,14 +116,14 @@
 				p.list = List{Generation: 2, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1", Zone: "a",
 					Kind: "std", Dest: 2, Lifecycle: "draining"})}
 			})
-			x = startFaulty(t, p, dir, configText(p, p.list), step)
+			x = startWithFaults(t, p, dir, configText(p, p.list), step)
 			x.addr = await(t, x.ready, "ready program")
 			if got := dial(t, x.addr).do("MSG.PUT", "0", "short", "c=unsafe,d=2500,dest=2", "x"); got != "+OK" {
 				t.Fatalf("got %q", got)
 			}
 			x.kill()
 			step.Steps[0].Offset = 0
-			x = startFaulty(t, p, dir, configText(p, p.list), step)
+			x = startWithFaults(t, p, dir, configText(p, p.list), step)
 			await(t, x.ready, "ready program")
 			n := await(t, p.notices, "notice")
 			for n.ID != "short" { // a kill just behind an answer leaves open whether what may not be repeated has run
@@ -138,53 +138,53 @@
 }
 
 // A read that fails for a moment is no torn end: what stands behind it is owed all the same.
-func TestReadErrorAtAStartLosesNothing(t *testing.T) {
+func TestReadErrorAtStartLosesNothing(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	x := startProcess(t, p, dir, known)
-	ids := takeOn(t, x, e, 16000, 6)
+	ids := acceptHeld(t, x, e, 16000, 6)
 	x.kill()
-	x = startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: faultsFor(1200*time.Millisecond, syscall.EIO, "read", "pread")})
+	x = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: faultsFor(1200*time.Millisecond, syscall.EIO, "read", "pread")})
 	x.addr = await(t, x.ready, "ready program")
-	delivers(t, p, e, ids)
+	expectDelivered(t, p, e, ids)
 	x.kill()
 	e.none(t)
 }
 
 // What fails for a moment at a start keeps it from being ready for so long, and does not end the process.
-func TestStartOutlivesTrouble(t *testing.T) {
+func TestStartSurvivesTransientErrors(t *testing.T) {
 	const span = 1500 * time.Millisecond
 	for name, make := range map[string]func() []faultinject.Fault{
 		"folder full":        func() []faultinject.Fault { return faultsFor(span, syscall.ENOSPC, "open", "pwrite", "truncate") },
 		"folder fails":       func() []faultinject.Fault { return faultsFor(span, syscall.EIO, "open", "unlink", "truncate") },
 		"truncation fails":   func() []faultinject.Fault { return faultsFor(span, syscall.EIO, "truncate") },
 		"lock interrupted":   func() []faultinject.Fault { return faultsFor(span, syscall.EINTR, "lock") },
-		"no socket":          func() []faultinject.Fault { return anywhere(span, syscall.ENOBUFS, "socket") },
-		"address in use":     func() []faultinject.Fault { return anywhere(span, syscall.EADDRINUSE, "bind") },
-		"no descriptor left": func() []faultinject.Fault { return anywhere(span, syscall.ENFILE, "open", "socket") },
+		"no socket":          func() []faultinject.Fault { return faultsAnywhere(span, syscall.ENOBUFS, "socket") },
+		"address in use":     func() []faultinject.Fault { return faultsAnywhere(span, syscall.EADDRINUSE, "bind") },
+		"no descriptor left": func() []faultinject.Fault { return faultsAnywhere(span, syscall.ENFILE, "open", "socket") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
 			x := startProcess(t, p, dir, known)
-			ids := takeOn(t, x, e, 16000, 2)
+			ids := acceptHeld(t, x, e, 16000, 2)
 			x.kill()
 			begun := time.Now()
-			x = startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: make()})
+			x = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: make()})
 			select {
 			case x.addr = <-x.ready:
-			case err := <-x.done:
+			case err := <-x.exited:
 				t.Fatalf("ended with %v after %v", err, time.Since(begun))
 			case <-time.After(span + 3*time.Second):
 				t.Fatal("not ready after the trouble")
 			}
-			delivers(t, p, e, ids)
+			expectDelivered(t, p, e, ids)
 			x.kill()
 		})
 	}
 }
 
 // anywhere makes calls fail from now on for a while, whatever they are about.
-func anywhere(span time.Duration, errno syscall.Errno, calls ...string) []faultinject.Fault {
+func faultsAnywhere(span time.Duration, errno syscall.Errno, calls ...string) []faultinject.Fault {
 	faults := faultsFor(span, errno, calls...)
 	for i := range faults {
 		faults[i].On = faultinject.Anything
@@ -193,16 +193,16 @@
 }
 
 // A write that fails says nothing of the next one: appends go on as soon as they work, though files can't be made yet.
-func TestAppendsGoOnAfterAFailure(t *testing.T) {
+func TestAppendsResumeAfterFailure(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	now := planTime()
-	later := now + faultsBegin
+	now := faultTime()
+	later := now + faultDelay
 	var faults []faultinject.Fault
 	for _, call := range []string{"open", "rename"} {
 		faults = append(faults, faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: syscall.EIO, From: later, To: now + time.Minute, Chance: 1})
 	}
 	faults = append(faults, faultinject.Fault{Call: "pwrite", On: faultinject.StateFiles, Errno: syscall.ENOSPC, From: later, To: later + time.Second, Chance: 1})
-	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: faults})
+	x := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: faults})
 	x.addr = await(t, x.ready, "ready program")
 	c := dial(t, x.addr)
 	go func() {
@@ -223,18 +223,18 @@
 }
 
 // A configuration that cannot be read for a moment is read again: the signal does not come twice.
-func TestReloadOutlivesAReadThatFails(t *testing.T) {
+func TestReloadRetriesFailedRead(t *testing.T) {
 	old, fresh, e, dir := newPlatform(t), newPlatform(t), newEndpoint(t), t.TempDir()
 	known := List{Generation: 5, Reset: true, Instances: instances(e)}
 	old.list, fresh.list = known, known
-	now := planTime()
-	x := startFaulty(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "open",
+	now := faultTime()
+	x := startWithFaults(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "open",
 		Errno: syscall.ENFILE, From: now + 800*time.Millisecond, To: now + 1800*time.Millisecond, Chance: 1}}})
 	await(t, x.ready, "ready program")
 	for faultinject.Now() < now+time.Second {
 		time.Sleep(10 * time.Millisecond)
 	}
-	x.hup(configText(fresh, known))
+	x.reload(configText(fresh, known))
 	select {
 	case <-fresh.asked:
 	case <-time.After(3 * time.Second):
@@ -245,11 +245,11 @@
 
 // What is returned may be handed in again, so no later process may send it: the journal has its end before the platform
 // is told, or its time is up.
-func TestReturnedIsNeverSentByTheNextProcess(t *testing.T) {
+func TestReturnedIsNotSentAfterRestart(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	now := planTime()
-	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", On: faultinject.StateFiles,
-		Errno: syscall.EIO, From: now + faultsBegin, To: now + time.Minute, Chance: 1}}})
+	now := faultTime()
+	x := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", On: faultinject.StateFiles,
+		Errno: syscall.EIO, From: now + faultDelay, To: now + time.Minute, Chance: 1}}})
 	x.addr = await(t, x.ready, "ready program")
 	c := dial(t, x.addr)
 	const usual = time.Second // what a call takes: with less than that left a message is returned
@@ -263,7 +263,7 @@
 	time.Sleep(usual + 50*time.Millisecond)
 	c.put("told-to-wait", "safe", "+OK")
 	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
-	const span = faultsBegin + time.Second // it is returned after they have begun
+	const span = faultDelay + time.Second // it is returned after they have begun
 	taken := time.Now()
 	c.putFor("held", "safe", int(span.Milliseconds()), "+OK")
 	returned := false
@@ -290,10 +290,10 @@
 }
 
 // A wait that a signal interrupts says nothing of the connection: it stays, and what comes on it is answered.
-func TestInterruptedWaitsCloseNothing(t *testing.T) {
+func TestInterruptedReadKeepsConnection(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	now := planTime()
-	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "receive",
+	now := faultTime()
+	x := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "receive",
 		Errno: syscall.EINTR, From: now, To: now + time.Minute, Chance: 0.5}}})
 	x.addr = await(t, x.ready, "ready program")
 	c := dial(t, x.addr)
@@ -305,13 +305,13 @@
 }
 
 // What keeps a new connection from being accepted is no reason to close one that rests.
-func TestFailedAcceptsCloseNothing(t *testing.T) {
+func TestFailedAcceptKeepsIdleConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EHOSTUNREACH, syscall.ECONNABORTED} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
-			now := planTime()
-			x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "accept",
+			now := faultTime()
+			x := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "accept",
 				Errno: errno, From: now + 700*time.Millisecond, To: now + 1700*time.Millisecond, Chance: 0.9}}})
 			x.addr = await(t, x.ready, "ready program")
 			resting := dial(t, x.addr)
@@ -332,7 +332,7 @@
 }
 
 // Whoever reads the log may stall or go away: the sender goes on.
-func TestLogThatNobodyReads(t *testing.T) {
+func TestUnreadLogDoesNotBlock(t *testing.T) {
 	for name, closed := range map[string]bool{"reader stalls": false, "reader is gone": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -388,29 +388,29 @@
 }
 
 // A write that stops half way may leave whole records behind: what was refused with it must not be among them.
-func TestRefusedIsNotLeftInTheFile(t *testing.T) {
+func TestRefusedIsNotLeftInJournal(t *testing.T) {
 	for i := range 16 { // where the write stops is a matter of chance
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
-			refuseHalfWritten(t)
+			testRefusedPartialWrite(t)
 		})
 	}
 }
 
-func refuseHalfWritten(t *testing.T) {
+func testRefusedPartialWrite(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	now := planTime()
+	now := faultTime()
 	state := func(call string, errno syscall.Errno, most int, chance float64) faultinject.Fault {
 		return faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: errno, Most: most, Chance: chance,
-			From: now + faultsBegin, To: now + time.Minute}
+			From: now + faultDelay, To: now + time.Minute}
 	}
-	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{
+	x := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{
 		state("pwrite", 0, 400, 1), state("pwrite", syscall.ENOSPC, 0, 0.5), state("open", syscall.EIO, 0, 1)}})
 	x.addr = await(t, x.ready, "ready program")
 	c := dial(t, x.addr)
 	c.putFor("first", "safe", 16000, "+OK")
 	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
-	for faultinject.Now() < now+faultsBegin+100*time.Millisecond {
+	for faultinject.Now() < now+faultDelay+100*time.Millisecond {
 		time.Sleep(10 * time.Millisecond)
 	}
 	c = dial(t, x.addr) // the first one may have been idle for too long
@@ -437,23 +437,23 @@
 
 // A process that stood by and takes over without a handover is the same sender: what the one before was told of an
 // endpoint holds for it, and its own list may be old.
-func TestTakeOverWithoutHandoverHeedsTheList(t *testing.T) {
+func TestTakeoverWithoutHandoverUsesNewList(t *testing.T) {
 	p, dir := newPlatform(t), t.TempDir()
 	stays, drains := newEndpoint(t), newEndpoint(t)
 	old := List{Generation: 1, Reset: true, Instances: instances(stays, drains)}
 	p.list = old
 	text := []byte(strings.Replace(string(configText(p, old)), `"on_request"`, `"pushed"`, 1))
 	x := execProcess(t, p, dir, text)
-	x.admin, x.addr = await(t, x.asked, "operators' address"), await(t, x.ready, "ready program")
+	x.admin, x.addr = await(t, x.adminReady, "operators' address"), await(t, x.ready, "ready program")
 	p.set(func() {
 		news := instances(stays, drains)
 		news[1].Lifecycle = "draining"
 		p.list = List{Generation: 2, Instances: news[1:]}
 	})
-	x.says("generation=2")
-	ids := takeOn(t, x, stays, 16000, 6)
+	x.awaitLog("generation=2")
+	ids := acceptHeld(t, x, stays, 16000, 6)
 	next := execProcess(t, p, dir, text)
-	next.says("stands by")
+	next.awaitLog("stands by")
 	p.set(func() { p.silent = true })
 	x.kill()
 	time.AfterFunc(200*time.Millisecond, func() { p.set(func() { p.silent = false }) })
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -20,36 +20,36 @@
 )
 
 // upgradeWorld is a program with an endpoint, and where the next one is to start.
-type upgradeWorld struct {
-	t     *testing.T
-	p     *platform
-	e     *endpoint
-	dir   string
-	known List
+type upgradeFixture struct {
+	t        *testing.T
+	platform *platform
+	endpoint *endpoint
+	dir      string
+	known    List
 }
 
-func newUpgradeWorld(t *testing.T) *upgradeWorld {
+func newUpgradeFixture(t *testing.T) *upgradeFixture {
 	p, e := newPlatform(t), newEndpoint(t)
-	w := &upgradeWorld{t: t, p: p, e: e, dir: t.TempDir(), known: List{Generation: 1, Reset: true, Instances: instances(e)}}
+	w := &upgradeFixture{t: t, platform: p, endpoint: e, dir: t.TempDir(), known: List{Generation: 1, Reset: true, Instances: instances(e)}}
 	p.list = w.known
 	return w
 }
 
-func (w *upgradeWorld) start() *process { return startProcess(w.t, w.p, w.dir, w.known) }
+func (w *upgradeFixture) start() *process { return startProcess(w.t, w.platform, w.dir, w.known) }
 
 // beside starts the program while another serves, and waits for its yes.
-func (w *upgradeWorld) beside() *process {
+func (w *upgradeFixture) startStandby() *process {
 	w.t.Helper()
-	x := launchProcess(w.t, w.p, w.dir, w.known)
-	x.says("stands by")
-	if got := ask(w.t, x.admin, "ready\n"); got != "+OK\n" {
+	x := launchProcess(w.t, w.platform, w.dir, w.known)
+	x.awaitLog("stands by")
+	if got := adminCall(w.t, x.admin, "ready\n"); got != "+OK\n" {
 		w.t.Fatalf("ready: %q", got)
 	}
 	return x
 }
 
 // takeOver waits until x serves.
-func (x *process) takeOver() {
+func (x *process) awaitReady() {
 	x.t.Helper()
 	x.addr = await(x.t, x.ready, "ready program")
 }
@@ -57,32 +57,32 @@
 // The old process keeps its clients and calls until they are done, and the new one owns what becomes of them: no
 // charge fails, none runs twice, and clients see no break. Twice in a row.
 func TestUpgrade(t *testing.T) {
-	w := newUpgradeWorld(t)
+	w := newUpgradeFixture(t)
 	x := w.start()
 	for round := range 2 {
 		c := dial(t, x.addr)
 		id := func(s string) string { return fmt.Sprint(s, round) }
 		c.put(id("charge"), "unsafe", "+OK")
-		charge := await(t, w.e.calls, "call")
+		charge := await(t, w.endpoint.calls, "call")
 		half := dial(t, x.addr)
 		io.WriteString(half.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$5\r\n"+id("half")+"\r\n")
-		next := w.beside()
-		if got := ask(t, next.admin, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
+		next := w.startStandby()
+		if got := adminCall(t, next.admin, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("a process that stands by can be brought to serve: %q", got)
 		}
-		x.term()
-		next.takeOver()
+		x.terminate()
+		next.awaitReady()
 		if next.addr != x.addr {
 			t.Fatalf("serves at %s, want %s", next.addr, x.addr)
 		}
-		if got := ask(t, x.admin, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
+		if got := adminCall(t, x.admin, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("the old process is ready: %q", got)
 		}
 		io.WriteString(half.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n") // read by the old process, taken by the new
 		if got := half.line(); got != "+OK" {
 			t.Errorf("relayed: %q", got)
 		}
-		in := await(t, w.e.calls, "call for the relayed message")
+		in := await(t, w.endpoint.calls, "call for the relayed message")
 		if in.id() != id("half") {
 			t.Errorf("call with %s", in.id())
 		}
@@ -96,26 +96,26 @@
 		}
 		c.put(id("charge"), "unsafe", "+OK") // the new process knows that it has it
 		c.put(id("new"), "unsafe", "+OK")
-		await(t, w.e.calls, "call").reply(200)
-		text := ask(t, next.admin, "show-stat\n")
-		if n := figure(t, text, "edge_balancer.open_requests"); n < 1 || n > 3 {
+		await(t, w.endpoint.calls, "call").reply(200)
+		text := adminCall(t, next.admin, "show-stat\n")
+		if n := metricValue(t, text, "edge_balancer.open_requests"); n < 1 || n > 3 {
 			t.Errorf("open_requests=%d", n)
 		}
 		charge.reply(200)
-		x.end()
+		x.awaitExit()
 		x = next
-		for stop := time.Now().Add(patience); figure(t, text, "edge_balancer.operations.unsafe.fulfilled") < 2; {
+		for stop := time.Now().Add(patience); metricValue(t, text, "edge_balancer.operations.unsafe.fulfilled") < 2; {
 			if time.Now().After(stop) {
 				t.Fatalf("the charge is not told to be delivered:\n%s", text)
 			}
-			text = ask(t, x.admin, "show-stat\n")
+			text = adminCall(t, x.admin, "show-stat\n")
 		}
 	}
-	x.term()
-	x.end()
-	w.e.none(t)
-	if len(w.p.notices) != 0 {
-		t.Errorf("notice %+v", <-w.p.notices)
+	x.terminate()
+	x.awaitExit()
+	w.endpoint.none(t)
+	if len(w.platform.notices) != 0 {
+		t.Errorf("notice %+v", <-w.platform.notices)
 	}
 	if ids := owed(t, w.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
@@ -124,35 +124,35 @@
 
 // What the rules need remembered goes over: a told wait, and the attempts made.
 func TestUpgradeKeepsWaits(t *testing.T) {
-	w := newUpgradeWorld(t)
+	w := newUpgradeFixture(t)
 	x := w.start()
 	dial(t, x.addr).put("a", "unsafe", "+OK")
-	in := await(t, w.e.calls, "call")
-	next := w.beside()
+	in := await(t, w.endpoint.calls, "call")
+	next := w.startStandby()
 	in.reply(429, "X-Come-Back-Ms: 1500")
 	told := time.Now()
-	waitForOp(t, w.dir, `"op":3`)
-	x.term()
-	next.takeOver()
+	awaitJournalText(t, w.dir, `"op":3`)
+	x.terminate()
+	next.awaitReady()
 	c := dial(t, next.addr)
 	c.put("b", "unsafe", "+OK")
 	for range 2 {
-		in := await(t, w.e.calls, "call")
+		in := await(t, w.endpoint.calls, "call")
 		if d := in.at.Sub(told); d < 1500*time.Millisecond {
 			t.Errorf("%s was sent %v after a wait of 1.5 s", in.id(), d)
 		}
 		in.reply(200)
 	}
-	x.end()
-	next.term()
-	next.end()
+	x.awaitExit()
+	next.terminate()
+	next.awaitExit()
 }
 
 // waitForOp waits until the journal holds an operation.
-func waitForOp(t *testing.T, dir, op string) {
+func awaitJournalText(t *testing.T, dir, op string) {
 	t.Helper()
 	for stop := time.Now().Add(patience); ; {
-		b, err := os.ReadFile(dir + "/" + journalName)
+		b, err := os.ReadFile(dir + "/" + journalFile)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -167,41 +167,41 @@
 
 // A call that the old process takes with it at its SIGKILL may have run.
 func TestUpgradeThenKill(t *testing.T) {
-	w := newUpgradeWorld(t)
+	w := newUpgradeFixture(t)
 	x := w.start()
 	c := dial(t, x.addr)
 	c.put("u", "unsafe", "+OK")
-	await(t, w.e.calls, "call")
+	await(t, w.endpoint.calls, "call")
 	c.put("s", "safe", "+OK")
-	await(t, w.e.calls, "call")
-	next := w.beside()
-	x.term()
-	next.takeOver()
+	await(t, w.endpoint.calls, "call")
+	next := w.startStandby()
+	x.terminate()
+	next.awaitReady()
 	x.kill()
-	if n := await(t, w.p.notices, "notice"); n != (Notice{ID: "u", State: "failed"}) {
+	if n := await(t, w.platform.notices, "notice"); n != (Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	if in := await(t, w.e.calls, "call again"); in.id() != "s" {
+	if in := await(t, w.endpoint.calls, "call again"); in.id() != "s" {
 		t.Errorf("call with %s", in.id())
 	} else {
 		in.reply(200)
 	}
-	next.term()
-	next.end()
-	w.e.none(t)
+	next.terminate()
+	next.awaitExit()
+	w.endpoint.none(t)
 }
 
 // A successor that dies before its turn changes nothing, and SIGTERM is then a plain end.
 func TestSuccessorDies(t *testing.T) {
-	w := newUpgradeWorld(t)
+	w := newUpgradeFixture(t)
 	x := w.start()
-	w.beside().kill()
-	x.says("the successor is gone")
+	w.startStandby().kill()
+	x.awaitLog("the successor is gone")
 	c := dial(t, x.addr)
 	c.put("a", "unsafe", "+OK")
-	await(t, w.e.calls, "call").reply(200)
-	x.term()
-	x.end()
+	await(t, w.endpoint.calls, "call").reply(200)
+	x.terminate()
+	x.awaitExit()
 	if ids := owed(t, w.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
@@ -209,37 +209,37 @@
 
 // An owner that is killed: the process that stands by replays the journal, and the clients' socket outlives the kill.
 func TestOwnerDies(t *testing.T) {
-	w := newUpgradeWorld(t)
+	w := newUpgradeFixture(t)
 	x := w.start()
 	c := dial(t, x.addr)
 	c.put("u", "unsafe", "+OK")
-	await(t, w.e.calls, "call")
-	next := w.beside()
+	await(t, w.endpoint.calls, "call")
+	next := w.startStandby()
 	x.kill()
 	late := dial(t, x.addr) // nobody may be serving yet
-	next.takeOver()
+	next.awaitReady()
 	late.put("b", "safe", "+OK")
-	await(t, w.e.calls, "call").reply(200)
-	if n := await(t, w.p.notices, "notice"); n != (Notice{ID: "u", State: "failed"}) {
+	await(t, w.endpoint.calls, "call").reply(200)
+	if n := await(t, w.platform.notices, "notice"); n != (Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	next.term()
-	next.end()
+	next.terminate()
+	next.awaitExit()
 }
 
 // SIGHUP while two processes are there: the one that stands by follows discovery, and so does its word of what is owed.
 func TestReloadDuringUpgrade(t *testing.T) {
-	w := newUpgradeWorld(t)
+	w := newUpgradeFixture(t)
 	fresh := newPlatform(t)
-	fresh.list = List{Generation: 7, Reset: true, Instances: instances(w.e)}
+	fresh.list = List{Generation: 7, Reset: true, Instances: instances(w.endpoint)}
 	x := w.start()
 	c := dial(t, x.addr)
 	c.put("u", "unsafe", "+OK")
-	in := await(t, w.e.calls, "call")
-	next := w.beside()
-	next.hup(configText(fresh, w.known))
-	x.term()
-	next.takeOver()
+	in := await(t, w.endpoint.calls, "call")
+	next := w.startStandby()
+	next.reload(configText(fresh, w.known))
+	x.terminate()
+	next.awaitReady()
 	if q := await(t, fresh.asked, "call at the new address"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
@@ -247,9 +247,9 @@
 	if n := await(t, fresh.notices, "notice at the new address"); n != (Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	x.end()
-	next.term()
-	next.end()
+	x.awaitExit()
+	next.terminate()
+	next.awaitExit()
 }
 
 // fakeOwner holds the lock as an owner would, and hands over as a test says.
@@ -259,7 +259,7 @@
 	if err != nil || lock == nil {
 		t.Fatal(lock, err)
 	}
-	ln, err := listenForSuccessor(dir)
+	ln, err := listenHandover(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -276,10 +276,10 @@
 			t.Fatal(err)
 		}
 		l := &link{conn: conn}
-		if err := l.hear(); err != nil {
+		if err := l.readGreeting(); err != nil {
 			t.Fatal(err)
 		}
-		if err := l.welcome("127.0.0.1:0", clients.(*net.TCPListener)); err != nil {
+		if err := l.sendListener("127.0.0.1:0", clients.(*net.TCPListener)); err != nil {
 			t.Fatal(err)
 		}
 		return l
@@ -298,27 +298,27 @@
 		"all but one byte": frame[:len(frame)-1], "spoilt": spoilt, "no module": frame,
 		"too long": {255, 255, 255, 255, 0, 0, 0, 0}} {
 		t.Run(name, func(t *testing.T) {
-			w := newUpgradeWorld(t)
+			w := newUpgradeFixture(t)
 			lock, accept := fakeOwner(t, w.dir)
 			j := openJournal(t, w.dir, 3e6)
 			m := Message{ID: "kept", Class: "unsafe", Dest: 1, Deadline: time.Now().Add(time.Minute).UnixMicro(), Body: []byte("x")}
 			if err := j.Append([]record{{Op: opAccept, Entry: &Entry{Message: m}}}); err != nil {
 				t.Fatal(err)
 			}
-			x := launchProcess(t, w.p, w.dir, w.known)
+			x := launchProcess(t, w.platform, w.dir, w.known)
 			l := accept()
 			l.conn.Write(b)
 			l.close()
-			x.says("no handover")
+			x.awaitLog("no handover")
 			lock.Close()
-			x.takeOver()
-			if in := await(t, w.e.calls, "call"); in.id() != "kept" {
+			x.awaitReady()
+			if in := await(t, w.endpoint.calls, "call"); in.id() != "kept" {
 				t.Errorf("call with %s", in.id())
 			} else {
 				in.reply(200)
 			}
-			x.term()
-			x.end()
+			x.terminate()
+			x.awaitExit()
 		})
 	}
 }
@@ -332,21 +332,21 @@
 		"babbles": func(l *link) error { _, err := l.conn.Write([]byte("+OK\r\n+OK\r\n+OK\r\n")); return err },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newUpgradeWorld(t)
+			w := newUpgradeFixture(t)
 			x := w.start()
 			dial(t, x.addr).put("u", "unsafe", "+OK")
-			in := await(t, w.e.calls, "call")
+			in := await(t, w.endpoint.calls, "call")
 			l, err := dialOwner(w.dir)
 			if err != nil {
 				t.Fatal(err)
 			}
-			ln, err := l.greet("127.0.0.1:0")
+			ln, err := l.receiveListener("127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			ln.Close()
-			x.says("a successor stands by")
-			x.term()
+			x.awaitLog("a successor stands by")
+			x.terminate()
 			var p packet
 			if err := l.read(&p, time.Now().Add(patience)); err != nil || p.State == nil {
 				t.Fatal(p, err)
@@ -355,9 +355,9 @@
 				t.Fatal(err)
 			}
 			l.close()
-			x.says("the handover failed")
+			x.awaitLog("the handover failed")
 			in.reply(200)
-			x.end()
+			x.awaitExit()
 			if ids := owed(t, w.dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
@@ -366,58 +366,58 @@
 }
 
 // refusing is a listener that fails so many times, and is then closed.
-type refusing int
+type failingListener int
 
-func (f *refusing) AcceptUnix() (*net.UnixConn, error) {
+func (f *failingListener) AcceptUnix() (*net.UnixConn, error) {
 	if *f--; *f >= 0 {
 		return nil, syscall.ENOSYS
 	}
 	return nil, net.ErrClosed
 }
 
-func (f *refusing) Close() error { return nil }
+func (f *failingListener) Close() error { return nil }
 
 // Where the platform refuses Unix sockets, the log has one line of it, not one every few milliseconds.
-func TestRefusedHandoverIsLoggedOnce(t *testing.T) {
+func TestHandoverAcceptErrorIsLoggedOnce(t *testing.T) {
 	var log strings.Builder
 	n := &Node{log: slog.New(slog.NewTextHandler(&log, nil))}
-	ln := refusing(4)
-	n.awaitSuccessors(context.Background(), &ln, nil)
+	ln := failingListener(4)
+	n.acceptSuccessors(context.Background(), &ln, nil)
 	if got := strings.Count(log.String(), "\n"); got != 1 {
 		t.Errorf("%d lines:\n%s", got, log.String())
 	}
 }
 
 // A state folder in which the handover's socket cannot be made is one that a sender serves from all the same.
-func TestServesWithoutTheHandoverSocket(t *testing.T) {
-	w := newUpgradeWorld(t)
-	if err := os.MkdirAll(filepath.Join(w.dir, socketName, "foreign"), 0o700); err != nil {
+func TestServesWithoutHandoverSocket(t *testing.T) {
+	w := newUpgradeFixture(t)
+	if err := os.MkdirAll(filepath.Join(w.dir, handoverSocket, "foreign"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	x := w.start()
 	dial(t, x.addr).put("m1", "safe", "+OK")
-	await(t, w.e.calls, "call").reply(200)
-	x.term()
-	x.end()
+	await(t, w.endpoint.calls, "call").reply(200)
+	x.terminate()
+	x.awaitExit()
 }
 
 // A call of the process before is out for this one too: a wait holds it back while it connects there, and its
 // endpoint is in use until it ends.
-func TestCallOfTheProcessBeforeIsOut(t *testing.T) {
+func TestPredecessorCallIsInFlight(t *testing.T) {
 	old, n := emptyNode(t, t.TempDir()), emptyNode(t, t.TempDir())
-	rec := accept("a", 10)
+	rec := acceptRecord("a", 10)
 	mustAppend(t, n.journal, rec)
 	old.held["a"] = &held{msg: &rec.Entry.Message}
 	old.goesOut(old.held["a"], &call{id: "a", ep: 7, state: new(atomic.Int32)}, func() {})
-	st, err := old.handoverState()
+	st, err := old.collectHandoverState()
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.before = &predecessor{link: &link{conn: new(net.UnixConn)}, out: map[string]*call{}}
-	if err := n.adopt(st); err != nil {
+	n.before = &predecessor{link: &link{conn: new(net.UnixConn)}, calls: map[string]*call{}}
+	if err := n.restoreHandover(st); err != nil {
 		t.Fatal(err)
 	}
-	c := n.before.out["a"]
+	c := n.before.calls["a"]
 	if c == nil || !n.calls()[7] {
 		t.Fatalf("call %v, endpoints in use %v", c, n.calls())
 	}
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -18,14 +18,14 @@
 
 // Message is a message as a client handed it in.
 type Message struct {
-	ID       string `json:"id"`
-	Key      string `json:"key,omitempty"`   // idempotency key
-	Order    string `json:"order,omitempty"` // order key
-	Class    string `json:"class"`
-	Tenant   string `json:"tenant,omitempty"`
-	Dest     int64  `json:"dest"`
-	Deadline int64  `json:"deadline"` // on the journal's lasting clock, microseconds
-	Body     []byte `json:"body,omitempty"`
+	ID             string `json:"id"`
+	IdempotencyKey string `json:"key,omitempty"`   // idempotency key
+	OrderKey       string `json:"order,omitempty"` // order key
+	Class          string `json:"class"`
+	Tenant         string `json:"tenant,omitempty"`
+	Dest           int64  `json:"dest"`
+	Deadline       int64  `json:"deadline"` // on the journal's lasting clock, microseconds
+	Body           []byte `json:"body,omitempty"`
 }
 
 // The states of a Notice.
@@ -45,97 +45,97 @@
 // platform has yet to confirm.
 type Entry struct {
 	Message
-	Tries     int     `json:"tries,omitempty"`
-	Open      bool    `json:"open,omitempty"`      // the last attempt has no outcome
-	MayRun    bool    `json:"may_run,omitempty"`   // an earlier one may have run
-	FirstMay  int64   `json:"first_may,omitempty"` // when the first that may have run was sent, on the lasting clock
-	FirstZone int     `json:"zone,omitempty"`      // zone of its endpoint
-	End       *Notice `json:"end,omitempty"`
-	seq       int
-	size      int
+	Attempts        int     `json:"tries,omitempty"`
+	InFlight        bool    `json:"open,omitempty"`      // the last attempt has no outcome
+	MayHaveRun      bool    `json:"may_run,omitempty"`   // an earlier one may have run
+	FirstMayRunAt   int64   `json:"first_may,omitempty"` // when the first that may have run was sent, on the lasting clock
+	FirstMayRunZone int     `json:"zone,omitempty"`      // zone of its endpoint
+	End             *Notice `json:"end,omitempty"`
+	seq             int
+	size            int
 }
 
 // op is the kind of a record.
 type op byte
 
 const (
-	opAccept  op = iota + 1 // a message is taken on
-	opSend                  // an attempt is about to be made
-	opOutcome               // it has its outcome
-	opDone                  // delivered, or over without our word
-	opEnd                   // ended by us; the notice is owed
-	opNoticed               // the notice is confirmed
-	opClock                 // what the times of all records count on
+	opAccept          op = iota + 1 // a message is taken on
+	opSend                          // an attempt is about to be made
+	opOutcome                       // it has its outcome
+	opDone                          // delivered, or over without our word
+	opGiveUp                        // ended by us; the notice is owed
+	opNoticeConfirmed               // the notice is confirmed
+	opClock                         // what the times of all records count on
 )
 
 // record is one line of the journal.
 type record struct {
-	Op     op      `json:"op"`
-	ID     string  `json:"id,omitempty"`
-	Entry  *Entry  `json:"entry,omitempty"`
-	At     int64   `json:"at,omitempty"`
-	Zone   int     `json:"zone,omitempty"`
-	MayRun bool    `json:"may_run,omitempty"`
-	Unsent bool    `json:"unsent,omitempty"` // with opOutcome: the attempt does not count
-	Notice *Notice `json:"notice,omitempty"`
+	Op         op      `json:"op"`
+	ID         string  `json:"id,omitempty"`
+	Entry      *Entry  `json:"entry,omitempty"`
+	At         int64   `json:"at,omitempty"`
+	Zone       int     `json:"zone,omitempty"`
+	MayHaveRun bool    `json:"may_run,omitempty"`
+	Unsent     bool    `json:"unsent,omitempty"` // with opOutcome: the attempt does not count
+	Notice     *Notice `json:"notice,omitempty"`
 
 	Clock *clock.Stamp `json:"clock,omitempty"`
 }
 
 // binds says whether a record must be in the file before what it tells of may happen. Others only tell of the past.
-func (r record) binds() bool { return r.Op == opAccept || r.Op == opSend }
+func (r record) writeAhead() bool { return r.Op == opAccept || r.Op == opSend }
 
 const (
-	journalName = "journal"
-	newSuffix   = ".new"     // of a file that is being written
-	asideSuffix = ".damaged" // of what could not be read
-	headerLen   = 8          // length and CRC-32 of what follows
-	maxRecord   = 1 << 20
+	journalFile    = "journal"
+	rewriteSuffix  = ".new"     // of a file that is being written
+	damagedSuffix  = ".damaged" // of what could not be read
+	frameHeaderLen = 8          // length and CRC-32 of what follows
+	maxRecordBytes = 1 << 20
 	// filePart is the part of the disk that the journal's file may take: for the time of a rewrite there are two.
-	filePart = 0.45
+	fileDiskShare = 0.45
 	// asidePart is the part of the disk that damaged records may take, which are kept aside.
-	asidePart = 0.05
+	damagedDiskShare = 0.05
 	// acceptPart is the part of a file that entries may fill before new messages are turned away: the rest is
 	// room for what becomes of those already taken on.
-	acceptPart = 0.6
+	acceptFileShare = 0.6
 	// rewritePause is the time between rewrites that fail half way.
-	rewritePause = 250 * time.Millisecond
+	rewriteRetryDelay = 250 * time.Millisecond
 	// mostFile bounds a file where the platform sets no tighter limit; files count as memory.
-	mostFile = 16 << 20
+	maxFileBytes = 16 << 20
 )
 
 var (
 	// errFull says that the journal has no room for another record.
-	errFull = errors.New("journal full")
+	errJournalFull = errors.New("journal full")
 	// errUncertain says that records which do not count may be in the file all the same, until it can be cut.
-	errUncertain = errors.New("the file could not be cut back")
+	errTruncateFailed = errors.New("the file could not be cut back")
 )
 
 // Journal keeps accepted messages in a file that outlives the process. Its
 // records are appended; a file that grows too long is rewritten with what is
 // still owed. It is not safe for concurrent use.
 type Journal struct {
-	dir     string
-	file    *os.File
-	size    int64 // of the part that counts
-	limit   int64 // of one file
-	aside   int64 // most bytes that are kept aside
-	live    int64 // rough size of what a rewrite keeps
-	seq     int
-	entries map[string]*Entry
-	clock   *clock.Lasting
-	stamp   clock.Stamp
-	stamped bool     // a stamp was read
-	latest  int64    // the latest time on record
-	pending []record // of the past, in order: they could not be written yet
-	torn    bool     // there may be bytes behind size
-	failed  bool     // the last write did
-
-	rewriteFailed time.Time // when a rewrite last failed half way
-
-	cut int64 // bytes that could not be read at the start: a torn end, or damage and all behind it
-
-	asideErr error // why they could not be kept aside
+	dir             string
+	file            *os.File
+	size            int64 // of the part that counts
+	maxBytes        int64 // of one file
+	maxDamagedBytes int64 // most bytes that are kept aside
+	liveBytes       int64 // rough size of what a rewrite keeps
+	seq             int
+	entries         map[string]*Entry
+	clock           *clock.Lasting
+	stamp           clock.Stamp
+	hasStamp        bool     // a stamp was read
+	latestTime      int64    // the latest time on record
+	pending         []record // of the past, in order: they could not be written yet
+	needsTruncate   bool     // there may be bytes behind size
+	lastWriteFailed bool     // the last write did
+
+	rewriteFailedAt time.Time // when a rewrite last failed half way
+
+	skippedBytes int64 // bytes that could not be read at the start: a torn end, or damage and all behind it
+
+	saveDamagedErr error // why they could not be kept aside
 }
 
 // OpenJournal replays the journal in dir and makes it ready for appending.
@@ -143,10 +143,10 @@
 // lenient: then the journal ends before it.
 func OpenJournal(dir string, diskBytes int64, lenient bool) (*Journal, error) {
 	disk := float64(diskBytes)
-	if diskBytes <= 0 || disk*filePart > mostFile {
-		disk = mostFile / filePart
+	if diskBytes <= 0 || disk*fileDiskShare > maxFileBytes {
+		disk = maxFileBytes / fileDiskShare
 	}
-	j := &Journal{dir: dir, entries: map[string]*Entry{}, limit: int64(disk * filePart), aside: int64(disk * asidePart)}
+	j := &Journal{dir: dir, entries: map[string]*Entry{}, maxBytes: int64(disk * fileDiskShare), maxDamagedBytes: int64(disk * damagedDiskShare)}
 	f, err := os.OpenFile(j.path(""), os.O_RDWR, 0o600)
 	if errors.Is(err, os.ErrNotExist) {
 		f, err = os.OpenFile(j.path(""), os.O_RDWR|os.O_CREATE, 0o600)
@@ -163,17 +163,17 @@
 	return j, nil
 }
 
-func (j *Journal) path(suffix string) string { return filepath.Join(j.dir, journalName+suffix) }
+func (j *Journal) path(suffix string) string { return filepath.Join(j.dir, journalFile+suffix) }
 
 // startClock goes on with the clock of the records, or begins one. A stamp that is new comes before all other records.
 func (j *Journal) startClock() {
 	was := j.stamp
-	if j.stamped {
-		j.clock, j.stamp = clock.Resume(j.stamp, j.latest)
+	if j.hasStamp {
+		j.clock, j.stamp = clock.Resume(j.stamp, j.latestTime)
 	} else { // a journal of an older build: its times are Unix time
 		j.clock, j.stamp = clock.Begin()
 	}
-	if !j.stamped || j.stamp != was {
+	if !j.hasStamp || j.stamp != was {
 		j.pending = append(j.pending, record{Op: opClock, Clock: &j.stamp})
 	}
 }
@@ -183,7 +183,7 @@
 	r := bufio.NewReaderSize(f, 1<<16)
 	for {
 		rec, n, err := readRecord(r)
-		if errors.Is(err, errNotWhole) {
+		if errors.Is(err, errIncompleteRecord) {
 			break
 		}
 		if err != nil && !lenient {
@@ -199,53 +199,53 @@
 	if err != nil {
 		return err
 	}
-	if j.cut = end - j.size; j.cut > 0 {
-		j.torn = true
-		j.keepAside(f)
+	if j.skippedBytes = end - j.size; j.skippedBytes > 0 {
+		j.needsTruncate = true
+		j.saveDamagedTail(f)
 	}
 	return nil
 }
 
 // errNotWhole says that no whole record comes next.
-var errNotWhole = errors.New("no whole record")
+var errIncompleteRecord = errors.New("no whole record")
 
 // readRecord reads the next record and says how many bytes it took. An error other than errNotWhole is one of the file.
 func readRecord(r io.Reader) (rec record, size int64, err error) {
-	var head [headerLen]byte
+	var head [frameHeaderLen]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return rec, 0, orNotWhole(err)
+		return rec, 0, incompleteIfEOF(err)
 	}
 	n := binary.LittleEndian.Uint32(head[:4])
-	if n == 0 || n > maxRecord {
-		return rec, 0, errNotWhole
+	if n == 0 || n > maxRecordBytes {
+		return rec, 0, errIncompleteRecord
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(r, body); err != nil {
-		return rec, 0, orNotWhole(err)
+		return rec, 0, incompleteIfEOF(err)
 	}
 	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(head[4:]) || json.Unmarshal(body, &rec) != nil {
-		return rec, 0, errNotWhole
+		return rec, 0, errIncompleteRecord
 	}
-	return rec, headerLen + int64(n), nil
+	return rec, frameHeaderLen + int64(n), nil
 }
 
 // orNotWhole tells the end of a file from a read that failed.
-func orNotWhole(err error) error {
+func incompleteIfEOF(err error) error {
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
-		return errNotWhole
+		return errIncompleteRecord
 	}
 	return err
 }
 
 // keepAside copies what follows the last whole record to a file of its own, within its bound. It is there for people to
 // look at: a disk that has no room for it is no reason not to start.
-func (j *Journal) keepAside(f *os.File) {
-	tail := make([]byte, min(j.cut, j.aside))
+func (j *Journal) saveDamagedTail(f *os.File) {
+	tail := make([]byte, min(j.skippedBytes, j.maxDamagedBytes))
 	n, err := f.ReadAt(tail, j.size)
 	if err == nil || err == io.EOF {
-		err = os.WriteFile(j.path(asideSuffix), tail[:n], 0o600)
+		err = os.WriteFile(j.path(damagedSuffix), tail[:n], 0o600)
 	}
-	j.asideErr = err
+	j.saveDamagedErr = err
 }
 
 // apply brings the entries up to date with a record.
@@ -253,8 +253,8 @@
 	switch rec.Op {
 	case opClock:
 		if rec.Clock != nil {
-			j.stamp, j.stamped = *rec.Clock, true
-			j.latest = max(j.latest, rec.Clock.At)
+			j.stamp, j.hasStamp = *rec.Clock, true
+			j.latestTime = max(j.latestTime, rec.Clock.At)
 		}
 		return
 	case opAccept:
@@ -264,9 +264,9 @@
 		e := rec.Entry
 		j.seq++
 		e.seq, e.size = j.seq, len(e.Body)*4/3+512
-		j.live += int64(e.size)
+		j.liveBytes += int64(e.size)
 		j.entries[e.ID] = e
-		j.latest = max(j.latest, e.FirstMay)
+		j.latestTime = max(j.latestTime, e.FirstMayRunAt)
 		return
 	}
 	e := j.entries[rec.ID]
@@ -275,32 +275,32 @@
 	}
 	switch rec.Op {
 	case opSend:
-		j.latest = max(j.latest, rec.At)
-		e.Tries++
-		e.Open = true
-		if !e.MayRun {
-			e.FirstMay, e.FirstZone = rec.At, rec.Zone
+		j.latestTime = max(j.latestTime, rec.At)
+		e.Attempts++
+		e.InFlight = true
+		if !e.MayHaveRun {
+			e.FirstMayRunAt, e.FirstMayRunZone = rec.At, rec.Zone
 		}
 	case opOutcome:
 		if rec.Unsent {
-			e.Tries--
+			e.Attempts--
 		}
-		e.Open = false
-		e.MayRun = e.MayRun || rec.MayRun
-	case opEnd:
+		e.InFlight = false
+		e.MayHaveRun = e.MayHaveRun || rec.MayHaveRun
+	case opGiveUp:
 		e.End = rec.Notice
 		e.Body = nil
-		j.live -= int64(e.size - 512)
+		j.liveBytes -= int64(e.size - 512)
 		e.size = 512
-	case opDone, opNoticed:
-		j.live -= int64(e.size)
+	case opDone, opNoticeConfirmed:
+		j.liveBytes -= int64(e.size)
 		delete(j.entries, rec.ID)
 	}
 }
 
 // Room says whether the journal can take on a message with such a body.
-func (j *Journal) Room(body int) bool {
-	return float64(j.live)+float64(body)*4/3+512 <= acceptPart*float64(j.limit)
+func (j *Journal) HasRoom(body int) bool {
+	return float64(j.liveBytes)+float64(body)*4/3+512 <= acceptFileShare*float64(j.maxBytes)
 }
 
 // Append writes records in one go, so that a process that dies leaves all of the
@@ -312,15 +312,15 @@
 		return nil
 	}
 	err := j.write(recs)
-	if err != nil && j.failed && time.Since(j.rewriteFailed) > rewritePause && !errors.Is(err, errFull) {
-		err = j.writeAnew(recs, err) // it may be the file that fails
+	if err != nil && j.lastWriteFailed && time.Since(j.rewriteFailedAt) > rewriteRetryDelay && !errors.Is(err, errJournalFull) {
+		err = j.rewriteAndAppend(recs, err) // it may be the file that fails
 	}
-	j.failed = err != nil
+	j.lastWriteFailed = err != nil
 	for _, rec := range recs {
-		if err == nil || !rec.binds() {
+		if err == nil || !rec.writeAhead() {
 			j.apply(rec)
 		}
-		if err != nil && !rec.binds() {
+		if err != nil && !rec.writeAhead() {
 			j.pending = append(j.pending, rec)
 		}
 	}
@@ -331,7 +331,7 @@
 }
 
 // writeAnew puts what is owed into another file, and recs behind it. Why is the error of the file at hand.
-func (j *Journal) writeAnew(recs []record, why error) error {
+func (j *Journal) rewriteAndAppend(recs []record, why error) error {
 	if err := j.Compact(); err != nil {
 		return errors.Join(why, err)
 	}
@@ -339,36 +339,36 @@
 }
 
 // Settled says whether all that counts is in the file.
-func (j *Journal) Settled() bool { return len(j.pending) == 0 }
+func (j *Journal) Flushed() bool { return len(j.pending) == 0 }
 
 // write writes what is pending and then recs.
 func (j *Journal) write(recs []record) error {
-	earlier, err := frames(j.pending)
+	earlier, err := encodeRecords(j.pending)
 	if err != nil {
 		return err
 	}
-	later, err := frames(recs)
+	later, err := encodeRecords(recs)
 	if err != nil {
 		return err
 	}
-	if err := j.cutBack(); err != nil {
+	if err := j.truncateTail(); err != nil {
 		return err
 	}
-	if j.size+int64(len(earlier)+len(later)) > j.limit {
+	if j.size+int64(len(earlier)+len(later)) > j.maxBytes {
 		if err := j.Compact(); err != nil { // it writes what is pending too
 			return err
 		}
 		earlier = nil
 	}
 	b := append(earlier, later...)
-	if j.size+int64(len(b)) > j.limit {
-		return errFull
+	if j.size+int64(len(b)) > j.maxBytes {
+		return errJournalFull
 	}
 	if _, err := j.file.WriteAt(b, j.size); err != nil {
 		// What was written in part must not stand before later records, and what of it is whole must not count.
-		j.torn = true // WriteAt does not count what its last write moved before the error
-		if cut := j.cutBack(); cut != nil {
-			return errors.Join(err, errUncertain, cut)
+		j.needsTruncate = true // WriteAt does not count what its last write moved before the error
+		if cut := j.truncateTail(); cut != nil {
+			return errors.Join(err, errTruncateFailed, cut)
 		}
 		return err
 	}
@@ -378,33 +378,33 @@
 }
 
 // cutBack takes off what stands behind the part that counts.
-func (j *Journal) cutBack() error {
-	if !j.torn {
+func (j *Journal) truncateTail() error {
+	if !j.needsTruncate {
 		return nil
 	}
 	if err := j.file.Truncate(j.size); err != nil {
 		return err
 	}
-	j.torn = false
+	j.needsTruncate = false
 	return nil
 }
 
 // frames encodes records for the file.
-func frames(recs []record) (b []byte, err error) {
+func encodeRecords(recs []record) (b []byte, err error) {
 	for _, rec := range recs {
-		if b, err = frame(b, rec); err != nil {
+		if b, err = appendRecord(b, rec); err != nil {
 			return nil, err
 		}
 	}
 	return b, nil
 }
 
-func frame(b []byte, rec record) ([]byte, error) {
+func appendRecord(b []byte, rec record) ([]byte, error) {
 	body, err := json.Marshal(rec)
 	if err != nil {
 		return b, err
 	}
-	if len(body) > maxRecord {
+	if len(body) > maxRecordBytes {
 		return b, fmt.Errorf("record of %d bytes", len(body))
 	}
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
@@ -419,28 +419,28 @@
 	for _, e := range j.Entries() {
 		recs = append(recs, record{Op: opAccept, Entry: e})
 	}
-	b, err := frames(recs)
+	b, err := encodeRecords(recs)
 	if err != nil {
 		return err
 	}
-	if int64(len(b)) > j.limit {
-		return errFull
+	if int64(len(b)) > j.maxBytes {
+		return errJournalFull
 	}
-	f, err := os.OpenFile(j.path(newSuffix), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	f, err := os.OpenFile(j.path(rewriteSuffix), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
 	if _, err = f.WriteAt(b, 0); err != nil {
-		j.rewriteFailed = time.Now()
+		j.rewriteFailedAt = time.Now()
 	} else {
-		err = os.Rename(j.path(newSuffix), j.path(""))
+		err = os.Rename(j.path(rewriteSuffix), j.path(""))
 	}
 	if err != nil {
 		f.Close()
-		return errors.Join(err, os.Remove(j.path(newSuffix)))
+		return errors.Join(err, os.Remove(j.path(rewriteSuffix)))
 	}
 	j.file.Close()
-	j.file, j.size, j.torn, j.pending = f, int64(len(b)), false, nil
+	j.file, j.size, j.needsTruncate, j.pending = f, int64(len(b)), false, nil
 	return nil
 }
 
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -20,7 +20,7 @@
 	return j
 }
 
-func accept(id string, body int) record {
+func acceptRecord(id string, body int) record {
 	return record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, Class: "safe", Dest: 1, Deadline: 1,
 		Body: bytes.Repeat([]byte("b"), body)}}}
 }
@@ -36,14 +36,14 @@
 func TestJournalReplay(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
-	mustAppend(t, j, accept("sent", 3), accept("done", 3), accept("never", 3), accept("may", 3), accept("ended", 3), accept("heard", 3))
+	mustAppend(t, j, acceptRecord("sent", 3), acceptRecord("done", 3), acceptRecord("never", 3), acceptRecord("may", 3), acceptRecord("ended", 3), acceptRecord("heard", 3))
 	for _, id := range []string{"sent", "done", "never", "may"} {
 		mustAppend(t, j, record{Op: opSend, ID: id, At: 100, Zone: 1})
 	}
 	mustAppend(t, j, record{Op: opDone, ID: "done"}, record{Op: opOutcome, ID: "never"},
-		record{Op: opOutcome, ID: "may", MayRun: true}, record{Op: opSend, ID: "may", At: 200, Zone: 0},
-		record{Op: opEnd, ID: "ended", Notice: &Notice{ID: "ended", State: "failed"}},
-		record{Op: opEnd, ID: "heard", Notice: &Notice{ID: "heard", State: "failed"}}, record{Op: opNoticed, ID: "heard"})
+		record{Op: opOutcome, ID: "may", MayHaveRun: true}, record{Op: opSend, ID: "may", At: 200, Zone: 0},
+		record{Op: opGiveUp, ID: "ended", Notice: &Notice{ID: "ended", State: "failed"}},
+		record{Op: opGiveUp, ID: "heard", Notice: &Notice{ID: "heard", State: "failed"}}, record{Op: opNoticeConfirmed, ID: "heard"})
 	check := func(how string) {
 		t.Helper()
 		j := openJournal(t, dir, 3e6)
@@ -54,14 +54,14 @@
 		if got := fmt.Sprint(ids); got != "[sent never may ended]" {
 			t.Fatalf("%s: owed %v", how, got)
 		}
-		if e := j.Entry("sent"); e.Tries != 1 || !e.Open || e.MayRun || e.FirstMay != 100 || e.FirstZone != 1 || string(e.Body) != "bbb" {
+		if e := j.Entry("sent"); e.Attempts != 1 || !e.InFlight || e.MayHaveRun || e.FirstMayRunAt != 100 || e.FirstMayRunZone != 1 || string(e.Body) != "bbb" {
 			t.Errorf("%s: sent: %+v", how, e)
 		}
-		if e := j.Entry("never"); e.Tries != 1 || e.Open || e.MayRun {
+		if e := j.Entry("never"); e.Attempts != 1 || e.InFlight || e.MayHaveRun {
 			t.Errorf("%s: never: %+v", how, e)
 		}
 		// The window of a keyed message counts from the first send that may have run, not from the last.
-		if e := j.Entry("may"); e.Tries != 2 || !e.Open || !e.MayRun || e.FirstMay != 100 || e.FirstZone != 1 {
+		if e := j.Entry("may"); e.Attempts != 2 || !e.InFlight || !e.MayHaveRun || e.FirstMayRunAt != 100 || e.FirstMayRunZone != 1 {
 			t.Errorf("%s: may: %+v", how, e)
 		}
 		if e := j.Entry("ended"); e.End == nil || e.End.State != "failed" {
@@ -80,10 +80,10 @@
 func TestJournalTornTail(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
-	mustAppend(t, j, accept("a", 10))
+	mustAppend(t, j, acceptRecord("a", 10))
 	first := j.size
-	mustAppend(t, j, accept("b", 10))
-	whole, err := os.ReadFile(filepath.Join(dir, journalName))
+	mustAppend(t, j, acceptRecord("b", 10))
+	whole, err := os.ReadFile(filepath.Join(dir, journalFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,14 +97,14 @@
 	tails = append(tails, flipped, huge, append(bytes.Clone(whole[:first]), make([]byte, 64)...))
 	for i, text := range tails {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, journalName), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, journalFile), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		j := openJournal(t, dir, 3e6)
 		if j.Entry("a") == nil || j.Entry("b") != nil {
 			t.Fatalf("tail %d: a %v, b %v", i, j.Entry("a"), j.Entry("b"))
 		}
-		mustAppend(t, j, accept("c", 10))
+		mustAppend(t, j, acceptRecord("c", 10))
 		if j := openJournal(t, dir, 3e6); j.Entry("a") == nil || j.Entry("c") == nil {
 			t.Fatalf("tail %d: what came after it is lost", i)
 		}
@@ -113,16 +113,16 @@
 
 // Whole records behind a broken one are not trusted: they must not come to life again once something of the same
 // length is written in its place.
-func TestJournalCutsBehindBrokenRecord(t *testing.T) {
+func TestJournalDropsRecordsAfterDamage(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
-	mustAppend(t, j, accept("a", 10))
-	at := j.size + headerLen
-	mustAppend(t, j, accept("b", 10), accept("c", 10))
+	mustAppend(t, j, acceptRecord("a", 10))
+	at := j.size + frameHeaderLen
+	mustAppend(t, j, acceptRecord("b", 10), acceptRecord("c", 10))
 	if _, err := j.file.WriteAt([]byte{0}, at); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, openJournal(t, dir, 3e6), accept("d", 10))
+	mustAppend(t, openJournal(t, dir, 3e6), acceptRecord("d", 10))
 	if j := openJournal(t, dir, 3e6); len(j.entries) != 2 || j.Entry("a") == nil || j.Entry("d") == nil {
 		t.Errorf("entries %v", j.entries)
 	}
@@ -146,20 +146,20 @@
 
 // A folder that grows over its limit counts as a crash. What is over must make room, and while nothing is over new
 // messages are turned away, with room left for what becomes of the old ones.
-func TestJournalStaysSmall(t *testing.T) {
+func TestJournalStaysWithinDiskLimit(t *testing.T) {
 	dir := t.TempDir()
 	const disk = 100_000
 	j := openJournal(t, dir, disk)
 	for i := range 2000 {
 		id := fmt.Sprint("m", i)
-		mustAppend(t, j, accept(id, 1000), record{Op: opSend, ID: id, At: 1}, record{Op: opDone, ID: id})
+		mustAppend(t, j, acceptRecord(id, 1000), record{Op: opSend, ID: id, At: 1}, record{Op: opDone, ID: id})
 		if use := diskUse(t, dir); use > disk/2 {
 			t.Fatalf("%d bytes with nothing owed", use)
 		}
 	}
 	n := 0
-	for ; j.Room(1000); n++ {
-		mustAppend(t, j, accept(fmt.Sprint("f", n), 1000))
+	for ; j.HasRoom(1000); n++ {
+		mustAppend(t, j, acceptRecord(fmt.Sprint("f", n), 1000))
 	}
 	if n < 5 {
 		t.Fatalf("room for %d messages only", n)
@@ -170,10 +170,10 @@
 			t.Fatalf("%d bytes with %d owed", use, n)
 		}
 	}
-	if e := openJournal(t, dir, disk).Entry("f0"); e == nil || e.Tries != 2000 {
+	if e := openJournal(t, dir, disk).Entry("f0"); e == nil || e.Attempts != 2000 {
 		t.Errorf("after many rewrites: %+v", e)
 	}
-	if err := j.Append([]record{accept("big", 40_000)}); !errors.Is(err, errFull) {
+	if err := j.Append([]record{acceptRecord("big", 40_000)}); !errors.Is(err, errJournalFull) {
 		t.Errorf("got %v, want errFull", err)
 	}
 }
@@ -182,21 +182,21 @@
 func TestJournalWriteError(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
-	mustAppend(t, j, accept("a", 10), accept("b", 10))
+	mustAppend(t, j, acceptRecord("a", 10), acceptRecord("b", 10))
 	good := j.file
 	bad, err := os.Open(good.Name()) // can't be written
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.file = bad
-	err = j.Append([]record{{Op: opDone, ID: "a"}, accept("c", 10), {Op: opSend, ID: "b", At: 1}})
+	err = j.Append([]record{{Op: opDone, ID: "a"}, acceptRecord("c", 10), {Op: opSend, ID: "b", At: 1}})
 	if err == nil {
 		t.Fatal("no error")
 	}
-	if j.Entry("c") != nil || j.Entry("b").Tries != 0 || j.Entry("a") != nil {
+	if j.Entry("c") != nil || j.Entry("b").Attempts != 0 || j.Entry("a") != nil {
 		t.Errorf("after the error: a %v, b %+v, c %v", j.Entry("a"), j.Entry("b"), j.Entry("c"))
 	}
-	mustAppend(t, j, accept("d", 10)) // into a new file
+	mustAppend(t, j, acceptRecord("d", 10)) // into a new file
 	good.Close()
 	k := openJournal(t, dir, 3e6)
 	if k.Entry("a") != nil || k.Entry("b") == nil || k.Entry("c") != nil || k.Entry("d") == nil {
@@ -205,7 +205,7 @@
 }
 
 // A class that the settings do not name any more must not turn into another one: what may have run of it fails.
-func TestUnknownClassInTheJournal(t *testing.T) {
+func TestUnknownClassInJournal(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	j := openJournal(t, dir, 3e6)
 	for _, id := range []string{"ran", "waits"} {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -6,7 +6,7 @@
 // those that another needs.
 
 const (
-	otherSockets   = 20 + adminPlaces + 2 // standard streams, listeners, poller, journal, discovery, notices; operators
+	otherSockets   = 20 + maxAdminConns + 2 // standard streams, listeners, poller, journal, discovery, notices; operators
 	defaultSockets = 1024
 	lingering      = 8 // calls that are given up and not closed yet, and probes
 )
@@ -47,7 +47,7 @@
 	}
 	rest := max(sockets-otherSockets, 16)
 	clients := rest / 2
-	if need := cfg.Deploy.Settings.Slots + lingering; rest-clients < need {
+	if need := cfg.Deployment.Settings.Slots + lingering; rest-clients < need {
 		clients = max(rest-need, rest*2/5)
 	}
 	calls := rest - clients
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	lockName     = "lock"
-	socketName   = "handover"
-	linkVersion  = 1
-	linkTime     = time.Second // for one frame to be written, and for each step of a handover
-	maxFrame     = 16 << 20
-	standbyPause = 20 * time.Millisecond // between looks at a lock that is taken
-	acceptMost   = time.Second           // the longest pause of a listener that fails
+	lockFile            = "lock"
+	handoverSocket      = "handover"
+	linkProtocolVersion = 1
+	linkTimeout         = time.Second // for one frame to be written, and for each step of a handover
+	maxFrameBytes       = 16 << 20
+	lockPollInterval    = 20 * time.Millisecond // between looks at a lock that is taken
+	maxAcceptRetryDelay = time.Second           // the longest pause of a listener that fails
 )
 
 // errTorn says that what came over the link is not a whole frame.
-var errTorn = errors.New("torn frame")
+var errBadFrame = errors.New("torn frame")
 
 // tryLock takes the lock on the state folder; nil if another process has it. The lock goes with the process.
 func tryLock(dir string) (*os.File, error) {
-	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("lock of the state folder: %w", err)
 	}
@@ -47,21 +47,21 @@
 
 // inFolder calls f with the address of the socket in dir. A socket's path must be short, so it goes by way of the
 // folder's descriptor.
-func inFolder(dir string, f func(*net.UnixAddr) error) error {
+func withSocketAddr(dir string, f func(*net.UnixAddr) error) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
 	defer d.Close()
-	return f(&net.UnixAddr{Net: "unix", Name: fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), socketName)})
+	return f(&net.UnixAddr{Net: "unix", Name: fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), handoverSocket)})
 }
 
 // listenForSuccessor takes the socket in dir over from whoever had the lock before.
-func listenForSuccessor(dir string) (ln *net.UnixListener, err error) {
-	if err := os.Remove(filepath.Join(dir, socketName)); err != nil && !errors.Is(err, os.ErrNotExist) {
+func listenHandover(dir string) (ln *net.UnixListener, err error) {
+	if err := os.Remove(filepath.Join(dir, handoverSocket)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	err = inFolder(dir, func(at *net.UnixAddr) error {
+	err = withSocketAddr(dir, func(at *net.UnixAddr) error {
 		if ln, err = net.ListenUnix("unix", at); err == nil {
 			ln.SetUnlinkOnClose(false) // by then it may be the successor's
 		}
@@ -77,7 +77,7 @@
 }
 
 func dialOwner(dir string) (l *link, err error) {
-	err = inFolder(dir, func(at *net.UnixAddr) error {
+	err = withSocketAddr(dir, func(at *net.UnixAddr) error {
 		conn, err := net.DialUnix("unix", nil, at)
 		l = &link{conn: conn}
 		return err
@@ -93,14 +93,14 @@
 	if err != nil {
 		return err
 	}
-	if len(body) > maxFrame {
+	if len(body) > maxFrameBytes {
 		return fmt.Errorf("frame of %d bytes", len(body))
 	}
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
 	b = binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(body))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.conn.SetWriteDeadline(time.Now().Add(linkTime))
+	l.conn.SetWriteDeadline(time.Now().Add(linkTimeout))
 	if _, err = l.conn.Write(append(b, body...)); err != nil {
 		l.conn.Close() // what was written in part can't be followed by anything
 	}
@@ -110,27 +110,27 @@
 // read takes the next frame, which must have begun to come by then; zero for no such time.
 func (l *link) read(v any, by time.Time) error {
 	l.conn.SetReadDeadline(by)
-	var head [headerLen]byte
+	var head [frameHeaderLen]byte
 	if _, err := io.ReadFull(l.conn, head[:1]); err != nil {
 		return err
 	}
-	l.conn.SetReadDeadline(time.Now().Add(linkTime))
+	l.conn.SetReadDeadline(time.Now().Add(linkTimeout))
 	if _, err := io.ReadFull(l.conn, head[1:]); err != nil {
-		return fmt.Errorf("%w: %w", errTorn, err)
+		return fmt.Errorf("%w: %w", errBadFrame, err)
 	}
 	n := binary.LittleEndian.Uint32(head[:4])
-	if n > maxFrame {
-		return fmt.Errorf("%w of %d bytes", errTorn, n)
+	if n > maxFrameBytes {
+		return fmt.Errorf("%w of %d bytes", errBadFrame, n)
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(l.conn, body); err != nil {
-		return fmt.Errorf("%w: %w", errTorn, err)
+		return fmt.Errorf("%w: %w", errBadFrame, err)
 	}
 	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(head[4:]) {
-		return fmt.Errorf("%w: checksum", errTorn)
+		return fmt.Errorf("%w: checksum", errBadFrame)
 	}
 	if err := json.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("%w: %w", errTorn, err)
+		return fmt.Errorf("%w: %w", errBadFrame, err)
 	}
 	return nil
 }
@@ -142,16 +142,16 @@
 }
 
 // greet is the successor's side: it is given the socket on which the owner takes clients.
-func (l *link) greet(listen string) (net.Listener, error) {
-	if err := l.write(greeting{Version: linkVersion, Listen: listen}); err != nil {
+func (l *link) receiveListener(listen string) (net.Listener, error) {
+	if err := l.write(greeting{Version: linkProtocolVersion, Listen: listen}); err != nil {
 		return nil, err
 	}
 	var from greeting
-	if err := l.read(&from, time.Now().Add(linkTime)); err != nil {
+	if err := l.read(&from, time.Now().Add(linkTimeout)); err != nil {
 		return nil, err
 	}
 	b, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
-	l.conn.SetReadDeadline(time.Now().Add(linkTime))
+	l.conn.SetReadDeadline(time.Now().Add(linkTimeout))
 	_, n, _, _, err := l.conn.ReadMsgUnix(b, oob)
 	if err != nil {
 		return nil, err
@@ -171,7 +171,7 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case from.Version != linkVersion, from.Listen != listen:
+	case from.Version != linkProtocolVersion, from.Listen != listen:
 		ln.Close()
 		return nil, fmt.Errorf("the owner speaks version %d and listens at %s", from.Version, from.Listen)
 	}
@@ -179,20 +179,20 @@
 }
 
 // hear takes the successor's greeting.
-func (l *link) hear() error {
+func (l *link) readGreeting() error {
 	var from greeting
-	if err := l.read(&from, time.Now().Add(linkTime)); err != nil {
+	if err := l.read(&from, time.Now().Add(linkTimeout)); err != nil {
 		return err
 	}
-	if from.Version != linkVersion {
+	if from.Version != linkProtocolVersion {
 		return fmt.Errorf("the successor speaks version %d", from.Version)
 	}
 	return nil
 }
 
 // welcome gives the successor the socket on which the owner takes clients.
-func (l *link) welcome(listen string, ln *net.TCPListener) error {
-	if err := l.write(greeting{Version: linkVersion, Listen: listen}); err != nil {
+func (l *link) sendListener(listen string, ln *net.TCPListener) error {
+	if err := l.write(greeting{Version: linkProtocolVersion, Listen: listen}); err != nil {
 		return err
 	}
 	f, err := ln.File()
@@ -200,7 +200,7 @@
 		return err
 	}
 	defer f.Close()
-	l.conn.SetWriteDeadline(time.Now().Add(linkTime))
+	l.conn.SetWriteDeadline(time.Now().Add(linkTimeout))
 	_, _, err = l.conn.WriteMsgUnix([]byte{0}, syscall.UnixRights(int(f.Fd())), nil)
 	return err
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -73,10 +73,10 @@
 	caller  *caller
 	dir     *Directory
 	disc    *discovery
-	notices *notices
+	notices *noticeQueue
 	clients *clients
-	admin   *admin
-	figures *figures
+	admin   *adminServer
+	figures *metrics
 	events  chan any
 	ready   chan net.Addr // gets the address once clients are served
 	reload  <-chan os.Signal
@@ -107,14 +107,14 @@
 	clock   *clock.Lasting
 	decided int64 // when the step at hand began, on the clock
 	permits *permits
-	unsaid  []unsaid    // ends that the journal has not got yet
-	flush   *time.Timer // tries again to write what the journal has not got
-	failing failures    // of the journal
+	unsaid  []delayedNotice // ends that the journal has not got yet
+	flush   *time.Timer     // tries again to write what the journal has not got
+	failing failureLog      // of the journal
 }
 
 // New makes a sender. It replays the journal, unless another process owns that.
 func New(cfg *Config, log *slog.Logger) (*Node, error) {
-	set := cfg.Deploy.Settings
+	set := cfg.Deployment.Settings
 	sender, err := logic.New(set, cfg.Seed)
 	if err != nil {
 		return nil, err
@@ -122,25 +122,25 @@
 	began := time.Now()
 	spent := stages{since: began}
 	lock, err := tryLock(cfg.StateDir)
-	if err != nil && !momentary(err) {
+	if err != nil && !isTransient(err) {
 		return nil, err
 	}
 	spent.done("lock")
-	figures := newFigures(cfg)
+	figures := newMetrics(cfg)
 	// The module asks for the list only where it must, and anywhere after a failed call.
 	n := &Node{cfg: cfg, log: log, lock: lock, follow: !set.OnRequest, sender: sender, dir: NewDirectory(cfg), figures: figures,
-		caller: newCaller(span(cfg.Deploy.ConnectTimeout), span(set.ConnIdle), set.Slots, shareOut(cfg), &figures.relayed),
+		caller: newCaller(span(cfg.Deployment.ConnectTimeout), span(set.ConnIdle), set.Slots, shareOut(cfg), &figures.relayed),
 		events: make(chan any, eventRoom), ready: make(chan net.Addr, 1), again: make(chan struct{}, 1), began: began, start: time.Now(), stages: spent, due: time.NewTimer(time.Hour), held: map[string]*held{}, out: map[string]*held{}, recent: map[string]int64{},
-		clock: clock.New(), flush: time.NewTimer(time.Hour), failing: failures{log: log, what: "journal"}}
+		clock: clock.New(), flush: time.NewTimer(time.Hour), failing: failureLog{log: log, operation: "journal"}}
 	n.permits = newPermits(n)
-	n.caller.copies = cfg.Deploy.SecondCopies
-	n.disc = newDiscovery(cfg.Discovery, set.Senders, log, n.events)
+	n.caller.copies = cfg.Deployment.SecondCopies
+	n.disc = newDiscovery(cfg.DiscoveryAddr, set.Senders, log, n.events)
 	n.disc.pushed = !set.OnRequest
-	n.notices = newNotices(cfg.Discovery, log, n.events)
+	n.notices = newNoticeQueue(cfg.DiscoveryAddr, log, n.events)
 	n.clients = newClients(cfg, log, n.events, figures)
-	n.admin = newAdmin(log, n.clients, figures)
+	n.admin = newAdminServer(log, n.clients, figures)
 	if lock != nil {
-		if err := n.openJournal(); err != nil && !momentary(err) {
+		if err := n.openJournal(); err != nil && !isTransient(err) {
 			return nil, err
 		}
 	}
@@ -154,14 +154,14 @@
 
 // openJournal replays the journal. The lock must be held. A read that fails is given some time to work again.
 func (n *Node) openJournal() error {
-	lenient := time.Since(n.began) > readPatience
+	lenient := time.Since(n.began) > journalReadTimeout
 	journal, err := OpenJournal(n.cfg.StateDir, int64(n.cfg.Limits.DiskMB*1e6), lenient)
 	if err != nil {
 		return err
 	}
-	if journal.cut > 0 {
-		n.log.Warn("journal: the end cannot be read and is left out", "bytes", journal.cut, "kept", len(journal.entries),
-			"aside", journalName+asideSuffix, "err", journal.asideErr)
+	if journal.skippedBytes > 0 {
+		n.log.Warn("journal: the end cannot be read and is left out", "bytes", journal.skippedBytes, "kept", len(journal.entries),
+			"aside", journalFile+damagedSuffix, "err", journal.saveDamagedErr)
 	}
 	n.journal = journal
 	n.clock, n.clients.clock = journal.clock, journal.clock
@@ -173,14 +173,14 @@
 func (n *Node) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if n.cfg.Admin != "" {
+	if n.cfg.AdminAddr != "" {
 		served, err := n.serveOperators(work)
 		if err != nil {
 			return err
 		}
 		defer func() { cancel(); <-served }()
 	}
-	go n.reloads(work)
+	go n.watchReloads(work)
 	if err := n.begin(ctx); err != nil {
 		if ctx.Err() != nil { // ended before it owned anything
 			return nil
@@ -201,9 +201,9 @@
 	defer stopNotices()
 	go n.notices.run(notify)
 	if n.before != nil {
-		go n.before.read(work, n.events)
+		go n.before.receive(work, n.events)
 	}
-	if err := n.listen(work); err != nil {
+	if err := n.listenForClients(work); err != nil {
 		return err
 	}
 	defer func() {
@@ -220,7 +220,7 @@
 	}()
 	if n.loop(work) {
 		stopNotices()
-		n.retire(work)
+		n.relayUntilIdle(work)
 	}
 	return nil
 }
@@ -228,26 +228,26 @@
 // begin makes this process the owner of the journal and takes up what is owed: from the process before, if that hands
 // over, or else from the journal alone.
 func (n *Node) begin(ctx context.Context) error {
-	var st *handover
+	var st *handoverState
 	if n.lock == nil {
 		var err error
-		if st, err = n.claim(ctx); err != nil {
+		if st, err = n.acquireOwnership(ctx); err != nil {
 			return err
 		}
 	}
 	if n.journal == nil {
-		if err := Persist(ctx, n.log, "journal", n.openJournal); err != nil {
+		if err := RetryTransient(ctx, n.log, "journal", n.openJournal); err != nil {
 			return err
 		}
 		n.loadAnew()
 	}
 	if st != nil {
-		err := n.adopt(st)
+		err := n.restoreHandover(st)
 		if err == nil {
 			return nil
 		}
 		n.log.Error("the handover does not fit: the journal alone counts", "err", err)
-		if n.sender, err = logic.New(n.cfg.Deploy.Settings, n.cfg.Seed); err != nil {
+		if n.sender, err = logic.New(n.cfg.Deployment.Settings, n.cfg.Seed); err != nil {
 			return err
 		}
 	}
@@ -278,12 +278,12 @@
 	cfg, err := n.load()
 	if err != nil {
 		n.log.Warn("the configuration of the start stands until it can be read", "err", err)
-		n.reloadNow()
+		n.requestReload()
 		return
 	}
-	if cfg.Discovery != n.disc.addr {
-		n.notices.move(cfg.Discovery)
-		n.disc.move(cfg.Discovery)
+	if cfg.DiscoveryAddr != n.disc.addr {
+		n.notices.setAddr(cfg.DiscoveryAddr)
+		n.disc.move(cfg.DiscoveryAddr)
 	}
 }
 
@@ -316,7 +316,7 @@
 //
 // It returns true when another process goes on.
 func (n *Node) loop(work context.Context) bool {
-	tick := max(span(n.cfg.Deploy.Settings.Tick), time.Millisecond)
+	tick := max(span(n.cfg.Deployment.Settings.Tick), time.Millisecond)
 	sweep := time.NewTicker(sweepEvery)
 	defer sweep.Stop()
 	rest := time.NewTimer(0)
@@ -326,7 +326,7 @@
 	var served, stopped <-chan struct{} // while shutting down
 	quiet := false                      // shutting down, and no client is left
 	for {
-		if quiet && n.open == 0 && len(n.journal.entries) == 0 && n.journal.Settled() {
+		if quiet && n.open == 0 && len(n.journal.entries) == 0 && n.journal.Flushed() {
 			n.log.Info("stopped", "owed", 0)
 			return false
 		}
@@ -336,7 +336,7 @@
 		case <-n.due.C:
 			n.next = append(n.next, logic.Due{Token: n.token})
 		case <-n.flush.C:
-			n.record(nil)
+			n.writeRecords(nil)
 		case <-sweep.C:
 			n.caller.sweep()
 			if len(n.dir.gone) > 0 {
@@ -351,7 +351,7 @@
 			continue
 		case <-stopped:
 			// What is still out stays in the journal as it is.
-			n.record(nil)
+			n.writeRecords(nil)
 			n.log.Info("stopped", "owed", len(n.journal.entries))
 			return false
 		}
@@ -386,9 +386,9 @@
 
 // resume hands the module what the journal holds, with what became of it so far.
 func (n *Node) resume() {
-	if n.cfg.Known.Generation != 0 || len(n.cfg.Known.Instances) > 0 {
-		n.disc.gen, n.disc.started = n.cfg.Known.Generation, true
-		n.next = append(n.next, logic.Endpoints{Form: logic.ListCached, Entries: n.dir.Take(n.cfg.Known, time.Now())})
+	if n.cfg.KnownList.Generation != 0 || len(n.cfg.KnownList.Instances) > 0 {
+		n.disc.gen, n.disc.started = n.cfg.KnownList.Generation, true
+		n.next = append(n.next, logic.Endpoints{Form: logic.ListCached, Entries: n.dir.Take(n.cfg.KnownList, time.Now())})
 	}
 	for _, e := range n.journal.Entries() {
 		if e.End != nil {
@@ -399,15 +399,15 @@
 			n.endUnknown(e)
 			continue
 		}
-		n.held[e.ID] = &held{msg: &e.Message, tries: e.Tries, trail: trail{came: time.Now()}}
+		n.held[e.ID] = &held{msg: &e.Message, tries: e.Attempts, trail: trail{came: time.Now()}}
 		n.open++
 		c := n.callOf(&e.Message)
-		c.Past = logic.Past{Taken: true, Tries: e.Tries, MayRun: e.MayRun || e.Open}
+		c.Past = logic.Past{Taken: true, Tries: e.Attempts, MayRun: e.MayHaveRun || e.InFlight}
 		if c.Past.MayRun {
-			c.Past.Zone = e.FirstZone
+			c.Past.Zone = e.FirstMayRunZone
 		}
-		if e.Open { // whoever reads the journal next must not take its outcome for a later one's
-			n.records = append(n.records, record{Op: opOutcome, ID: e.ID, MayRun: true})
+		if e.InFlight { // whoever reads the journal next must not take its outcome for a later one's
+			n.records = append(n.records, record{Op: opOutcome, ID: e.ID, MayHaveRun: true})
 		}
 		n.next = append(n.next, c)
 	}
@@ -416,17 +416,17 @@
 // endUnknown ends a message whose class the settings do not name any more.
 func (n *Node) endUnknown(e *Entry) {
 	x := Notice{ID: e.ID, State: noticeReturned}
-	if e.MayRun || e.Open {
+	if e.MayHaveRun || e.InFlight {
 		x.State = noticeFailed
 	}
 	n.log.Warn("message of an unknown class", "id", e.ID, "class", e.Class, "end", x.State)
-	n.records = append(n.records, record{Op: opEnd, ID: e.ID, Notice: &x})
-	n.unsaid = append(n.unsaid, unsaid{x, e.Deadline})
+	n.records = append(n.records, record{Op: opGiveUp, ID: e.ID, Notice: &x})
+	n.unsaid = append(n.unsaid, delayedNotice{x, e.Deadline})
 }
 
 // callOf is the module's view of a message, without its times: those are set at the step.
 func (n *Node) callOf(m *Message) logic.Call {
-	c := logic.Call{ID: m.ID, Key: m.Order, Dest: m.Dest, Tenant: -1, Class: n.cfg.Classes[m.Class]}
+	c := logic.Call{ID: m.ID, Key: m.OrderKey, Dest: m.Dest, Tenant: -1, Class: n.cfg.Classes[m.Class]}
 	if t, ok := n.cfg.Tenants[m.Tenant]; ok && m.Tenant != "" {
 		c.Tenant = t
 	}
@@ -444,23 +444,23 @@
 		n.next = append(n.next, logic.HealthResult{Endpoint: ev.Endpoint, Outcome: ev.Outcome})
 	case listEvent:
 		n.list(ev)
-	case noticedEvent:
+	case noticesConfirmedEvent:
 		for _, id := range ev.ids {
-			n.records = append(n.records, record{Op: opNoticed, ID: id})
+			n.records = append(n.records, record{Op: opNoticeConfirmed, ID: id})
 		}
 		records := n.records
 		n.records = nil
-		n.record(records) // at once: what is off the journal makes room
+		n.writeRecords(records) // at once: what is off the journal makes room
 	case reloadEvent:
-		n.moveTo(work, ev.cfg)
+		n.switchDiscovery(work, ev.cfg)
 	case closingEvent:
 		n.closing = ev.at
-	case listeningEvent:
-		n.serve(work, ev.ln)
+	case listenerEvent:
+		n.serveClients(work, ev.ln)
 	case remoteEvent:
-		n.remote(ev)
+		n.handleRemote(ev)
 	case successorEvent:
-		n.standsBy(ev)
+		n.updateSuccessor(ev)
 	}
 }
 
@@ -477,7 +477,7 @@
 	}
 	if answer := n.admission(&ev.msg); answer != "" {
 		n.permits.refuse(id)
-		n.figures.told(ev.msg.Class, answer)
+		n.figures.countResult(ev.msg.Class, answer)
 		ev.answer <- answer
 		return
 	}
@@ -490,19 +490,19 @@
 
 // admission is the answer to a message that is not let in; empty for one that is.
 func (n *Node) admission(m *Message) string {
-	most := n.cfg.Deploy.Settings.MaxOpen
+	most := n.cfg.Deployment.Settings.MaxOpen
 	switch {
 	case !n.dir.serves(m.Dest) && n.disc.heard:
-		n.figures.refused.add(string(refusedUnknown))
+		n.figures.refused.inc(string(refusedUnknownDest))
 		return answerUnknown
 	case !n.dir.serves(m.Dest): // nobody has told yet what there is
-		n.figures.refused.add(string(refusedNoList))
+		n.figures.refused.inc(string(refusedNoList))
 		return busy(logic.Second)
 	case most > 0 && n.open >= most:
-		n.figures.refused.add(string(refusedHold))
+		n.figures.refused.inc(string(refusedTooManyOpen))
 		return busy(0)
-	case !n.journal.Room(len(m.Body)):
-		n.figures.refused.add(string(refusedRoom))
+	case !n.journal.HasRoom(len(m.Body)):
+		n.figures.refused.inc(string(refusedJournalFull))
 		return busy(0)
 	}
 	return ""
@@ -613,7 +613,7 @@
 		h.tries--
 	}
 	h.trail.heard(r)
-	n.figures.attempts.add(outcomeNames[r.outcome])
+	n.figures.attempts.inc(outcomeNames[r.outcome])
 	if r.wait > 0 {
 		n.permits.told(ev.call.ep, r.wait)
 		n.holdWait(ev.call.ep)
@@ -628,18 +628,18 @@
 			n.badEnd(h, map[bool]string{true: "over", false: "late"}[r.over])
 		}
 		if r.outcome == logic.Completed {
-			n.figures.fulfilled(h.msg.Class)
+			n.figures.countFulfilled(h.msg.Class)
 		}
 		n.finish(ev.call.id, h)
 	case r.outcome == logic.Unsent && !ev.call.recorded: // the journal knows nothing of it
 	default:
-		n.records = append(n.records, record{Op: opOutcome, ID: ev.call.id, MayRun: mayHaveRun(r.outcome), Unsent: r.outcome == logic.Unsent})
+		n.records = append(n.records, record{Op: opOutcome, ID: ev.call.id, MayHaveRun: mayHaveRun(r.outcome), Unsent: r.outcome == logic.Unsent})
 	}
 	if h.over {
 		delete(n.held, ev.call.id)
 	}
 	n.next = append(n.next, logic.Reply{ID: ev.call.id, NoMore: ended || done, Endpoint: ev.call.ep,
-		Attempt: ev.call.attempt, Outcome: r.outcome, Took: micros(ev.took), Wait: micros(r.wait), Load: loadOf(r.load, n.cfg.Deploy.Reports)})
+		Attempt: ev.call.attempt, Outcome: r.outcome, Took: micros(ev.took), Wait: micros(r.wait), Load: loadOf(r.load, n.cfg.Deployment.Reports)})
 }
 
 // badEnd logs the course of a message that was not delivered in the time wanted.
@@ -685,7 +685,7 @@
 			c.Left = logic.Micros(h.msg.Deadline - n.decided)
 		}
 		if c.Past.MayRun {
-			c.Past.Age = logic.Micros(max(n.decided-n.journal.Entry(c.ID).FirstMay, 0))
+			c.Past.Age = logic.Micros(max(n.decided-n.journal.Entry(c.ID).FirstMayRunAt, 0))
 		}
 		events[i] = c
 	}
@@ -712,29 +712,29 @@
 		case logic.Refuse, logic.Fail:
 			x := noticeOf(a)
 			if answers[x.ID] == "" && n.journal.Entry(x.ID) != nil {
-				n.records = append(n.records, record{Op: opEnd, ID: x.ID, Notice: &x})
+				n.records = append(n.records, record{Op: opGiveUp, ID: x.ID, Notice: &x})
 			}
 		}
 	}
 	records := n.records
 	n.records = nil
-	err := n.record(records)
+	err := n.writeRecords(records)
 	for i, p := range n.puts {
 		answer := answers[p.msg.ID]
 		switch {
 		case answer != "":
-			n.figures.refused.add(string(refusedDecision))
+			n.figures.refused.inc(string(refusedBySender))
 			n.permits.refuse(p.msg.ID)
 		case err != nil: // not written, so not taken on
-			n.figures.refused.add(string(refusedWrite))
-			answer = notWritten(err)
+			n.figures.refused.inc(string(refusedJournalFailed))
+			answer = answerNotJournaled(err)
 			n.drop(p.msg.ID)
 			n.next = append(n.next, logic.ClientGone{ID: p.msg.ID})
 		default:
 			answer = answerOK
 		}
 		if !n.repeats(i) {
-			n.figures.told(p.msg.Class, answer)
+			n.figures.countResult(p.msg.Class, answer)
 		}
 		p.answer <- answer
 	}
@@ -753,9 +753,9 @@
 
 // show brings the operators' figures up to date.
 func (n *Node) show() {
-	n.figures.open.Store(int64(n.open))
-	n.figures.entries.Store(int64(n.dir.listed()))
-	n.figures.avoided.Store(int64(n.sender.OutOfRotation()))
+	n.figures.openMessages.Store(int64(n.open))
+	n.figures.listedEndpoints.Store(int64(n.dir.listed()))
+	n.figures.outOfRotation.Store(int64(n.sender.OutOfRotation()))
 }
 
 // answers finds the messages that the module ends in the step in which they came:
@@ -816,10 +816,10 @@
 			return
 		}
 		if h := n.held[x.ID]; h != nil && !h.over {
-			n.figures.told(h.msg.Class, x.State)
+			n.figures.countResult(h.msg.Class, x.State)
 			n.permits.giveUp(h, x)
 			n.finish(x.ID, h)
-			n.say(x, h.msg.Deadline)
+			n.queueNotice(x, h.msg.Deadline)
 		}
 	case logic.SetTimer:
 		n.due.Reset(span(a.Wait)) // it goes off no later than the one before
@@ -850,8 +850,8 @@
 	in := &call{id: a.ID, attempt: attempt, ep: a.Endpoint, addr: to.addr, giveUp: span(a.GiveUp), msg: h.msg, state: new(atomic.Int32), carries: 1}
 	c := n.cfg.classOf(h.msg)
 	in.fragile = c.Effect == logic.Unsafe
-	if e := n.journal.Entry(a.ID); e != nil && e.MayRun && c.Effect == logic.Keyed { // a repeat: by the end of the window it must be written
-		in.writeBy = n.clock.At(e.FirstMay).Add(span(c.Window))
+	if e := n.journal.Entry(a.ID); e != nil && e.MayHaveRun && c.Effect == logic.Keyed { // a repeat: by the end of the window it must be written
+		in.writeBy = n.clock.At(e.FirstMayRunAt).Add(span(c.Window))
 	}
 	ctx, stop := context.WithCancel(work)
 	n.goesOut(h, in, stop)
@@ -884,7 +884,7 @@
 
 // batch is how many messages one call to ep may carry.
 func (n *Node) batch(ep logic.EndpointID) int {
-	kinds := n.cfg.Deploy.Settings.Kinds
+	kinds := n.cfg.Deployment.Settings.Kinds
 	if kind := n.dir.eps[ep].kind; kind >= 0 && kind < len(kinds) {
 		return kinds[kind].Batch
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -100,12 +100,12 @@
 	n.dir.Take(List{Reset: true, Instances: []Instance{{ID: "s", HostPort: "127.0.0.1:1", Dest: 1, Lifecycle: "up"}}}, time.Now())
 	answer := make(chan string, 1)
 	put := putEvent{Message{ID: "a", Class: "safe", Dest: 1, Body: make([]byte, 100)}, answer}
-	n.open = cfg.Deploy.Settings.MaxOpen
+	n.open = cfg.Deployment.Settings.MaxOpen
 	if n.put(put); await(t, answer, "answer") != "-BUSY\r\n" {
 		t.Error("taken on above max_open")
 	}
 	n.open = 0
-	n.journal.limit = 500
+	n.journal.maxBytes = 500
 	if n.put(put); await(t, answer, "answer") != "-BUSY\r\n" {
 		t.Error("taken on without room in the journal")
 	}
@@ -411,7 +411,7 @@
 			t.Fatal("the request does not come")
 		}
 	}
-	served := newClients(&Config{}, slog.New(slog.DiscardHandler), nil, newFigures(&Config{}))
+	served := newClients(&Config{}, slog.New(slog.DiscardHandler), nil, newMetrics(&Config{}))
 	served.phase, served.parting = stopping, true
 	(&session{c: served, conn: conn, opened: time.Now()}).handle()
 	conn.Close()
@@ -457,7 +457,7 @@
 			t.Fatal(err)
 		}
 		cfg.StateDir = t.TempDir()
-		cfg.Deploy.Settings.Kinds[0].Apart = x.apart
+		cfg.Deployment.Settings.Kinds[0].Apart = x.apart
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -28,7 +28,7 @@
 	}))
 	defer srv.Close()
 	events := make(chan any, 64)
-	q := newNotices(strings.TrimPrefix(srv.URL, "http://"), slog.New(slog.DiscardHandler), events)
+	q := newNoticeQueue(strings.TrimPrefix(srv.URL, "http://"), slog.New(slog.DiscardHandler), events)
 	const most = 2000
 	for i := range most {
 		q.add(Notice{ID: fmt.Sprintf("%064d", i), State: "failed"})
@@ -36,7 +36,7 @@
 	go q.run(t.Context())
 	told := 0
 	for told < most {
-		for _, id := range await(t, events, "confirmation").(noticedEvent).ids {
+		for _, id := range await(t, events, "confirmation").(noticesConfirmedEvent).ids {
 			if want := fmt.Sprintf("%064d", told); id != want {
 				t.Fatalf("confirmed %s, want %s", id, want)
 			}
@@ -56,7 +56,7 @@
 }
 
 // A post that the old address leaves without an answer goes to the new one at once.
-func TestNoticesMoveFromSilence(t *testing.T) {
+func TestNoticesMoveFromSilentAddress(t *testing.T) {
 	asked := make(chan struct{}, 1)
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil { // read whole, so that the end of the connection is seen
@@ -67,11 +67,11 @@
 	}))
 	defer silent.Close()
 	p := newPlatform(t)
-	q := newNotices(strings.TrimPrefix(silent.URL, "http://"), slog.New(slog.DiscardHandler), make(chan any, 1))
+	q := newNoticeQueue(strings.TrimPrefix(silent.URL, "http://"), slog.New(slog.DiscardHandler), make(chan any, 1))
 	go q.run(t.Context())
 	q.add(Notice{ID: "a", State: "failed"})
 	await(t, asked, "post")
-	q.move(strings.TrimPrefix(p.srv.URL, "http://"))
+	q.setAddr(strings.TrimPrefix(p.srv.URL, "http://"))
 	if x := await(t, p.notices, "notice"); x.ID != "a" {
 		t.Errorf("notice %+v", x)
 	}
@@ -93,7 +93,7 @@
 	defer srv.Close()
 	defer close(silent)
 	events := make(chan any, 8)
-	q := newNotices(strings.TrimPrefix(srv.URL, "http://"), slog.New(slog.DiscardHandler), events)
+	q := newNoticeQueue(strings.TrimPrefix(srv.URL, "http://"), slog.New(slog.DiscardHandler), events)
 	go q.run(t.Context())
 	begun := time.Now()
 	q.add(Notice{ID: "a", State: noticeFailed})
--- a/internal/node/permit.go
+++ b/internal/node/permit.go
@@ -59,8 +59,8 @@
 }
 
 // report counts and logs a violation.
-func report(log *slog.Logger, f *figures, v violation, id string, more ...any) {
-	f.violations.add(string(v))
+func report(log *slog.Logger, f *metrics, v violation, id string, more ...any) {
+	f.violations.inc(string(v))
 	log.Error("violation", append([]any{"rule", string(v), "id", id}, more...)...)
 }
 
@@ -83,7 +83,7 @@
 	n := p.node
 	to, known := n.dir.eps[ep]
 	e := n.journal.Entry(h.msg.ID)
-	set := &n.cfg.Deploy.Settings
+	set := &n.cfg.Deployment.Settings
 	switch {
 	case n.lock == nil:
 		return notOwner
@@ -113,13 +113,13 @@
 func (p *permits) checkRepeat(e *Entry, zone int, now int64) violation {
 	c := p.node.cfg.classOf(&e.Message)
 	switch {
-	case !e.MayRun:
+	case !e.MayHaveRun:
 		return noViolation
 	case c.Effect == logic.Unsafe:
 		return repeatUnsafe
-	case c.Effect == logic.Keyed && c.ByZone && zone != e.FirstZone:
+	case c.Effect == logic.Keyed && c.ByZone && zone != e.FirstMayRunZone:
 		return repeatElse
-	case c.Effect == logic.Keyed && now > e.FirstMay+int64(c.Window):
+	case c.Effect == logic.Keyed && now > e.FirstMayRunAt+int64(c.Window):
 		return repeatLate
 	}
 	return noViolation
@@ -170,7 +170,7 @@
 // mayHaveRun says whether a promise that a message may be handed in again would be wrong.
 func (p *permits) mayHaveRun(e *Entry) bool {
 	c := p.node.cfg.classOf(&e.Message)
-	return (e.MayRun || e.Open) && (c.Effect == logic.Unsafe || c.Effect == logic.Keyed && c.ByZone)
+	return (e.MayHaveRun || e.InFlight) && (c.Effect == logic.Unsafe || c.Effect == logic.Keyed && c.ByZone)
 }
 
 // refuse checks the answer to a message that is not taken on.
--- a/internal/node/permit_test.go
+++ b/internal/node/permit_test.go
@@ -26,14 +26,14 @@
 		{waitTold, "safe", func(n *Node, _ *held, _ *Entry) { n.permits.told(1, time.Minute) }},
 		{triesUsedUp, "safe", func(_ *Node, h *held, _ *Entry) { h.tries = 3 }},
 		{timeUp, "safe", func(n *Node, h *held, _ *Entry) { h.msg.Deadline = n.clock.Now() - 1 }},
-		{noViolation, "safe", func(_ *Node, _ *held, e *Entry) { e.MayRun = true }},
-		{repeatUnsafe, "unsafe", func(_ *Node, _ *held, e *Entry) { e.MayRun = true }},
+		{noViolation, "safe", func(_ *Node, _ *held, e *Entry) { e.MayHaveRun = true }},
+		{repeatUnsafe, "unsafe", func(_ *Node, _ *held, e *Entry) { e.MayHaveRun = true }},
 		{repeatLate, "keyed", func(n *Node, _ *held, e *Entry) {
-			e.MayRun, e.FirstMay = true, n.clock.Now()-time.Hour.Microseconds()
+			e.MayHaveRun, e.FirstMayRunAt = true, n.clock.Now()-time.Hour.Microseconds()
 		}},
 		{repeatElse, "keyed", func(n *Node, _ *held, e *Entry) {
-			e.MayRun, e.FirstMay, e.FirstZone = true, n.clock.Now(), 1
-			n.cfg.Deploy.Settings.Classes[n.cfg.Classes["keyed"]].ByZone = true
+			e.MayHaveRun, e.FirstMayRunAt, e.FirstMayRunZone = true, n.clock.Now(), 1
+			n.cfg.Deployment.Settings.Classes[n.cfg.Classes["keyed"]].ByZone = true
 		}},
 		{notOwner, "safe", func(n *Node, _ *held, _ *Entry) { n.lock = nil }},
 	} {
@@ -60,12 +60,12 @@
 	h := takenOn(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
 	e := n.journal.Entry("m")
 	window := int64(n.cfg.classOf(h.msg).Window)
-	e.MayRun, e.FirstMay = true, n.clock.Now()-window-1
-	n.decided = e.FirstMay + window - 1
+	e.MayHaveRun, e.FirstMayRunAt = true, n.clock.Now()-window-1
+	n.decided = e.FirstMayRunAt + window - 1
 	if n.permits.send(h, 1) {
 		t.Error("permitted after the window")
 	}
-	if !strings.Contains(n.figures.text(), figurePrefix+"violations=0\n") {
+	if !strings.Contains(n.figures.text(), metricPrefix+"violations=0\n") {
 		t.Errorf("counted:\n%s", n.figures.text())
 	}
 }
@@ -75,7 +75,7 @@
 	n := quietNode(t, newEndpoint(t))
 	h := takenOn(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
 	n.held["m"] = h
-	n.journal.Entry("m").FirstMay = h.msg.Deadline - 7_000_000
+	n.journal.Entry("m").FirstMayRunAt = h.msg.Deadline - 7_000_000
 	c := n.callOf(h.msg)
 	c.Past = logic.Past{Taken: true, Tries: 1, MayRun: true}
 	events := []logic.Event{logic.Due{}, c}
@@ -94,7 +94,7 @@
 		mustAppend(t, n.journal, record{Op: opAccept, Entry: &Entry{Message: m}})
 	}
 	e := n.journal.Entry("ran")
-	e.MayRun = true
+	e.MayHaveRun = true
 	n.permits.giveUp(&held{msg: &e.Message}, Notice{ID: "ran", State: noticeReturned})
 	n.permits.refuse("ran")
 	n.held["late"] = &held{msg: &n.journal.Entry("late").Message}
@@ -105,7 +105,7 @@
 			t.Errorf("%q is not counted once:\n%s", v, n.figures.text())
 		}
 	}
-	if !strings.Contains(n.figures.text(), figurePrefix+"violations=3\n") {
+	if !strings.Contains(n.figures.text(), metricPrefix+"violations=3\n") {
 		t.Errorf("no sum:\n%s", n.figures.text())
 	}
 }
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -40,16 +40,16 @@
 
 // process is the real program.
 type process struct {
-	t     *testing.T
-	cmd   *exec.Cmd
-	addr  string
-	admin string // where operators call
-	conf  string // its configuration file
-	done  chan error
-	said  chan string   // its log
-	ready chan string   // the address of clients, once they are served
-	asked chan string   // the address of operators
-	took  time.Duration // from its start to ready; set before ready is sent
+	t           *testing.T
+	cmd         *exec.Cmd
+	addr        string
+	admin       string // where operators call
+	configPath  string // its configuration file
+	exited      chan error
+	logLines    chan string   // its log
+	ready       chan string   // the address of clients, once they are served
+	adminReady  chan string   // the address of operators
+	startupTime time.Duration // from its start to ready; set before ready is sent
 }
 
 // startProcess starts it and waits until it serves.
@@ -64,7 +64,7 @@
 func launchProcess(t *testing.T, p *platform, dir string, known List) *process {
 	t.Helper()
 	x := execProcess(t, p, dir, configText(p, known))
-	x.admin = await(t, x.asked, "operators' address")
+	x.admin = await(t, x.adminReady, "operators' address")
 	return x
 }
 
@@ -96,23 +96,23 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	x := &process{t: t, cmd: cmd, conf: config, done: make(chan error, 1), said: make(chan string, 4096),
-		ready: make(chan string, 1), asked: make(chan string, 1)}
+	x := &process{t: t, cmd: cmd, configPath: config, exited: make(chan error, 1), logLines: make(chan string, 4096),
+		ready: make(chan string, 1), adminReady: make(chan string, 1)}
 	t.Cleanup(func() { cmd.Process.Kill() })
 	go func() {
 		for s := bufio.NewScanner(logs); s.Scan(); {
-			x.said <- s.Text()
+			x.logLines <- s.Text()
 			_, rest, _ := strings.Cut(s.Text(), "addr=")
 			addr, _, _ := strings.Cut(rest, " ")
 			switch {
 			case strings.Contains(s.Text(), "msg=ready "):
-				x.took = time.Since(begun)
+				x.startupTime = time.Since(begun)
 				x.ready <- addr
 			case strings.Contains(s.Text(), "msg=operators "):
-				x.asked <- addr
+				x.adminReady <- addr
 			}
 		}
-		x.done <- cmd.Wait()
+		x.exited <- cmd.Wait()
 	}()
 	return x
 }
@@ -120,22 +120,22 @@
 func (x *process) kill() {
 	x.t.Helper()
 	x.cmd.Process.Kill()
-	await(x.t, x.done, "end of the program")
+	await(x.t, x.exited, "end of the program")
 }
 
 // term sends SIGTERM; end checks that the program ends by itself.
-func (x *process) term() { x.cmd.Process.Signal(syscall.SIGTERM) }
+func (x *process) terminate() { x.cmd.Process.Signal(syscall.SIGTERM) }
 
-func (x *process) end() {
+func (x *process) awaitExit() {
 	x.t.Helper()
-	if err := await(x.t, x.done, "end of the program"); err != nil {
+	if err := await(x.t, x.exited, "end of the program"); err != nil {
 		x.t.Errorf("ended with %v", err)
 	}
 }
 
 // A crash with a call out: it may have run. Nothing is handed in again, so the sender itself must send it again
 // where that is harmless, and must not where it is not.
-func TestKillWithCallOut(t *testing.T) {
+func TestKillWithCallInFlight(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	x := startProcess(t, p, dir, known)
 	c := dial(t, x.addr)
@@ -157,8 +157,8 @@
 	if n := await(t, p.notices, "notice"); n != (Notice{ID: "m-unsafe", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	x.term()
-	x.end()
+	x.terminate()
+	x.awaitExit()
 	e.none(t)
 	if ids := owed(t, dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
@@ -180,15 +180,15 @@
 	if n := await(t, p.notices, "notice"); n != (Notice{ID: "a", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	x.term()
-	x.end()
+	x.terminate()
+	x.awaitExit()
 	e.none(t)
 }
 
 // What a restart finds taken on and untried is tried, all of it, by a process that knows nothing of latencies yet: after
 // a kill and after a stop in good order, also where the first call is refused.
-func TestRestartTriesTheUntried(t *testing.T) {
-	for name, stop := range map[string]func(*process){"kill": (*process).kill, "term": func(x *process) { x.term(); x.end() }} {
+func TestRestartSendsUntriedMessages(t *testing.T) {
+	for name, stop := range map[string]func(*process){"kill": (*process).kill, "term": func(x *process) { x.terminate(); x.awaitExit() }} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
@@ -233,7 +233,7 @@
 	dial(t, x.addr).put("whole", "safe", "+OK")
 	await(t, e.calls, "call")
 	x.kill()
-	f, err := os.OpenFile(filepath.Join(dir, journalName), os.O_WRONLY|os.O_APPEND, 0)
+	f, err := os.OpenFile(filepath.Join(dir, journalFile), os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,7 +244,7 @@
 		t.Fatal(err)
 	}
 	x = launchProcess(t, p, dir, known)
-	x.says("the end cannot be read")
+	x.awaitLog("the end cannot be read")
 	x.addr = await(t, x.ready, "ready program")
 	if in := await(t, e.calls, "call"); in.id() != "whole" {
 		t.Errorf("call with %s", in.id())
@@ -253,15 +253,15 @@
 	}
 	dial(t, x.addr).put("next", "safe", "+OK")
 	await(t, e.calls, "call").reply(200)
-	x.term()
-	x.end()
+	x.terminate()
+	x.awaitExit()
 }
 
 // Without its lock the state folder may belong to another process, and what may not be repeated might go out twice: a
 // sender that can't open it ends with a plain message and serves nobody.
 func TestNoLockNoService(t *testing.T) {
 	p, dir := newPlatform(t), t.TempDir()
-	if err := os.Mkdir(filepath.Join(dir, lockName), 0o700); err != nil {
+	if err := os.Mkdir(filepath.Join(dir, lockFile), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	cfg, err := ParseConfig(configText(p, List{}))
@@ -276,7 +276,7 @@
 
 // What was not sent, or refused, before a crash is sent after it, an unsafe message too; what ran out of time
 // meanwhile is returned, and a notice that nobody confirmed is sent again.
-func TestKillWithoutCallOut(t *testing.T) {
+func TestKillWithoutCallInFlight(t *testing.T) {
 	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
 	known := List{Generation: 1, Reset: true, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1",
 		Zone: "a", Kind: "std", Dest: 2, Lifecycle: "draining"})}
@@ -293,7 +293,7 @@
 	}
 	over := time.Now().Add(600 * time.Millisecond)
 	for stop := time.Now().Add(patience); ; {
-		b, err := os.ReadFile(filepath.Join(dir, journalName))
+		b, err := os.ReadFile(filepath.Join(dir, journalFile))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -326,14 +326,14 @@
 	if ends["failed"] != "failed" || ends["short"] != "returned" {
 		t.Errorf("notices: %v", ends)
 	}
-	x.term()
-	x.end()
+	x.terminate()
+	x.awaitExit()
 	e.none(t)
 }
 
 // A planned restart: clients are served a while, connections are closed between requests, calls under way end and
 // are journalled, and the next start owes nothing.
-func TestTermWithCallOut(t *testing.T) {
+func TestTermWithCallInFlight(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
@@ -342,12 +342,12 @@
 			c := dial(t, x.addr)
 			c.put("a", class, "+OK")
 			in := await(t, e.calls, "call")
-			x.term()
+			x.terminate()
 			if got := c.line(); got != "" { // the connection is closed between requests
 				t.Errorf("got %q", got)
 			}
 			in.reply(200)
-			x.end()
+			x.awaitExit()
 			if ids := owed(t, dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
@@ -365,8 +365,8 @@
 	dial(t, x.addr).put("a", "unsafe", "+OK")
 	await(t, e.calls, "call")
 	at := time.Now()
-	x.term()
-	x.end()
+	x.terminate()
+	x.awaitExit()
 	if d := time.Since(at); d > stopAll+2*time.Second {
 		t.Errorf("ended after %v", d)
 	}
@@ -381,11 +381,11 @@
 }
 
 // lines are those that it has logged so far.
-func (x *process) lines() func(yield func(string) bool) {
+func (x *process) loggedLines() func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for {
 			select {
-			case line := <-x.said:
+			case line := <-x.logLines:
 				if !yield(line) {
 					return
 				}
--- a/internal/node/put.go
+++ b/internal/node/put.go
@@ -26,7 +26,7 @@
 		if len(key) > maxIDLen || !plain(key) {
 			return m, errors.New("bad key")
 		}
-		m.Order = key
+		m.OrderKey = key
 	}
 	if m.ID == "" || len(m.ID) > maxIDLen || !plain(m.ID) {
 		return m, errors.New("bad id")
@@ -51,7 +51,7 @@
 			if len(value) > maxIDLen || !plain(value) {
 				return m, errors.New("bad idempotency key")
 			}
-			m.Key = value
+			m.IdempotencyKey = value
 		case "d":
 			ms, err := strconv.ParseInt(value, 10, 64)
 			if err != nil || ms < 0 || ms > maxHold.Milliseconds() {
@@ -74,8 +74,8 @@
 	if !ok {
 		return m, errors.New("unknown class")
 	}
-	class := c.cfg.Deploy.Settings.Classes[i]
-	if class.Effect == logic.Keyed && m.Key == "" {
+	class := c.cfg.Deployment.Settings.Classes[i]
+	if class.Effect == logic.Keyed && m.IdempotencyKey == "" {
 		return m, errors.New("k must be given in a keyed class")
 	}
 	if hold > holdTimes*span(class.Deadline) {
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -12,10 +12,10 @@
 )
 
 // readyTime is within how long nine in ten restarted processes have to be ready.
-const readyTime = 10 * time.Second
+const maxReadyTime = 10 * time.Second
 
 // withDisk is a configuration with so much room for the journal.
-func withDisk(t *testing.T, p *platform, known List, mb float64) []byte {
+func configWithDisk(t *testing.T, p *platform, known List, mb float64) []byte {
 	t.Helper()
 	var text map[string]any
 	if err := json.Unmarshal(configText(p, known), &text); err != nil {
@@ -34,14 +34,14 @@
 	t.Helper()
 	j := openJournal(t, dir, int64(mb*1e6))
 	deadline := time.Now().Add(2 * patience).UnixMicro()
-	for i := 0; j.Room(300); i++ {
-		rec := accept(fmt.Sprint("m-", i), 300)
+	for i := 0; j.HasRoom(300); i++ {
+		rec := acceptRecord(fmt.Sprint("m-", i), 300)
 		rec.Entry.Deadline = deadline
 		mustAppend(t, j, rec)
 	}
-	for i := 0; j.size+4000 < j.limit; i++ { // and what is over
+	for i := 0; j.size+4000 < j.maxBytes; i++ { // and what is over
 		id := fmt.Sprint("over-", i)
-		mustAppend(t, j, accept(id, 300), record{Op: opSend, ID: id, At: 1}, record{Op: opDone, ID: id})
+		mustAppend(t, j, acceptRecord(id, 300), record{Op: opSend, ID: id, At: 1}, record{Op: opDone, ID: id})
 	}
 }
 
@@ -60,7 +60,7 @@
 		{"full journal of the most that is used", 40, 1, func(t *testing.T, dir string, _ *platform) { fillJournal(t, dir, 40) }, "m-"},
 		{"torn journal", 3, 1, func(t *testing.T, dir string, _ *platform) {
 			fillJournal(t, dir, 3)
-			path := filepath.Join(dir, journalName)
+			path := filepath.Join(dir, journalFile)
 			info, err := os.Stat(path)
 			if err != nil {
 				t.Fatal(err)
@@ -79,7 +79,7 @@
 			p, e := newPlatform(t), newEndpoint(t)
 			known := List{Generation: 1, Reset: true, Instances: instances(e)}
 			p.list = known
-			text := withDisk(t, p, known, x.disk)
+			text := configWithDisk(t, p, known, x.disk)
 			var dirs []string
 			for range x.processes {
 				dir := t.TempDir()
@@ -96,7 +96,7 @@
 			var took []time.Duration
 			for _, y := range all {
 				y.addr = await(t, y.ready, "ready program")
-				took = append(took, y.took)
+				took = append(took, y.startupTime)
 				if got := dial(t, y.addr).do("PING"); got != "+PONG" {
 					t.Errorf("ready, and PING gets %q", got)
 				}
@@ -108,13 +108,13 @@
 			}
 			slices.Sort(took)
 			worst := took[len(took)*9/10] // of nine in ten; of a few, the last
-			for line := range all[0].lines() {
+			for line := range all[0].loggedLines() {
 				if strings.Contains(line, "msg=ready ") {
 					_, spent, _ := strings.Cut(line, "held=")
 					t.Logf("%d starts: nine in ten ready within %v, all within %v; the first: held=%s", len(took), worst, took[len(took)-1], spent)
 				}
 			}
-			if worst > readyTime {
+			if worst > maxReadyTime {
 				t.Errorf("ready after %v", worst)
 			}
 			for _, y := range all {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -16,12 +16,12 @@
 }
 
 const (
-	reloadPause    = 100 * time.Millisecond // before a configuration that could not be read is read again
-	reloadPatience = 30 * time.Second       // for a file that makes no sense to be replaced by one that does
+	reloadRetryDelay = 100 * time.Millisecond // before a configuration that could not be read is read again
+	reloadTimeout    = 30 * time.Second       // for a file that makes no sense to be replaced by one that does
 )
 
 // reloadNow has the configuration read without a signal.
-func (n *Node) reloadNow() {
+func (n *Node) requestReload() {
 	select {
 	case n.again <- struct{}{}:
 	default: // it is about to be
@@ -29,7 +29,7 @@
 }
 
 // reloads passes new configurations on to the loop.
-func (n *Node) reloads(ctx context.Context) {
+func (n *Node) watchReloads(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -37,7 +37,7 @@
 		case <-n.reload:
 		case <-n.again:
 		}
-		if cfg := n.loadPatiently(ctx); cfg != nil {
+		if cfg := n.loadWithRetry(ctx); cfg != nil {
 			n.events <- reloadEvent{cfg}
 		}
 	}
@@ -45,7 +45,7 @@
 
 // loadPatiently reads the configuration until it can be read: the address that the old one names takes no calls any
 // more, and the signal does not come again. One that makes no sense for long changes nothing.
-func (n *Node) loadPatiently(ctx context.Context) *Config {
+func (n *Node) loadWithRetry(ctx context.Context) *Config {
 	said := false
 	begun := time.Now()
 	for {
@@ -57,11 +57,11 @@
 			n.log.Error("reload: the old configuration stands", "err", err)
 			said = true
 		}
-		if !momentary(err) && time.Since(begun) > reloadPatience {
+		if !isTransient(err) && time.Since(begun) > reloadTimeout {
 			return nil
 		}
 		select {
-		case <-time.After(jitter(reloadPause)):
+		case <-time.After(jitter(reloadRetryDelay)):
 		case <-n.reload: // another file
 			said, begun = false, time.Now()
 		case <-ctx.Done():
@@ -71,13 +71,13 @@
 }
 
 // moveTo follows discovery and notices to the address that cfg names.
-func (n *Node) moveTo(work context.Context, cfg *Config) {
-	if cfg.Discovery == n.disc.addr {
-		n.log.Info("reload: same discovery", "addr", cfg.Discovery)
+func (n *Node) switchDiscovery(work context.Context, cfg *Config) {
+	if cfg.DiscoveryAddr == n.disc.addr {
+		n.log.Info("reload: same discovery", "addr", cfg.DiscoveryAddr)
 		return
 	}
-	n.log.Info("reload: discovery moves", "from", n.disc.addr, "to", cfg.Discovery)
-	n.notices.move(cfg.Discovery)
-	n.disc.move(cfg.Discovery)
+	n.log.Info("reload: discovery moves", "from", n.disc.addr, "to", cfg.DiscoveryAddr)
+	n.notices.setAddr(cfg.DiscoveryAddr)
+	n.disc.move(cfg.DiscoveryAddr)
 	n.disc.watch(work) // at once: what it has to tell counts as told soon
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -9,21 +9,21 @@
 )
 
 // hup replaces the configuration and signals.
-func (x *process) hup(text []byte) {
+func (x *process) reload(text []byte) {
 	x.t.Helper()
-	if err := os.WriteFile(x.conf+".new", text, 0o600); err != nil {
+	if err := os.WriteFile(x.configPath+".new", text, 0o600); err != nil {
 		x.t.Fatal(err)
 	}
-	if err := os.Rename(x.conf+".new", x.conf); err != nil {
+	if err := os.Rename(x.configPath+".new", x.configPath); err != nil {
 		x.t.Fatal(err)
 	}
 	x.cmd.Process.Signal(syscall.SIGHUP)
 }
 
 // says waits for a line of the log.
-func (x *process) says(part string) {
+func (x *process) awaitLog(part string) {
 	x.t.Helper()
-	for !strings.Contains(await(x.t, x.said, "line with "+part), part) {
+	for !strings.Contains(await(x.t, x.logLines, "line with "+part), part) {
 	}
 }
 
@@ -40,8 +40,8 @@
 	underWay := await(t, e.calls, "call")
 
 	for i, bad := range []string{"{", "{}", strings.Replace(string(configText(fresh, known)), `"discovery":"`, `"discovery":"no address `, 1)} {
-		x.hup([]byte(strings.ReplaceAll(bad, "no address 127.0.0.1:", "no address ")))
-		x.says("old configuration stands")
+		x.reload([]byte(strings.ReplaceAll(bad, "no address 127.0.0.1:", "no address ")))
+		x.awaitLog("old configuration stands")
 		id := fmt.Sprint("bad-", i)
 		c.put(id, "safe", "+OK")
 		in := await(t, e.calls, "call")
@@ -57,7 +57,7 @@
 	await(t, old.refused, "notice")
 	// The new address numbers its lists anew: a watch from the old number would wait for ever.
 	fresh.list = List{Generation: 2, Reset: true, Instances: instances(e, added)}
-	x.hup(configText(fresh, known))
+	x.reload(configText(fresh, known))
 	if n := await(t, fresh.notices, "notice at the new address"); n != (Notice{ID: "fails", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
@@ -82,6 +82,6 @@
 			t.Fatal("the new list is not heeded")
 		}
 	}
-	x.term()
-	x.end()
+	x.terminate()
+	x.awaitExit()
 }
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -230,8 +230,8 @@
 
 // accepted records the i-th message, for a destination that no endpoint serves.
 func accepted(i int) record {
-	rec := accept(fmt.Sprintf("%016x", i), messageBody)
-	rec.Entry.Key, rec.Entry.Dest = fmt.Sprintf("key-%016x", i), -1
+	rec := acceptRecord(fmt.Sprintf("%016x", i), messageBody)
+	rec.Entry.IdempotencyKey, rec.Entry.Dest = fmt.Sprintf("key-%016x", i), -1
 	rec.Entry.Deadline = time.Now().Add(time.Hour).UnixMicro()
 	return rec
 }
@@ -244,7 +244,7 @@
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { j.Close() })
-	for i := 0; n == 0 && j.Room(messageBody) || i < n; i++ {
+	for i := 0; n == 0 && j.HasRoom(messageBody) || i < n; i++ {
 		if err := j.Append([]record{accepted(i)}); err != nil {
 			tb.Fatal(err)
 		}
@@ -271,7 +271,7 @@
 					b.Fatal(err)
 				}
 				d := NewDirectory(cfg)
-				s, err := logic.New(cfg.Deploy.Settings, 1)
+				s, err := logic.New(cfg.Deployment.Settings, 1)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -398,7 +398,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		cfg.StateDir, cfg.Limits.DiskMB, cfg.Deploy.Settings.MaxOpen = dir, 0, 0
+		cfg.StateDir, cfg.Limits.DiskMB, cfg.Deployment.Settings.MaxOpen = dir, 0, 0
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			b.Fatal(err)
@@ -447,7 +447,7 @@
 			n := listedNode(b, size)
 			var frame []byte
 			for b.Loop() {
-				st, err := n.handoverState()
+				st, err := n.collectHandoverState()
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -456,7 +456,7 @@
 				}
 			}
 			b.ReportMetric(float64(len(frame)), "frame-B")
-			b.ReportMetric(float64(len(frame))/maxFrame, "frames")
+			b.ReportMetric(float64(len(frame))/maxFrameBytes, "frames")
 		})
 	}
 }
@@ -464,15 +464,15 @@
 // What the platform has confirmed is taken off the queue at the same cost however long that is, and nothing else is.
 func TestNoticesScale(t *testing.T) {
 	for _, size := range []int{1000, 5000, 20000, 80000} {
-		q := newNotices("", slog.New(slog.DiscardHandler), nil)
+		q := newNoticeQueue("", slog.New(slog.DiscardHandler), nil)
 		for i := range size {
 			q.add(Notice{ID: fmt.Sprintf("%016x", i), State: "failed"})
 		}
 		var ids []string
-		each := allocated(func() { ids = q.confirmed(10) })
-		if len(ids) != 10 || ids[9] != fmt.Sprintf("%016x", 9) || len(q.ids) != size-10 || len(q.queue) != size-10 ||
-			q.ids[0] != fmt.Sprintf("%016x", 10) || !strings.Contains(string(q.queue[0]), q.ids[0]) {
-			t.Errorf("%d notices: confirmed %v, left %d and %d from %q on", size, ids, len(q.ids), len(q.queue), q.ids[0])
+		each := allocated(func() { ids = q.dequeue(10) })
+		if len(ids) != 10 || ids[9] != fmt.Sprintf("%016x", 9) || len(q.ids) != size-10 || len(q.lines) != size-10 ||
+			q.ids[0] != fmt.Sprintf("%016x", 10) || !strings.Contains(string(q.lines[0]), q.ids[0]) {
+			t.Errorf("%d notices: confirmed %v, left %d and %d from %q on", size, ids, len(q.ids), len(q.lines), q.ids[0])
 		}
 		t.Logf("%d notices: %d bytes allocated to take 10 off", size, each)
 		if each > 4096 {
@@ -486,15 +486,15 @@
 	for _, size := range []int{1000, 5000, 20000, 80000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			before := heap()
-			q := newNotices("", slog.New(slog.DiscardHandler), nil)
+			q := newNoticeQueue("", slog.New(slog.DiscardHandler), nil)
 			for i := range size {
 				q.add(Notice{ID: fmt.Sprintf("%016x", i), State: "returned", AfterMS: 500})
 			}
 			kept := heap() - before
-			all, ids := q.queue, q.ids
+			all, ids := q.lines, q.ids
 			for b.Loop() {
-				q.queue, q.ids = all, ids
-				q.confirmed(1000)
+				q.lines, q.ids = all, ids
+				q.dequeue(1000)
 			}
 			b.ReportMetric(float64(kept)/float64(size), "heap-B/notice")
 		})
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -67,12 +67,12 @@
 }
 
 // closes counts the end of a connection, and checks that no request is left without its answer.
-func (s *session) closes(why closing) {
+func (s *session) closes(why closeReason) {
 	s.c.mu.Lock()
 	open, gone := s.open, s.gone
 	s.c.mu.Unlock()
 	if !gone { // else it was counted where it was closed
-		s.c.figures.closed.add(string(why))
+		s.c.figures.closed.inc(string(why))
 	}
 	if open > 0 {
 		report(s.c.log, s.c.figures, closedOpen, "", "requests", open, "why", string(why))
@@ -80,7 +80,7 @@
 }
 
 // read takes requests until the connection ends, and says why it does.
-func (s *session) read(r *bufio.Reader, queue chan<- answer) closing {
+func (s *session) read(r *bufio.Reader, queue chan<- answer) closeReason {
 	first := true
 	for {
 		if why, ok := s.await(r); !ok {
@@ -112,13 +112,13 @@
 			return closedProtocol
 		case errors.Is(err, errNoPlace):
 			queue <- answer{line: busy(0)}
-			return closedNoPlace
+			return closedNoCapacity
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			queue <- answer{line: answerTimeout, large: large}
 			return closedTimeout
 		}
 		queue <- answer{large: large}
-		return closedGone
+		return closedByClient
 	}
 }
 
@@ -155,7 +155,7 @@
 
 // await waits for the first byte of a request; false ends the connection, for the reason given. A request counts as open before anything of it
 // is read: until then the connection may be closed, and its client sends the request again elsewhere.
-func (s *session) await(r *bufio.Reader) (closing, bool) {
+func (s *session) await(r *bufio.Reader) (closeReason, bool) {
 	if r.Buffered() > 0 {
 		return "", true // counted with the one before
 	}
@@ -177,16 +177,16 @@
 }
 
 // whyEnded says why no request is awaited any more, under the lock of clients.
-func (s *session) whyEnded(data bool, err error) closing {
+func (s *session) whyEnded(data bool, err error) closeReason {
 	switch {
 	case s.gone, !data && err == nil:
-		return closedGone
+		return closedByClient
 	case s.c.parting, s.c.tooLate():
-		return closedParting
+		return closedDraining
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return closedIdle
 	}
-	return closedGone
+	return closedByClient
 }
 
 // whole notes that the request at hand has come to its end, good or bad, and whether some of the next has come with it.
@@ -283,7 +283,7 @@
 		late := c.tooLate()
 		c.mu.Unlock()
 		if late { // it came behind others that were read in time
-			c.figures.refused.add(string(refusedLate))
+			c.figures.refused.inc(string(refusedStopping))
 			return answer{line: busy(0)}
 		}
 		later := make(chan string, 1)
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -14,18 +14,18 @@
 // that gives up leaves what was taken on to nobody.
 
 const (
-	startPause   = 100 * time.Millisecond // before a call that failed is made again
-	readPatience = 20 * time.Second       // for a journal that cannot be read: a start has 30 s in all
+	startRetryDelay    = 100 * time.Millisecond // before a call that failed is made again
+	journalReadTimeout = 20 * time.Second       // for a journal that cannot be read: a start has 30 s in all
 )
 
 // momentaryErrors are those that Linux documents for want of something that may be there again soon.
-var momentaryErrors = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EINTR, syscall.EAGAIN, syscall.EBUSY,
+var transientErrors = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EINTR, syscall.EAGAIN, syscall.EBUSY,
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.ENOLCK, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL,
 	syscall.ENETDOWN, syscall.ENETUNREACH, syscall.ECONNABORTED}
 
 // momentary says whether an error may be over soon.
-func momentary(err error) bool {
-	for _, x := range momentaryErrors {
+func isTransient(err error) bool {
+	for _, x := range transientErrors {
 		if errors.Is(err, x) {
 			return true
 		}
@@ -34,38 +34,38 @@
 }
 
 // failures logs a row of failures of one thing: the first of them, and how many there were once it works again.
-type failures struct {
-	log   *slog.Logger
-	what  string
-	count int
+type failureLog struct {
+	log       *slog.Logger
+	operation string
+	count     int
 }
 
-func (f *failures) note(err error) {
+func (f *failureLog) observe(err error) {
 	if err == nil {
 		if f.count > 0 {
-			f.log.Info(f.what+": works again", "failures", f.count)
+			f.log.Info(f.operation+": works again", "failures", f.count)
 		}
 		f.count = 0
 		return
 	}
 	if f.count++; f.count == 1 {
-		f.log.Error(f.what, "err", err)
+		f.log.Error(f.operation, "err", err)
 	}
 }
 
 // Persist does something until it works, fails for good, or ctx is over.
-func Persist(ctx context.Context, log *slog.Logger, what string, do func() error) error {
-	row := failures{log: log, what: what}
+func RetryTransient(ctx context.Context, log *slog.Logger, what string, do func() error) error {
+	row := failureLog{log: log, operation: what}
 	for {
 		err := do()
-		if err != nil && !momentary(err) {
+		if err != nil && !isTransient(err) {
 			return err
 		}
-		row.note(err)
+		row.observe(err)
 		if err == nil {
 			return nil
 		}
-		pause(ctx, jitter(startPause))
+		pause(ctx, jitter(startRetryDelay))
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -73,33 +73,33 @@
 }
 
 // listeningEvent brings the socket on which clients are taken.
-type listeningEvent struct{ ln net.Listener }
+type listenerEvent struct{ ln net.Listener }
 
 // listen opens the socket for clients, or has it opened as soon as that works: what is owed does not wait for it.
-func (n *Node) listen(work context.Context) error {
+func (n *Node) listenForClients(work context.Context) error {
 	open := func() (err error) {
 		if n.ln == nil {
-			n.ln, err = net.Listen("tcp", n.cfg.Listen)
+			n.ln, err = net.Listen("tcp", n.cfg.ListenAddr)
 		}
 		return err
 	}
 	err := open()
 	if err == nil {
-		n.serve(work, n.ln)
+		n.serveClients(work, n.ln)
 		return nil
 	}
-	if !momentary(err) {
+	if !isTransient(err) {
 		return fmt.Errorf("listen: %w", err)
 	}
 	go func() {
 		var ln net.Listener
-		err := Persist(work, n.log, "listen", func() (err error) {
-			ln, err = net.Listen("tcp", n.cfg.Listen)
+		err := RetryTransient(work, n.log, "listen", func() (err error) {
+			ln, err = net.Listen("tcp", n.cfg.ListenAddr)
 			return err
 		})
 		switch {
 		case err == nil:
-			n.events <- listeningEvent{ln}
+			n.events <- listenerEvent{ln}
 		case work.Err() == nil:
 			n.log.Error("listen", "err", err)
 		}
@@ -108,7 +108,7 @@
 }
 
 // serve begins to serve clients on ln, unless this process is on its way out.
-func (n *Node) serve(work context.Context, ln net.Listener) {
+func (n *Node) serveClients(work context.Context, ln net.Listener) {
 	if !n.closing.IsZero() {
 		ln.Close()
 		return
@@ -117,7 +117,7 @@
 		report(n.log, n.figures, notOwner, "")
 	}
 	n.ln = ln
-	go n.openToSuccessors(work, ln)
+	go n.serveSuccessors(work, ln)
 	n.clients.turn(serving)
 	go n.clients.serve(ln)
 	n.stages.done("listen")
@@ -126,19 +126,19 @@
 }
 
 // openToSuccessors opens the socket for processes that come to replace this one, and serves them.
-func (n *Node) openToSuccessors(ctx context.Context, clients net.Listener) {
+func (n *Node) serveSuccessors(ctx context.Context, clients net.Listener) {
 	tcp, ok := clients.(*net.TCPListener)
 	if !ok {
 		return
 	}
 	var ln *net.UnixListener
-	err := Persist(ctx, n.log, "handover: listen", func() (err error) {
-		ln, err = listenForSuccessor(n.cfg.StateDir)
+	err := RetryTransient(ctx, n.log, "handover: listen", func() (err error) {
+		ln, err = listenHandover(n.cfg.StateDir)
 		return err
 	})
 	switch {
 	case err == nil:
-		n.awaitSuccessors(ctx, ln, tcp)
+		n.acceptSuccessors(ctx, ln, tcp)
 	case ctx.Err() == nil:
 		n.log.Error("no successor can take over", "err", err)
 	}
@@ -147,15 +147,15 @@
 // serveOperators answers operators, as soon as their address can be listened at. The channel is closed at its end.
 func (n *Node) serveOperators(work context.Context) (<-chan struct{}, error) {
 	served := make(chan struct{})
-	ln, err := net.Listen("tcp", n.cfg.Admin)
-	if err != nil && !momentary(err) {
+	ln, err := net.Listen("tcp", n.cfg.AdminAddr)
+	if err != nil && !isTransient(err) {
 		return nil, fmt.Errorf("listen for operators: %w", err)
 	}
 	go func() {
 		defer close(served)
 		if ln == nil {
-			err := Persist(work, n.log, "listen for operators", func() (err error) {
-				ln, err = net.Listen("tcp", n.cfg.Admin)
+			err := RetryTransient(work, n.log, "listen for operators", func() (err error) {
+				ln, err = net.Listen("tcp", n.cfg.AdminAddr)
 				return err
 			})
 			if err != nil {
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -209,7 +209,7 @@
 	}
 
 	dir := t.TempDir()
-	if err := os.MkdirAll(filepath.Join(dir, socketName, "x"), 0o700); err != nil { // no Unix socket: its clock is not ours
+	if err := os.MkdirAll(filepath.Join(dir, handoverSocket, "x"), 0o700); err != nil { // no Unix socket: its clock is not ours
 		t.Fatal(err)
 	}
 	ln, signals := &noClients{closed: make(chan struct{})}, make(chan os.Signal)
@@ -255,7 +255,7 @@
 		for i := 0; ; i++ {
 			time.Sleep(200 * time.Millisecond)
 			id, answer := fmt.Sprintf("%06d", i), make(chan string, 1)
-			m := Message{ID: id, Key: id, Class: "keyed", Tenant: "acme", Dest: 1, Body: []byte("x"),
+			m := Message{ID: id, IdempotencyKey: id, Class: "keyed", Tenant: "acme", Dest: 1, Body: []byte("x"),
 				Deadline: time.Now().Add(3 * time.Second).UnixMicro()}
 			select {
 			case n.events <- putEvent{m, answer}:
--- a/internal/node/window_test.go
+++ b/internal/node/window_test.go
@@ -30,7 +30,7 @@
 	j := openJournal(t, dir, 3e6)
 	now := time.Now()
 	taken := func(id, class string) record {
-		return record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, Key: "key-" + id, Class: class, Dest: 1,
+		return record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, IdempotencyKey: "key-" + id, Class: class, Dest: 1,
 			Deadline: now.Add(2 * patience).UnixMicro()}}}
 	}
 	sent := func(id string, at time.Time) record {
@@ -40,7 +40,7 @@
 	mustAppend(t, j, taken("open", "keyed"), taken("over", "keyed"), taken("answered late", "keyed"), taken("never ran", "keyed"),
 		taken("untried", "keyed"), taken("unsafe", "unsafe"),
 		sent("open", open), sent("over", now.Add(-1001*time.Millisecond)),
-		sent("answered late", now.Add(-2*time.Second)), record{Op: opOutcome, ID: "answered late", MayRun: true},
+		sent("answered late", now.Add(-2*time.Second)), record{Op: opOutcome, ID: "answered late", MayHaveRun: true},
 		sent("answered late", now.Add(-500*time.Millisecond)), // the first one counts
 		sent("never ran", now.Add(-2*time.Second)), record{Op: opOutcome, ID: "never ran"},
 		sent("unsafe", now.Add(-time.Millisecond)))
@@ -90,9 +90,9 @@
 	cfg.StateDir = t.TempDir()
 	j := openJournal(t, cfg.StateDir, 3e6)
 	first := time.Now().Add(patience)
-	mustAppend(t, j, record{Op: opAccept, Entry: &Entry{Message: Message{ID: "m", Key: "k", Class: "keyed", Dest: 1,
+	mustAppend(t, j, record{Op: opAccept, Entry: &Entry{Message: Message{ID: "m", IdempotencyKey: "k", Class: "keyed", Dest: 1,
 		Deadline: first.Add(patience).UnixMicro()}}}, record{Op: opSend, ID: "m", At: first.UnixMicro()},
-		record{Op: opAccept, Entry: &Entry{Message: Message{ID: "over", Key: "l", Class: "keyed", Dest: 1,
+		record{Op: opAccept, Entry: &Entry{Message: Message{ID: "over", IdempotencyKey: "l", Class: "keyed", Dest: 1,
 			Deadline: first.UnixMicro()}}}, record{Op: opSend, ID: "over", At: time.Now().Add(-1001 * time.Millisecond).UnixMicro()})
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -102,7 +102,7 @@
 	defer n.journal.Close()
 	n.resume()
 	n.step(t.Context())
-	if e := n.journal.Entry("over"); e.Tries != 1 || e.End == nil || e.End.State != "failed" {
+	if e := n.journal.Entry("over"); e.Attempts != 1 || e.End == nil || e.End.State != "failed" {
 		t.Errorf("out of its window, after the first step: %+v", e)
 	}
 	for n.held["m"].call == nil { // the pace lets it through a moment after the start
@@ -115,7 +115,7 @@
 	if got, want := n.held["m"].call.writeBy, n.clock.At(first.UnixMicro()).Add(time.Second); !got.Equal(want) {
 		t.Errorf("to be written by %v, want %v", got, want)
 	}
-	if e := n.journal.Entry("m"); e.Tries != 2 || e.FirstMay != first.UnixMicro() {
+	if e := n.journal.Entry("m"); e.Attempts != 2 || e.FirstMayRunAt != first.UnixMicro() {
 		t.Errorf("the journal has %+v", e)
 	}
 }
@@ -139,13 +139,13 @@
 			t.Fatal("no call")
 		}
 		x.kill()
-		at := openJournal(t, dir, 3e6).Entry("m").FirstMay
+		at := openJournal(t, dir, 3e6).Entry("m").FirstMayRunAt
 		y := execProcess(t, p, dir, text)
 		await(t, y.ready, "ready program")
 		select {
 		case in := <-calls:
 			e := openJournal(t, copyOf(t, dir), 3e6).Entry("m")
-			if in.id() != first.id() || e.Tries != 2 || e.FirstMay != at {
+			if in.id() != first.id() || e.Attempts != 2 || e.FirstMayRunAt != at {
 				t.Errorf("call with %s, journal %+v", in.id(), e)
 			}
 			in.reply(200)
@@ -159,8 +159,8 @@
 		case <-time.After(patience):
 			t.Fatal("neither sent again nor failed")
 		}
-		y.term()
-		y.end()
+		y.terminate()
+		y.awaitExit()
 		if ids := owed(t, dir); ids != nil {
 			t.Errorf("still owed: %v", ids)
 		}
@@ -174,11 +174,11 @@
 func copyOf(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
-	text, err := os.ReadFile(filepath.Join(dir, journalName))
+	text, err := os.ReadFile(filepath.Join(dir, journalFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(to, journalName), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(to, journalFile), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return to
