--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	maxAdminConns      = 24                     // callers at once; the oldest makes room
-	adminTimeout       = 2 * time.Second        // for a whole call, and as long again for its answer
-	adminLingerTimeout = 200 * time.Millisecond // after it, for the caller to read it
+	maxAdminConns      = 24                     // at one time; the oldest is closed to make room
+	adminTimeout       = 2 * time.Second        // for reading the command, and again for writing the answer
+	adminLingerTimeout = 200 * time.Millisecond // after the answer, for the operator to read it
 	maxAdminLine       = 256
 )
 
-// admin serves the operators: a line a connection, answered at once. It has places of
-// its own and asks the loop nothing, so that it answers when all else is full.
+// adminServer serves operators: one line with a command on each connection, answered
+// at once. It has a connection limit of its own and needs nothing from the event
+// loop, so that it answers even when everything else is overloaded.
 type adminServer struct {
 	log      *slog.Logger
 	commands map[string]func() string
 
 	mu    sync.Mutex
-	conns []net.Conn // in the order in which they came
+	conns []net.Conn // in the order in which they were accepted
 	wg    sync.WaitGroup
 }
 
-func newAdminServer(log *slog.Logger, clients *clients, figures *metrics) *adminServer {
-	turn := func(p phase) func() string {
+func newAdminServer(log *slog.Logger, clients *clients, metrics *metrics) *adminServer {
+	setPhase := func(p phase) func() string {
 		return func() string {
-			if got := clients.operate(p); got != p {
-				return "-ERR " + got.String()
+			if now := clients.operate(p); now != p {
+				return "-ERR " + now.String()
 			}
 			log.Info("operator", "state", p.String())
 			return "+OK"
@@ -48,13 +49,13 @@
 			}
 			return "+OK"
 		},
-		"show-stat": func() string { return "+OK\n" + figures.text() + "." },
-		"drain":     turn(draining),
-		"resume":    turn(serving),
+		"show-stat": func() string { return "+OK\n" + metrics.text() + "." },
+		"drain":     setPhase(draining),
+		"resume":    setPhase(serving),
 	}}
 }
 
-// serve takes calls until ctx is over, and returns when the last caller is gone.
+// serve accepts connections until ctx is done, and returns when all of them are closed.
 func (a *adminServer) serve(ctx context.Context, ln net.Listener) {
 	defer a.wg.Wait()
 	defer context.AfterFunc(ctx, func() {
@@ -86,7 +87,7 @@
 	}
 }
 
-// admit takes a caller on; the oldest goes if all places are taken.
+// addConn registers a connection. If there are too many, it closes the oldest.
 func (a *adminServer) addConn(conn net.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -101,15 +102,15 @@
 	conn.Close()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for i, x := range a.conns {
-		if x == conn {
+	for i, c := range a.conns {
+		if c == conn {
 			a.conns = append(a.conns[:i:i], a.conns[i+1:]...)
 			return
 		}
 	}
 }
 
-// handle answers the one call of a connection.
+// handleConn reads one command from a connection and writes the answer.
 func (a *adminServer) handleConn(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(adminTimeout))
 	r := bufio.NewReaderSize(conn, maxAdminLine)
@@ -121,7 +122,7 @@
 	case errors.Is(err, io.EOF), errors.Is(err, os.ErrDeadlineExceeded):
 		answer = "-ERR call not complete"
 	case err != nil:
-		return // the caller is gone
+		return // the operator has closed the connection
 	default:
 		answer = a.execute(strings.TrimSuffix(strings.TrimSuffix(string(line), "\n"), "\r"))
 	}
@@ -129,19 +130,19 @@
 	if _, err := io.WriteString(conn, answer+"\n"); err != nil {
 		return
 	}
-	// A close with unread input would be a reset, which can destroy the answer on its way.
-	if t, ok := conn.(*net.TCPConn); ok {
-		t.CloseWrite()
+	// Closing a connection with unread input resets it, and a reset can destroy an answer in transit.
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		tcp.CloseWrite()
 	}
 	conn.SetDeadline(time.Now().Add(adminLingerTimeout))
 	io.Copy(io.Discard, io.LimitReader(r, lingerBytes))
 }
 
-func (a *adminServer) execute(call string) string {
-	if f := a.commands[call]; f != nil {
-		return f()
+func (a *adminServer) execute(command string) string {
+	if run := a.commands[command]; run != nil {
+		return run()
 	}
-	if call == "" {
+	if command == "" {
 		return "-ERR empty call"
 	}
 	return "-ERR unknown call; want ready, show-stat, drain or resume"
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,6 +1,6 @@
-// Package node is the sender on real sockets: it takes messages from clients,
-// keeps them in a journal, and lets a logic.Sender decide what is sent where and
-// when. It decides nothing about messages itself.
+// Package node runs a sender on real sockets: it accepts messages from clients,
+// keeps them in a journal, and sends them as a logic.Sender decides. All
+// decisions about messages are made there, none in this package.
 package node
 
 import (
@@ -15,7 +15,7 @@
 	"rundeal/logic"
 )
 
-// Limits are the bounds that the platform sets for the process.
+// Limits are the resource limits that the platform sets for the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -23,11 +23,11 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// Config is what the platform tells a sender at its start.
+// Config is the configuration that the platform gives a sender at its start.
 type Config struct {
 	Name          string
 	ListenAddr    string
-	AdminAddr     string // where operators call; empty if nowhere
+	AdminAddr     string // of the operators' interface; empty for none
 	DiscoveryAddr string
 	StateDir      string
 	Seed          uint64
@@ -38,7 +38,8 @@
 	Tenants       map[string]int
 }
 
-// classOf is the class of a message. One that the settings do not know any more counts as one that must not be repeated.
+// classOf returns the class of a message. A message whose class has been removed from the settings is treated as one
+// that must not be repeated.
 func (c *Config) classOf(m *Message) logic.Class {
 	if i, ok := c.Classes[m.Class]; ok {
 		return c.Deployment.Settings.Classes[i]
@@ -46,7 +47,7 @@
 	return logic.Class{Name: m.Class, Effect: logic.Unsafe}
 }
 
-// LoadConfig reads the environment and the file that it names.
+// LoadConfig reads the environment and the configuration file that it names.
 func LoadConfig() (*Config, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if path == "" {
@@ -67,7 +68,7 @@
 			*field = v
 		}
 	}
-	if cfg.DiscoveryAddr == "" { // the file may have been replaced since the start, the environment not
+	if cfg.DiscoveryAddr == "" { // the file takes precedence: it may be newer than the environment of this process
 		cfg.DiscoveryAddr = os.Getenv("BALANCER_DISCOVERY")
 	}
 	if cfg.StateDir == "" || cfg.ListenAddr == "" || cfg.DiscoveryAddr == "" {
@@ -79,7 +80,7 @@
 	return cfg, nil
 }
 
-// ParseConfig reads the text of the configuration file.
+// ParseConfig parses the text of a configuration file.
 func ParseConfig(text []byte) (*Config, error) {
 	var in struct {
 		Name      string          `json:"name"`
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -13,56 +13,58 @@
 	"rundeal/logic"
 )
 
-// packet is what the two processes of a replacement tell each other once they have greeted: the owner its state, the
-// successor that it has understood, the owner that it is the successor's now. From then on the old process sends what
-// comes to it, and the new one what that calls for. One of the fields is set.
+// packet is what the two processes of a handover exchange after their greetings. First the owner sends its state, the
+// successor accepts it, and the owner releases its ownership. From then on the old process forwards what it receives
+// from clients and endpoints, and the new one sends answers and cancellations. One of the fields is set.
 type packet struct {
 	State    *handoverState `json:",omitempty"`
 	Accepted bool           `json:"Understood,omitempty"`
-	Refused  string         `json:",omitempty"` // why the state is not understood
+	Refused  string         `json:",omitempty"` // why the successor cannot use the state
 	Released bool           `json:"Yours,omitempty"`
-	Put      *relayedPut    `json:",omitempty"` // old to new: a message that a client has handed in
-	Answer   *relayedPut    `json:",omitempty"` // new to old: what to tell that client
-	Reply    *remoteReply   `json:",omitempty"` // old to new: how a call ended
-	Health   *healthEvent   `json:",omitempty"` // old to new: and a probe
-	Cancel   *remoteCall    `json:",omitempty"` // new to old: give a call up
+	Put      *relayedPut    `json:",omitempty"` // old to new: a message submitted by a client
+	Answer   *relayedPut    `json:",omitempty"` // new to old: the answer to that client
+	Reply    *remoteReply   `json:",omitempty"` // old to new: the outcome of a call
+	Health   *healthEvent   `json:",omitempty"` // old to new: the outcome of a probe
+	Cancel   *remoteCall    `json:",omitempty"` // new to old: cancel a call
 }
 
-// handover is what the owner of the journal knows beyond it.
+// handoverState is the part of the owner's state that is not in the journal.
 type handoverState struct {
-	Snapshot          []byte `json:"Module"` // the decisions
+	Snapshot          []byte `json:"Module"` // of logic.Sender
 	Now               logic.Micros
-	ClockNow          int64 `json:"Wall"` // the lasting clock at Now, microseconds
+	ClockNow          int64 `json:"Wall"` // the journal's clock at Now, microseconds
 	Held              []heldState
-	Recent            map[string]int64 // on the lasting clock
+	Recent            map[string]int64 // deadlines of messages that ended recently, by id, on the journal's clock
 	LastEndpoint      logic.EndpointID `json:"Last"`
 	Targets           []targetState
 	Discovery         string
 	Generation        int64 `json:"Gen"`
 	HasList           bool  `json:"Started"`
 	DiscoveryAnswered bool  `json:"Heard"`
-	Watching          bool  // the module has asked to hear of changes, and is owed them
+	Watching          bool  // the logic.Sender has asked for changes of the list
 }
 
+// heldState is a message in a handoverState.
 type heldState struct {
-	Message    Message     // without its body, which stands in the journal
+	Message    Message     // without its body, which is in the journal
 	Attempts   int         `json:"Tries"`
 	Ended      bool        `json:"Over"`
-	ReceivedAt int64       `json:"Came"` // on the lasting clock
+	ReceivedAt int64       `json:"Came"` // on the journal's clock
 	AttemptLog string      `json:"Trail"`
-	Call       *remoteCall // the attempt that is out
+	Call       *remoteCall // the attempt in flight
 }
 
+// targetState is an endpoint in a handoverState.
 type targetState struct {
 	ID         logic.EndpointID
 	Name, Addr string
 	Zone, Kind int
 	Dest       int64
-	RemovedAt  int64 `json:"Gone"`           // on the lasting clock; 0 while it is listed
-	NoNewCalls bool  `json:"Shut,omitempty"` // it wants no new calls; not of older builds
+	RemovedAt  int64 `json:"Gone"`           // on the journal's clock; 0 while it is listed
+	NoNewCalls bool  `json:"Shut,omitempty"` // the endpoint takes no new calls; older builds don't send this
 }
 
-// remoteCall is an attempt that the old process has out.
+// remoteCall is a call that the old process has in flight.
 type remoteCall struct {
 	ID       string
 	Attempt  int
@@ -72,6 +74,7 @@
 
 func newRemoteCall(c *call) remoteCall { return remoteCall{c.id, c.attempt, c.ep, c.state.Load()} }
 
+// remoteReply is the outcome of a call of the old process.
 type remoteReply struct {
 	Call        remoteCall
 	Outcome     logic.Outcome
@@ -82,13 +85,14 @@
 	Duration    time.Duration `json:"Took"`
 }
 
+// relayedPut is a message of a client of the old process, or the answer to it.
 type relayedPut struct {
 	Seq     int      `json:"N"`
 	Message *Message `json:"Msg,omitempty"`
 	Answer  string   `json:",omitempty"`
 }
 
-// remoteEvent carries what the old process tells the new one's loop.
+// remoteEvent delivers a packet of the old process, or the loss of its connection, to the new one's event loop.
 type remoteEvent struct {
 	from *predecessor
 	packet
@@ -97,16 +101,16 @@
 
 // ---- The new process -----------------------------------------------------------------
 
-// predecessor is the process before this one, while it lasts.
+// predecessor is the process that handed over to this one, while it still runs.
 type predecessor struct {
 	link  *link
-	calls map[string]*call // its calls, by message; the loop's
+	calls map[string]*call // calls in flight there, by message id; used by the event loop only
 }
 
-// claim waits until this process owns the state folder. With a predecessor that hands over it returns what that
-// has told, else nil: then the journal alone counts.
+// acquireOwnership waits until this process owns the state folder. It returns the state that a predecessor has handed
+// over, or nil if there was no handover and the journal is all there is.
 func (n *Node) acquireOwnership(ctx context.Context) (*handoverState, error) {
-	failing := failureLog{log: n.log, operation: "no handover: waits for the owner's end"}
+	failures := failureLog{log: n.log, operation: "no handover: waits for the owner's end"}
 	for {
 		lock, err := tryLock(n.cfg.StateDir)
 		if err != nil && !isTransient(err) {
@@ -119,22 +123,22 @@
 			return nil, nil
 		}
 		n.stoodBy = n.stoodBy || err == nil
-		var st *handoverState
+		var state *handoverState
 		if err == nil {
-			if st, err = n.awaitHandover(ctx); err == nil {
-				return st, nil
+			if state, err = n.awaitHandover(ctx); err == nil {
+				return state, nil
 			}
 		}
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		failing.observe(err)
+		failures.observe(err)
 		n.clients.turn(starting)
 		pause(ctx, lockPollInterval)
 	}
 }
 
-// standBy waits for the owner to hand over. The error says why it did not.
+// awaitHandover waits for the owner to hand over. The error tells why it did not.
 func (n *Node) awaitHandover(ctx context.Context) (*handoverState, error) {
 	l, err := dialOwner(n.cfg.StateDir)
 	if err != nil {
@@ -146,7 +150,7 @@
 		l.close()
 		return nil, err
 	}
-	if n.ln != nil { // from an owner before this one
+	if n.ln != nil { // received from an earlier owner
 		n.ln.Close()
 	}
 	n.ln = ln
@@ -158,12 +162,12 @@
 		l.close()
 		return nil, err
 	}
-	st := p.State
-	if st == nil {
+	state := p.State
+	if state == nil {
 		l.close()
 		return nil, errors.New("the owner sent no state")
 	}
-	sender, err := logic.Restore(n.cfg.Deployment.Settings, st.Snapshot)
+	sender, err := logic.Restore(n.cfg.Deployment.Settings, state.Snapshot)
 	if err != nil {
 		err = errors.Join(err, l.write(packet{Refused: err.Error()}))
 		l.close()
@@ -173,46 +177,46 @@
 		l.close()
 		return nil, err
 	}
-	var yours packet
-	if err := l.read(&yours, time.Now().Add(2*linkTimeout)); err != nil || !yours.Released {
+	var released packet
+	if err := l.read(&released, time.Now().Add(2*linkTimeout)); err != nil || !released.Released {
 		l.close()
-		return nil, errors.Join(errors.New("the owner did not let go"), err)
+		return nil, errors.Join(errors.New("the owner did not release its ownership"), err)
 	}
-	// From here on the old process writes nothing more; it lets go of the lock as soon as it has closed the journal.
-	for by := time.Now().Add(linkTimeout); ; pause(ctx, time.Millisecond) {
+	// The old process writes nothing more to the journal. It releases the lock as soon as it has closed the journal.
+	for deadline := time.Now().Add(linkTimeout); ; pause(ctx, time.Millisecond) {
 		if n.lock, err = tryLock(n.cfg.StateDir); n.lock != nil {
 			break
 		}
-		if err != nil && !isTransient(err) || time.Now().After(by) {
+		if err != nil && !isTransient(err) || time.Now().After(deadline) {
 			l.close()
-			return nil, errors.Join(errors.New("the lock is still taken"), err)
+			return nil, errors.Join(errors.New("the lock was not released"), err)
 		}
 	}
 	n.sender, n.before = sender, &predecessor{link: l, calls: map[string]*call{}}
-	return st, nil
+	return state, nil
 }
 
-// adopt goes on with what the old process has told. The journal is the measure: where the two do not fit, nothing is
-// changed and the error says so.
-func (n *Node) restoreHandover(st *handoverState) error {
+// restoreHandover restores the state that the old process has handed over. If that contradicts the journal, it changes
+// nothing and returns an error.
+func (n *Node) restoreHandover(state *handoverState) error {
 	all := map[string]*held{}
 	open := 0
-	for i := range st.Held {
-		x := &st.Held[i]
-		h := &held{msg: &x.Message, tries: x.Attempts, over: x.Ended, trail: trail{n.clock.At(x.ReceivedAt), []byte(x.AttemptLog)}}
-		if !x.Ended {
-			e := n.journal.Entry(x.Message.ID)
+	for i := range state.Held {
+		saved := &state.Held[i]
+		h := &held{msg: &saved.Message, tries: saved.Attempts, over: saved.Ended, trail: trail{n.clock.At(saved.ReceivedAt), []byte(saved.AttemptLog)}}
+		if !saved.Ended {
+			e := n.journal.Entry(saved.Message.ID)
 			if e == nil || e.End != nil {
-				return fmt.Errorf("message %s is not in the journal", x.Message.ID)
+				return fmt.Errorf("message %s is not in the journal", saved.Message.ID)
 			}
 			h.msg = &e.Message
 			open++
 		}
-		if c := x.Call; c != nil {
+		if c := saved.Call; c != nil {
 			h.call = &call{id: c.ID, attempt: c.Attempt, ep: c.Endpoint, msg: h.msg, state: new(atomic.Int32)}
 			h.call.state.Store(c.State)
 		}
-		all[x.Message.ID] = h
+		all[saved.Message.ID] = h
 	}
 	for _, e := range n.journal.Entries() {
 		if h := all[e.ID]; e.End == nil && (h == nil || h.over) {
@@ -226,72 +230,73 @@
 		}
 	}
 	n.held, n.open = all, open
-	maps.Copy(n.recent, st.Recent)
-	n.dir.restore(st, n.clock)
-	n.start = n.clock.At(st.ClockNow).Add(-span(st.Now))
+	maps.Copy(n.recent, state.Recent)
+	n.dir.restore(state, n.clock)
+	n.start = n.clock.At(state.ClockNow).Add(-span(state.Now))
 	for _, e := range n.journal.Entries() {
 		if e.End != nil {
 			n.notices.add(*e.End)
 		}
 	}
-	n.disc.heard, n.follow = st.DiscoveryAnswered, st.Watching
-	if st.Discovery == n.disc.addr { // generations of another address need not follow on
-		n.disc.gen, n.disc.started = st.Generation, st.HasList
+	n.disc.heard, n.follow = state.DiscoveryAnswered, state.Watching
+	if state.Discovery == n.disc.addr { // generations of different addresses are unrelated
+		n.disc.gen, n.disc.started = state.Generation, state.HasList
 	}
 	n.log.Info("handed over", "held", open, "calls", len(n.before.calls))
 	return nil
 }
 
-// stop gives a call of the old process up. One that still connects there is not written any more if this one
-// has held it.
+// cancelFunc returns a function that cancels a call of the old process. If the call is still connecting there and this
+// process has put it on hold, the old process does not write it any more.
 func (p *predecessor) cancelFunc(c *call) context.CancelFunc {
 	return func() {
 		if p.calls[c.id] == c {
-			// If the link is broken the reader says so, and that ends all calls.
-			x := newRemoteCall(c)
-			p.link.write(packet{Cancel: &x})
+			// The reader of the link reports a failed write, and that ends all calls.
+			remote := newRemoteCall(c)
+			p.link.write(packet{Cancel: &remote})
 		}
 	}
 }
 
-// read passes on what the old process tells, until it is gone.
+// receive passes packets of the old process to the event loop, until the link is closed.
 func (p *predecessor) receive(work context.Context, events chan<- any) {
 	defer context.AfterFunc(work, p.link.close)()
 	for {
-		var x packet
-		var ev any
-		switch err := p.link.read(&x, time.Time{}); {
+		var in packet
+		var event any
+		switch err := p.link.read(&in, time.Time{}); {
 		case err != nil:
 			p.link.close()
-			ev = remoteEvent{from: p, disconnected: true}
-		case x.Put != nil && x.Put.Message != nil:
+			event = remoteEvent{from: p, disconnected: true}
+		case in.Put != nil && in.Put.Message != nil:
 			later := make(chan string, 1)
-			go p.sendAnswer(work, x.Put.Seq, later)
-			ev = putEvent{*x.Put.Message, later}
+			go p.sendAnswer(work, in.Put.Seq, later)
+			event = putEvent{*in.Put.Message, later}
 		default:
-			ev = remoteEvent{from: p, packet: x}
+			event = remoteEvent{from: p, packet: in}
 		}
 		select {
-		case events <- ev:
+		case events <- event:
 		case <-work.Done():
 			return
 		}
-		if r, ok := ev.(remoteEvent); ok && r.disconnected {
+		if r, ok := event.(remoteEvent); ok && r.disconnected {
 			return
 		}
 	}
 }
 
-// answer tells the old process what its client gets.
+// sendAnswer sends the old process the answer to its client.
 func (p *predecessor) sendAnswer(work context.Context, n int, later <-chan string) {
 	select {
 	case line := <-later:
-		p.link.write(packet{Answer: &relayedPut{Seq: n, Answer: line}}) // a broken link is the reader's to see
+		p.link.write(packet{Answer: &relayedPut{Seq: n, Answer: line}}) // the reader of the link reports a failed write
 	case <-work.Done():
 	}
 }
 
-// replies are the outcomes that come with what the old process tells, its end too: what it took with it may have run.
+// replies returns the outcomes of calls that follow from an event of the old process. If its connection is lost, all of
+// its calls are severed: they may have run.
 func (p *predecessor) replies(ev remoteEvent) (out []replyEvent) {
 	if r := ev.Reply; r != nil {
 		c := p.calls[r.Call.ID]
@@ -310,10 +315,10 @@
 	return out
 }
 
-// remote takes what the old process has told.
+// handleRemote handles an event of the old process.
 func (n *Node) handleRemote(ev remoteEvent) {
 	if ev.disconnected {
-		n.log.Info("the process before is gone", "calls", len(ev.from.calls))
+		n.log.Info("predecessor disconnected", "calls", len(ev.from.calls))
 		n.before = nil
 		n.shareLimits(1)
 	}
@@ -327,30 +332,30 @@
 
 // ---- The old process -----------------------------------------------------------------
 
-// successorEvent is a process that stands by, or the one that did and is gone.
+// successorEvent tells the event loop that a successor has connected, or that it has disconnected.
 type successorEvent struct {
 	successor    *successor
 	disconnected bool
 }
 
-// successor is the process that stands by to replace this one.
+// successor is a standby process that is ready to replace this one.
 type successor struct {
 	link    *link
-	packets chan packet // what it says; closed with the link
+	packets chan packet // received from it; closed with the link
 }
 
-// unixListener is what awaitSuccessors needs of a *net.UnixListener.
+// handoverListener has the methods of a *net.UnixListener that acceptSuccessors needs.
 type handoverListener interface {
 	AcceptUnix() (*net.UnixConn, error)
 	Close() error
 }
 
-// awaitSuccessors greets the processes that come to replace this one, until ctx is over, and gives them the socket on
-// which clients are taken. One at a time stands by.
+// acceptSuccessors accepts processes that connect to replace this one, one at a time, and sends them the listener on
+// which clients are served. It runs until ctx is done.
 func (n *Node) acceptSuccessors(ctx context.Context, ln handoverListener, clients *net.TCPListener) {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
-	rest := acceptPause
-	accepting := failureLog{log: n.log, operation: "handover: accept"} // where such sockets are refused it does not end
+	delay := acceptPause
+	accepting := failureLog{log: n.log, operation: "handover: accept"} // lasts where the platform refuses Unix sockets
 	greeting := failureLog{log: n.log, operation: "handover: greeting"}
 	for {
 		conn, err := ln.AcceptUnix()
@@ -359,19 +364,19 @@
 		}
 		accepting.observe(err)
 		if err != nil {
-			pause(ctx, rest)
-			rest = min(2*rest, maxAcceptRetryDelay)
+			pause(ctx, delay)
+			delay = min(2*delay, maxAcceptRetryDelay)
 			continue
 		}
-		rest = acceptPause
+		delay = acceptPause
 		s := &successor{link: &link{conn: conn}, packets: make(chan packet, 64)}
 		stop := context.AfterFunc(ctx, s.link.close)
 		if err := s.link.readGreeting(); err == nil {
-			n.events <- successorEvent{successor: s} // known before it can say that it is ready
+			n.events <- successorEvent{successor: s} // the event loop must know of it before it reports ready
 			err = s.link.sendListener(n.cfg.ListenAddr, clients)
 			greeting.observe(err)
 			if err == nil {
-				s.receive(ctx) // another waits its turn
+				s.receive(ctx) // a further successor waits until this one has disconnected
 			}
 			close(s.packets)
 			n.events <- successorEvent{s, true}
@@ -381,7 +386,7 @@
 	}
 }
 
-// read takes what the successor says until it is gone or ctx is over.
+// receive queues packets of the successor until it disconnects or ctx is done.
 func (s *successor) receive(ctx context.Context) {
 	for {
 		var p packet
@@ -396,7 +401,7 @@
 	}
 }
 
-// standsBy notes a process that stands by, or its end.
+// updateSuccessor notes that a successor has connected or disconnected.
 func (n *Node) updateSuccessor(ev successorEvent) {
 	switch {
 	case !ev.disconnected:
@@ -410,18 +415,18 @@
 	}
 }
 
-// handOver gives all that this process owns to its successor, in one step: nothing else happens until it is done. On
-// an error this process owns it as before.
+// handOver transfers ownership of the journal and all messages to the successor. The event loop handles nothing else
+// meanwhile. On an error this process remains the owner.
 func (n *Node) handOver() error {
 	s := n.after
-	st, err := n.collectHandoverState()
+	state, err := n.collectHandoverState()
 	if err != nil {
 		return err
 	}
-	if err := n.writeRecords(nil); err != nil { // the successor would not see what the file lacks
+	if err := n.writeRecords(nil); err != nil { // the successor only sees what is in the file
 		return err
 	}
-	if err := s.link.write(packet{State: st}); err != nil {
+	if err := s.link.write(packet{State: state}); err != nil {
 		return err
 	}
 	t := time.NewTimer(linkTimeout)
@@ -430,7 +435,7 @@
 	case p := <-s.packets:
 		if !p.Accepted {
 			s.link.close()
-			return fmt.Errorf("the successor did not understand: %s", p.Refused)
+			return fmt.Errorf("the successor did not accept the state: %s", p.Refused)
 		}
 	case <-t.C:
 		s.link.close()
@@ -439,76 +444,99 @@
 	if err := s.link.write(packet{Released: true}); err != nil {
 		return err
 	}
-	// From here on the journal is the successor's, whatever else fails.
+	// From here on the successor owns the journal, whatever else fails.
 	if err := errors.Join(n.journal.Close(), n.lock.Close()); err != nil {
-		n.log.Error("handover: closing", "err", err)
+		n.log.Error("handover: cannot close the journal or its lock", "err", err)
 	}
 	return nil
 }
 
-// handoverState collects what the journal does not hold.
+// collectHandoverState collects the state that is not in the journal.
 func (n *Node) collectHandoverState() (*handoverState, error) {
 	now := time.Now()
-	st := &handoverState{Now: micros(now.Sub(n.start)), ClockNow: n.clock.Of(now), Recent: maps.Clone(n.recent), LastEndpoint: n.dir.last,
-		Discovery: n.disc.addr, Generation: n.disc.gen, HasList: n.disc.started,
-		DiscoveryAnswered: n.disc.heard, Watching: n.disc.watching}
+	state := &handoverState{
+		Now:               micros(now.Sub(n.start)),
+		ClockNow:          n.clock.Of(now),
+		Recent:            maps.Clone(n.recent),
+		LastEndpoint:      n.dir.last,
+		Discovery:         n.disc.addr,
+		Generation:        n.disc.gen,
+		HasList:           n.disc.started,
+		DiscoveryAnswered: n.disc.heard,
+		Watching:          n.disc.watching,
+	}
 	var err error
-	if st.Snapshot, err = n.sender.Snapshot(); err != nil {
+	if state.Snapshot, err = n.sender.Snapshot(); err != nil {
 		return nil, err
 	}
 	for _, h := range n.held {
-		x := heldState{Message: *h.msg, Attempts: h.tries, Ended: h.over, ReceivedAt: n.clock.Of(h.trail.came), AttemptLog: string(h.trail.text)}
-		x.Message.Body = nil
+		entry := heldState{
+			Message:    *h.msg,
+			Attempts:   h.tries,
+			Ended:      h.over,
+			ReceivedAt: n.clock.Of(h.trail.came),
+			AttemptLog: string(h.trail.text),
+		}
+		entry.Message.Body = nil
 		if h.call != nil {
 			c := newRemoteCall(h.call)
-			x.Call = &c
+			entry.Call = &c
 		}
-		st.Held = append(st.Held, x)
+		state.Held = append(state.Held, entry)
 	}
 	for id, to := range n.dir.eps {
-		x := targetState{ID: id, Name: to.name, Addr: to.addr, Zone: to.zone, Kind: to.kind, Dest: to.dest, NoNewCalls: n.dir.shut[id]}
+		entry := targetState{
+			ID:         id,
+			Name:       to.name,
+			Addr:       to.addr,
+			Zone:       to.zone,
+			Kind:       to.kind,
+			Dest:       to.dest,
+			NoNewCalls: n.dir.shut[id],
+		}
 		if at, ok := n.dir.gone[id]; ok {
-			x.RemovedAt = n.clock.Of(at)
+			entry.RemovedAt = n.clock.Of(at)
 		}
-		st.Targets = append(st.Targets, x)
+		state.Targets = append(state.Targets, entry)
 	}
-	return st, nil
+	return state, nil
 }
 
-// restore brings the directory back.
-func (d *Directory) restore(st *handoverState, clock *clock.Lasting) {
-	d.last = st.LastEndpoint
-	for _, x := range st.Targets {
-		to := target{name: x.Name, addr: x.Addr, zone: x.Zone, kind: x.Kind, dest: x.Dest}
-		if x.RemovedAt != 0 {
-			d.gone[x.ID] = clock.At(x.RemovedAt)
+// restore fills an empty directory from the state of a handover.
+func (d *Directory) restore(state *handoverState, clock *clock.Lasting) {
+	d.last = state.LastEndpoint
+	for _, saved := range state.Targets {
+		to := target{name: saved.Name, addr: saved.Addr, zone: saved.Zone, kind: saved.Kind, dest: saved.Dest}
+		if saved.RemovedAt != 0 {
+			d.gone[saved.ID] = clock.At(saved.RemovedAt)
 		}
-		if x.NoNewCalls || x.RemovedAt != 0 {
-			d.shut[x.ID] = true
+		if saved.NoNewCalls || saved.RemovedAt != 0 {
+			d.shut[saved.ID] = true
 		}
-		d.ids[x.Name], d.eps[x.ID] = x.ID, to
-		d.dests[x.Dest]++
+		d.ids[saved.Name], d.eps[saved.ID] = saved.ID, to
+		d.dests[saved.Dest]++
 	}
 }
 
-// retire is what is left to do after the handover: to pass on what comes on the clients' connections until they are
-// idle, and to report how calls end. What is not over within the time after SIGTERM goes with the process.
+// relayUntilIdle does the remaining work after a handover: it forwards requests that arrive on the connections of
+// clients until all are closed, and the outcomes of the calls in flight. Whatever has not ended by the time limit after
+// SIGTERM is abandoned.
 func (n *Node) relayUntilIdle(work context.Context) {
-	n.ln.Close() // the successor has it too: what waits in its queue is not lost
+	n.ln.Close() // the successor shares the socket, so connections waiting to be accepted are not lost
 	n.disc.halt()
 	n.caller.releaseAll()
 	n.clients.stopReading(n.closing.Add(stopSends))
 	n.clients.turn(replaced)
 	n.figures.openMessages.Store(0)
-	grace, end := context.WithDeadline(work, n.closing.Add(stopAll))
-	defer end()
-	served := make(chan struct{})
+	grace, cancel := context.WithDeadline(work, n.closing.Add(stopAll))
+	defer cancel()
+	clientsGone := make(chan struct{})
 	go func() {
 		n.clients.gone(grace)
-		close(served)
+		close(clientsGone)
 	}()
 	r := relay{node: n, successor: n.after, packets: n.after.packets, waiting: map[int]chan<- string{}}
-	for quiet := false; !quiet || len(r.waiting) > 0 || len(n.calls()) > 0; {
+	for idle := false; !idle || len(r.waiting) > 0 || len(n.calls()) > 0; {
 		select {
 		case ev := <-n.events:
 			r.forward(ev)
@@ -519,8 +547,8 @@
 				continue
 			}
 			r.handle(p)
-		case <-served:
-			quiet, served = true, nil
+		case <-clientsGone:
+			idle, clientsGone = true, nil
 		case <-grace.Done():
 			n.log.Warn("replaced, with calls out", "calls", len(n.calls()))
 			return
@@ -529,25 +557,26 @@
 	n.log.Info("replaced")
 }
 
-// relay passes on what comes after the handover.
+// relay forwards events to the successor after the handover.
 type relay struct {
 	node      *Node
 	successor *successor
-	packets   <-chan packet         // nil once the successor is gone
-	waiting   map[int]chan<- string // clients, by the number of their message
+	packets   <-chan packet         // nil once the successor has disconnected
+	waiting   map[int]chan<- string // channels for the answers to clients, by sequence number of the message
 	lastSeq   int
 }
 
-// lost answers the clients whose messages the successor has taken with it: whether they were taken on is not known.
+// failWaiting answers the clients whose messages were forwarded to a successor that has disconnected: whether it
+// accepted them is unknown.
 func (r *relay) failWaiting() {
-	for k, answer := range r.waiting {
+	for seq, answer := range r.waiting {
 		answer <- answerFailed
-		delete(r.waiting, k)
+		delete(r.waiting, seq)
 	}
 	r.packets = nil
 }
 
-// pass tells the successor what has come.
+// forward sends an event to the successor.
 func (r *relay) forward(ev any) {
 	var p packet
 	switch ev := ev.(type) {
@@ -559,7 +588,7 @@
 		r.lastSeq++
 		r.waiting[r.lastSeq] = ev.answer
 		p.Put = &relayedPut{Seq: r.lastSeq, Message: &ev.msg}
-	case remoteEvent: // from a process before this one that still ends its calls
+	case remoteEvent: // from a predecessor that still has calls in flight
 		for _, x := range ev.from.replies(ev) {
 			r.forward(x)
 		}
@@ -569,19 +598,26 @@
 		if h := r.node.held[c.id]; h != nil && h.call == c {
 			r.node.landed(h)
 		}
-		p.Reply = &remoteReply{Call: newRemoteCall(c), Outcome: x.outcome, RetryAfter: x.wait, MessageOver: x.over, Load: x.load, Idle: x.idle,
-			Duration: ev.took}
+		p.Reply = &remoteReply{
+			Call:        newRemoteCall(c),
+			Outcome:     x.outcome,
+			RetryAfter:  x.wait,
+			MessageOver: x.over,
+			Load:        x.load,
+			Idle:        x.idle,
+			Duration:    ev.took,
+		}
 	case healthEvent:
 		p.Health = &ev
-	default: // news of the list or of notices: the successor hears of that itself
+	default: // changes of the list and confirmed notices: the successor receives its own
 		return
 	}
 	if err := r.successor.link.write(p); err != nil {
-		r.node.log.Error("relay", "err", err) // and the reader of the link sees its end
+		r.node.log.Error("relay", "err", err) // the reader of the link notices the failure too
 	}
 }
 
-// obey does what the successor says.
+// handle handles a packet of the successor.
 func (r *relay) handle(p packet) {
 	if p.Answer != nil {
 		if answer := r.waiting[p.Answer.Seq]; answer != nil {
@@ -601,7 +637,7 @@
 	}
 }
 
-// shareWith bounds what this process uses to its part of the limits, with so many processes in all.
+// shareLimits restricts this process to its share of the resource limits, for a total of so many processes.
 func (n *Node) shareLimits(processes int) {
 	limits := n.cfg.Limits.among(processes)
 	limits.BindMemory()
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -16,40 +16,40 @@
 	"rundeal/internal/clock"
 )
 
-// Message is a message as a client handed it in.
+// Message is a message as submitted by a client.
 type Message struct {
 	ID             string `json:"id"`
-	IdempotencyKey string `json:"key,omitempty"`   // idempotency key
-	OrderKey       string `json:"order,omitempty"` // order key
+	IdempotencyKey string `json:"key,omitempty"`
+	OrderKey       string `json:"order,omitempty"`
 	Class          string `json:"class"`
 	Tenant         string `json:"tenant,omitempty"`
 	Dest           int64  `json:"dest"`
-	Deadline       int64  `json:"deadline"` // on the journal's lasting clock, microseconds
+	Deadline       int64  `json:"deadline"` // microseconds on the journal's clock
 	Body           []byte `json:"body,omitempty"`
 }
 
-// The states of a Notice.
+// States of a Notice.
 const (
 	noticeFailed   = "failed"
 	noticeReturned = "returned"
 )
 
-// Notice is the end of a message as the platform is told of it.
+// Notice reports to the platform that this sender has given a message up.
 type Notice struct {
 	ID      string `json:"id"`
-	State   string `json:"state"` // failed or returned
+	State   string `json:"state"` // noticeFailed or noticeReturned
 	AfterMS int64  `json:"after_ms,omitempty"`
 }
 
-// Entry is what the journal knows of a message that is not over, or whose end the
-// platform has yet to confirm.
+// Entry is the journal's state of a message that has not ended, or whose notice
+// the platform has not confirmed yet.
 type Entry struct {
 	Message
 	Attempts        int     `json:"tries,omitempty"`
 	InFlight        bool    `json:"open,omitempty"`      // the last attempt has no outcome
-	MayHaveRun      bool    `json:"may_run,omitempty"`   // an earlier one may have run
-	FirstMayRunAt   int64   `json:"first_may,omitempty"` // when the first that may have run was sent, on the lasting clock
-	FirstMayRunZone int     `json:"zone,omitempty"`      // zone of its endpoint
+	MayHaveRun      bool    `json:"may_run,omitempty"`   // an earlier attempt may have run
+	FirstMayRunAt   int64   `json:"first_may,omitempty"` // when the first attempt that may have run was sent, on the journal's clock
+	FirstMayRunZone int     `json:"zone,omitempty"`      // zone of that attempt's endpoint
 	End             *Notice `json:"end,omitempty"`
 	seq             int
 	size            int
@@ -59,16 +59,16 @@
 type op byte
 
 const (
-	opAccept          op = iota + 1 // a message is taken on
+	opAccept          op = iota + 1 // a message is accepted
 	opSend                          // an attempt is about to be made
-	opOutcome                       // it has its outcome
-	opDone                          // delivered, or over without our word
-	opGiveUp                        // ended by us; the notice is owed
-	opNoticeConfirmed               // the notice is confirmed
-	opClock                         // what the times of all records count on
+	opOutcome                       // the attempt has an outcome
+	opDone                          // the message is delivered, or the endpoint says that it is over
+	opGiveUp                        // this sender gives the message up and owes the platform a notice
+	opNoticeConfirmed               // the platform has confirmed the notice
+	opClock                         // stamp of the clock that the times of all records refer to
 )
 
-// record is one line of the journal.
+// record is one entry of the journal file.
 type record struct {
 	Op         op      `json:"op"`
 	ID         string  `json:"id,omitempty"`
@@ -82,65 +82,66 @@
 	Clock *clock.Stamp `json:"clock,omitempty"`
 }
 
-// binds says whether a record must be in the file before what it tells of may happen. Others only tell of the past.
+// writeAhead reports whether the record must be in the file before the step that it describes may be taken. All other
+// records describe something that has already happened.
 func (r record) writeAhead() bool { return r.Op == opAccept || r.Op == opSend }
 
 const (
 	journalFile    = "journal"
-	rewriteSuffix  = ".new"     // of a file that is being written
-	damagedSuffix  = ".damaged" // of what could not be read
-	frameHeaderLen = 8          // length and CRC-32 of what follows
+	rewriteSuffix  = ".new"     // of the file that a rewrite is writing
+	damagedSuffix  = ".damaged" // of the copy of unreadable data
+	frameHeaderLen = 8          // length and CRC-32 of the body
 	maxRecordBytes = 1 << 20
-	// filePart is the part of the disk that the journal's file may take: for the time of a rewrite there are two.
+	// fileDiskShare is the share of the disk limit for one journal file: during a rewrite there are two.
 	fileDiskShare = 0.45
-	// asidePart is the part of the disk that damaged records may take, which are kept aside.
+	// damagedDiskShare is the share of the disk limit for the copy of damaged records.
 	damagedDiskShare = 0.05
-	// acceptPart is the part of a file that entries may fill before new messages are turned away: the rest is
-	// room for what becomes of those already taken on.
+	// acceptFileShare is the share of a file that entries may fill before new messages are refused. The rest is kept
+	// free for later records of messages that have already been accepted.
 	acceptFileShare = 0.6
-	// rewritePause is the time between rewrites that fail half way.
+	// rewriteRetryDelay is the minimum time between rewrites if one fails while it writes the new file.
 	rewriteRetryDelay = 250 * time.Millisecond
-	// mostFile bounds a file where the platform sets no tighter limit; files count as memory.
+	// maxFileBytes is the size limit of a file if the platform sets no lower one; files count as memory.
 	maxFileBytes = 16 << 20
 )
 
 var (
-	// errFull says that the journal has no room for another record.
+	// errJournalFull: the journal has no room for another record.
 	errJournalFull = errors.New("journal full")
-	// errUncertain says that records which do not count may be in the file all the same, until it can be cut.
-	errTruncateFailed = errors.New("the file could not be cut back")
+	// errTruncateFailed: records of a failed write may remain in the file until it can be truncated.
+	errTruncateFailed = errors.New("cannot truncate the file after a failed write")
 )
 
-// Journal keeps accepted messages in a file that outlives the process. Its
-// records are appended; a file that grows too long is rewritten with what is
-// still owed. It is not safe for concurrent use.
+// Journal keeps accepted messages in a file that survives the process. Records
+// are appended; when the file reaches its limit it is rewritten with the live
+// entries only. A Journal is not safe for concurrent use.
 type Journal struct {
 	dir             string
 	file            *os.File
-	size            int64 // of the part that counts
-	maxBytes        int64 // of one file
-	maxDamagedBytes int64 // most bytes that are kept aside
-	liveBytes       int64 // rough size of what a rewrite keeps
+	size            int64 // of the valid part of file
+	maxBytes        int64 // size limit of one file
+	maxDamagedBytes int64 // size limit of the copy of damaged records
+	liveBytes       int64 // estimated size of the file after a rewrite
 	seq             int
 	entries         map[string]*Entry
 	clock           *clock.Lasting
 	stamp           clock.Stamp
-	hasStamp        bool     // a stamp was read
-	latestTime      int64    // the latest time on record
-	pending         []record // of the past, in order: they could not be written yet
-	needsTruncate   bool     // there may be bytes behind size
-	lastWriteFailed bool     // the last write did
+	hasStamp        bool     // replay has read a stamp
+	latestTime      int64    // latest time in any record
+	pending         []record // records of past events that could not be written yet, in order
+	needsTruncate   bool     // there may be invalid bytes after size
+	lastWriteFailed bool
 
-	rewriteFailedAt time.Time // when a rewrite last failed half way
+	rewriteFailedAt time.Time // when writing the new file of a rewrite last failed
 
-	skippedBytes int64 // bytes that could not be read at the start: a torn end, or damage and all behind it
+	skippedBytes int64 // bytes that replay left out: an incomplete last record, or a damaged one and all that follows
 
-	saveDamagedErr error // why they could not be kept aside
+	saveDamagedErr error // why the skipped bytes could not be copied
 }
 
-// OpenJournal replays the journal in dir and makes it ready for appending.
-// Together its files stay under diskBytes. A read that fails is an error, unless
-// lenient: then the journal ends before it.
+// OpenJournal replays the journal in dir and opens it for appending. The total
+// size of its files stays below diskBytes. A failed read is an error, unless
+// lenient is set: then the journal is taken to end before it.
 func OpenJournal(dir string, diskBytes int64, lenient bool) (*Journal, error) {
 	disk := float64(diskBytes)
 	if diskBytes <= 0 || disk*fileDiskShare > maxFileBytes {
@@ -165,20 +166,21 @@
 
 func (j *Journal) path(suffix string) string { return filepath.Join(j.dir, journalFile+suffix) }
 
-// startClock goes on with the clock of the records, or begins one. A stamp that is new comes before all other records.
+// startClock resumes the clock of the records, or starts a new one. A new stamp is written before all other records.
 func (j *Journal) startClock() {
-	was := j.stamp
+	old := j.stamp
 	if j.hasStamp {
 		j.clock, j.stamp = clock.Resume(j.stamp, j.latestTime)
-	} else { // a journal of an older build: its times are Unix time
+	} else { // written by an older build: its times are Unix time
 		j.clock, j.stamp = clock.Begin()
 	}
-	if !j.hasStamp || j.stamp != was {
+	if !j.hasStamp || j.stamp != old {
 		j.pending = append(j.pending, record{Op: opClock, Clock: &j.stamp})
 	}
 }
 
-// replay reads records up to the first that is not whole. What follows is kept aside, and cut off before the next write.
+// replay reads records up to the first incomplete or damaged one. The rest is copied to another file, and truncated
+// before the next write.
 func (j *Journal) replay(f *os.File, lenient bool) error {
 	r := bufio.NewReaderSize(f, 1<<16)
 	for {
@@ -206,10 +208,11 @@
 	return nil
 }
 
-// errNotWhole says that no whole record comes next.
-var errIncompleteRecord = errors.New("no whole record")
+// errIncompleteRecord: the next bytes are not a complete, valid record.
+var errIncompleteRecord = errors.New("incomplete or damaged record")
 
-// readRecord reads the next record and says how many bytes it took. An error other than errNotWhole is one of the file.
+// readRecord reads the next record and returns its size in the file. Any error other than errIncompleteRecord is a
+// read error of the file.
 func readRecord(r io.Reader) (rec record, size int64, err error) {
 	var head [frameHeaderLen]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -229,7 +232,7 @@
 	return rec, frameHeaderLen + int64(n), nil
 }
 
-// orNotWhole tells the end of a file from a read that failed.
+// incompleteIfEOF turns an end of file into errIncompleteRecord and returns other read errors as they are.
 func incompleteIfEOF(err error) error {
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
 		return errIncompleteRecord
@@ -237,8 +240,8 @@
 	return err
 }
 
-// keepAside copies what follows the last whole record to a file of its own, within its bound. It is there for people to
-// look at: a disk that has no room for it is no reason not to start.
+// saveDamagedTail copies what follows the last valid record to a separate file, up to a size limit. The copy is for
+// later inspection only, so failing to write it does not prevent the start.
 func (j *Journal) saveDamagedTail(f *os.File) {
 	tail := make([]byte, min(j.skippedBytes, j.maxDamagedBytes))
 	n, err := f.ReadAt(tail, j.size)
@@ -248,7 +251,7 @@
 	j.saveDamagedErr = err
 }
 
-// apply brings the entries up to date with a record.
+// apply updates the entries with a record.
 func (j *Journal) apply(rec record) {
 	switch rec.Op {
 	case opClock:
@@ -298,22 +301,23 @@
 	}
 }
 
-// Room says whether the journal can take on a message with such a body.
+// HasRoom reports whether the journal can accept a message with a body of this many bytes.
 func (j *Journal) HasRoom(body int) bool {
 	return float64(j.liveBytes)+float64(body)*4/3+512 <= acceptFileShare*float64(j.maxBytes)
 }
 
-// Append writes records in one go, so that a process that dies leaves all of the
-// earlier ones before any later one. On an error none of them counts: the caller
-// must not act on a message taken on or a send. What only tells of the past
-// counts all the same, and is written before anything else as soon as that works.
+// Append writes records in a single write, in order, so that if the process dies
+// a later record is never in the file without the earlier ones. On an error the
+// caller must neither accept a message nor make a send that is among recs.
+// Records of past events take effect even then, and are written before any
+// others once writing works again.
 func (j *Journal) Append(recs []record) error {
 	if len(recs) == 0 && len(j.pending) == 0 {
 		return nil
 	}
 	err := j.write(recs)
 	if err != nil && j.lastWriteFailed && time.Since(j.rewriteFailedAt) > rewriteRetryDelay && !errors.Is(err, errJournalFull) {
-		err = j.rewriteAndAppend(recs, err) // it may be the file that fails
+		err = j.rewriteAndAppend(recs, err) // the error may be specific to this file
 	}
 	j.lastWriteFailed = err != nil
 	for _, rec := range recs {
@@ -330,45 +334,47 @@
 	return nil
 }
 
-// writeAnew puts what is owed into another file, and recs behind it. Why is the error of the file at hand.
-func (j *Journal) rewriteAndAppend(recs []record, why error) error {
+// rewriteAndAppend rewrites the journal into a new file and appends recs to it. The error of the write to the current
+// file is why.
+func (j *Journal) rewriteAndAppend(recs []record, cause error) error {
 	if err := j.Compact(); err != nil {
-		return errors.Join(why, err)
+		return errors.Join(cause, err)
 	}
 	return j.write(recs)
 }
 
-// Settled says whether all that counts is in the file.
+// Flushed reports whether no records are waiting to be written.
 func (j *Journal) Flushed() bool { return len(j.pending) == 0 }
 
-// write writes what is pending and then recs.
+// write appends the pending records and then recs to the file.
 func (j *Journal) write(recs []record) error {
-	earlier, err := encodeRecords(j.pending)
+	pending, err := encodeRecords(j.pending)
 	if err != nil {
 		return err
 	}
-	later, err := encodeRecords(recs)
+	added, err := encodeRecords(recs)
 	if err != nil {
 		return err
 	}
 	if err := j.truncateTail(); err != nil {
 		return err
 	}
-	if j.size+int64(len(earlier)+len(later)) > j.maxBytes {
-		if err := j.Compact(); err != nil { // it writes what is pending too
+	if j.size+int64(len(pending)+len(added)) > j.maxBytes {
+		if err := j.Compact(); err != nil { // includes the pending records
 			return err
 		}
-		earlier = nil
+		pending = nil
 	}
-	b := append(earlier, later...)
+	b := append(pending, added...)
 	if j.size+int64(len(b)) > j.maxBytes {
 		return errJournalFull
 	}
 	if _, err := j.file.WriteAt(b, j.size); err != nil {
-		// What was written in part must not stand before later records, and what of it is whole must not count.
-		j.needsTruncate = true // WriteAt does not count what its last write moved before the error
-		if cut := j.truncateTail(); cut != nil {
-			return errors.Join(err, errTruncateFailed, cut)
+		// A partial write must be removed: it would corrupt later records, and complete records in it must not be
+		// replayed. The number of bytes returned by WriteAt leaves out what its last system call wrote.
+		j.needsTruncate = true
+		if truncateErr := j.truncateTail(); truncateErr != nil {
+			return errors.Join(err, errTruncateFailed, truncateErr)
 		}
 		return err
 	}
@@ -377,7 +383,7 @@
 	return nil
 }
 
-// cutBack takes off what stands behind the part that counts.
+// truncateTail removes everything after the valid part of the file.
 func (j *Journal) truncateTail() error {
 	if !j.needsTruncate {
 		return nil
@@ -389,7 +395,7 @@
 	return nil
 }
 
-// frames encodes records for the file.
+// encodeRecords encodes records as they are stored in the file.
 func encodeRecords(recs []record) (b []byte, err error) {
 	for _, rec := range recs {
 		if b, err = appendRecord(b, rec); err != nil {
@@ -405,15 +411,15 @@
 		return b, err
 	}
 	if len(body) > maxRecordBytes {
-		return b, fmt.Errorf("record of %d bytes", len(body))
+		return b, fmt.Errorf("record of %d bytes is too long", len(body))
 	}
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(body))
 	return append(b, body...), nil
 }
 
-// Compact rewrites the journal with what is still owed. The old file stands until
-// the new one is whole.
+// Compact rewrites the journal with the live entries only. The old file stays in
+// place until the new one is complete.
 func (j *Journal) Compact() error {
 	recs := []record{{Op: opClock, Clock: &j.stamp}}
 	for _, e := range j.Entries() {
@@ -444,7 +450,7 @@
 	return nil
 }
 
-// Entries lists what is owed, in the order in which it was taken on.
+// Entries returns all live entries in the order in which their messages were accepted.
 func (j *Journal) Entries() []*Entry {
 	list := make([]*Entry, 0, len(j.entries))
 	for _, e := range j.entries {
@@ -454,8 +460,8 @@
 	return list
 }
 
-// Entry returns what is known of a message; nil if nothing is owed for it.
+// Entry returns the entry of a message, or nil if there is none.
 func (j *Journal) Entry(id string) *Entry { return j.entries[id] }
 
-// Close closes the file.
+// Close closes the journal file.
 func (j *Journal) Close() error { return j.file.Close() }
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -19,16 +19,17 @@
 	lockFile            = "lock"
 	handoverSocket      = "handover"
 	linkProtocolVersion = 1
-	linkTimeout         = time.Second // for one frame to be written, and for each step of a handover
+	linkTimeout         = time.Second // for writing a frame, and for each step of a handover
 	maxFrameBytes       = 16 << 20
-	lockPollInterval    = 20 * time.Millisecond // between looks at a lock that is taken
-	maxAcceptRetryDelay = time.Second           // the longest pause of a listener that fails
+	lockPollInterval    = 20 * time.Millisecond // between tries to take a lock that is held
+	maxAcceptRetryDelay = time.Second           // of a listener that keeps failing
 )
 
-// errTorn says that what came over the link is not a whole frame.
-var errBadFrame = errors.New("torn frame")
+// errBadFrame: the data received on the link is not a complete, valid frame.
+var errBadFrame = errors.New("invalid frame")
 
-// tryLock takes the lock on the state folder; nil if another process has it. The lock goes with the process.
+// tryLock takes the lock on the state folder, and returns nil if another process holds it. The lock is released when the
+// file is closed or the process ends.
 func tryLock(dir string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -45,35 +46,36 @@
 	return nil, fmt.Errorf("lock of the state folder: %w", err)
 }
 
-// inFolder calls f with the address of the socket in dir. A socket's path must be short, so it goes by way of the
-// folder's descriptor.
+// withSocketAddr calls f with the address of the handover socket in dir. The length of a socket's path is limited, so
+// the address refers to dir by a file descriptor.
 func withSocketAddr(dir string, f func(*net.UnixAddr) error) error {
-	d, err := os.Open(dir)
+	folder, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return f(&net.UnixAddr{Net: "unix", Name: fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), handoverSocket)})
+	defer folder.Close()
+	return f(&net.UnixAddr{Net: "unix", Name: fmt.Sprintf("/proc/self/fd/%d/%s", folder.Fd(), handoverSocket)})
 }
 
-// listenForSuccessor takes the socket in dir over from whoever had the lock before.
+// listenHandover listens on the handover socket in dir. It replaces the socket of the previous holder of the lock.
 func listenHandover(dir string) (ln *net.UnixListener, err error) {
 	if err := os.Remove(filepath.Join(dir, handoverSocket)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
 	err = withSocketAddr(dir, func(at *net.UnixAddr) error {
 		if ln, err = net.ListenUnix("unix", at); err == nil {
-			ln.SetUnlinkOnClose(false) // by then it may be the successor's
+			ln.SetUnlinkOnClose(false) // by then the file may be the successor's socket
 		}
 		return err
 	})
 	return ln, err
 }
 
-// link joins the two processes of a replacement. Frames are read by one goroutine and written by any.
+// link is the connection between the two processes of a handover. Only one goroutine may read from it; any number may
+// write.
 type link struct {
 	conn *net.UnixConn
-	mu   sync.Mutex // of writes
+	mu   sync.Mutex // held while a frame is written
 }
 
 func dialOwner(dir string) (l *link, err error) {
@@ -87,14 +89,14 @@
 
 func (l *link) close() { l.conn.Close() }
 
-// write sends a frame: its length, its checksum and JSON.
+// write sends v as a frame: length, CRC-32 and the JSON encoding of v.
 func (l *link) write(v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
 	if len(body) > maxFrameBytes {
-		return fmt.Errorf("frame of %d bytes", len(body))
+		return fmt.Errorf("frame of %d bytes is too long", len(body))
 	}
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
 	b = binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(body))
@@ -102,14 +104,14 @@
 	defer l.mu.Unlock()
 	l.conn.SetWriteDeadline(time.Now().Add(linkTimeout))
 	if _, err = l.conn.Write(append(b, body...)); err != nil {
-		l.conn.Close() // what was written in part can't be followed by anything
+		l.conn.Close() // nothing may follow a partly written frame
 	}
 	return err
 }
 
-// read takes the next frame, which must have begun to come by then; zero for no such time.
-func (l *link) read(v any, by time.Time) error {
-	l.conn.SetReadDeadline(by)
+// read reads the next frame into v. Its first byte must arrive before the given time; zero means no limit.
+func (l *link) read(v any, startBy time.Time) error {
+	l.conn.SetReadDeadline(startBy)
 	var head [frameHeaderLen]byte
 	if _, err := io.ReadFull(l.conn, head[:1]); err != nil {
 		return err
@@ -120,14 +122,14 @@
 	}
 	n := binary.LittleEndian.Uint32(head[:4])
 	if n > maxFrameBytes {
-		return fmt.Errorf("%w of %d bytes", errBadFrame, n)
+		return fmt.Errorf("%w: length of %d bytes", errBadFrame, n)
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(l.conn, body); err != nil {
 		return fmt.Errorf("%w: %w", errBadFrame, err)
 	}
 	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(head[4:]) {
-		return fmt.Errorf("%w: checksum", errBadFrame)
+		return fmt.Errorf("%w: wrong checksum", errBadFrame)
 	}
 	if err := json.Unmarshal(body, v); err != nil {
 		return fmt.Errorf("%w: %w", errBadFrame, err)
@@ -135,34 +137,34 @@
 	return nil
 }
 
-// greeting is the first frame of either side. The owner's has a socket with it.
+// greeting is the first frame in each direction. The owner sends its listener after it.
 type greeting struct {
 	Version int
-	Listen  string // the owner's, as configured
+	Listen  string // configured address for clients
 }
 
-// greet is the successor's side: it is given the socket on which the owner takes clients.
+// receiveListener is the successor's side of the greeting: it receives the listener on which the owner serves clients.
 func (l *link) receiveListener(listen string) (net.Listener, error) {
 	if err := l.write(greeting{Version: linkProtocolVersion, Listen: listen}); err != nil {
 		return nil, err
 	}
-	var from greeting
-	if err := l.read(&from, time.Now().Add(linkTimeout)); err != nil {
+	var owner greeting
+	if err := l.read(&owner, time.Now().Add(linkTimeout)); err != nil {
 		return nil, err
 	}
-	b, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
+	buf, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
 	l.conn.SetReadDeadline(time.Now().Add(linkTimeout))
-	_, n, _, _, err := l.conn.ReadMsgUnix(b, oob)
+	_, n, _, _, err := l.conn.ReadMsgUnix(buf, oob)
 	if err != nil {
 		return nil, err
 	}
 	messages, err := syscall.ParseSocketControlMessage(oob[:n])
 	if err != nil || len(messages) != 1 {
-		return nil, errors.Join(errors.New("no socket came"), err)
+		return nil, errors.Join(errors.New("received no listener from the owner"), err)
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, errors.Join(errors.New("no socket came"), err)
+		return nil, errors.Join(errors.New("received no listener from the owner"), err)
 	}
 	syscall.CloseOnExec(fds[0])
 	f := os.NewFile(uintptr(fds[0]), "clients")
@@ -171,26 +173,26 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case from.Version != linkProtocolVersion, from.Listen != listen:
+	case owner.Version != linkProtocolVersion, owner.Listen != listen:
 		ln.Close()
-		return nil, fmt.Errorf("the owner speaks version %d and listens at %s", from.Version, from.Listen)
+		return nil, fmt.Errorf("the owner has protocol version %d and listens on %s", owner.Version, owner.Listen)
 	}
 	return ln, nil
 }
 
-// hear takes the successor's greeting.
+// readGreeting reads and checks the successor's greeting.
 func (l *link) readGreeting() error {
-	var from greeting
-	if err := l.read(&from, time.Now().Add(linkTimeout)); err != nil {
+	var successor greeting
+	if err := l.read(&successor, time.Now().Add(linkTimeout)); err != nil {
 		return err
 	}
-	if from.Version != linkProtocolVersion {
-		return fmt.Errorf("the successor speaks version %d", from.Version)
+	if successor.Version != linkProtocolVersion {
+		return fmt.Errorf("the successor has protocol version %d", successor.Version)
 	}
 	return nil
 }
 
-// welcome gives the successor the socket on which the owner takes clients.
+// sendListener answers the successor's greeting and sends it the listener on which this process serves clients.
 func (l *link) sendListener(listen string, ln *net.TCPListener) error {
 	if err := l.write(greeting{Version: linkProtocolVersion, Listen: listen}); err != nil {
 		return err
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -16,51 +16,63 @@
 )
 
 const (
-	maxNoticeTimeout   = time.Second            // for the platform's answer, at most ...
-	firstNoticeTimeout = 150 * time.Millisecond // ... and at first: it comes at once if it comes, and an end may be 0.3 s late
+	// maxNoticeTimeout is the longest timeout for the platform's answer.
+	maxNoticeTimeout = time.Second
+	// firstNoticeTimeout is the timeout of a first try. The platform answers at once or not at all, and a notice may
+	// be 0.3 s late at most, so there must be time for a second try.
+	firstNoticeTimeout = 150 * time.Millisecond
 	noticeRetryDelay   = 100 * time.Millisecond // before notices that were not confirmed are sent again
-	maxNoticeBody      = 64 << 10               // bytes in one body
+	maxNoticeBody      = 64 << 10               // bytes in one request or response body
 )
 
-// noticedEvent says that the platform has confirmed the ends of these messages.
+// noticesConfirmedEvent tells the event loop that the platform has confirmed the notices of these messages.
 type noticesConfirmedEvent struct{ ids []string }
 
-// notices tells the platform of ends, in order, until it confirms them. What waits is
-// bounded by the journal, which holds every message whose notice is owed.
+// noticeQueue sends notices to the platform, in order, until it confirms them. The
+// journal bounds its length, since it holds every message whose notice is not
+// confirmed.
 type noticeQueue struct {
 	client *http.Client
 	log    *slog.Logger
 	events chan<- any
-	wake   chan struct{} // holds one token while there may be something new to do
+	wake   chan struct{} // holds one token while there may be new work
 
 	mu         sync.Mutex
 	addr       string
-	lines      [][]byte // the lines that are not confirmed
-	ids        []string // of queue
+	lines      [][]byte // encoded notices that are not confirmed
+	ids        []string // message ids of lines
 	cancelPost context.CancelFunc
 }
 
 func newNoticeQueue(addr string, log *slog.Logger, events chan<- any) *noticeQueue {
-	return &noticeQueue{addr: addr, log: log, events: events, wake: make(chan struct{}, 1), cancelPost: func() {},
+	return &noticeQueue{
+		addr:       addr,
+		log:        log,
+		events:     events,
+		wake:       make(chan struct{}, 1),
+		cancelPost: func() {},
 		client: &http.Client{Transport: &http.Transport{
 			DialContext:     (&net.Dialer{Timeout: maxNoticeTimeout}).DialContext,
-			MaxConnsPerHost: 1, IdleConnTimeout: 30 * time.Second}}}
+			MaxConnsPerHost: 1,
+			IdleConnTimeout: 30 * time.Second,
+		}},
+	}
 }
 
-// add queues a notice. It does not wait, and may be called before run.
-func (q *noticeQueue) add(x Notice) {
-	line, err := json.Marshal(x)
+// add queues a notice. It does not block, and may be called before run.
+func (q *noticeQueue) add(notice Notice) {
+	line, err := json.Marshal(notice)
 	if err != nil {
-		q.log.Error("notice", "id", x.ID, "err", err)
+		q.log.Error("notice", "id", notice.ID, "err", err)
 		return
 	}
 	q.mu.Lock()
-	q.lines, q.ids = append(q.lines, append(line, '\n')), append(q.ids, x.ID)
+	q.lines, q.ids = append(q.lines, append(line, '\n')), append(q.ids, notice.ID)
 	q.mu.Unlock()
 	q.signal()
 }
 
-// move turns to another address, with what the old one has not confirmed too.
+// setAddr changes the platform's address. Notices that the old address has not confirmed go to the new one.
 func (q *noticeQueue) setAddr(addr string) {
 	q.mu.Lock()
 	q.addr = addr
@@ -77,13 +89,13 @@
 	}
 }
 
-// run sends what is queued, a body at a time, until ctx is over.
+// run sends queued notices, one request at a time, until ctx is done.
 func (q *noticeQueue) run(ctx context.Context) {
 	defer q.client.CloseIdleConnections()
-	failing := false // logged once for a row of failures
-	patience := firstNoticeTimeout
+	failing := false // a failure has been logged since the last success
+	timeout := firstNoticeTimeout
 	for {
-		n, err := q.post(ctx, patience)
+		n, err := q.post(ctx, timeout)
 		switch {
 		case ctx.Err() != nil:
 			return
@@ -92,13 +104,13 @@
 				q.log.Warn("notices", "err", err)
 			}
 			failing = true
-			patience = min(2*patience, maxNoticeTimeout)
-			if !errors.Is(err, context.DeadlineExceeded) { // that was pause enough
+			timeout = min(2*timeout, maxNoticeTimeout)
+			if !errors.Is(err, context.DeadlineExceeded) { // a timeout has been delay enough
 				pause(ctx, jitter(noticeRetryDelay))
 			}
 			continue
 		case n > 0:
-			failing, patience = false, firstNoticeTimeout
+			failing, timeout = false, firstNoticeTimeout
 			ids := q.dequeue(n)
 			select {
 			case q.events <- noticesConfirmedEvent{ids}:
@@ -115,10 +127,11 @@
 	}
 }
 
-// send posts the oldest notices, as many as a body holds, and says how many that were. It waits so long for the answer.
-func (q *noticeQueue) post(ctx context.Context, patience time.Duration) (int, error) {
-	ctx, stop := context.WithTimeout(ctx, patience)
-	defer stop()
+// post sends the oldest notices, as many as one body may hold, and returns their number. It waits for the answer for the
+// given timeout.
+func (q *noticeQueue) post(ctx context.Context, timeout time.Duration) (int, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
 	q.mu.Lock()
 	var body []byte
 	n := 0
@@ -127,7 +140,7 @@
 		n++
 	}
 	url := "http://" + q.addr + "/v1/outcomes"
-	q.cancelPost = stop // move ends a post that is under way
+	q.cancelPost = cancel // so that setAddr can cancel a request in flight
 	q.mu.Unlock()
 	if n == 0 {
 		return 0, nil
@@ -141,7 +154,7 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	// Whatever the body says, the status has told; it is read so that the connection can serve again.
+	// Only the status matters. The body is read so that the connection can be reused.
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxNoticeBody)); err != nil {
 		return 0, err
 	}
@@ -151,12 +164,12 @@
 	return n, nil
 }
 
-// confirmed takes the oldest n notices off the queue.
+// dequeue removes the oldest n notices and returns their message ids.
 func (q *noticeQueue) dequeue(n int) []string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	ids := slices.Clone(q.ids[:n])
-	clear(q.lines[:n]) // the array stays until the next one is made; what it holds does not
+	clear(q.lines[:n]) // frees the lines now; the array itself stays until append allocates a new one
 	clear(q.ids[:n])
 	q.lines, q.ids = q.lines[n:], q.ids[n:]
 	return ids
--- a/internal/node/record.go
+++ b/internal/node/record.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// The journal and what depends on it: nothing is taken on, sent or given up
-// before the journal has it.
+// Writes to the journal and what depends on them: no message is accepted, sent or
+// given up before the journal has the record of it.
 
-// flushPause is the time before what could not be written is written again.
+// flushRetryDelay is the time after which records that could not be written are tried again.
 const flushRetryDelay = 50 * time.Millisecond
 
-// record appends to the journal, and what it lacks before that. Then ends that waited for it are told.
+// writeRecords appends records to the journal, after those that are still pending there. Then it queues the notices
+// that were waiting for the journal.
 func (n *Node) writeRecords(records []record) error {
 	if len(records) == 0 && n.journal.Flushed() {
 		return nil
@@ -22,39 +23,41 @@
 	return err
 }
 
-// say has the platform told of an end: at once if the journal has it. Else the next process, if this one dies, might
-// send what has been returned; so the notice waits, but not past the message's time, after which nothing is sent.
-func (n *Node) queueNotice(x Notice, deadline int64) {
+// queueNotice queues a notice for the platform, at once if the journal has no pending records. Otherwise the notice is
+// delayed: if this process died, the next one might send a message that has been reported as returned. The delay ends
+// shortly before the message's deadline, after which no process sends it.
+func (n *Node) queueNotice(notice Notice, deadline int64) {
 	if n.journal.Flushed() || n.clock.Now() >= deadline-delayedNoticeMargin.Microseconds() {
-		n.notices.add(x)
+		n.notices.add(notice)
 		return
 	}
-	n.unsaid = append(n.unsaid, delayedNotice{x, deadline})
+	n.unsaid = append(n.unsaid, delayedNotice{notice, deadline})
 }
 
-// unsaid is an end that the journal has not got yet.
+// delayedNotice is a notice whose record is not in the journal yet.
 type delayedNotice struct {
 	notice   Notice
-	deadline int64 // of the message, on the lasting clock
+	deadline int64 // of the message, on the journal's clock
 }
 
-// lastWait is how long before a message's time its notice is sent in any case.
+// delayedNoticeMargin is how long before the message's deadline its notice is sent in any case.
 const delayedNoticeMargin = 100 * time.Millisecond
 
-// tell tells the ends that need not wait any more, and sees that the others are looked at again.
+// queueDelayedNotices queues the delayed notices that need not wait any longer, and schedules another write of the
+// journal if records are still pending.
 func (n *Node) queueDelayedNotices() {
 	waiting := n.unsaid
 	n.unsaid = nil
-	for _, x := range waiting {
-		n.queueNotice(x.notice, x.deadline)
+	for _, delayed := range waiting {
+		n.queueNotice(delayed.notice, delayed.deadline)
 	}
 	if !n.journal.Flushed() {
 		n.flush.Reset(flushRetryDelay)
 	}
 }
 
-// notWritten is the answer to a message that the journal could not take: refused only if it is sure that no later
-// process finds it there.
+// answerNotJournaled is the answer to a message that could not be written to the journal. It is a refusal only if no
+// later process can find the message in the file.
 func answerNotJournaled(err error) string {
 	if errors.Is(err, errTruncateFailed) {
 		return answerFailed
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// reloadEvent carries a configuration that was read anew.
+// reloadEvent delivers a newly read configuration to the event loop.
 type reloadEvent struct{ cfg *Config }
 
-// ReloadOn makes Run read the configuration anew with load at each signal. Only the
-// address of discovery and notices moves; the rest is for the next start.
+// ReloadOn makes Run reload the configuration with load at each signal. Of the new
+// configuration only the address of discovery and notices takes effect; all other
+// changes need a restart.
 func (n *Node) ReloadOn(signals <-chan os.Signal, load func() (*Config, error)) {
 	n.reload, n.load = signals, load
 }
 
 const (
-	reloadRetryDelay = 100 * time.Millisecond // before a configuration that could not be read is read again
-	reloadTimeout    = 30 * time.Second       // for a file that makes no sense to be replaced by one that does
+	reloadRetryDelay = 100 * time.Millisecond // between tries to read the configuration
+	reloadTimeout    = 30 * time.Second       // for an invalid file to be replaced by a valid one
 )
 
-// reloadNow has the configuration read without a signal.
+// requestReload requests a reload without a signal.
 func (n *Node) requestReload() {
 	select {
 	case n.again <- struct{}{}:
-	default: // it is about to be
+	default: // already requested
 	}
 }
 
-// reloads passes new configurations on to the loop.
+// watchReloads reloads the configuration at each signal or request and passes it to the event loop.
 func (n *Node) watchReloads(ctx context.Context) {
 	for {
 		select {
@@ -43,34 +44,35 @@
 	}
 }
 
-// loadPatiently reads the configuration until it can be read: the address that the old one names takes no calls any
-// more, and the signal does not come again. One that makes no sense for long changes nothing.
+// loadWithRetry tries to load the configuration until it succeeds: the old discovery address takes no more calls, and
+// the signal is not repeated. It returns nil if the configuration stays invalid for reloadTimeout; the old one then
+// remains in use.
 func (n *Node) loadWithRetry(ctx context.Context) *Config {
-	said := false
-	begun := time.Now()
+	logged := false
+	start := time.Now()
 	for {
 		cfg, err := n.load()
 		if err == nil {
 			return cfg
 		}
-		if !said {
+		if !logged {
 			n.log.Error("reload: the old configuration stands", "err", err)
-			said = true
+			logged = true
 		}
-		if !isTransient(err) && time.Since(begun) > reloadTimeout {
+		if !isTransient(err) && time.Since(start) > reloadTimeout {
 			return nil
 		}
 		select {
 		case <-time.After(jitter(reloadRetryDelay)):
-		case <-n.reload: // another file
-			said, begun = false, time.Now()
+		case <-n.reload: // the file has been replaced again
+			logged, start = false, time.Now()
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// moveTo follows discovery and notices to the address that cfg names.
+// switchDiscovery switches discovery and notices to the address in cfg.
 func (n *Node) switchDiscovery(work context.Context, cfg *Config) {
 	if cfg.DiscoveryAddr == n.disc.addr {
 		n.log.Info("reload: same discovery", "addr", cfg.DiscoveryAddr)
@@ -79,5 +81,5 @@
 	n.log.Info("reload: discovery moves", "from", n.disc.addr, "to", cfg.DiscoveryAddr)
 	n.notices.setAddr(cfg.DiscoveryAddr)
 	n.disc.move(cfg.DiscoveryAddr)
-	n.disc.watch(work) // at once: what it has to tell counts as told soon
+	n.disc.watch(work) // at once: this sender is soon expected to follow what the new address announces
 }
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -10,36 +10,37 @@
 	"time"
 )
 
-// What may fail for a moment at a start is tried again until it works: a start
-// that gives up leaves what was taken on to nobody.
+// Steps of the start that fail with a transient error are retried until they
+// succeed: if the start gave up, no process would handle the accepted messages.
 
 const (
-	startRetryDelay    = 100 * time.Millisecond // before a call that failed is made again
-	journalReadTimeout = 20 * time.Second       // for a journal that cannot be read: a start has 30 s in all
+	startRetryDelay    = 100 * time.Millisecond // between tries of a step that fails
+	journalReadTimeout = 20 * time.Second       // for a journal that cannot be read; a start has 30 s in all
 )
 
-// momentaryErrors are those that Linux documents for want of something that may be there again soon.
+// transientErrors are the errors that Linux documents for a lack of resources that may soon be available again.
 var transientErrors = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EINTR, syscall.EAGAIN, syscall.EBUSY,
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.ENOLCK, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL,
 	syscall.ENETDOWN, syscall.ENETUNREACH, syscall.ECONNABORTED}
 
-// momentary says whether an error may be over soon.
+// isTransient reports whether a call that failed with err may soon succeed.
 func isTransient(err error) bool {
-	for _, x := range transientErrors {
-		if errors.Is(err, x) {
+	for _, transient := range transientErrors {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
 	return false
 }
 
-// failures logs a row of failures of one thing: the first of them, and how many there were once it works again.
+// failureLog logs consecutive failures of one operation: the first of them, and their number once it works again.
 type failureLog struct {
 	log       *slog.Logger
 	operation string
 	count     int
 }
 
+// observe takes the result of one try of the operation.
 func (f *failureLog) observe(err error) {
 	if err == nil {
 		if f.count > 0 {
@@ -53,15 +54,15 @@
 	}
 }
 
-// Persist does something until it works, fails for good, or ctx is over.
-func RetryTransient(ctx context.Context, log *slog.Logger, what string, do func() error) error {
-	row := failureLog{log: log, operation: what}
+// RetryTransient calls do until it succeeds, fails with an error that is not transient, or ctx is done.
+func RetryTransient(ctx context.Context, log *slog.Logger, operation string, do func() error) error {
+	failures := failureLog{log: log, operation: operation}
 	for {
 		err := do()
 		if err != nil && !isTransient(err) {
 			return err
 		}
-		row.observe(err)
+		failures.observe(err)
 		if err == nil {
 			return nil
 		}
@@ -72,10 +73,11 @@
 	}
 }
 
-// listeningEvent brings the socket on which clients are taken.
+// listenerEvent delivers the listener for clients to the event loop.
 type listenerEvent struct{ ln net.Listener }
 
-// listen opens the socket for clients, or has it opened as soon as that works: what is owed does not wait for it.
+// listenForClients opens the listener for clients. After a transient error it keeps trying in the background, so that
+// the delivery of accepted messages does not wait for the listener.
 func (n *Node) listenForClients(work context.Context) error {
 	open := func() (err error) {
 		if n.ln == nil {
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// serve begins to serve clients on ln, unless this process is on its way out.
+// serveClients starts serving clients on ln, unless this process is shutting down.
 func (n *Node) serveClients(work context.Context, ln net.Listener) {
 	if !n.closing.IsZero() {
 		ln.Close()
@@ -125,7 +127,7 @@
 	n.ready <- ln.Addr()
 }
 
-// openToSuccessors opens the socket for processes that come to replace this one, and serves them.
+// serveSuccessors opens the handover socket and serves the processes that connect there to replace this one.
 func (n *Node) serveSuccessors(ctx context.Context, clients net.Listener) {
 	tcp, ok := clients.(*net.TCPListener)
 	if !ok {
@@ -144,7 +146,8 @@
 	}
 }
 
-// serveOperators answers operators, as soon as their address can be listened at. The channel is closed at its end.
+// serveOperators serves the operators' interface as soon as its address can be listened on. The returned channel is
+// closed when it has ended.
 func (n *Node) serveOperators(work context.Context) (<-chan struct{}, error) {
 	served := make(chan struct{})
 	ln, err := net.Listen("tcp", n.cfg.AdminAddr)
