--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// operators serves a sender's calls from operators and returns the address.
+// startAdmin serves the operators' interface of a sender and returns its address.
 func startAdmin(t *testing.T, n *Node) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -24,7 +24,7 @@
 	return ln.Addr().String()
 }
 
-// ask makes a call and returns the whole answer.
+// adminCall sends a command and returns the whole answer.
 func adminCall(t *testing.T, addr, call string) string {
 	t.Helper()
 	c := dial(t, addr)
@@ -34,11 +34,11 @@
 	return c.ended()
 }
 
-// figure reads one of the figures; it must be there once.
+// metricValue returns the value of a metric, which must occur exactly once.
 func metricValue(t *testing.T, text, name string) (n int) {
 	t.Helper()
 	if strings.Count(text, "\n"+name+"=") != 1 {
-		t.Fatalf("%s is not there once:\n%s", name, text)
+		t.Fatalf("%s does not occur exactly once:\n%s", name, text)
 	}
 	_, rest, _ := strings.Cut(text, "\n"+name+"=")
 	fmt.Sscan(rest, &n)
@@ -51,7 +51,7 @@
 	for call, want := range map[string]string{
 		"ready\r\n":                        "+OK\n",
 		"ready\n":                          "+OK\n",
-		"ready\nshow-stat\n":               "+OK\n", // one call a connection
+		"ready\nshow-stat\n":               "+OK\n", // one command on each connection
 		"\r\n":                             "-ERR ",
 		"READY\n":                          "-ERR ",
 		"ready now\n":                      "-ERR ",
@@ -63,27 +63,27 @@
 		}
 	}
 	c := dial(t, addr)
-	for _, b := range []byte("ready\r\n") { // in pieces
+	for _, b := range []byte("ready\r\n") { // byte by byte
 		if _, err := c.conn.Write([]byte{b}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if got := c.ended(); got != "+OK\n" {
-		t.Errorf("in pieces: %q", got)
+		t.Errorf("command sent byte by byte: %q", got)
 	}
 	c = dial(t, addr)
 	io.WriteString(c.conn, "rea")
 	c.conn.(*net.TCPConn).CloseWrite()
 	if got := c.ended(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("half a call: %q", got)
+		t.Errorf("incomplete command: %q", got)
 	}
 	if got := n.clients.now(); got != serving {
-		t.Errorf("a call that is none left the sender %v", got)
+		t.Errorf("after invalid commands the sender is %v", got)
 	}
 }
 
-// Callers without a whole call block nobody, however many they are, and a deadline ends them. The loop is not asked:
-// here nothing runs it.
+// Any number of connections with incomplete commands must not block others, and each is closed after a deadline. The
+// commands must work without the event loop, which is not running here.
 func TestAdminWithIncompleteCalls(t *testing.T) {
 	n := newNode(t, configText(newPlatform(t), List{}))
 	defer n.journal.Close()
@@ -102,12 +102,12 @@
 	}
 	for _, c := range half {
 		if got := c.line(); got != "" && !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("half a call: %q", got)
+			t.Errorf("incomplete command: %q", got)
 		}
 	}
 }
 
-// Each message counts once, where it ends, and every figure is there from the start.
+// Each message must be counted once, when it ends, and every metric must be present from the start.
 func TestMetrics(t *testing.T) {
 	n, c, p, e := world(t, 2)
 	addr := startAdmin(t, n.Node)
@@ -152,24 +152,24 @@
 		}()
 	}
 	c.put("a", "safe", "+OK")
-	await(t, calls, "call").reply(503) // refused, then delivered: two calls, one end
+	await(t, calls, "call").reply(503) // refused, then delivered: two calls, one message
 	c2 := await(t, calls, "second call")
 	open := metricValue(t, adminCall(t, addr, "show-stat\n"), "edge_balancer.open_requests")
 	if open != 1 {
 		t.Errorf("%d open, want 1", open)
 	}
 	c2.reply(200)
-	c.putFor("late", "safe", 1, "-BUSY 2000") // refused at the door
+	c.putFor("late", "safe", 1, "-BUSY 2000") // refused at once
 	c.put("b", "unsafe", "+OK")
 	await(t, calls, "call").reply(500)
 	await(t, p.notices, "notice") // failed
 	if got := c.do("MSG.PUT", "0", "x", "c=keyed,k=1,d=9000,dest=7", "x"); got+"\r\n" != answerUnknown {
-		if got != "-BUSY 1000" { // discovery has not told yet
+		if got != "-BUSY 1000" { // discovery has not answered yet
 			t.Errorf("got %q", got)
 		}
 	}
 	var text string
-	for stop := time.Now().Add(patience); ; { // until the last outcome is in
+	for stop := time.Now().Add(patience); ; { // until the last outcome is counted
 		text = adminCall(t, addr, "show-stat\n")
 		if metricValue(t, text, "edge_balancer.operations.safe.fulfilled") == 1 || time.Now().After(stop) {
 			break
@@ -184,13 +184,14 @@
 	}
 	keyed := metricValue(t, text, "edge_balancer.operations.keyed.throttled") + metricValue(t, text, "edge_balancer.operations.keyed.faulted")
 	if keyed != 1 {
-		t.Errorf("%d ends of the class keyed, want 1", keyed)
+		t.Errorf("%d messages of the class keyed counted, want 1", keyed)
 	}
 	stopClean(t, n)
 }
 
-// A drain says no at once and serves those that still come; kept connections end between requests, never in one,
-// and what is owed is delivered. The end of the drain says yes at once.
+// While a sender drains, PING and ready must refuse at once, but requests that still arrive are served. Connections are
+// closed between requests, never within one, and accepted messages are delivered. After resume, PING and ready must
+// succeed at once.
 func TestDrainAndResume(t *testing.T) {
 	n, c, _, e := world(t, 1)
 	addr := startAdmin(t, n.Node)
@@ -198,7 +199,7 @@
 	io.WriteString(half.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nhalf\r\n")
 	c.put("a", "unsafe", "+OK")
 	in := await(t, e[0].calls, "call")
-	for range 2 { // it may be said again
+	for range 2 { // repeating it changes nothing
 		if got := adminCall(t, addr, "drain\n"); got != "+OK\n" {
 			t.Fatalf("drain: %q", got)
 		}
@@ -213,17 +214,17 @@
 	late.put("b", "safe", "+OK")
 	inB := await(t, e[0].calls, "call")
 	if got := c.ended() + late.ended(); got != "" {
-		t.Errorf("kept connections end with %q", got)
+		t.Errorf("got %q at the end of the connections", got)
 	}
 	io.WriteString(half.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n")
 	if got := half.ended(); got != "+OK\r\n" {
-		t.Errorf("the request that was on its way got %q", got)
+		t.Errorf("the request in progress got %q", got)
 	}
 	in.reply(200)
 	inB.reply(200)
 	await(t, e[0].calls, "call").reply(200)
 	later := dial(t, n.addr)
-	later.put("d", "safe", "+OK") // still served, should one come
+	later.put("d", "safe", "+OK") // new connections are still served
 	await(t, e[0].calls, "call").reply(200)
 	later.ended()
 	for range 2 {
@@ -237,10 +238,10 @@
 	}
 	back.put("c", "safe", "+OK")
 	await(t, e[0].calls, "call").reply(200)
-	back.put("e", "safe", "+OK") // the connection is kept again
+	back.put("e", "safe", "+OK") // connections are kept open again
 	await(t, e[0].calls, "call").reply(200)
 	stopClean(t, n)
 	if got := adminCall(t, addr, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("resume of a sender that stops: %q", got)
+		t.Errorf("resume of a stopping sender: %q", got)
 	}
 }
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -27,7 +27,7 @@
 	return path, faultinject.Build(context.Background(), "../..", "./cmd/cometrack", path)
 })
 
-// startFaulty starts the program with a plan and waits until operators can ask it, if it gets that far.
+// startWithFaults starts the program with a fault plan. It does not wait.
 func startWithFaults(t *testing.T, p *platform, dir string, text []byte, plan faultinject.Plan) *process {
 	t.Helper()
 	path, err := faultyProgram()
@@ -42,16 +42,17 @@
 	return execProgram(t, path, p, dir, text, faultinject.EnvPlan+"="+file)
 }
 
-// faultsBegin is when faults begin that must not meet the start of a process, which a busy machine makes long.
+// faultDelay is the delay of faults that must not begin before a process has started, which takes long on a busy machine.
 const faultDelay = 4 * time.Second
 
-// planTime is the time that plans count from: now, and the program is built.
+// faultTime returns the current time as used in fault plans. It builds the program first, so that this takes no time
+// afterwards.
 func faultTime() time.Duration {
-	faultyProgram() // startFaulty tells of its error
+	faultyProgram() // startWithFaults reports the error
 	return faultinject.Now()
 }
 
-// faultsFor makes calls on the state folder fail from now on for a while.
+// faultsFor returns faults that make system calls on the state folder fail from now on for a time span.
 func faultsFor(span time.Duration, errno syscall.Errno, calls ...string) (faults []faultinject.Fault) {
 	now := faultTime()
 	for _, call := range calls {
@@ -60,7 +61,8 @@
 	return faults
 }
 
-// takeOn has a sender take on messages that it holds back, since its only endpoint has told it to wait.
+// acceptHeld has a sender accept messages that it does not send yet, because its only endpoint has told it to wait. It
+// returns the ids of all messages that are owed.
 func acceptHeld(t *testing.T, x *process, e *endpoint, ms, many int) (ids map[string]bool) {
 	t.Helper()
 	c := dial(t, x.addr)
@@ -75,7 +77,7 @@
 	return ids
 }
 
-// delivers checks that calls with all of ids come, and nothing else does.
+// expectDelivered checks that all messages in ids are sent, no others, and that none is given up.
 func expectDelivered(t *testing.T, p *platform, e *endpoint, ids map[string]bool) {
 	t.Helper()
 	for left := len(ids); left > 0; left-- {
@@ -86,15 +88,15 @@
 			}
 			in.reply(200)
 		case n := <-p.notices:
-			t.Fatalf("%d messages are left, and %s is %s", left, n.ID, n.State)
+			t.Fatalf("with %d messages left, %s is %s", left, n.ID, n.State)
 		case <-time.After(patience):
 			t.Fatalf("%d messages are neither sent nor ended", left)
 		}
 	}
 }
 
-// Deadlines are spans of real time: a wall clock that is stepped while no process runs changes nothing for what was
-// taken on. Seen before: stepped forward all of it was given up with no call, stepped back some was never ended.
+// Deadlines are spans of real time, so stepping the wall clock while no process runs must not affect accepted messages.
+// Earlier, after a step forward all of them were given up without a call, and after a step back some never ended.
 func TestWallClockStepAcrossRestart(t *testing.T) {
 	for _, offset := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(offset.String(), func(t *testing.T) {
@@ -109,7 +111,7 @@
 			expectDelivered(t, p, e, ids)
 			x.kill()
 			e.none(t)
-			// What has no endpoint ends in its time.
+			// A message without a usable endpoint must end by its deadline.
 			step.Steps[0].Offset = -offset
 			at := time.Now()
 			p.set(func() {
@@ -126,7 +128,7 @@
 			x = startWithFaults(t, p, dir, configText(p, p.list), step)
 			await(t, x.ready, "ready program")
 			n := await(t, p.notices, "notice")
-			for n.ID != "short" { // a kill just behind an answer leaves open whether what may not be repeated has run
+			for n.ID != "short" { // after a kill right after a reply, unsafe messages may have run and fail
 				n = await(t, p.notices, "notice")
 			}
 			if took := time.Since(at); took > 4*time.Second {
@@ -137,7 +139,7 @@
 	}
 }
 
-// A read that fails for a moment is no torn end: what stands behind it is owed all the same.
+// A transient read error must not be taken for the end of the journal: the messages in the records after it are owed.
 func TestReadErrorAtStartLosesNothing(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	x := startProcess(t, p, dir, known)
@@ -150,7 +152,7 @@
 	e.none(t)
 }
 
-// What fails for a moment at a start keeps it from being ready for so long, and does not end the process.
+// A transient error at the start may delay readiness for as long as it lasts, but must not end the process.
 func TestStartSurvivesTransientErrors(t *testing.T) {
 	const span = 1500 * time.Millisecond
 	for name, make := range map[string]func() []faultinject.Fault{
@@ -175,7 +177,7 @@
 			case err := <-x.exited:
 				t.Fatalf("ended with %v after %v", err, time.Since(begun))
 			case <-time.After(span + 3*time.Second):
-				t.Fatal("not ready after the trouble")
+				t.Fatal("not ready after the errors have ended")
 			}
 			expectDelivered(t, p, e, ids)
 			x.kill()
@@ -183,7 +185,7 @@
 	}
 }
 
-// anywhere makes calls fail from now on for a while, whatever they are about.
+// faultsAnywhere is faultsFor without the restriction to the state folder.
 func faultsAnywhere(span time.Duration, errno syscall.Errno, calls ...string) []faultinject.Fault {
 	faults := faultsFor(span, errno, calls...)
 	for i := range faults {
@@ -192,7 +194,8 @@
 	return faults
 }
 
-// A write that fails says nothing of the next one: appends go on as soon as they work, though files can't be made yet.
+// After a failed write, appends to the journal must resume as soon as writing works again, even if no new file can be
+// created.
 func TestAppendsResumeAfterFailure(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	now := faultTime()
@@ -222,7 +225,7 @@
 	x.kill()
 }
 
-// A configuration that cannot be read for a moment is read again: the signal does not come twice.
+// If the configuration cannot be read for a moment, the reload must be retried, because the signal is not repeated.
 func TestReloadRetriesFailedRead(t *testing.T) {
 	old, fresh, e, dir := newPlatform(t), newPlatform(t), newEndpoint(t), t.TempDir()
 	known := List{Generation: 5, Reset: true, Instances: instances(e)}
@@ -238,13 +241,13 @@
 	select {
 	case <-fresh.asked:
 	case <-time.After(3 * time.Second):
-		t.Error("discovery has not moved")
+		t.Error("discovery has not switched to the new address")
 	}
 	x.kill()
 }
 
-// What is returned may be handed in again, so no later process may send it: the journal has its end before the platform
-// is told, or its time is up.
+// A returned message may be submitted again, so no later process may send it. The platform must therefore be notified
+// only after the journal has the record, or when the message's deadline has come.
 func TestReturnedIsNotSentAfterRestart(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	now := faultTime()
@@ -252,7 +255,7 @@
 		Errno: syscall.EIO, From: now + faultDelay, To: now + time.Minute, Chance: 1}}})
 	x.addr = await(t, x.ready, "ready program")
 	c := dial(t, x.addr)
-	const usual = time.Second // what a call takes: with less than that left a message is returned
+	const usual = time.Second // duration of a call; a message with less time left is returned
 	for i := range 5 {
 		c.put(fmt.Sprint("usual-", i), "safe", "+OK")
 	}
@@ -263,7 +266,7 @@
 	time.Sleep(usual + 50*time.Millisecond)
 	c.put("told-to-wait", "safe", "+OK")
 	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
-	const span = faultDelay + time.Second // it is returned after they have begun
+	const span = faultDelay + time.Second // the message is returned after the faults have begun
 	taken := time.Now()
 	c.putFor("held", "safe", int(span.Milliseconds()), "+OK")
 	returned := false
@@ -289,7 +292,7 @@
 	x.kill()
 }
 
-// A wait that a signal interrupts says nothing of the connection: it stays, and what comes on it is answered.
+// A read interrupted by a signal must not close the connection: it stays open, and requests on it are answered.
 func TestInterruptedReadKeepsConnection(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	now := faultTime()
@@ -304,7 +307,7 @@
 	x.kill()
 }
 
-// What keeps a new connection from being accepted is no reason to close one that rests.
+// An error in accepting a new connection must not close an idle one.
 func TestFailedAcceptKeepsIdleConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EHOSTUNREACH, syscall.ECONNABORTED} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -331,7 +334,7 @@
 	}
 }
 
-// Whoever reads the log may stall or go away: the sender goes on.
+// The sender must go on if the reader of its log stalls or exits.
 func TestUnreadLogDoesNotBlock(t *testing.T) {
 	for name, closed := range map[string]bool{"reader stalls": false, "reader is gone": true} {
 		t.Run(name, func(t *testing.T) {
@@ -378,7 +381,7 @@
 			}
 			c := dial(t, addr)
 			c.conn.SetDeadline(time.Now().Add(patience))
-			for i := range 900 { // too late to be sent: a line for each, more than a pipe holds
+			for i := range 900 { // too late to be sent; each logs a line, together more than a pipe holds
 				if got := c.do("MSG.PUT", "0", fmt.Sprint("m-", i), "c=safe,d=1,dest=1", "x"); !strings.HasPrefix(got, "-BUSY") {
 					t.Fatalf("put %d: got %q", i, got)
 				}
@@ -387,9 +390,10 @@
 	}
 }
 
-// A write that stops half way may leave whole records behind: what was refused with it must not be among them.
+// A write that fails halfway may leave complete records in the file. No message that was refused because of it may be
+// among them.
 func TestRefusedIsNotLeftInJournal(t *testing.T) {
-	for i := range 16 { // where the write stops is a matter of chance
+	for i := range 16 { // the position of the failure is random
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
 			testRefusedPartialWrite(t)
@@ -413,9 +417,9 @@
 	for faultinject.Now() < now+faultDelay+100*time.Millisecond {
 		time.Sleep(10 * time.Millisecond)
 	}
-	c = dial(t, x.addr) // the first one may have been idle for too long
+	c = dial(t, x.addr) // the first connection may have been closed as idle
 	refused := map[string]bool{}
-	var batch strings.Builder // sent at once: several records in one write
+	var batch strings.Builder // sent together, so that one write has several records
 	const many = 6
 	for i := range many {
 		id := fmt.Sprint("m-", i)
@@ -430,13 +434,13 @@
 	j := openJournal(t, dir, 3e6)
 	for id, busy := range refused {
 		if busy && j.Entry(id) != nil {
-			t.Errorf("%s was refused and stands in the file", id)
+			t.Errorf("%s was refused and is in the file", id)
 		}
 	}
 }
 
-// A process that stood by and takes over without a handover is the same sender: what the one before was told of an
-// endpoint holds for it, and its own list may be old.
+// A standby process that takes over without a handover continues for the same sender. Changes of the list that the
+// previous process was told of must apply to it too, although its own list may be older.
 func TestTakeoverWithoutHandoverUsesNewList(t *testing.T) {
 	p, dir := newPlatform(t), t.TempDir()
 	stays, drains := newEndpoint(t), newEndpoint(t)
@@ -464,7 +468,7 @@
 			in.reply(200)
 			left--
 		case in := <-drains.calls:
-			t.Fatalf("%s sent to an endpoint that drains", in.id())
+			t.Fatalf("%s sent to a draining endpoint", in.id())
 		case <-time.After(patience):
 			t.Fatalf("%d messages are not sent", left)
 		}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -203,7 +203,12 @@
 	open := 0
 	for i := range state.Held {
 		saved := &state.Held[i]
-		h := &held{msg: &saved.Message, tries: saved.Attempts, over: saved.Ended, trail: trail{n.clock.At(saved.ReceivedAt), []byte(saved.AttemptLog)}}
+		h := &held{
+			msg:   &saved.Message,
+			tries: saved.Attempts,
+			over:  saved.Ended,
+			trail: trail{n.clock.At(saved.ReceivedAt), []byte(saved.AttemptLog)},
+		}
 		if !saved.Ended {
 			e := n.journal.Entry(saved.Message.ID)
 			if e == nil || e.End != nil {
@@ -304,7 +309,11 @@
 			return nil
 		}
 		delete(p.calls, c.id)
-		return []replyEvent{{c, result{outcome: r.Outcome, wait: r.RetryAfter, over: r.MessageOver, load: r.Load, idle: r.Idle}, r.Duration}}
+		return []replyEvent{{
+			c,
+			result{outcome: r.Outcome, wait: r.RetryAfter, over: r.MessageOver, load: r.Load, idle: r.Idle},
+			r.Duration,
+		}}
 	}
 	if ev.disconnected {
 		for id, c := range p.calls {
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -19,7 +19,7 @@
 	"rundeal/logic"
 )
 
-// upgradeWorld is a program with an endpoint, and where the next one is to start.
+// upgradeFixture has what the processes of an upgrade test share: a platform, an endpoint and a state folder.
 type upgradeFixture struct {
 	t        *testing.T
 	platform *platform
@@ -37,7 +37,7 @@
 
 func (w *upgradeFixture) start() *process { return startProcess(w.t, w.platform, w.dir, w.known) }
 
-// beside starts the program while another serves, and waits for its yes.
+// startStandby starts the program while another process serves, and waits until it is ready to take over.
 func (w *upgradeFixture) startStandby() *process {
 	w.t.Helper()
 	x := launchProcess(w.t, w.platform, w.dir, w.known)
@@ -48,14 +48,15 @@
 	return x
 }
 
-// takeOver waits until x serves.
+// awaitReady waits until the process serves clients.
 func (x *process) awaitReady() {
 	x.t.Helper()
 	x.addr = await(x.t, x.ready, "ready program")
 }
 
-// The old process keeps its clients and calls until they are done, and the new one owns what becomes of them: no
-// charge fails, none runs twice, and clients see no break. Twice in a row.
+// In an upgrade the old process keeps its connections and calls until they end, while the new one handles their
+// outcomes. No unsafe message may fail or run twice, and clients must not notice the upgrade. The second round upgrades a
+// process that has itself taken over.
 func TestUpgrade(t *testing.T) {
 	w := newUpgradeFixture(t)
 	x := w.start()
@@ -68,7 +69,7 @@
 		io.WriteString(half.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$5\r\n"+id("half")+"\r\n")
 		next := w.startStandby()
 		if got := adminCall(t, next.admin, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("a process that stands by can be brought to serve: %q", got)
+			t.Errorf("resume of a standby process: %q", got)
 		}
 		x.terminate()
 		next.awaitReady()
@@ -78,7 +79,7 @@
 		if got := adminCall(t, x.admin, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("the old process is ready: %q", got)
 		}
-		io.WriteString(half.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n") // read by the old process, taken by the new
+		io.WriteString(half.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n") // read by the old process, accepted by the new one
 		if got := half.line(); got != "+OK" {
 			t.Errorf("relayed: %q", got)
 		}
@@ -88,13 +89,13 @@
 		}
 		in.reply(200)
 		if got := c.line(); got != "" {
-			t.Errorf("an idle connection of the old process gets %q", got)
+			t.Errorf("got %q on an idle connection of the old process", got)
 		}
 		c = dial(t, next.addr)
 		if got := c.do("PING"); got != "+PONG" {
 			t.Errorf("PING: %q", got)
 		}
-		c.put(id("charge"), "unsafe", "+OK") // the new process knows that it has it
+		c.put(id("charge"), "unsafe", "+OK") // a repeated put: the new process has the message already
 		c.put(id("new"), "unsafe", "+OK")
 		await(t, w.endpoint.calls, "call").reply(200)
 		text := adminCall(t, next.admin, "show-stat\n")
@@ -106,7 +107,7 @@
 		x = next
 		for stop := time.Now().Add(patience); metricValue(t, text, "edge_balancer.operations.unsafe.fulfilled") < 2; {
 			if time.Now().After(stop) {
-				t.Fatalf("the charge is not told to be delivered:\n%s", text)
+				t.Fatalf("the charge is not counted as delivered:\n%s", text)
 			}
 			text = adminCall(t, x.admin, "show-stat\n")
 		}
@@ -122,7 +123,7 @@
 	}
 }
 
-// What the rules need remembered goes over: a told wait, and the attempts made.
+// A wait that an endpoint has asked for, and the attempts made so far, must still count after a handover.
 func TestUpgradeKeepsWaits(t *testing.T) {
 	w := newUpgradeFixture(t)
 	x := w.start()
@@ -148,7 +149,7 @@
 	next.awaitExit()
 }
 
-// waitForOp waits until the journal holds an operation.
+// awaitJournalText waits until the journal file contains a text.
 func awaitJournalText(t *testing.T, dir, op string) {
 	t.Helper()
 	for stop := time.Now().Add(patience); ; {
@@ -165,7 +166,7 @@
 	}
 }
 
-// A call that the old process takes with it at its SIGKILL may have run.
+// If the old process is killed after the handover, its calls in flight may have run.
 func TestUpgradeThenKill(t *testing.T) {
 	w := newUpgradeFixture(t)
 	x := w.start()
@@ -191,7 +192,7 @@
 	w.endpoint.none(t)
 }
 
-// A successor that dies before its turn changes nothing, and SIGTERM is then a plain end.
+// If a successor dies before the handover, the owner goes on as before, and SIGTERM ends it as without a successor.
 func TestSuccessorDies(t *testing.T) {
 	w := newUpgradeFixture(t)
 	x := w.start()
@@ -207,7 +208,8 @@
 	}
 }
 
-// An owner that is killed: the process that stands by replays the journal, and the clients' socket outlives the kill.
+// If the owner is killed, the standby process replays the journal. The listener for clients survives the kill, because
+// the standby process shares it.
 func TestOwnerDies(t *testing.T) {
 	w := newUpgradeFixture(t)
 	x := w.start()
@@ -216,7 +218,7 @@
 	await(t, w.endpoint.calls, "call")
 	next := w.startStandby()
 	x.kill()
-	late := dial(t, x.addr) // nobody may be serving yet
+	late := dial(t, x.addr) // possibly before the new process serves
 	next.awaitReady()
 	late.put("b", "safe", "+OK")
 	await(t, w.endpoint.calls, "call").reply(200)
@@ -227,7 +229,8 @@
 	next.awaitExit()
 }
 
-// SIGHUP while two processes are there: the one that stands by follows discovery, and so does its word of what is owed.
+// After SIGHUP during an upgrade the standby process uses the new address once it has taken over, both for discovery and
+// for the notices that are owed.
 func TestReloadDuringUpgrade(t *testing.T) {
 	w := newUpgradeFixture(t)
 	fresh := newPlatform(t)
@@ -252,7 +255,8 @@
 	next.awaitExit()
 }
 
-// fakeOwner holds the lock as an owner would, and hands over as a test says.
+// fakeOwner takes the lock as an owner does, and leaves the handover to the test. The accept function returns the link
+// to the next successor.
 func fakeOwner(t *testing.T, dir string) (lock *os.File, accept func() *link) {
 	t.Helper()
 	lock, err := tryLock(dir)
@@ -286,16 +290,16 @@
 	}
 }
 
-// A handover that is torn, or that makes no sense, is refused, and what the journal holds is served from there.
+// A successor must reject an incomplete or invalid handover, and continue from the journal alone.
 func TestTornHandover(t *testing.T) {
 	whole := []byte(`{"State":{"Module":"e30="}}`)
 	frame := binary.LittleEndian.AppendUint32(nil, uint32(len(whole)))
 	frame = binary.LittleEndian.AppendUint32(frame, crc32.ChecksumIEEE(whole))
 	frame = append(frame, whole...)
-	spoilt := append([]byte{}, frame...)
-	spoilt[len(spoilt)-4] ^= 1
-	for name, b := range map[string][]byte{"nothing": nil, "a byte": frame[:1], "half a head": frame[:5], "a head": frame[:8],
-		"all but one byte": frame[:len(frame)-1], "spoilt": spoilt, "no module": frame,
+	corrupt := append([]byte{}, frame...)
+	corrupt[len(corrupt)-4] ^= 1
+	for name, b := range map[string][]byte{"nothing": nil, "one byte": frame[:1], "half a header": frame[:5], "header only": frame[:8],
+		"one byte short": frame[:len(frame)-1], "corrupt": corrupt, "invalid snapshot": frame,
 		"too long": {255, 255, 255, 255, 0, 0, 0, 0}} {
 		t.Run(name, func(t *testing.T) {
 			w := newUpgradeFixture(t)
@@ -323,13 +327,13 @@
 	}
 }
 
-// A successor that takes the state and then dies, or does not understand it, leaves the owner what it was: it ends as
-// without one, and owes nothing more than before.
+// If a successor receives the state and then dies or does not accept it, the owner must remain the owner, and shut down
+// as without a successor.
 func TestHandoverNotTaken(t *testing.T) {
 	for name, say := range map[string]func(*link) error{
-		"dies":    func(*link) error { return nil },
-		"refuses": func(l *link) error { return l.write(packet{Refused: "no"}) },
-		"babbles": func(l *link) error { _, err := l.conn.Write([]byte("+OK\r\n+OK\r\n+OK\r\n")); return err },
+		"dies":          func(*link) error { return nil },
+		"refuses":       func(l *link) error { return l.write(packet{Refused: "no"}) },
+		"sends garbage": func(l *link) error { _, err := l.conn.Write([]byte("+OK\r\n+OK\r\n+OK\r\n")); return err },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newUpgradeFixture(t)
@@ -365,7 +369,7 @@
 	}
 }
 
-// refusing is a listener that fails so many times, and is then closed.
+// failingListener is a listener that fails the given number of times and is then closed.
 type failingListener int
 
 func (f *failingListener) AcceptUnix() (*net.UnixConn, error) {
@@ -377,7 +381,7 @@
 
 func (f *failingListener) Close() error { return nil }
 
-// Where the platform refuses Unix sockets, the log has one line of it, not one every few milliseconds.
+// On a platform that refuses Unix sockets, accepting fails every few milliseconds. This must be logged once only.
 func TestHandoverAcceptErrorIsLoggedOnce(t *testing.T) {
 	var log strings.Builder
 	n := &Node{log: slog.New(slog.NewTextHandler(&log, nil))}
@@ -388,7 +392,7 @@
 	}
 }
 
-// A state folder in which the handover's socket cannot be made is one that a sender serves from all the same.
+// If the handover socket cannot be created in the state folder, the sender must still serve clients.
 func TestServesWithoutHandoverSocket(t *testing.T) {
 	w := newUpgradeFixture(t)
 	if err := os.MkdirAll(filepath.Join(w.dir, handoverSocket, "foreign"), 0o700); err != nil {
@@ -401,8 +405,8 @@
 	x.awaitExit()
 }
 
-// A call of the process before is out for this one too: a wait holds it back while it connects there, and its
-// endpoint is in use until it ends.
+// A call that the predecessor has in flight must count as in flight here too: a wait puts it on hold while it is still
+// connecting, and its endpoint is in use until it ends.
 func TestPredecessorCallIsInFlight(t *testing.T) {
 	old, n := emptyNode(t, t.TempDir()), emptyNode(t, t.TempDir())
 	rec := acceptRecord("a", 10)
@@ -422,7 +426,7 @@
 		t.Fatalf("call %v, endpoints in use %v", c, n.calls())
 	}
 	if n.holdWait(7); c.state.Load() != callHeld {
-		t.Errorf("a wait leaves the call in state %d", c.state.Load())
+		t.Errorf("after a wait the call is in state %d", c.state.Load())
 	}
 	n.reply(replyEvent{call: c, result: result{outcome: logic.Moot}})
 	if len(n.calls()) != 0 {
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -48,7 +48,7 @@
 	Attempts        int     `json:"tries,omitempty"`
 	InFlight        bool    `json:"open,omitempty"`      // the last attempt has no outcome
 	MayHaveRun      bool    `json:"may_run,omitempty"`   // an earlier attempt may have run
-	FirstMayRunAt   int64   `json:"first_may,omitempty"` // when the first attempt that may have run was sent, on the journal's clock
+	FirstMayRunAt   int64   `json:"first_may,omitempty"` // send time of the first attempt that may have run
 	FirstMayRunZone int     `json:"zone,omitempty"`      // zone of that attempt's endpoint
 	End             *Notice `json:"end,omitempty"`
 	seq             int
@@ -147,7 +147,12 @@
 	if diskBytes <= 0 || disk*fileDiskShare > maxFileBytes {
 		disk = maxFileBytes / fileDiskShare
 	}
-	j := &Journal{dir: dir, entries: map[string]*Entry{}, maxBytes: int64(disk * fileDiskShare), maxDamagedBytes: int64(disk * damagedDiskShare)}
+	j := &Journal{
+		dir:             dir,
+		entries:         map[string]*Entry{},
+		maxBytes:        int64(disk * fileDiskShare),
+		maxDamagedBytes: int64(disk * damagedDiskShare),
+	}
 	f, err := os.OpenFile(j.path(""), os.O_RDWR, 0o600)
 	if errors.Is(err, os.ErrNotExist) {
 		f, err = os.OpenFile(j.path(""), os.O_RDWR|os.O_CREATE, 0o600)
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// The journal is what decides after a crash whether a message is sent again.
+// After a crash the replayed journal decides whether a message is sent again, so replay must restore the state of each
+// message exactly, before and after a rewrite.
 func TestJournalReplay(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
@@ -60,7 +61,7 @@
 		if e := j.Entry("never"); e.Attempts != 1 || e.InFlight || e.MayHaveRun {
 			t.Errorf("%s: never: %+v", how, e)
 		}
-		// The window of a keyed message counts from the first send that may have run, not from the last.
+		// The window of a keyed message starts with the first attempt that may have run, not with the last.
 		if e := j.Entry("may"); e.Attempts != 2 || !e.InFlight || !e.MayHaveRun || e.FirstMayRunAt != 100 || e.FirstMayRunZone != 1 {
 			t.Errorf("%s: may: %+v", how, e)
 		}
@@ -75,8 +76,8 @@
 	check("compacted")
 }
 
-// A process can die within a write: whatever its last bytes are, all that was whole before them stands, and what
-// is appended afterwards can be read.
+// A process can die in the middle of a write. Whatever the last bytes of the file are, the complete records before them
+// must be replayed, and records appended afterwards must be readable.
 func TestJournalTornTail(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
@@ -106,13 +107,13 @@
 		}
 		mustAppend(t, j, acceptRecord("c", 10))
 		if j := openJournal(t, dir, 3e6); j.Entry("a") == nil || j.Entry("c") == nil {
-			t.Fatalf("tail %d: what came after it is lost", i)
+			t.Fatalf("tail %d: the record appended after it is lost", i)
 		}
 	}
 }
 
-// Whole records behind a broken one are not trusted: they must not come to life again once something of the same
-// length is written in its place.
+// Valid records after a damaged one are dropped. They must not reappear when a record of the same length is written over
+// the damaged one.
 func TestJournalDropsRecordsAfterDamage(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
@@ -128,7 +129,7 @@
 	}
 }
 
-// diskUse counts as the platform does.
+// diskUse returns the size of the files in dir as the platform computes it.
 func diskUse(t *testing.T, dir string) int64 {
 	t.Helper()
 	list, err := os.ReadDir(dir)
@@ -144,8 +145,9 @@
 	return sum
 }
 
-// A folder that grows over its limit counts as a crash. What is over must make room, and while nothing is over new
-// messages are turned away, with room left for what becomes of the old ones.
+// The platform treats a state folder above its disk limit as a crash. Entries of ended messages must be removed to make
+// room. If no message has ended, new messages must be refused while there is still room for further records of the
+// accepted ones.
 func TestJournalStaysWithinDiskLimit(t *testing.T) {
 	dir := t.TempDir()
 	const disk = 100_000
@@ -154,7 +156,7 @@
 		id := fmt.Sprint("m", i)
 		mustAppend(t, j, acceptRecord(id, 1000), record{Op: opSend, ID: id, At: 1}, record{Op: opDone, ID: id})
 		if use := diskUse(t, dir); use > disk/2 {
-			t.Fatalf("%d bytes with nothing owed", use)
+			t.Fatalf("%d bytes without a live entry", use)
 		}
 	}
 	n := 0
@@ -167,7 +169,7 @@
 	for i := range 2000 {
 		mustAppend(t, j, record{Op: opSend, ID: "f0", At: int64(i)}, record{Op: opOutcome, ID: "f0"})
 		if use := diskUse(t, dir); use > disk/2 {
-			t.Fatalf("%d bytes with %d owed", use, n)
+			t.Fatalf("%d bytes with %d live entries", use, n)
 		}
 	}
 	if e := openJournal(t, dir, disk).Entry("f0"); e == nil || e.Attempts != 2000 {
@@ -178,13 +180,14 @@
 	}
 }
 
-// A write that fails must leave no half record, take nothing on, and forget nothing that has happened.
+// A failed write must not leave a partial record behind, nor accept a message. Past events among its records must not be
+// lost.
 func TestJournalWriteError(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
 	mustAppend(t, j, acceptRecord("a", 10), acceptRecord("b", 10))
 	good := j.file
-	bad, err := os.Open(good.Name()) // can't be written
+	bad, err := os.Open(good.Name()) // read-only
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,7 +199,7 @@
 	if j.Entry("c") != nil || j.Entry("b").Attempts != 0 || j.Entry("a") != nil {
 		t.Errorf("after the error: a %v, b %+v, c %v", j.Entry("a"), j.Entry("b"), j.Entry("c"))
 	}
-	mustAppend(t, j, acceptRecord("d", 10)) // into a new file
+	mustAppend(t, j, acceptRecord("d", 10)) // writes a new file
 	good.Close()
 	k := openJournal(t, dir, 3e6)
 	if k.Entry("a") != nil || k.Entry("b") == nil || k.Entry("c") != nil || k.Entry("d") == nil {
@@ -204,7 +207,8 @@
 	}
 }
 
-// A class that the settings do not name any more must not turn into another one: what may have run of it fails.
+// A message whose class has been removed from the settings must not be treated as one of another class: it fails if it
+// may have run, and is returned otherwise.
 func TestUnknownClassInJournal(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	j := openJournal(t, dir, 3e6)
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// A body holds 64 KiB: more notices than that go in several, in order, and each is confirmed once.
+// Notices that exceed the limit of 64 KiB for one body must be sent in several, in order, and each confirmed once.
 func TestNoticesBody(t *testing.T) {
 	bodies := make(chan []byte, 64)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -44,7 +44,7 @@
 		}
 		b := await(t, bodies, "body")
 		if len(b) > 64<<10 {
-			t.Errorf("a body of %d bytes", len(b))
+			t.Errorf("body of %d bytes", len(b))
 		}
 		for lines := bufio.NewScanner(bytes.NewReader(b)); lines.Scan(); {
 			var x Notice
@@ -55,11 +55,12 @@
 	}
 }
 
-// A post that the old address leaves without an answer goes to the new one at once.
+// When the address changes while a request to the old one is still unanswered, the notices must go to the new address at
+// once.
 func TestNoticesMoveFromSilentAddress(t *testing.T) {
 	asked := make(chan struct{}, 1)
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, err := io.Copy(io.Discard, r.Body); err != nil { // read whole, so that the end of the connection is seen
+		if _, err := io.Copy(io.Discard, r.Body); err != nil { // read completely, so that the server notices when the connection is closed
 			t.Error(err)
 		}
 		asked <- struct{}{}
@@ -77,7 +78,7 @@
 	}
 }
 
-// A connection that falls silent must not hold an end up past the 0.3 s that it may be late.
+// A notice may be at most 0.3 s late, even if the first request gets no answer.
 func TestNoticeOverASilentConnection(t *testing.T) {
 	var first atomic.Bool
 	heard := make(chan time.Time, 8)
@@ -98,7 +99,7 @@
 	begun := time.Now()
 	q.add(Notice{ID: "a", State: noticeFailed})
 	if took := await(t, heard, "notice").Sub(begun); took > 300*time.Millisecond {
-		t.Errorf("told after %v", took)
+		t.Errorf("notice arrived after %v", took)
 	}
 	await(t, events, "confirmation")
 }
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// program is built once for all tests.
+// program returns the path of the program, which is built once for all tests.
 var program = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "cometrack")
 	if err != nil {
@@ -38,21 +38,21 @@
 	os.Exit(code)
 }
 
-// process is the real program.
+// process is a running instance of the program.
 type process struct {
 	t           *testing.T
 	cmd         *exec.Cmd
 	addr        string
-	admin       string // where operators call
-	configPath  string // its configuration file
+	admin       string // address of the operators' interface
+	configPath  string
 	exited      chan error
-	logLines    chan string   // its log
-	ready       chan string   // the address of clients, once they are served
-	adminReady  chan string   // the address of operators
+	logLines    chan string   // lines of its log
+	ready       chan string   // receives the address for clients once they are served
+	adminReady  chan string   // receives the address of the operators' interface
 	startupTime time.Duration // from its start to ready; set before ready is sent
 }
 
-// startProcess starts it and waits until it serves.
+// startProcess starts the program and waits until it serves clients.
 func startProcess(t *testing.T, p *platform, dir string, known List) *process {
 	t.Helper()
 	x := launchProcess(t, p, dir, known)
@@ -60,7 +60,7 @@
 	return x
 }
 
-// launchProcess starts it with what the platform would tell it, and waits until it can be asked and signalled.
+// launchProcess starts the program as the platform does, and waits until it serves operators and handles signals.
 func launchProcess(t *testing.T, p *platform, dir string, known List) *process {
 	t.Helper()
 	x := execProcess(t, p, dir, configText(p, known))
@@ -68,7 +68,7 @@
 	return x
 }
 
-// execProcess starts it with the text of a configuration, and does not wait.
+// execProcess starts the program with the text of a configuration. It does not wait.
 func execProcess(t *testing.T, p *platform, dir string, text []byte) *process {
 	t.Helper()
 	path, err := program()
@@ -78,7 +78,7 @@
 	return execProgram(t, path, p, dir, text)
 }
 
-// execProgram starts a build of the program, with more in its environment.
+// execProgram starts the program at path, with additional environment variables.
 func execProgram(t *testing.T, path string, p *platform, dir string, text []byte, env ...string) *process {
 	t.Helper()
 	config := filepath.Join(t.TempDir(), "config.json")
@@ -123,9 +123,10 @@
 	await(x.t, x.exited, "end of the program")
 }
 
-// term sends SIGTERM; end checks that the program ends by itself.
+// terminate sends SIGTERM.
 func (x *process) terminate() { x.cmd.Process.Signal(syscall.SIGTERM) }
 
+// awaitExit checks that the program exits without an error.
 func (x *process) awaitExit() {
 	x.t.Helper()
 	if err := await(x.t, x.exited, "end of the program"); err != nil {
@@ -133,8 +134,8 @@
 	}
 }
 
-// A crash with a call out: it may have run. Nothing is handed in again, so the sender itself must send it again
-// where that is harmless, and must not where it is not.
+// A call in flight at a crash may have run. Clients do not submit the message again, so the sender must repeat it after
+// the restart if that is harmless, and must fail it otherwise.
 func TestKillWithCallInFlight(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	x := startProcess(t, p, dir, known)
@@ -165,7 +166,7 @@
 	}
 }
 
-// Attempts before a crash count: a message that brings the process down each time must not come for ever.
+// Attempts before a crash must count: otherwise a message that crashes the process would be sent forever.
 func TestKillCountsAttempts(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	for i := range 3 { // max_attempts
@@ -185,8 +186,8 @@
 	e.none(t)
 }
 
-// What a restart finds taken on and untried is tried, all of it, by a process that knows nothing of latencies yet: after
-// a kill and after a stop in good order, also where the first call is refused.
+// A restarted process, which knows no latencies yet, must send all accepted messages that have not been tried: after a
+// kill and after an orderly shutdown, even if the first call is refused.
 func TestRestartSendsUntriedMessages(t *testing.T) {
 	for name, stop := range map[string]func(*process){"kill": (*process).kill, "term": func(x *process) { x.terminate(); x.awaitExit() }} {
 		t.Run(name, func(t *testing.T) {
@@ -197,7 +198,7 @@
 			c.putFor("first", "unsafe", 16000, "+OK")
 			await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 			var want []string
-			for i, class := range []string{"safe", "keyed", "unsafe", "safe", "unsafe", "keyed"} { // held back by the wait
+			for i, class := range []string{"safe", "keyed", "unsafe", "safe", "unsafe", "keyed"} { // not sent because of the wait
 				id := fmt.Sprintf("untried-%d", i)
 				want = append(want, id)
 				c.putFor(id, class, 16000, "+OK")
@@ -226,7 +227,7 @@
 	}
 }
 
-// A journal that is damaged is read up to the damage; the log says so, and the sender serves.
+// A damaged journal must be replayed up to the damage. The sender logs this and serves clients.
 func TestDamagedJournal(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	x := startProcess(t, p, dir, known)
@@ -237,7 +238,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.WriteString("no record of ours, and more than the head of one"); err != nil {
+	if _, err := f.WriteString("not a valid record, and longer than the header of one"); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Close(); err != nil {
@@ -257,8 +258,8 @@
 	x.awaitExit()
 }
 
-// Without its lock the state folder may belong to another process, and what may not be repeated might go out twice: a
-// sender that can't open it ends with a plain message and serves nobody.
+// Without the lock another process may own the state folder, and an unsafe message could be sent twice. A sender that
+// cannot open the lock file must fail with a clear error.
 func TestNoLockNoService(t *testing.T) {
 	p, dir := newPlatform(t), t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, lockFile), 0o700); err != nil {
@@ -274,8 +275,8 @@
 	}
 }
 
-// What was not sent, or refused, before a crash is sent after it, an unsafe message too; what ran out of time
-// meanwhile is returned, and a notice that nobody confirmed is sent again.
+// Messages that were not sent or were refused before a crash must be sent after it, unsafe ones too. A message whose
+// deadline has passed meanwhile is returned, and an unconfirmed notice is sent again.
 func TestKillWithoutCallInFlight(t *testing.T) {
 	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
 	known := List{Generation: 1, Reset: true, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1",
@@ -297,14 +298,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.Count(string(b), `"op":3`) >= 2 { // both outcomes
+		if strings.Count(string(b), `"op":3`) >= 2 { // the outcomes of both calls
 			break
 		}
 		if time.Now().After(stop) {
 			t.Fatal("no outcome in the journal")
 		}
 	}
-	c.put("unsent", "unsafe", "+OK") // waits: the sender has been told to
+	c.put("unsent", "unsafe", "+OK") // not sent: the endpoint has told the sender to wait
 	x.kill()
 	time.Sleep(time.Until(over))
 	p.set(func() { p.deaf = false })
@@ -331,8 +332,8 @@
 	e.none(t)
 }
 
-// A planned restart: clients are served a while, connections are closed between requests, calls under way end and
-// are journalled, and the next start owes nothing.
+// At SIGTERM the sender must close connections between requests, let calls in flight end and write their outcomes to the
+// journal, so that nothing is owed at the next start.
 func TestTermWithCallInFlight(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
@@ -358,7 +359,7 @@
 	}
 }
 
-// A call that does not end must not keep the program from ending in time; it stays in the journal as open.
+// A call that does not end must not delay the exit after SIGTERM. It stays in the journal as in flight.
 func TestTermWithSilentCall(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	x := startProcess(t, p, dir, known)
@@ -380,7 +381,7 @@
 	x.kill()
 }
 
-// lines are those that it has logged so far.
+// loggedLines yields the log lines so far that have not been read.
 func (x *process) loggedLines() func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for {
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// readyTime is within how long nine in ten restarted processes have to be ready.
+// maxReadyTime is the time within which nine of ten restarted processes must be ready.
 const maxReadyTime = 10 * time.Second
 
-// withDisk is a configuration with so much room for the journal.
+// configWithDisk returns a configuration with a disk limit of mb megabytes.
 func configWithDisk(t *testing.T, p *platform, known List, mb float64) []byte {
 	t.Helper()
 	var text map[string]any
@@ -29,7 +29,7 @@
 	return out
 }
 
-// fillJournal takes on as many messages as the journal has room for, and lets its file grow to its limit.
+// fillJournal adds as many messages as the journal accepts, and lets the file grow to its size limit.
 func fillJournal(t *testing.T, dir string, mb float64) {
 	t.Helper()
 	j := openJournal(t, dir, int64(mb*1e6))
@@ -39,25 +39,25 @@
 		rec.Entry.Deadline = deadline
 		mustAppend(t, j, rec)
 	}
-	for i := 0; j.size+4000 < j.maxBytes; i++ { // and what is over
+	for i := 0; j.size+4000 < j.maxBytes; i++ { // messages that have ended
 		id := fmt.Sprint("over-", i)
 		mustAppend(t, j, acceptRecord(id, 300), record{Op: opSend, ID: id, At: 1}, record{Op: opDone, ID: id})
 	}
 }
 
-// Clients of a restarted process wait until it is ready: not for discovery, whatever the journal holds, and also where
-// many start at one time. The log says what the time went into.
+// Clients of a restarted process wait until it is ready, so it must be ready in time: without an answer of discovery,
+// with any journal, and when many processes start at once. The ready log line breaks the time down.
 func TestReadyInTime(t *testing.T) {
 	for _, x := range []struct {
 		name      string
 		disk      float64
 		processes int
-		leave     func(t *testing.T, dir string, p *platform) // what the start finds
-		served    string                                      // a message that it has to send, if any
+		leave     func(t *testing.T, dir string, p *platform) // prepares the state folder
+		served    string                                      // id prefix of a message that must be sent; empty for none
 	}{
 		{"nothing", 3, 1, func(*testing.T, string, *platform) {}, ""},
 		{"full journal", 3, 1, func(t *testing.T, dir string, _ *platform) { fillJournal(t, dir, 3) }, "m-"},
-		{"full journal of the most that is used", 40, 1, func(t *testing.T, dir string, _ *platform) { fillJournal(t, dir, 40) }, "m-"},
+		{"full journal of the maximum size", 40, 1, func(t *testing.T, dir string, _ *platform) { fillJournal(t, dir, 40) }, "m-"},
 		{"torn journal", 3, 1, func(t *testing.T, dir string, _ *platform) {
 			fillJournal(t, dir, 3)
 			path := filepath.Join(dir, journalFile)
@@ -98,7 +98,7 @@
 				y.addr = await(t, y.ready, "ready program")
 				took = append(took, y.startupTime)
 				if got := dial(t, y.addr).do("PING"); got != "+PONG" {
-					t.Errorf("ready, and PING gets %q", got)
+					t.Errorf("PING to a ready process: %q", got)
 				}
 			}
 			if x.served != "" {
@@ -107,7 +107,7 @@
 				}
 			}
 			slices.Sort(took)
-			worst := took[len(took)*9/10] // of nine in ten; of a few, the last
+			worst := took[len(took)*9/10] // of the fastest nine in ten; with fewer than ten processes, of all
 			for line := range all[0].loggedLines() {
 				if strings.Contains(line, "msg=ready ") {
 					_, spent, _ := strings.Cut(line, "held=")
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// hup replaces the configuration and signals.
+// reload replaces the configuration file and sends SIGHUP.
 func (x *process) reload(text []byte) {
 	x.t.Helper()
 	if err := os.WriteFile(x.configPath+".new", text, 0o600); err != nil {
@@ -20,15 +20,16 @@
 	x.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// says waits for a line of the log.
+// awaitLog waits for a log line that contains a text.
 func (x *process) awaitLog(part string) {
 	x.t.Helper()
 	for !strings.Contains(await(x.t, x.logLines, "line with "+part), part) {
 	}
 }
 
-// SIGHUP under load, with a file that can't be used and then a good one: messages go on, and discovery and notices
-// move, a batch that the old address has not confirmed too. The environment still names the old address.
+// SIGHUP with traffic, first with invalid configurations and then with a valid one: messages must be sent throughout,
+// and discovery and notices must switch to the new address, with a notice that the old address has not confirmed. The
+// environment still names the old address.
 func TestReload(t *testing.T) {
 	old, fresh, e, added := newPlatform(t), newPlatform(t), newEndpoint(t), newEndpoint(t)
 	known := List{Generation: 5, Reset: true, Instances: instances(e)}
@@ -55,7 +56,7 @@
 	c.put("fails", "unsafe", "+OK")
 	await(t, e.calls, "call").reply(500)
 	await(t, old.refused, "notice")
-	// The new address numbers its lists anew: a watch from the old number would wait for ever.
+	// The new address has its own generation numbers: a watch from the old generation would wait forever.
 	fresh.list = List{Generation: 2, Reset: true, Instances: instances(e, added)}
 	x.reload(configText(fresh, known))
 	if n := await(t, fresh.notices, "notice at the new address"); n != (Notice{ID: "fails", State: "failed"}) {
@@ -64,10 +65,10 @@
 	if q := await(t, fresh.asked, "call at the new address"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
-	await(t, fresh.asked, "watch at the new address") // the list before it has been read
+	await(t, fresh.asked, "watch at the new address") // the list has been read by then
 	old.srv.CloseClientConnections()
 	underWay.reply(200)
-	for i := 0; ; i++ { // the endpoint that only the new address lists gets its share
+	for i := 0; ; i++ { // until the endpoint that only the new address lists gets a call
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
 		var in *inCall
 		select {
@@ -79,7 +80,7 @@
 			break
 		}
 		if i == 20 {
-			t.Fatal("the new list is not heeded")
+			t.Fatal("the endpoint on the new list gets no call")
 		}
 	}
 	x.terminate()
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -123,7 +123,8 @@
 	n.clients.turn(serving)
 	go n.clients.serve(ln)
 	n.stages.done("listen")
-	n.log.Info("ready", "name", n.cfg.Name, "addr", ln.Addr().String(), "held", len(n.held), slog.Group("ms", n.stages.spent...))
+	n.log.Info("ready", "name", n.cfg.Name, "addr", ln.Addr().String(), "held", len(n.held),
+		slog.Group("ms", n.stages.spent...))
 	n.ready <- ln.Addr()
 }
 
