--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -48,7 +48,7 @@
 func TestAdminCalls(t *testing.T) {
 	n, _, _, _ := world(t, 1)
 	addr := startAdmin(t, n.Node)
-	for call, want := range map[string]string{
+	for command, want := range map[string]string{
 		"ready\r\n":                        "+OK\n",
 		"ready\n":                          "+OK\n",
 		"ready\nshow-stat\n":               "+OK\n", // one command on each connection
@@ -58,8 +58,8 @@
 		"drain \n":                         "-ERR ",
 		strings.Repeat("x", 60<<10) + "\n": "-ERR ",
 	} {
-		if got := adminCall(t, addr, call); !strings.HasPrefix(got, want) || strings.Count(got, "\n") != 1 {
-			t.Errorf("%.20q: %q", call, got)
+		if got := adminCall(t, addr, command); !strings.HasPrefix(got, want) || strings.Count(got, "\n") != 1 {
+			t.Errorf("%.20q: %q", command, got)
 		}
 	}
 	c := dial(t, addr)
@@ -89,18 +89,18 @@
 	defer n.journal.Close()
 	n.clients.turn(serving)
 	addr := startAdmin(t, n)
-	var half []*client
+	var incomplete []*client
 	for range 2 * maxAdminConns {
 		c := dial(t, addr)
 		io.WriteString(c.conn, "show-")
-		half = append(half, c)
+		incomplete = append(incomplete, c)
 	}
 	for range maxAdminConns / 2 {
 		if got := adminCall(t, addr, "ready\n"); got != "+OK\n" {
 			t.Fatalf("got %q", got)
 		}
 	}
-	for _, c := range half {
+	for _, c := range incomplete {
 		if got := c.line(); got != "" && !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("incomplete command: %q", got)
 		}
@@ -195,8 +195,8 @@
 func TestDrainAndResume(t *testing.T) {
 	n, c, _, e := world(t, 1)
 	addr := startAdmin(t, n.Node)
-	half := dial(t, n.addr)
-	io.WriteString(half.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nhalf\r\n")
+	incomplete := dial(t, n.addr)
+	io.WriteString(incomplete.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nhalf\r\n")
 	c.put("a", "unsafe", "+OK")
 	in := await(t, e[0].calls, "call")
 	for range 2 { // repeating it changes nothing
@@ -216,8 +216,8 @@
 	if got := c.ended() + late.ended(); got != "" {
 		t.Errorf("got %q at the end of the connections", got)
 	}
-	io.WriteString(half.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n")
-	if got := half.ended(); got != "+OK\r\n" {
+	io.WriteString(incomplete.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n")
+	if got := incomplete.ended(); got != "+OK\r\n" {
 		t.Errorf("the request in progress got %q", got)
 	}
 	in.reply(200)
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -28,7 +28,7 @@
 })
 
 // startWithFaults starts the program with a fault plan. It does not wait.
-func startWithFaults(t *testing.T, p *platform, dir string, text []byte, plan faultinject.Plan) *process {
+func startWithFaults(t *testing.T, p *platform, dir string, config []byte, plan faultinject.Plan) *process {
 	t.Helper()
 	path, err := faultyProgram()
 	if err != nil {
@@ -39,7 +39,7 @@
 	if err := plan.Save(file); err != nil {
 		t.Fatal(err)
 	}
-	return execProgram(t, path, p, dir, text, faultinject.EnvPlan+"="+file)
+	return execProgram(t, path, p, dir, config, faultinject.EnvPlan+"="+file)
 }
 
 // faultDelay is the delay of faults that must not begin before a process has started, which takes long on a busy machine.
@@ -63,9 +63,9 @@
 
 // acceptHeld has a sender accept messages that it does not send yet, because its only endpoint has told it to wait. It
 // returns the ids of all messages that are owed.
-func acceptHeld(t *testing.T, x *process, e *endpoint, ms, many int) (ids map[string]bool) {
+func acceptHeld(t *testing.T, proc *process, e *endpoint, ms, many int) (ids map[string]bool) {
 	t.Helper()
-	c := dial(t, x.addr)
+	c := dial(t, proc.addr)
 	c.putFor("first", "safe", ms, "+OK")
 	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	ids = map[string]bool{"first": true}
@@ -87,8 +87,8 @@
 				t.Fatalf("call with %s", in.id())
 			}
 			in.reply(200)
-		case n := <-p.notices:
-			t.Fatalf("with %d messages left, %s is %s", left, n.ID, n.State)
+		case notice := <-p.notices:
+			t.Fatalf("with %d messages left, %s is %s", left, notice.ID, notice.State)
 		case <-time.After(patience):
 			t.Fatalf("%d messages are neither sent nor ended", left)
 		}
@@ -102,14 +102,14 @@
 		t.Run(offset.String(), func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
-			x := startProcess(t, p, dir, known)
-			ids := acceptHeld(t, x, e, 16000, 6)
-			x.kill()
+			proc := startProcess(t, p, dir, known)
+			ids := acceptHeld(t, proc, e, 16000, 6)
+			proc.kill()
 			step := faultinject.Plan{Steps: []faultinject.Step{{At: faultTime(), Offset: offset}}}
-			x = startWithFaults(t, p, dir, configText(p, known), step)
-			x.addr = await(t, x.ready, "ready program")
+			proc = startWithFaults(t, p, dir, configText(p, known), step)
+			proc.addr = await(t, proc.ready, "ready program")
 			expectDelivered(t, p, e, ids)
-			x.kill()
+			proc.kill()
 			e.none(t)
 			// A message without a usable endpoint must end by its deadline.
 			step.Steps[0].Offset = -offset
@@ -118,23 +118,23 @@
 				p.list = List{Generation: 2, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1", Zone: "a",
 					Kind: "std", Dest: 2, Lifecycle: "draining"})}
 			})
-			x = startWithFaults(t, p, dir, configText(p, p.list), step)
-			x.addr = await(t, x.ready, "ready program")
-			if got := dial(t, x.addr).do("MSG.PUT", "0", "short", "c=unsafe,d=2500,dest=2", "x"); got != "+OK" {
+			proc = startWithFaults(t, p, dir, configText(p, p.list), step)
+			proc.addr = await(t, proc.ready, "ready program")
+			if got := dial(t, proc.addr).do("MSG.PUT", "0", "short", "c=unsafe,d=2500,dest=2", "x"); got != "+OK" {
 				t.Fatalf("got %q", got)
 			}
-			x.kill()
+			proc.kill()
 			step.Steps[0].Offset = 0
-			x = startWithFaults(t, p, dir, configText(p, p.list), step)
-			await(t, x.ready, "ready program")
-			n := await(t, p.notices, "notice")
-			for n.ID != "short" { // after a kill right after a reply, unsafe messages may have run and fail
-				n = await(t, p.notices, "notice")
+			proc = startWithFaults(t, p, dir, configText(p, p.list), step)
+			await(t, proc.ready, "ready program")
+			notice := await(t, p.notices, "notice")
+			for notice.ID != "short" { // after a kill right after a reply, unsafe messages may have run and fail
+				notice = await(t, p.notices, "notice")
 			}
 			if took := time.Since(at); took > 4*time.Second {
 				t.Errorf("ended after %v", took)
 			}
-			x.kill()
+			proc.kill()
 		})
 	}
 }
@@ -142,13 +142,13 @@
 // A transient read error must not be taken for the end of the journal: the messages in the records after it are owed.
 func TestReadErrorAtStartLosesNothing(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	x := startProcess(t, p, dir, known)
-	ids := acceptHeld(t, x, e, 16000, 6)
-	x.kill()
-	x = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: faultsFor(1200*time.Millisecond, syscall.EIO, "read", "pread")})
-	x.addr = await(t, x.ready, "ready program")
+	proc := startProcess(t, p, dir, known)
+	ids := acceptHeld(t, proc, e, 16000, 6)
+	proc.kill()
+	proc = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: faultsFor(1200*time.Millisecond, syscall.EIO, "read", "pread")})
+	proc.addr = await(t, proc.ready, "ready program")
 	expectDelivered(t, p, e, ids)
-	x.kill()
+	proc.kill()
 	e.none(t)
 }
 
@@ -167,20 +167,20 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
-			x := startProcess(t, p, dir, known)
-			ids := acceptHeld(t, x, e, 16000, 2)
-			x.kill()
+			proc := startProcess(t, p, dir, known)
+			ids := acceptHeld(t, proc, e, 16000, 2)
+			proc.kill()
 			begun := time.Now()
-			x = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: make()})
+			proc = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: make()})
 			select {
-			case x.addr = <-x.ready:
-			case err := <-x.exited:
+			case proc.addr = <-proc.ready:
+			case err := <-proc.exited:
 				t.Fatalf("ended with %v after %v", err, time.Since(begun))
 			case <-time.After(span + 3*time.Second):
 				t.Fatal("not ready after the errors have ended")
 			}
 			expectDelivered(t, p, e, ids)
-			x.kill()
+			proc.kill()
 		})
 	}
 }
@@ -205,9 +205,9 @@
 		faults = append(faults, faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: syscall.EIO, From: later, To: now + time.Minute, Chance: 1})
 	}
 	faults = append(faults, faultinject.Fault{Call: "pwrite", On: faultinject.StateFiles, Errno: syscall.ENOSPC, From: later, To: later + time.Second, Chance: 1})
-	x := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: faults})
-	x.addr = await(t, x.ready, "ready program")
-	c := dial(t, x.addr)
+	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: faults})
+	proc.addr = await(t, proc.ready, "ready program")
+	c := dial(t, proc.addr)
 	go func() {
 		for in := range e.calls {
 			in.reply(200)
@@ -222,7 +222,7 @@
 	for i := range 5 {
 		c.put(fmt.Sprint("later-", i), "safe", "+OK")
 	}
-	x.kill()
+	proc.kill()
 }
 
 // If the configuration cannot be read for a moment, the reload must be retried, because the signal is not repeated.
@@ -231,19 +231,19 @@
 	known := List{Generation: 5, Reset: true, Instances: instances(e)}
 	old.list, fresh.list = known, known
 	now := faultTime()
-	x := startWithFaults(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "open",
+	proc := startWithFaults(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "open",
 		Errno: syscall.ENFILE, From: now + 800*time.Millisecond, To: now + 1800*time.Millisecond, Chance: 1}}})
-	await(t, x.ready, "ready program")
+	await(t, proc.ready, "ready program")
 	for faultinject.Now() < now+time.Second {
 		time.Sleep(10 * time.Millisecond)
 	}
-	x.reload(configText(fresh, known))
+	proc.reload(configText(fresh, known))
 	select {
 	case <-fresh.asked:
 	case <-time.After(3 * time.Second):
 		t.Error("discovery has not switched to the new address")
 	}
-	x.kill()
+	proc.kill()
 }
 
 // A returned message may be submitted again, so no later process may send it. The platform must therefore be notified
@@ -251,10 +251,10 @@
 func TestReturnedIsNotSentAfterRestart(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	now := faultTime()
-	x := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", On: faultinject.StateFiles,
+	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", On: faultinject.StateFiles,
 		Errno: syscall.EIO, From: now + faultDelay, To: now + time.Minute, Chance: 1}}})
-	x.addr = await(t, x.ready, "ready program")
-	c := dial(t, x.addr)
+	proc.addr = await(t, proc.ready, "ready program")
+	c := dial(t, proc.addr)
 	const usual = time.Second // duration of a call; a message with less time left is returned
 	for i := range 5 {
 		c.put(fmt.Sprint("usual-", i), "safe", "+OK")
@@ -271,12 +271,12 @@
 	c.putFor("held", "safe", int(span.Milliseconds()), "+OK")
 	returned := false
 	select {
-	case n := <-p.notices:
-		returned = n == Notice{ID: "held", State: "returned", AfterMS: n.AfterMS}
+	case notice := <-p.notices:
+		returned = notice == Notice{ID: "held", State: "returned", AfterMS: notice.AfterMS}
 	case <-time.After(span - usual/2 - time.Since(taken)):
 	}
-	x.kill()
-	x = startProcess(t, p, dir, known)
+	proc.kill()
+	proc = startProcess(t, p, dir, known)
 	for wait := time.After(span - time.Since(taken)); ; {
 		select {
 		case in := <-e.calls:
@@ -289,22 +289,22 @@
 		}
 		break
 	}
-	x.kill()
+	proc.kill()
 }
 
 // A read interrupted by a signal must not close the connection: it stays open, and requests on it are answered.
 func TestInterruptedReadKeepsConnection(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	now := faultTime()
-	x := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "receive",
+	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "receive",
 		Errno: syscall.EINTR, From: now, To: now + time.Minute, Chance: 0.5}}})
-	x.addr = await(t, x.ready, "ready program")
-	c := dial(t, x.addr)
+	proc.addr = await(t, proc.ready, "ready program")
+	c := dial(t, proc.addr)
 	for i := range 40 {
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
 		await(t, e.calls, "call").reply(200)
 	}
-	x.kill()
+	proc.kill()
 }
 
 // An error in accepting a new connection must not close an idle one.
@@ -314,22 +314,22 @@
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
 			now := faultTime()
-			x := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "accept",
+			proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "accept",
 				Errno: errno, From: now + 700*time.Millisecond, To: now + 1700*time.Millisecond, Chance: 0.9}}})
-			x.addr = await(t, x.ready, "ready program")
-			resting := dial(t, x.addr)
+			proc.addr = await(t, proc.ready, "ready program")
+			resting := dial(t, proc.addr)
 			resting.put("before", "safe", "+OK")
 			await(t, e.calls, "call").reply(200)
 			for faultinject.Now() < now+700*time.Millisecond {
 				time.Sleep(10 * time.Millisecond)
 			}
 			for i := range 3 {
-				dial(t, x.addr).put(fmt.Sprint("new-", i), "safe", "+OK")
+				dial(t, proc.addr).put(fmt.Sprint("new-", i), "safe", "+OK")
 				await(t, e.calls, "call").reply(200)
 			}
 			resting.put("after", "safe", "+OK")
 			await(t, e.calls, "call").reply(200)
-			x.kill()
+			proc.kill()
 		})
 	}
 }
@@ -408,16 +408,16 @@
 		return faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: errno, Most: most, Chance: chance,
 			From: now + faultDelay, To: now + time.Minute}
 	}
-	x := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{
+	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{
 		state("pwrite", 0, 400, 1), state("pwrite", syscall.ENOSPC, 0, 0.5), state("open", syscall.EIO, 0, 1)}})
-	x.addr = await(t, x.ready, "ready program")
-	c := dial(t, x.addr)
+	proc.addr = await(t, proc.ready, "ready program")
+	c := dial(t, proc.addr)
 	c.putFor("first", "safe", 16000, "+OK")
 	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	for faultinject.Now() < now+faultDelay+100*time.Millisecond {
 		time.Sleep(10 * time.Millisecond)
 	}
-	c = dial(t, x.addr) // the first connection may have been closed as idle
+	c = dial(t, proc.addr) // the first connection may have been closed as idle
 	refused := map[string]bool{}
 	var batch strings.Builder // sent together, so that one write has several records
 	const many = 6
@@ -430,7 +430,7 @@
 	for i := range many {
 		refused[fmt.Sprint("m-", i)] = strings.HasPrefix(c.line(), "-BUSY")
 	}
-	x.kill()
+	proc.kill()
 	j := openJournal(t, dir, 3e6)
 	for id, busy := range refused {
 		if busy && j.Entry(id) != nil {
@@ -447,19 +447,19 @@
 	old := List{Generation: 1, Reset: true, Instances: instances(stays, drains)}
 	p.list = old
 	text := []byte(strings.Replace(string(configText(p, old)), `"on_request"`, `"pushed"`, 1))
-	x := execProcess(t, p, dir, text)
-	x.admin, x.addr = await(t, x.adminReady, "operators' address"), await(t, x.ready, "ready program")
+	proc := execProcess(t, p, dir, text)
+	proc.admin, proc.addr = await(t, proc.adminReady, "operators' address"), await(t, proc.ready, "ready program")
 	p.set(func() {
 		news := instances(stays, drains)
 		news[1].Lifecycle = "draining"
 		p.list = List{Generation: 2, Instances: news[1:]}
 	})
-	x.awaitLog("generation=2")
-	ids := acceptHeld(t, x, stays, 16000, 6)
+	proc.awaitLog("generation=2")
+	ids := acceptHeld(t, proc, stays, 16000, 6)
 	next := execProcess(t, p, dir, text)
 	next.awaitLog("stands by")
 	p.set(func() { p.silent = true })
-	x.kill()
+	proc.kill()
 	time.AfterFunc(200*time.Millisecond, func() { p.set(func() { p.silent = false }) })
 	await(t, next.ready, "ready program")
 	for left := len(ids); left > 0; {
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -30,60 +30,62 @@
 
 func newUpgradeFixture(t *testing.T) *upgradeFixture {
 	p, e := newPlatform(t), newEndpoint(t)
-	w := &upgradeFixture{t: t, platform: p, endpoint: e, dir: t.TempDir(), known: List{Generation: 1, Reset: true, Instances: instances(e)}}
-	p.list = w.known
-	return w
+	fixture := &upgradeFixture{t: t, platform: p, endpoint: e, dir: t.TempDir(), known: List{Generation: 1, Reset: true, Instances: instances(e)}}
+	p.list = fixture.known
+	return fixture
 }
 
-func (w *upgradeFixture) start() *process { return startProcess(w.t, w.platform, w.dir, w.known) }
+func (fixture *upgradeFixture) start() *process {
+	return startProcess(fixture.t, fixture.platform, fixture.dir, fixture.known)
+}
 
 // startStandby starts the program while another process serves, and waits until it is ready to take over.
-func (w *upgradeFixture) startStandby() *process {
-	w.t.Helper()
-	x := launchProcess(w.t, w.platform, w.dir, w.known)
-	x.awaitLog("stands by")
-	if got := adminCall(w.t, x.admin, "ready\n"); got != "+OK\n" {
-		w.t.Fatalf("ready: %q", got)
+func (fixture *upgradeFixture) startStandby() *process {
+	fixture.t.Helper()
+	proc := launchProcess(fixture.t, fixture.platform, fixture.dir, fixture.known)
+	proc.awaitLog("stands by")
+	if got := adminCall(fixture.t, proc.admin, "ready\n"); got != "+OK\n" {
+		fixture.t.Fatalf("ready: %q", got)
 	}
-	return x
+	return proc
 }
 
 // awaitReady waits until the process serves clients.
-func (x *process) awaitReady() {
-	x.t.Helper()
-	x.addr = await(x.t, x.ready, "ready program")
+func (proc *process) awaitReady() {
+	proc.t.Helper()
+	proc.addr = await(proc.t, proc.ready, "ready program")
 }
 
 // In an upgrade the old process keeps its connections and calls until they end, while the new one handles their
 // outcomes. No unsafe message may fail or run twice, and clients must not notice the upgrade. The second round upgrades a
 // process that has itself taken over.
 func TestUpgrade(t *testing.T) {
-	w := newUpgradeFixture(t)
-	x := w.start()
+	fixture := newUpgradeFixture(t)
+	proc := fixture.start()
 	for round := range 2 {
-		c := dial(t, x.addr)
+		c := dial(t, proc.addr)
 		id := func(s string) string { return fmt.Sprint(s, round) }
 		c.put(id("charge"), "unsafe", "+OK")
-		charge := await(t, w.endpoint.calls, "call")
-		half := dial(t, x.addr)
-		io.WriteString(half.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$5\r\n"+id("half")+"\r\n")
-		next := w.startStandby()
+		charge := await(t, fixture.endpoint.calls, "call")
+		incomplete := dial(t, proc.addr)
+		io.WriteString(incomplete.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$5\r\n"+id("half")+"\r\n")
+		next := fixture.startStandby()
 		if got := adminCall(t, next.admin, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("resume of a standby process: %q", got)
 		}
-		x.terminate()
+		proc.terminate()
 		next.awaitReady()
-		if next.addr != x.addr {
-			t.Fatalf("serves at %s, want %s", next.addr, x.addr)
+		if next.addr != proc.addr {
+			t.Fatalf("serves at %s, want %s", next.addr, proc.addr)
 		}
-		if got := adminCall(t, x.admin, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
+		if got := adminCall(t, proc.admin, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("the old process is ready: %q", got)
 		}
-		io.WriteString(half.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n") // read by the old process, accepted by the new one
-		if got := half.line(); got != "+OK" {
+		io.WriteString(incomplete.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n") // read by the old process, accepted by the new one
+		if got := incomplete.line(); got != "+OK" {
 			t.Errorf("relayed: %q", got)
 		}
-		in := await(t, w.endpoint.calls, "call for the relayed message")
+		in := await(t, fixture.endpoint.calls, "call for the relayed message")
 		if in.id() != id("half") {
 			t.Errorf("call with %s", in.id())
 		}
@@ -97,54 +99,54 @@
 		}
 		c.put(id("charge"), "unsafe", "+OK") // a repeated put: the new process has the message already
 		c.put(id("new"), "unsafe", "+OK")
-		await(t, w.endpoint.calls, "call").reply(200)
+		await(t, fixture.endpoint.calls, "call").reply(200)
 		text := adminCall(t, next.admin, "show-stat\n")
 		if n := metricValue(t, text, "edge_balancer.open_requests"); n < 1 || n > 3 {
 			t.Errorf("open_requests=%d", n)
 		}
 		charge.reply(200)
-		x.awaitExit()
-		x = next
+		proc.awaitExit()
+		proc = next
 		for stop := time.Now().Add(patience); metricValue(t, text, "edge_balancer.operations.unsafe.fulfilled") < 2; {
 			if time.Now().After(stop) {
 				t.Fatalf("the charge is not counted as delivered:\n%s", text)
 			}
-			text = adminCall(t, x.admin, "show-stat\n")
+			text = adminCall(t, proc.admin, "show-stat\n")
 		}
 	}
-	x.terminate()
-	x.awaitExit()
-	w.endpoint.none(t)
-	if len(w.platform.notices) != 0 {
-		t.Errorf("notice %+v", <-w.platform.notices)
+	proc.terminate()
+	proc.awaitExit()
+	fixture.endpoint.none(t)
+	if len(fixture.platform.notices) != 0 {
+		t.Errorf("notice %+v", <-fixture.platform.notices)
 	}
-	if ids := owed(t, w.dir); ids != nil {
+	if ids := owed(t, fixture.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
 
 // A wait that an endpoint has asked for, and the attempts made so far, must still count after a handover.
 func TestUpgradeKeepsWaits(t *testing.T) {
-	w := newUpgradeFixture(t)
-	x := w.start()
-	dial(t, x.addr).put("a", "unsafe", "+OK")
-	in := await(t, w.endpoint.calls, "call")
-	next := w.startStandby()
+	fixture := newUpgradeFixture(t)
+	proc := fixture.start()
+	dial(t, proc.addr).put("a", "unsafe", "+OK")
+	in := await(t, fixture.endpoint.calls, "call")
+	next := fixture.startStandby()
 	in.reply(429, "X-Come-Back-Ms: 1500")
 	told := time.Now()
-	awaitJournalText(t, w.dir, `"op":3`)
-	x.terminate()
+	awaitJournalText(t, fixture.dir, `"op":3`)
+	proc.terminate()
 	next.awaitReady()
 	c := dial(t, next.addr)
 	c.put("b", "unsafe", "+OK")
 	for range 2 {
-		in := await(t, w.endpoint.calls, "call")
+		in := await(t, fixture.endpoint.calls, "call")
 		if d := in.at.Sub(told); d < 1500*time.Millisecond {
 			t.Errorf("%s was sent %v after a wait of 1.5 s", in.id(), d)
 		}
 		in.reply(200)
 	}
-	x.awaitExit()
+	proc.awaitExit()
 	next.terminate()
 	next.awaitExit()
 }
@@ -168,42 +170,42 @@
 
 // If the old process is killed after the handover, its calls in flight may have run.
 func TestUpgradeThenKill(t *testing.T) {
-	w := newUpgradeFixture(t)
-	x := w.start()
-	c := dial(t, x.addr)
+	fixture := newUpgradeFixture(t)
+	proc := fixture.start()
+	c := dial(t, proc.addr)
 	c.put("u", "unsafe", "+OK")
-	await(t, w.endpoint.calls, "call")
+	await(t, fixture.endpoint.calls, "call")
 	c.put("s", "safe", "+OK")
-	await(t, w.endpoint.calls, "call")
-	next := w.startStandby()
-	x.terminate()
+	await(t, fixture.endpoint.calls, "call")
+	next := fixture.startStandby()
+	proc.terminate()
 	next.awaitReady()
-	x.kill()
-	if n := await(t, w.platform.notices, "notice"); n != (Notice{ID: "u", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	proc.kill()
+	if notice := await(t, fixture.platform.notices, "notice"); notice != (Notice{ID: "u", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
-	if in := await(t, w.endpoint.calls, "call again"); in.id() != "s" {
+	if in := await(t, fixture.endpoint.calls, "call again"); in.id() != "s" {
 		t.Errorf("call with %s", in.id())
 	} else {
 		in.reply(200)
 	}
 	next.terminate()
 	next.awaitExit()
-	w.endpoint.none(t)
+	fixture.endpoint.none(t)
 }
 
 // If a successor dies before the handover, the owner goes on as before, and SIGTERM ends it as without a successor.
 func TestSuccessorDies(t *testing.T) {
-	w := newUpgradeFixture(t)
-	x := w.start()
-	w.startStandby().kill()
-	x.awaitLog("the successor is gone")
-	c := dial(t, x.addr)
+	fixture := newUpgradeFixture(t)
+	proc := fixture.start()
+	fixture.startStandby().kill()
+	proc.awaitLog("the successor is gone")
+	c := dial(t, proc.addr)
 	c.put("a", "unsafe", "+OK")
-	await(t, w.endpoint.calls, "call").reply(200)
-	x.terminate()
-	x.awaitExit()
-	if ids := owed(t, w.dir); ids != nil {
+	await(t, fixture.endpoint.calls, "call").reply(200)
+	proc.terminate()
+	proc.awaitExit()
+	if ids := owed(t, fixture.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
@@ -211,19 +213,19 @@
 // If the owner is killed, the standby process replays the journal. The listener for clients survives the kill, because
 // the standby process shares it.
 func TestOwnerDies(t *testing.T) {
-	w := newUpgradeFixture(t)
-	x := w.start()
-	c := dial(t, x.addr)
+	fixture := newUpgradeFixture(t)
+	proc := fixture.start()
+	c := dial(t, proc.addr)
 	c.put("u", "unsafe", "+OK")
-	await(t, w.endpoint.calls, "call")
-	next := w.startStandby()
-	x.kill()
-	late := dial(t, x.addr) // possibly before the new process serves
+	await(t, fixture.endpoint.calls, "call")
+	next := fixture.startStandby()
+	proc.kill()
+	late := dial(t, proc.addr) // possibly before the new process serves
 	next.awaitReady()
 	late.put("b", "safe", "+OK")
-	await(t, w.endpoint.calls, "call").reply(200)
-	if n := await(t, w.platform.notices, "notice"); n != (Notice{ID: "u", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	await(t, fixture.endpoint.calls, "call").reply(200)
+	if notice := await(t, fixture.platform.notices, "notice"); notice != (Notice{ID: "u", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
 	next.terminate()
 	next.awaitExit()
@@ -232,25 +234,25 @@
 // After SIGHUP during an upgrade the standby process uses the new address once it has taken over, both for discovery and
 // for the notices that are owed.
 func TestReloadDuringUpgrade(t *testing.T) {
-	w := newUpgradeFixture(t)
+	fixture := newUpgradeFixture(t)
 	fresh := newPlatform(t)
-	fresh.list = List{Generation: 7, Reset: true, Instances: instances(w.endpoint)}
-	x := w.start()
-	c := dial(t, x.addr)
+	fresh.list = List{Generation: 7, Reset: true, Instances: instances(fixture.endpoint)}
+	proc := fixture.start()
+	c := dial(t, proc.addr)
 	c.put("u", "unsafe", "+OK")
-	in := await(t, w.endpoint.calls, "call")
-	next := w.startStandby()
-	next.reload(configText(fresh, w.known))
-	x.terminate()
+	in := await(t, fixture.endpoint.calls, "call")
+	next := fixture.startStandby()
+	next.reload(configText(fresh, fixture.known))
+	proc.terminate()
 	next.awaitReady()
 	if q := await(t, fresh.asked, "call at the new address"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
 	in.reply(500)
-	if n := await(t, fresh.notices, "notice at the new address"); n != (Notice{ID: "u", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	if notice := await(t, fresh.notices, "notice at the new address"); notice != (Notice{ID: "u", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
-	x.awaitExit()
+	proc.awaitExit()
 	next.terminate()
 	next.awaitExit()
 }
@@ -302,27 +304,27 @@
 		"one byte short": frame[:len(frame)-1], "corrupt": corrupt, "invalid snapshot": frame,
 		"too long": {255, 255, 255, 255, 0, 0, 0, 0}} {
 		t.Run(name, func(t *testing.T) {
-			w := newUpgradeFixture(t)
-			lock, accept := fakeOwner(t, w.dir)
-			j := openJournal(t, w.dir, 3e6)
+			fixture := newUpgradeFixture(t)
+			lock, accept := fakeOwner(t, fixture.dir)
+			j := openJournal(t, fixture.dir, 3e6)
 			m := Message{ID: "kept", Class: "unsafe", Dest: 1, Deadline: time.Now().Add(time.Minute).UnixMicro(), Body: []byte("x")}
 			if err := j.Append([]record{{Op: opAccept, Entry: &Entry{Message: m}}}); err != nil {
 				t.Fatal(err)
 			}
-			x := launchProcess(t, w.platform, w.dir, w.known)
+			proc := launchProcess(t, fixture.platform, fixture.dir, fixture.known)
 			l := accept()
 			l.conn.Write(b)
 			l.close()
-			x.awaitLog("no handover")
+			proc.awaitLog("no handover")
 			lock.Close()
-			x.awaitReady()
-			if in := await(t, w.endpoint.calls, "call"); in.id() != "kept" {
+			proc.awaitReady()
+			if in := await(t, fixture.endpoint.calls, "call"); in.id() != "kept" {
 				t.Errorf("call with %s", in.id())
 			} else {
 				in.reply(200)
 			}
-			x.terminate()
-			x.awaitExit()
+			proc.terminate()
+			proc.awaitExit()
 		})
 	}
 }
@@ -330,17 +332,17 @@
 // If a successor receives the state and then dies or does not accept it, the owner must remain the owner, and shut down
 // as without a successor.
 func TestHandoverNotTaken(t *testing.T) {
-	for name, say := range map[string]func(*link) error{
+	for name, respond := range map[string]func(*link) error{
 		"dies":          func(*link) error { return nil },
 		"refuses":       func(l *link) error { return l.write(packet{Refused: "no"}) },
 		"sends garbage": func(l *link) error { _, err := l.conn.Write([]byte("+OK\r\n+OK\r\n+OK\r\n")); return err },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newUpgradeFixture(t)
-			x := w.start()
-			dial(t, x.addr).put("u", "unsafe", "+OK")
-			in := await(t, w.endpoint.calls, "call")
-			l, err := dialOwner(w.dir)
+			fixture := newUpgradeFixture(t)
+			proc := fixture.start()
+			dial(t, proc.addr).put("u", "unsafe", "+OK")
+			in := await(t, fixture.endpoint.calls, "call")
+			l, err := dialOwner(fixture.dir)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -349,20 +351,20 @@
 				t.Fatal(err)
 			}
 			ln.Close()
-			x.awaitLog("a successor stands by")
-			x.terminate()
+			proc.awaitLog("a successor stands by")
+			proc.terminate()
 			var p packet
 			if err := l.read(&p, time.Now().Add(patience)); err != nil || p.State == nil {
 				t.Fatal(p, err)
 			}
-			if err := say(l); err != nil {
+			if err := respond(l); err != nil {
 				t.Fatal(err)
 			}
 			l.close()
-			x.awaitLog("the handover failed")
+			proc.awaitLog("the handover failed")
 			in.reply(200)
-			x.awaitExit()
-			if ids := owed(t, w.dir); ids != nil {
+			proc.awaitExit()
+			if ids := owed(t, fixture.dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
 		})
@@ -394,15 +396,15 @@
 
 // If the handover socket cannot be created in the state folder, the sender must still serve clients.
 func TestServesWithoutHandoverSocket(t *testing.T) {
-	w := newUpgradeFixture(t)
-	if err := os.MkdirAll(filepath.Join(w.dir, handoverSocket, "foreign"), 0o700); err != nil {
+	fixture := newUpgradeFixture(t)
+	if err := os.MkdirAll(filepath.Join(fixture.dir, handoverSocket, "foreign"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	x := w.start()
-	dial(t, x.addr).put("m1", "safe", "+OK")
-	await(t, w.endpoint.calls, "call").reply(200)
-	x.terminate()
-	x.awaitExit()
+	proc := fixture.start()
+	dial(t, proc.addr).put("m1", "safe", "+OK")
+	await(t, fixture.endpoint.calls, "call").reply(200)
+	proc.terminate()
+	proc.awaitExit()
 }
 
 // A call that the predecessor has in flight must count as in flight here too: a wait puts it on hold while it is still
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -45,7 +45,7 @@
 		record{Op: opOutcome, ID: "may", MayHaveRun: true}, record{Op: opSend, ID: "may", At: 200, Zone: 0},
 		record{Op: opGiveUp, ID: "ended", Notice: &Notice{ID: "ended", State: "failed"}},
 		record{Op: opGiveUp, ID: "heard", Notice: &Notice{ID: "heard", State: "failed"}}, record{Op: opNoticeConfirmed, ID: "heard"})
-	check := func(how string) {
+	check := func(when string) {
 		t.Helper()
 		j := openJournal(t, dir, 3e6)
 		var ids []string
@@ -53,20 +53,20 @@
 			ids = append(ids, e.ID)
 		}
 		if got := fmt.Sprint(ids); got != "[sent never may ended]" {
-			t.Fatalf("%s: owed %v", how, got)
+			t.Fatalf("%s: owed %v", when, got)
 		}
 		if e := j.Entry("sent"); e.Attempts != 1 || !e.InFlight || e.MayHaveRun || e.FirstMayRunAt != 100 || e.FirstMayRunZone != 1 || string(e.Body) != "bbb" {
-			t.Errorf("%s: sent: %+v", how, e)
+			t.Errorf("%s: sent: %+v", when, e)
 		}
 		if e := j.Entry("never"); e.Attempts != 1 || e.InFlight || e.MayHaveRun {
-			t.Errorf("%s: never: %+v", how, e)
+			t.Errorf("%s: never: %+v", when, e)
 		}
 		// The window of a keyed message starts with the first attempt that may have run, not with the last.
 		if e := j.Entry("may"); e.Attempts != 2 || !e.InFlight || !e.MayHaveRun || e.FirstMayRunAt != 100 || e.FirstMayRunZone != 1 {
-			t.Errorf("%s: may: %+v", how, e)
+			t.Errorf("%s: may: %+v", when, e)
 		}
 		if e := j.Entry("ended"); e.End == nil || e.End.State != "failed" {
-			t.Errorf("%s: ended: %+v", how, e)
+			t.Errorf("%s: ended: %+v", when, e)
 		}
 	}
 	check("appended")
@@ -96,9 +96,9 @@
 	flipped[len(flipped)-1] ^= 1
 	huge := append(bytes.Clone(whole[:first]), 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0)
 	tails = append(tails, flipped, huge, append(bytes.Clone(whole[:first]), make([]byte, 64)...))
-	for i, text := range tails {
+	for i, data := range tails {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, journalFile), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, journalFile), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		j := openJournal(t, dir, 3e6)
@@ -132,13 +132,13 @@
 // diskUse returns the size of the files in dir as the platform computes it.
 func diskUse(t *testing.T, dir string) int64 {
 	t.Helper()
-	list, err := os.ReadDir(dir)
+	files, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var sum int64
-	for _, x := range list {
-		if info, err := x.Info(); err == nil {
+	for _, file := range files {
+		if info, err := file.Info(); err == nil {
 			sum += (info.Size() + 511) / 512 * 512
 		}
 	}
@@ -155,8 +155,8 @@
 	for i := range 2000 {
 		id := fmt.Sprint("m", i)
 		mustAppend(t, j, acceptRecord(id, 1000), record{Op: opSend, ID: id, At: 1}, record{Op: opDone, ID: id})
-		if use := diskUse(t, dir); use > disk/2 {
-			t.Fatalf("%d bytes without a live entry", use)
+		if used := diskUse(t, dir); used > disk/2 {
+			t.Fatalf("%d bytes without a live entry", used)
 		}
 	}
 	n := 0
@@ -168,8 +168,8 @@
 	}
 	for i := range 2000 {
 		mustAppend(t, j, record{Op: opSend, ID: "f0", At: int64(i)}, record{Op: opOutcome, ID: "f0"})
-		if use := diskUse(t, dir); use > disk/2 {
-			t.Fatalf("%d bytes with %d live entries", use, n)
+		if used := diskUse(t, dir); used > disk/2 {
+			t.Fatalf("%d bytes with %d live entries", used, n)
 		}
 	}
 	if e := openJournal(t, dir, disk).Entry("f0"); e == nil || e.Attempts != 2000 {
@@ -186,12 +186,12 @@
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
 	mustAppend(t, j, acceptRecord("a", 10), acceptRecord("b", 10))
-	good := j.file
-	bad, err := os.Open(good.Name()) // read-only
+	writable := j.file
+	readOnly, err := os.Open(writable.Name()) // read-only
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.file = bad
+	j.file = readOnly
 	err = j.Append([]record{{Op: opDone, ID: "a"}, acceptRecord("c", 10), {Op: opSend, ID: "b", At: 1}})
 	if err == nil {
 		t.Fatal("no error")
@@ -200,7 +200,7 @@
 		t.Errorf("after the error: a %v, b %+v, c %v", j.Entry("a"), j.Entry("b"), j.Entry("c"))
 	}
 	mustAppend(t, j, acceptRecord("d", 10)) // writes a new file
-	good.Close()
+	writable.Close()
 	k := openJournal(t, dir, 3e6)
 	if k.Entry("a") != nil || k.Entry("b") == nil || k.Entry("c") != nil || k.Entry("d") == nil {
 		t.Errorf("after the rewrite: %v", k.entries)
@@ -220,8 +220,8 @@
 	n := startNode(t, p, dir, known)
 	ends := map[string]string{}
 	for range 2 {
-		x := await(t, p.notices, "notice")
-		ends[x.ID] = x.State
+		notice := await(t, p.notices, "notice")
+		ends[notice.ID] = notice.State
 	}
 	if ends["ran"] != noticeFailed || ends["waits"] != noticeReturned {
 		t.Errorf("ended as %v", ends)
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -29,26 +29,26 @@
 	defer srv.Close()
 	events := make(chan any, 64)
 	q := newNoticeQueue(strings.TrimPrefix(srv.URL, "http://"), slog.New(slog.DiscardHandler), events)
-	const most = 2000
-	for i := range most {
+	const count = 2000
+	for i := range count {
 		q.add(Notice{ID: fmt.Sprintf("%064d", i), State: "failed"})
 	}
 	go q.run(t.Context())
-	told := 0
-	for told < most {
+	confirmed := 0
+	for confirmed < count {
 		for _, id := range await(t, events, "confirmation").(noticesConfirmedEvent).ids {
-			if want := fmt.Sprintf("%064d", told); id != want {
+			if want := fmt.Sprintf("%064d", confirmed); id != want {
 				t.Fatalf("confirmed %s, want %s", id, want)
 			}
-			told++
+			confirmed++
 		}
 		b := await(t, bodies, "body")
 		if len(b) > 64<<10 {
 			t.Errorf("body of %d bytes", len(b))
 		}
 		for lines := bufio.NewScanner(bytes.NewReader(b)); lines.Scan(); {
-			var x Notice
-			if err := json.Unmarshal(lines.Bytes(), &x); err != nil {
+			var notice Notice
+			if err := json.Unmarshal(lines.Bytes(), &notice); err != nil {
 				t.Error(err)
 			}
 		}
@@ -73,8 +73,8 @@
 	q.add(Notice{ID: "a", State: "failed"})
 	await(t, asked, "post")
 	q.setAddr(strings.TrimPrefix(p.srv.URL, "http://"))
-	if x := await(t, p.notices, "notice"); x.ID != "a" {
-		t.Errorf("notice %+v", x)
+	if notice := await(t, p.notices, "notice"); notice.ID != "a" {
+		t.Errorf("notice %+v", notice)
 	}
 }
 
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -55,27 +55,27 @@
 // startProcess starts the program and waits until it serves clients.
 func startProcess(t *testing.T, p *platform, dir string, known List) *process {
 	t.Helper()
-	x := launchProcess(t, p, dir, known)
-	x.addr = await(t, x.ready, "ready program")
-	return x
+	proc := launchProcess(t, p, dir, known)
+	proc.addr = await(t, proc.ready, "ready program")
+	return proc
 }
 
 // launchProcess starts the program as the platform does, and waits until it serves operators and handles signals.
 func launchProcess(t *testing.T, p *platform, dir string, known List) *process {
 	t.Helper()
-	x := execProcess(t, p, dir, configText(p, known))
-	x.admin = await(t, x.adminReady, "operators' address")
-	return x
+	proc := execProcess(t, p, dir, configText(p, known))
+	proc.admin = await(t, proc.adminReady, "operators' address")
+	return proc
 }
 
 // execProcess starts the program with the text of a configuration. It does not wait.
-func execProcess(t *testing.T, p *platform, dir string, text []byte) *process {
+func execProcess(t *testing.T, p *platform, dir string, config []byte) *process {
 	t.Helper()
 	path, err := program()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return execProgram(t, path, p, dir, text)
+	return execProgram(t, path, p, dir, config)
 }
 
 // execProgram starts the program at path, with additional environment variables.
@@ -96,41 +96,41 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	x := &process{t: t, cmd: cmd, configPath: config, exited: make(chan error, 1), logLines: make(chan string, 4096),
+	proc := &process{t: t, cmd: cmd, configPath: config, exited: make(chan error, 1), logLines: make(chan string, 4096),
 		ready: make(chan string, 1), adminReady: make(chan string, 1)}
 	t.Cleanup(func() { cmd.Process.Kill() })
 	go func() {
 		for s := bufio.NewScanner(logs); s.Scan(); {
-			x.logLines <- s.Text()
+			proc.logLines <- s.Text()
 			_, rest, _ := strings.Cut(s.Text(), "addr=")
 			addr, _, _ := strings.Cut(rest, " ")
 			switch {
 			case strings.Contains(s.Text(), "msg=ready "):
-				x.startupTime = time.Since(begun)
-				x.ready <- addr
+				proc.startupTime = time.Since(begun)
+				proc.ready <- addr
 			case strings.Contains(s.Text(), "msg=operators "):
-				x.adminReady <- addr
+				proc.adminReady <- addr
 			}
 		}
-		x.exited <- cmd.Wait()
+		proc.exited <- cmd.Wait()
 	}()
-	return x
+	return proc
 }
 
-func (x *process) kill() {
-	x.t.Helper()
-	x.cmd.Process.Kill()
-	await(x.t, x.exited, "end of the program")
+func (proc *process) kill() {
+	proc.t.Helper()
+	proc.cmd.Process.Kill()
+	await(proc.t, proc.exited, "end of the program")
 }
 
 // terminate sends SIGTERM.
-func (x *process) terminate() { x.cmd.Process.Signal(syscall.SIGTERM) }
+func (proc *process) terminate() { proc.cmd.Process.Signal(syscall.SIGTERM) }
 
 // awaitExit checks that the program exits without an error.
-func (x *process) awaitExit() {
-	x.t.Helper()
-	if err := await(x.t, x.exited, "end of the program"); err != nil {
-		x.t.Errorf("ended with %v", err)
+func (proc *process) awaitExit() {
+	proc.t.Helper()
+	if err := await(proc.t, proc.exited, "end of the program"); err != nil {
+		proc.t.Errorf("ended with %v", err)
 	}
 }
 
@@ -138,14 +138,14 @@
 // the restart if that is harmless, and must fail it otherwise.
 func TestKillWithCallInFlight(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	x := startProcess(t, p, dir, known)
-	c := dial(t, x.addr)
+	proc := startProcess(t, p, dir, known)
+	c := dial(t, proc.addr)
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		c.put("m-"+class, class, "+OK")
 		await(t, e.calls, "call")
 	}
-	x.kill()
-	x = startProcess(t, p, dir, known)
+	proc.kill()
+	proc = startProcess(t, p, dir, known)
 	again := map[string]string{}
 	for range 2 {
 		in := await(t, e.calls, "call again")
@@ -155,11 +155,11 @@
 	if again["m-safe"] != "key-m-safe body of m-safe" || again["m-keyed"] != "key-m-keyed body of m-keyed" {
 		t.Errorf("sent again: %v", again)
 	}
-	if n := await(t, p.notices, "notice"); n != (Notice{ID: "m-unsafe", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	if notice := await(t, p.notices, "notice"); notice != (Notice{ID: "m-unsafe", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
-	x.terminate()
-	x.awaitExit()
+	proc.terminate()
+	proc.awaitExit()
 	e.none(t)
 	if ids := owed(t, dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
@@ -170,31 +170,31 @@
 func TestKillCountsAttempts(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	for i := range 3 { // max_attempts
-		x := startProcess(t, p, dir, known)
+		proc := startProcess(t, p, dir, known)
 		if i == 0 {
-			dial(t, x.addr).putFor("a", "safe", 16000, "+OK")
+			dial(t, proc.addr).putFor("a", "safe", 16000, "+OK")
 		}
 		await(t, e.calls, "call")
-		x.kill()
+		proc.kill()
 	}
-	x := startProcess(t, p, dir, known)
-	if n := await(t, p.notices, "notice"); n != (Notice{ID: "a", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	proc := startProcess(t, p, dir, known)
+	if notice := await(t, p.notices, "notice"); notice != (Notice{ID: "a", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
-	x.terminate()
-	x.awaitExit()
+	proc.terminate()
+	proc.awaitExit()
 	e.none(t)
 }
 
 // A restarted process, which knows no latencies yet, must send all accepted messages that have not been tried: after a
 // kill and after an orderly shutdown, even if the first call is refused.
 func TestRestartSendsUntriedMessages(t *testing.T) {
-	for name, stop := range map[string]func(*process){"kill": (*process).kill, "term": func(x *process) { x.terminate(); x.awaitExit() }} {
+	for name, stop := range map[string]func(*process){"kill": (*process).kill, "term": func(proc *process) { proc.terminate(); proc.awaitExit() }} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
-			x := startProcess(t, p, dir, known)
-			c := dial(t, x.addr)
+			proc := startProcess(t, p, dir, known)
+			c := dial(t, proc.addr)
 			c.putFor("first", "unsafe", 16000, "+OK")
 			await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 			var want []string
@@ -203,9 +203,9 @@
 				want = append(want, id)
 				c.putFor(id, class, 16000, "+OK")
 			}
-			stop(x)
+			stop(proc)
 			e.none(t)
-			x = startProcess(t, p, dir, known)
+			proc = startProcess(t, p, dir, known)
 			refused := false
 			for got := map[string]bool{}; len(got) < len(want); {
 				in := await(t, e.calls, "call")
@@ -219,7 +219,7 @@
 					in.reply(200)
 				}
 			}
-			x.kill()
+			proc.kill()
 			if n := len(p.notices); n != 0 {
 				t.Errorf("%d given up: %+v", n, <-p.notices)
 			}
@@ -230,10 +230,10 @@
 // A damaged journal must be replayed up to the damage. The sender logs this and serves clients.
 func TestDamagedJournal(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	x := startProcess(t, p, dir, known)
-	dial(t, x.addr).put("whole", "safe", "+OK")
+	proc := startProcess(t, p, dir, known)
+	dial(t, proc.addr).put("whole", "safe", "+OK")
 	await(t, e.calls, "call")
-	x.kill()
+	proc.kill()
 	f, err := os.OpenFile(filepath.Join(dir, journalFile), os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -244,18 +244,18 @@
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
-	x = launchProcess(t, p, dir, known)
-	x.awaitLog("the end cannot be read")
-	x.addr = await(t, x.ready, "ready program")
+	proc = launchProcess(t, p, dir, known)
+	proc.awaitLog("the end cannot be read")
+	proc.addr = await(t, proc.ready, "ready program")
 	if in := await(t, e.calls, "call"); in.id() != "whole" {
 		t.Errorf("call with %s", in.id())
 	} else {
 		in.reply(200)
 	}
-	dial(t, x.addr).put("next", "safe", "+OK")
+	dial(t, proc.addr).put("next", "safe", "+OK")
 	await(t, e.calls, "call").reply(200)
-	x.terminate()
-	x.awaitExit()
+	proc.terminate()
+	proc.awaitExit()
 }
 
 // Without the lock another process may own the state folder, and an unsafe message could be sent twice. A sender that
@@ -282,8 +282,8 @@
 	known := List{Generation: 1, Reset: true, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1",
 		Zone: "a", Kind: "std", Dest: 2, Lifecycle: "draining"})}
 	p.list, p.deaf = known, true
-	x := startProcess(t, p, dir, known)
-	c := dial(t, x.addr)
+	proc := startProcess(t, p, dir, known)
+	c := dial(t, proc.addr)
 	c.put("failed", "unsafe", "+OK")
 	await(t, e.calls, "call").reply(500)
 	await(t, p.refused, "notice")
@@ -306,10 +306,10 @@
 		}
 	}
 	c.put("unsent", "unsafe", "+OK") // not sent: the endpoint has told the sender to wait
-	x.kill()
+	proc.kill()
 	time.Sleep(time.Until(over))
 	p.set(func() { p.deaf = false })
-	x = startProcess(t, p, dir, known)
+	proc = startProcess(t, p, dir, known)
 	got := map[string]bool{}
 	for range 2 {
 		in := await(t, e.calls, "call")
@@ -321,14 +321,14 @@
 	}
 	ends := map[string]string{}
 	for range 2 {
-		n := await(t, p.notices, "notice")
-		ends[n.ID] = n.State
+		notice := await(t, p.notices, "notice")
+		ends[notice.ID] = notice.State
 	}
 	if ends["failed"] != "failed" || ends["short"] != "returned" {
 		t.Errorf("notices: %v", ends)
 	}
-	x.terminate()
-	x.awaitExit()
+	proc.terminate()
+	proc.awaitExit()
 	e.none(t)
 }
 
@@ -339,16 +339,16 @@
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
-			x := startProcess(t, p, dir, known)
-			c := dial(t, x.addr)
+			proc := startProcess(t, p, dir, known)
+			c := dial(t, proc.addr)
 			c.put("a", class, "+OK")
 			in := await(t, e.calls, "call")
-			x.terminate()
+			proc.terminate()
 			if got := c.line(); got != "" { // the connection is closed between requests
 				t.Errorf("got %q", got)
 			}
 			in.reply(200)
-			x.awaitExit()
+			proc.awaitExit()
 			if ids := owed(t, dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
@@ -362,31 +362,31 @@
 // A call that does not end must not delay the exit after SIGTERM. It stays in the journal as in flight.
 func TestTermWithSilentCall(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	x := startProcess(t, p, dir, known)
-	dial(t, x.addr).put("a", "unsafe", "+OK")
+	proc := startProcess(t, p, dir, known)
+	dial(t, proc.addr).put("a", "unsafe", "+OK")
 	await(t, e.calls, "call")
 	at := time.Now()
-	x.terminate()
-	x.awaitExit()
+	proc.terminate()
+	proc.awaitExit()
 	if d := time.Since(at); d > stopAll+2*time.Second {
 		t.Errorf("ended after %v", d)
 	}
 	if ids := owed(t, dir); len(ids) != 1 {
 		t.Errorf("owed: %v", ids)
 	}
-	x = startProcess(t, p, dir, known)
-	if n := await(t, p.notices, "notice"); n != (Notice{ID: "a", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	proc = startProcess(t, p, dir, known)
+	if notice := await(t, p.notices, "notice"); notice != (Notice{ID: "a", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
-	x.kill()
+	proc.kill()
 }
 
 // loggedLines yields the log lines so far that have not been read.
-func (x *process) loggedLines() func(yield func(string) bool) {
+func (proc *process) loggedLines() func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for {
 			select {
-			case line := <-x.logLines:
+			case line := <-proc.logLines:
 				if !yield(line) {
 					return
 				}
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -48,7 +48,7 @@
 // Clients of a restarted process wait until it is ready, so it must be ready in time: without an answer of discovery,
 // with any journal, and when many processes start at once. The ready log line breaks the time down.
 func TestReadyInTime(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name      string
 		disk      float64
 		processes int
@@ -75,50 +75,50 @@
 			fillJournal(t, dir, 3)
 		}, "m-"},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			p, e := newPlatform(t), newEndpoint(t)
 			known := List{Generation: 1, Reset: true, Instances: instances(e)}
 			p.list = known
-			text := configWithDisk(t, p, known, x.disk)
+			config := configWithDisk(t, p, known, test.disk)
 			var dirs []string
-			for range x.processes {
+			for range test.processes {
 				dir := t.TempDir()
 				dirs = append(dirs, dir)
-				first := execProcess(t, p, dir, text)
+				first := execProcess(t, p, dir, config)
 				await(t, first.ready, "ready program")
 				first.kill()
-				x.leave(t, dir, p)
+				test.leave(t, dir, p)
 			}
-			var all []*process
+			var procs []*process
 			for _, dir := range dirs {
-				all = append(all, execProcess(t, p, dir, text))
+				procs = append(procs, execProcess(t, p, dir, config))
 			}
-			var took []time.Duration
-			for _, y := range all {
-				y.addr = await(t, y.ready, "ready program")
-				took = append(took, y.startupTime)
-				if got := dial(t, y.addr).do("PING"); got != "+PONG" {
+			var times []time.Duration
+			for _, proc := range procs {
+				proc.addr = await(t, proc.ready, "ready program")
+				times = append(times, proc.startupTime)
+				if got := dial(t, proc.addr).do("PING"); got != "+PONG" {
 					t.Errorf("PING to a ready process: %q", got)
 				}
 			}
-			if x.served != "" {
-				if in := await(t, e.calls, "call"); !strings.HasPrefix(in.id(), x.served) {
+			if test.served != "" {
+				if in := await(t, e.calls, "call"); !strings.HasPrefix(in.id(), test.served) {
 					t.Errorf("call with %s", in.id())
 				}
 			}
-			slices.Sort(took)
-			worst := took[len(took)*9/10] // of the fastest nine in ten; with fewer than ten processes, of all
-			for line := range all[0].loggedLines() {
+			slices.Sort(times)
+			worst := times[len(times)*9/10] // of the fastest nine in ten; with fewer than ten processes, of all
+			for line := range procs[0].loggedLines() {
 				if strings.Contains(line, "msg=ready ") {
 					_, spent, _ := strings.Cut(line, "held=")
-					t.Logf("%d starts: nine in ten ready within %v, all within %v; the first: held=%s", len(took), worst, took[len(took)-1], spent)
+					t.Logf("%d starts: nine in ten ready within %v, all within %v; the first: held=%s", len(times), worst, times[len(times)-1], spent)
 				}
 			}
 			if worst > maxReadyTime {
 				t.Errorf("ready after %v", worst)
 			}
-			for _, y := range all {
-				y.kill()
+			for _, proc := range procs {
+				proc.kill()
 			}
 		})
 	}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -9,21 +9,21 @@
 )
 
 // reload replaces the configuration file and sends SIGHUP.
-func (x *process) reload(text []byte) {
-	x.t.Helper()
-	if err := os.WriteFile(x.configPath+".new", text, 0o600); err != nil {
-		x.t.Fatal(err)
+func (proc *process) reload(text []byte) {
+	proc.t.Helper()
+	if err := os.WriteFile(proc.configPath+".new", text, 0o600); err != nil {
+		proc.t.Fatal(err)
 	}
-	if err := os.Rename(x.configPath+".new", x.configPath); err != nil {
-		x.t.Fatal(err)
+	if err := os.Rename(proc.configPath+".new", proc.configPath); err != nil {
+		proc.t.Fatal(err)
 	}
-	x.cmd.Process.Signal(syscall.SIGHUP)
+	proc.cmd.Process.Signal(syscall.SIGHUP)
 }
 
 // awaitLog waits for a log line that contains a text.
-func (x *process) awaitLog(part string) {
-	x.t.Helper()
-	for !strings.Contains(await(x.t, x.logLines, "line with "+part), part) {
+func (proc *process) awaitLog(part string) {
+	proc.t.Helper()
+	for !strings.Contains(await(proc.t, proc.logLines, "line with "+part), part) {
 	}
 }
 
@@ -34,15 +34,15 @@
 	old, fresh, e, added := newPlatform(t), newPlatform(t), newEndpoint(t), newEndpoint(t)
 	known := List{Generation: 5, Reset: true, Instances: instances(e)}
 	old.list = known
-	x := startProcess(t, old, t.TempDir(), known)
+	proc := startProcess(t, old, t.TempDir(), known)
 	await(t, old.asked, "watch")
-	c := dial(t, x.addr)
+	c := dial(t, proc.addr)
 	c.put("under-way", "safe", "+OK")
 	underWay := await(t, e.calls, "call")
 
 	for i, bad := range []string{"{", "{}", strings.Replace(string(configText(fresh, known)), `"discovery":"`, `"discovery":"no address `, 1)} {
-		x.reload([]byte(strings.ReplaceAll(bad, "no address 127.0.0.1:", "no address ")))
-		x.awaitLog("old configuration stands")
+		proc.reload([]byte(strings.ReplaceAll(bad, "no address 127.0.0.1:", "no address ")))
+		proc.awaitLog("old configuration stands")
 		id := fmt.Sprint("bad-", i)
 		c.put(id, "safe", "+OK")
 		in := await(t, e.calls, "call")
@@ -58,9 +58,9 @@
 	await(t, old.refused, "notice")
 	// The new address has its own generation numbers: a watch from the old generation would wait forever.
 	fresh.list = List{Generation: 2, Reset: true, Instances: instances(e, added)}
-	x.reload(configText(fresh, known))
-	if n := await(t, fresh.notices, "notice at the new address"); n != (Notice{ID: "fails", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	proc.reload(configText(fresh, known))
+	if notice := await(t, fresh.notices, "notice at the new address"); notice != (Notice{ID: "fails", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
 	if q := await(t, fresh.asked, "call at the new address"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
@@ -83,6 +83,6 @@
 			t.Fatal("the endpoint on the new list gets no call")
 		}
 	}
-	x.terminate()
-	x.awaitExit()
+	proc.terminate()
+	proc.awaitExit()
 }
