--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -136,7 +136,8 @@
 	for _, reason := range closeReasons {
 		want = append(want, "edge_balancer.closed."+string(reason))
 	}
-	for _, outcome := range []string{"ok", "error", "full", "timeout", "no-connection", "reset", "recalled", "not-sent", "unreadable", "held-here"} {
+	for _, outcome := range []string{"ok", "error", "full", "timeout", "no-connection", "reset", "recalled",
+		"not-sent", "unreadable", "held-here"} {
 		want = append(want, "edge_balancer.attempts."+outcome)
 	}
 	want = append(want, ".", "")
@@ -182,7 +183,8 @@
 			t.Errorf("%s=%d, want %d", name, got, want)
 		}
 	}
-	keyed := metricValue(t, text, "edge_balancer.operations.keyed.throttled") + metricValue(t, text, "edge_balancer.operations.keyed.faulted")
+	keyed := metricValue(t, text, "edge_balancer.operations.keyed.throttled") +
+		metricValue(t, text, "edge_balancer.operations.keyed.faulted")
 	if keyed != 1 {
 		t.Errorf("%d messages of the class keyed counted, want 1", keyed)
 	}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -99,8 +99,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	cfg := &Config{Name: in.Name, ListenAddr: in.Listen, AdminAddr: in.Admin, DiscoveryAddr: in.Discovery, Limits: in.Limits, KnownList: in.Known,
-		Deployment: deploy, Classes: map[string]int{}, Tenants: map[string]int{}}
+	cfg := &Config{
+		Name:          in.Name,
+		ListenAddr:    in.Listen,
+		AdminAddr:     in.Admin,
+		DiscoveryAddr: in.Discovery,
+		Limits:        in.Limits,
+		KnownList:     in.Known,
+		Deployment:    deploy,
+		Classes:       map[string]int{},
+		Tenants:       map[string]int{},
+	}
 	if in.Seed != "" {
 		if cfg.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
 			return nil, fmt.Errorf("seed: %w", err)
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -56,7 +56,14 @@
 func faultsFor(span time.Duration, errno syscall.Errno, calls ...string) (faults []faultinject.Fault) {
 	now := faultTime()
 	for _, call := range calls {
-		faults = append(faults, faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: errno, From: now, To: now + span, Chance: 1})
+		faults = append(faults, faultinject.Fault{
+			Call:   call,
+			On:     faultinject.StateFiles,
+			Errno:  errno,
+			From:   now,
+			To:     now + span,
+			Chance: 1,
+		})
 	}
 	return faults
 }
@@ -145,7 +152,9 @@
 	proc := startProcess(t, p, dir, known)
 	ids := acceptHeld(t, proc, e, 16000, 6)
 	proc.kill()
-	proc = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: faultsFor(1200*time.Millisecond, syscall.EIO, "read", "pread")})
+	proc = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{
+		Faults: faultsFor(1200*time.Millisecond, syscall.EIO, "read", "pread"),
+	})
 	proc.addr = await(t, proc.ready, "ready program")
 	expectDelivered(t, p, e, ids)
 	proc.kill()
@@ -202,9 +211,23 @@
 	later := now + faultDelay
 	var faults []faultinject.Fault
 	for _, call := range []string{"open", "rename"} {
-		faults = append(faults, faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: syscall.EIO, From: later, To: now + time.Minute, Chance: 1})
+		faults = append(faults, faultinject.Fault{
+			Call:   call,
+			On:     faultinject.StateFiles,
+			Errno:  syscall.EIO,
+			From:   later,
+			To:     now + time.Minute,
+			Chance: 1,
+		})
 	}
-	faults = append(faults, faultinject.Fault{Call: "pwrite", On: faultinject.StateFiles, Errno: syscall.ENOSPC, From: later, To: later + time.Second, Chance: 1})
+	faults = append(faults, faultinject.Fault{
+		Call:   "pwrite",
+		On:     faultinject.StateFiles,
+		Errno:  syscall.ENOSPC,
+		From:   later,
+		To:     later + time.Second,
+		Chance: 1,
+	})
 	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: faults})
 	proc.addr = await(t, proc.ready, "ready program")
 	c := dial(t, proc.addr)
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -30,30 +30,36 @@
 
 func newUpgradeFixture(t *testing.T) *upgradeFixture {
 	p, e := newPlatform(t), newEndpoint(t)
-	fixture := &upgradeFixture{t: t, platform: p, endpoint: e, dir: t.TempDir(), known: List{Generation: 1, Reset: true, Instances: instances(e)}}
+	fixture := &upgradeFixture{
+		t:        t,
+		platform: p,
+		endpoint: e,
+		dir:      t.TempDir(),
+		known:    List{Generation: 1, Reset: true, Instances: instances(e)},
+	}
 	p.list = fixture.known
 	return fixture
 }
 
-func (fixture *upgradeFixture) start() *process {
-	return startProcess(fixture.t, fixture.platform, fixture.dir, fixture.known)
+func (f *upgradeFixture) start() *process {
+	return startProcess(f.t, f.platform, f.dir, f.known)
 }
 
 // startStandby starts the program while another process serves, and waits until it is ready to take over.
-func (fixture *upgradeFixture) startStandby() *process {
-	fixture.t.Helper()
-	proc := launchProcess(fixture.t, fixture.platform, fixture.dir, fixture.known)
+func (f *upgradeFixture) startStandby() *process {
+	f.t.Helper()
+	proc := launchProcess(f.t, f.platform, f.dir, f.known)
 	proc.awaitLog("stands by")
-	if got := adminCall(fixture.t, proc.admin, "ready\n"); got != "+OK\n" {
-		fixture.t.Fatalf("ready: %q", got)
+	if got := adminCall(f.t, proc.admin, "ready\n"); got != "+OK\n" {
+		f.t.Fatalf("ready: %q", got)
 	}
 	return proc
 }
 
 // awaitReady waits until the process serves clients.
-func (proc *process) awaitReady() {
-	proc.t.Helper()
-	proc.addr = await(proc.t, proc.ready, "ready program")
+func (p *process) awaitReady() {
+	p.t.Helper()
+	p.addr = await(p.t, p.ready, "ready program")
 }
 
 // In an upgrade the old process keeps its connections and calls until they end, while the new one handles their
@@ -81,7 +87,8 @@
 		if got := adminCall(t, proc.admin, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("the old process is ready: %q", got)
 		}
-		io.WriteString(incomplete.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n") // read by the old process, accepted by the new one
+		// Read by the old process, accepted by the new one.
+		io.WriteString(incomplete.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n")
 		if got := incomplete.line(); got != "+OK" {
 			t.Errorf("relayed: %q", got)
 		}
@@ -293,16 +300,23 @@
 }
 
 // A successor must reject an incomplete or invalid handover, and continue from the journal alone.
-func TestTornHandover(t *testing.T) {
+func TestInvalidHandover(t *testing.T) {
 	whole := []byte(`{"State":{"Module":"e30="}}`)
 	frame := binary.LittleEndian.AppendUint32(nil, uint32(len(whole)))
 	frame = binary.LittleEndian.AppendUint32(frame, crc32.ChecksumIEEE(whole))
 	frame = append(frame, whole...)
 	corrupt := append([]byte{}, frame...)
 	corrupt[len(corrupt)-4] ^= 1
-	for name, b := range map[string][]byte{"nothing": nil, "one byte": frame[:1], "half a header": frame[:5], "header only": frame[:8],
-		"one byte short": frame[:len(frame)-1], "corrupt": corrupt, "invalid snapshot": frame,
-		"too long": {255, 255, 255, 255, 0, 0, 0, 0}} {
+	for name, b := range map[string][]byte{
+		"nothing":          nil,
+		"one byte":         frame[:1],
+		"half a header":    frame[:5],
+		"header only":      frame[:8],
+		"one byte short":   frame[:len(frame)-1],
+		"corrupt":          corrupt,
+		"invalid snapshot": frame,
+		"too long":         {255, 255, 255, 255, 0, 0, 0, 0},
+	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newUpgradeFixture(t)
 			lock, accept := fakeOwner(t, fixture.dir)
@@ -331,7 +345,7 @@
 
 // If a successor receives the state and then dies or does not accept it, the owner must remain the owner, and shut down
 // as without a successor.
-func TestHandoverNotTaken(t *testing.T) {
+func TestHandoverNotAccepted(t *testing.T) {
 	for name, respond := range map[string]func(*link) error{
 		"dies":          func(*link) error { return nil },
 		"refuses":       func(l *link) error { return l.write(packet{Refused: "no"}) },
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -37,14 +37,16 @@
 func TestJournalReplay(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
-	mustAppend(t, j, acceptRecord("sent", 3), acceptRecord("done", 3), acceptRecord("never", 3), acceptRecord("may", 3), acceptRecord("ended", 3), acceptRecord("heard", 3))
+	mustAppend(t, j, acceptRecord("sent", 3), acceptRecord("done", 3), acceptRecord("never", 3),
+		acceptRecord("may", 3), acceptRecord("ended", 3), acceptRecord("heard", 3))
 	for _, id := range []string{"sent", "done", "never", "may"} {
 		mustAppend(t, j, record{Op: opSend, ID: id, At: 100, Zone: 1})
 	}
 	mustAppend(t, j, record{Op: opDone, ID: "done"}, record{Op: opOutcome, ID: "never"},
 		record{Op: opOutcome, ID: "may", MayHaveRun: true}, record{Op: opSend, ID: "may", At: 200, Zone: 0},
 		record{Op: opGiveUp, ID: "ended", Notice: &Notice{ID: "ended", State: "failed"}},
-		record{Op: opGiveUp, ID: "heard", Notice: &Notice{ID: "heard", State: "failed"}}, record{Op: opNoticeConfirmed, ID: "heard"})
+		record{Op: opGiveUp, ID: "heard", Notice: &Notice{ID: "heard", State: "failed"}},
+		record{Op: opNoticeConfirmed, ID: "heard"})
 	check := func(when string) {
 		t.Helper()
 		j := openJournal(t, dir, 3e6)
@@ -55,7 +57,8 @@
 		if got := fmt.Sprint(ids); got != "[sent never may ended]" {
 			t.Fatalf("%s: owed %v", when, got)
 		}
-		if e := j.Entry("sent"); e.Attempts != 1 || !e.InFlight || e.MayHaveRun || e.FirstMayRunAt != 100 || e.FirstMayRunZone != 1 || string(e.Body) != "bbb" {
+		if e := j.Entry("sent"); e.Attempts != 1 || !e.InFlight || e.MayHaveRun || e.FirstMayRunAt != 100 || e.FirstMayRunZone != 1 ||
+			string(e.Body) != "bbb" {
 			t.Errorf("%s: sent: %+v", when, e)
 		}
 		if e := j.Entry("never"); e.Attempts != 1 || e.InFlight || e.MayHaveRun {
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -60,7 +60,8 @@
 func TestNoticesMoveFromSilentAddress(t *testing.T) {
 	asked := make(chan struct{}, 1)
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, err := io.Copy(io.Discard, r.Body); err != nil { // read completely, so that the server notices when the connection is closed
+		// Read completely, so that the server notices when the connection is closed.
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			t.Error(err)
 		}
 		asked <- struct{}{}
@@ -79,7 +80,7 @@
 }
 
 // A notice may be at most 0.3 s late, even if the first request gets no answer.
-func TestNoticeOverASilentConnection(t *testing.T) {
+func TestNoticeOverSilentConnection(t *testing.T) {
 	var first atomic.Bool
 	heard := make(chan time.Time, 8)
 	silent := make(chan struct{})
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -86,7 +86,8 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(path)
-	cmd.Env = append(append(os.Environ(), env...), "BALANCER_NAME=n0", "BALANCER_LISTEN=127.0.0.1:0", "BALANCER_ADMIN_ADDR=127.0.0.1:0",
+	cmd.Env = append(append(os.Environ(), env...), "BALANCER_NAME=n0",
+		"BALANCER_LISTEN=127.0.0.1:0", "BALANCER_ADMIN_ADDR=127.0.0.1:0",
 		"BALANCER_DISCOVERY="+strings.TrimPrefix(p.srv.URL, "http://"), "BALANCER_STATE="+dir, "BALANCER_CONFIG="+config)
 	logs, err := cmd.StderrPipe()
 	if err != nil {
@@ -117,20 +118,20 @@
 	return proc
 }
 
-func (proc *process) kill() {
-	proc.t.Helper()
-	proc.cmd.Process.Kill()
-	await(proc.t, proc.exited, "end of the program")
+func (p *process) kill() {
+	p.t.Helper()
+	p.cmd.Process.Kill()
+	await(p.t, p.exited, "end of the program")
 }
 
 // terminate sends SIGTERM.
-func (proc *process) terminate() { proc.cmd.Process.Signal(syscall.SIGTERM) }
+func (p *process) terminate() { p.cmd.Process.Signal(syscall.SIGTERM) }
 
 // awaitExit checks that the program exits without an error.
-func (proc *process) awaitExit() {
-	proc.t.Helper()
-	if err := await(proc.t, proc.exited, "end of the program"); err != nil {
-		proc.t.Errorf("ended with %v", err)
+func (p *process) awaitExit() {
+	p.t.Helper()
+	if err := await(p.t, p.exited, "end of the program"); err != nil {
+		p.t.Errorf("ended with %v", err)
 	}
 }
 
@@ -189,7 +190,10 @@
 // A restarted process, which knows no latencies yet, must send all accepted messages that have not been tried: after a
 // kill and after an orderly shutdown, even if the first call is refused.
 func TestRestartSendsUntriedMessages(t *testing.T) {
-	for name, stop := range map[string]func(*process){"kill": (*process).kill, "term": func(proc *process) { proc.terminate(); proc.awaitExit() }} {
+	for name, stop := range map[string]func(*process){
+		"kill": (*process).kill,
+		"term": func(proc *process) { proc.terminate(); proc.awaitExit() },
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
@@ -260,7 +264,7 @@
 
 // Without the lock another process may own the state folder, and an unsafe message could be sent twice. A sender that
 // cannot open the lock file must fail with a clear error.
-func TestNoLockNoService(t *testing.T) {
+func TestNewFailsWithoutLock(t *testing.T) {
 	p, dir := newPlatform(t), t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, lockFile), 0o700); err != nil {
 		t.Fatal(err)
@@ -382,11 +386,11 @@
 }
 
 // loggedLines yields the log lines so far that have not been read.
-func (proc *process) loggedLines() func(yield func(string) bool) {
+func (p *process) loggedLines() func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for {
 			select {
-			case line := <-proc.logLines:
+			case line := <-p.logLines:
 				if !yield(line) {
 					return
 				}
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -111,7 +111,8 @@
 			for line := range procs[0].loggedLines() {
 				if strings.Contains(line, "msg=ready ") {
 					_, spent, _ := strings.Cut(line, "held=")
-					t.Logf("%d starts: nine in ten ready within %v, all within %v; the first: held=%s", len(times), worst, times[len(times)-1], spent)
+					t.Logf("%d starts: nine in ten ready within %v, all within %v; the first: held=%s",
+						len(times), worst, times[len(times)-1], spent)
 				}
 			}
 			if worst > maxReadyTime {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -9,21 +9,21 @@
 )
 
 // reload replaces the configuration file and sends SIGHUP.
-func (proc *process) reload(text []byte) {
-	proc.t.Helper()
-	if err := os.WriteFile(proc.configPath+".new", text, 0o600); err != nil {
-		proc.t.Fatal(err)
+func (p *process) reload(text []byte) {
+	p.t.Helper()
+	if err := os.WriteFile(p.configPath+".new", text, 0o600); err != nil {
+		p.t.Fatal(err)
 	}
-	if err := os.Rename(proc.configPath+".new", proc.configPath); err != nil {
-		proc.t.Fatal(err)
+	if err := os.Rename(p.configPath+".new", p.configPath); err != nil {
+		p.t.Fatal(err)
 	}
-	proc.cmd.Process.Signal(syscall.SIGHUP)
+	p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
 // awaitLog waits for a log line that contains a text.
-func (proc *process) awaitLog(part string) {
-	proc.t.Helper()
-	for !strings.Contains(await(proc.t, proc.logLines, "line with "+part), part) {
+func (p *process) awaitLog(part string) {
+	p.t.Helper()
+	for !strings.Contains(await(p.t, p.logLines, "line with "+part), part) {
 	}
 }
 
@@ -40,7 +40,11 @@
 	c.put("under-way", "safe", "+OK")
 	underWay := await(t, e.calls, "call")
 
-	for i, bad := range []string{"{", "{}", strings.Replace(string(configText(fresh, known)), `"discovery":"`, `"discovery":"no address `, 1)} {
+	for i, bad := range []string{
+		"{",
+		"{}",
+		strings.Replace(string(configText(fresh, known)), `"discovery":"`, `"discovery":"no address `, 1),
+	} {
 		proc.reload([]byte(strings.ReplaceAll(bad, "no address 127.0.0.1:", "no address ")))
 		proc.awaitLog("old configuration stands")
 		id := fmt.Sprint("bad-", i)
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -19,9 +19,24 @@
 )
 
 // transientErrors are the errors that Linux documents for a lack of resources that may soon be available again.
-var transientErrors = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EINTR, syscall.EAGAIN, syscall.EBUSY,
-	syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.ENOLCK, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL,
-	syscall.ENETDOWN, syscall.ENETUNREACH, syscall.ECONNABORTED}
+var transientErrors = []error{
+	syscall.ENOSPC,
+	syscall.EDQUOT,
+	syscall.EIO,
+	syscall.EINTR,
+	syscall.EAGAIN,
+	syscall.EBUSY,
+	syscall.EMFILE,
+	syscall.ENFILE,
+	syscall.ENOMEM,
+	syscall.ENOBUFS,
+	syscall.ENOLCK,
+	syscall.EADDRINUSE,
+	syscall.EADDRNOTAVAIL,
+	syscall.ENETDOWN,
+	syscall.ENETUNREACH,
+	syscall.ECONNABORTED,
+}
 
 // isTransient reports whether a call that failed with err may soon succeed.
 func isTransient(err error) bool {
