--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -329,7 +329,7 @@
 			list.Instances = append(list.Instances, inst)
 		}
 		n.dir.Apply(list, time.Now())
-		st, err := n.handoverState()
+		st, err := n.collectHandoverState()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -439,7 +439,7 @@
 func TestLoadReportReachesLogic(t *testing.T) {
 	for _, status := range []int{200, 503, 500} {
 		n, e := newBulkNode(t, map[string]string{"a": "x"})
-		n.cfg.Deploy.Reports = []string{"x0", "x1"}
+		n.cfg.Deployment.Reports = []string{"x0", "x1"}
 		n.launch(t.Context())
 		await(t, e.calls, "call").reply(status, "Endpoint-Load-Metrics: x0=0.4,x1=25")
 		n.reply(await(t, n.events, "outcome").(replyEvent))
--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -50,7 +50,7 @@
 // bulkItemSize estimates how many bytes m adds to the body of a bulk request. It
 // ignores escape sequences in the id and the key, and that an empty key is omitted.
 func bulkItemSize(m *Message) int {
-	return len(`{"id":"","key":"","body":""},`) + len(m.ID) + len(m.Key) + (len(m.Body)+2)/3*4
+	return len(`{"id":"","key":"","body":""},`) + len(m.ID) + len(m.IdempotencyKey) + (len(m.Body)+2)/3*4
 }
 
 // splitBulk selects the calls that are sent together with the first one: those to
@@ -228,7 +228,7 @@
 func newBulkRequest(calls []*call, addr string, timeout time.Duration) (*http.Request, error) {
 	items := make([]bulkItem, 0, len(calls))
 	for _, cl := range calls {
-		items = append(items, bulkItem{ID: cl.msg.ID, Key: cl.msg.Key, Body: append([]byte{}, cl.msg.Body...)})
+		items = append(items, bulkItem{ID: cl.msg.ID, Key: cl.msg.IdempotencyKey, Body: append([]byte{}, cl.msg.Body...)})
 	}
 	body, err := json.Marshal(items)
 	if err != nil {
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -447,8 +447,8 @@
 		return nil, err
 	}
 	req.Header.Set("X-Trace-Id", m.ID)
-	if m.Key != "" {
-		req.Header.Set("Idempotency-Key", m.Key)
+	if m.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", m.IdempotencyKey)
 	}
 	return req, nil
 }
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -15,7 +15,7 @@
 
 func newTestCall(t *testing.T, addr, body string, timeout time.Duration) *call {
 	t.Helper()
-	m := &Message{ID: "m1", Key: "k1", Body: []byte(body)}
+	m := &Message{ID: "m1", IdempotencyKey: "k1", Body: []byte(body)}
 	req, err := newDeliveryRequest(m, addr, timeout)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,6 +1,6 @@
-// Package node is the sender on real sockets: it takes messages from clients,
-// keeps them in a journal, and lets a logic.Sender decide what is sent where and
-// when. It decides nothing about messages itself.
+// Package node runs a sender on real sockets: it accepts messages from clients,
+// keeps them in a journal, and sends them as a logic.Sender decides. All
+// decisions about messages are made there, none in this package.
 package node
 
 import (
@@ -15,7 +15,7 @@
 	"rundeal/logic"
 )
 
-// Limits are the bounds that the platform sets for the process.
+// Limits are the resource limits that the platform sets for the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -23,30 +23,31 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// Config is what the platform tells a sender at its start.
+// Config is the configuration that the platform gives a sender at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Admin     string // where operators call; empty if nowhere
-	Discovery string
-	StateDir  string
-	Seed      uint64
-	Limits    Limits
-	Known     EndpointList
-	Deploy    wire.Deployment
-	Classes   map[string]int
-	Tenants   map[string]int
+	Name          string
+	ListenAddr    string
+	AdminAddr     string // of the operators' interface; empty for none
+	DiscoveryAddr string
+	StateDir      string
+	Seed          uint64
+	Limits        Limits
+	KnownList     EndpointList
+	Deployment    wire.Deployment
+	Classes       map[string]int
+	Tenants       map[string]int
 }
 
-// classOf is the class of a message. One that the settings do not know any more counts as one that must not be repeated.
+// classOf returns the class of a message. A message whose class has been removed from the settings is treated as one
+// that must not be repeated.
 func (c *Config) classOf(m *Message) logic.Class {
 	if i, ok := c.Classes[m.Class]; ok {
-		return c.Deploy.Settings.Classes[i]
+		return c.Deployment.Settings.Classes[i]
 	}
 	return logic.Class{Name: m.Class, Effect: logic.Unsafe}
 }
 
-// LoadConfig reads the environment and the file that it names.
+// LoadConfig reads the environment and the configuration file that it names.
 func LoadConfig() (*Config, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if path == "" {
@@ -61,25 +62,25 @@
 		return nil, fmt.Errorf("config %s: %w", path, err)
 	}
 	cfg.StateDir = os.Getenv("BALANCER_STATE")
-	for name, field := range map[string]*string{"BALANCER_NAME": &cfg.Name, "BALANCER_LISTEN": &cfg.Listen,
-		"BALANCER_ADMIN_ADDR": &cfg.Admin} {
+	for name, field := range map[string]*string{"BALANCER_NAME": &cfg.Name, "BALANCER_LISTEN": &cfg.ListenAddr,
+		"BALANCER_ADMIN_ADDR": &cfg.AdminAddr} {
 		if v := os.Getenv(name); v != "" {
 			*field = v
 		}
 	}
-	if cfg.Discovery == "" { // the file may have been replaced since the start, the environment not
-		cfg.Discovery = os.Getenv("BALANCER_DISCOVERY")
+	if cfg.DiscoveryAddr == "" { // the file takes precedence: it may be newer than the environment of this process
+		cfg.DiscoveryAddr = os.Getenv("BALANCER_DISCOVERY")
 	}
-	if cfg.StateDir == "" || cfg.Listen == "" || cfg.Discovery == "" {
+	if cfg.StateDir == "" || cfg.ListenAddr == "" || cfg.DiscoveryAddr == "" {
 		return nil, errors.New("BALANCER_STATE, BALANCER_LISTEN and BALANCER_DISCOVERY must be set")
 	}
-	if _, _, err := net.SplitHostPort(cfg.Discovery); err != nil {
+	if _, _, err := net.SplitHostPort(cfg.DiscoveryAddr); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	return cfg, nil
 }
 
-// ParseConfig reads the text of the configuration file.
+// ParseConfig parses the text of a configuration file.
 func ParseConfig(text []byte) (*Config, error) {
 	var in struct {
 		Name      string          `json:"name"`
@@ -98,8 +99,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	cfg := &Config{Name: in.Name, Listen: in.Listen, Admin: in.Admin, Discovery: in.Discovery, Limits: in.Limits, Known: in.Known,
-		Deploy: deploy, Classes: map[string]int{}, Tenants: map[string]int{}}
+	cfg := &Config{
+		Name:          in.Name,
+		ListenAddr:    in.Listen,
+		AdminAddr:     in.Admin,
+		DiscoveryAddr: in.Discovery,
+		Limits:        in.Limits,
+		KnownList:     in.Known,
+		Deployment:    deploy,
+		Classes:       map[string]int{},
+		Tenants:       map[string]int{},
+	}
 	if in.Seed != "" {
 		if cfg.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
 			return nil, fmt.Errorf("seed: %w", err)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -96,8 +96,8 @@
 // NewDirectory returns an empty directory for a deployment.
 func NewDirectory(cfg *Config) *Directory {
 	return &Directory{
-		zones:       cfg.Deploy.Zones,
-		kinds:       cfg.Deploy.Settings.Kinds,
+		zones:       cfg.Deployment.Zones,
+		kinds:       cfg.Deployment.Settings.Kinds,
 		ids:         map[string]logic.EndpointID{},
 		endpoints:   map[logic.EndpointID]endpointInfo{},
 		destCounts:  map[int64]int{},
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -226,7 +226,7 @@
 
 	dir := t.TempDir()
 	// A folder in place of the handover socket: a real Unix socket would not run on the bubble's clock.
-	if err := os.MkdirAll(filepath.Join(dir, socketName, "x"), 0o700); err != nil {
+	if err := os.MkdirAll(filepath.Join(dir, handoverSocket, "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	ln, signals := &idleListener{closed: make(chan struct{})}, make(chan os.Signal)
@@ -272,7 +272,7 @@
 		for i := 0; ; i++ {
 			time.Sleep(200 * time.Millisecond)
 			id, answer := fmt.Sprintf("%06d", i), make(chan string, 1)
-			m := Message{ID: id, Key: id, Class: "keyed", Tenant: "acme", Dest: 1, Body: []byte("x"),
+			m := Message{ID: id, IdempotencyKey: id, Class: "keyed", Tenant: "acme", Dest: 1, Body: []byte("x"),
 				Deadline: time.Now().Add(3 * time.Second).UnixMicro()}
 			select {
 			case n.events <- putEvent{m, answer}:
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -27,8 +27,8 @@
 	return path, faultinject.Build(context.Background(), "../..", "./cmd/cometrack", path)
 })
 
-// startFaulty starts the program with a plan and waits until operators can ask it, if it gets that far.
-func startFaulty(t *testing.T, p *platform, dir string, text []byte, plan faultinject.Plan) *process {
+// startWithFaults starts the program with a fault plan. It does not wait.
+func startWithFaults(t *testing.T, p *platform, dir string, config []byte, plan faultinject.Plan) *process {
 	t.Helper()
 	path, err := faultyProgram()
 	if err != nil {
@@ -39,31 +39,40 @@
 	if err := plan.Save(file); err != nil {
 		t.Fatal(err)
 	}
-	return execProgram(t, path, p, dir, text, faultinject.EnvPlan+"="+file)
+	return execProgram(t, path, p, dir, config, faultinject.EnvPlan+"="+file)
 }
 
-// faultsBegin is when faults begin that must not meet the start of a process, which a busy machine makes long.
-const faultsBegin = 4 * time.Second
+// faultDelay is the delay of faults that must not begin before a process has started, which takes long on a busy machine.
+const faultDelay = 4 * time.Second
 
-// planTime is the time that plans count from: now, and the program is built.
-func planTime() time.Duration {
-	faultyProgram() // startFaulty tells of its error
+// faultTime returns the current time as used in fault plans. It builds the program first, so that this takes no time
+// afterwards.
+func faultTime() time.Duration {
+	faultyProgram() // startWithFaults reports the error
 	return faultinject.Now()
 }
 
-// faultsFor makes calls on the state folder fail from now on for a while.
+// faultsFor returns faults that make system calls on the state folder fail from now on for a time span.
 func faultsFor(span time.Duration, errno syscall.Errno, calls ...string) (faults []faultinject.Fault) {
-	now := planTime()
+	now := faultTime()
 	for _, call := range calls {
-		faults = append(faults, faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: errno, From: now, To: now + span, Chance: 1})
+		faults = append(faults, faultinject.Fault{
+			Call:   call,
+			On:     faultinject.StateFiles,
+			Errno:  errno,
+			From:   now,
+			To:     now + span,
+			Chance: 1,
+		})
 	}
 	return faults
 }
 
-// takeOn has a sender take on messages that it holds back, since its only endpoint has told it to wait.
-func takeOn(t *testing.T, x *process, e *endpoint, ms, many int) (ids map[string]bool) {
+// acceptHeld has a sender accept messages that it does not send yet, because its only endpoint has told it to wait. It
+// returns the ids of all messages that are owed.
+func acceptHeld(t *testing.T, proc *process, e *endpoint, ms, many int) (ids map[string]bool) {
 	t.Helper()
-	c := dial(t, x.addr)
+	c := dial(t, proc.addr)
 	c.putFor("first", "safe", ms, "+OK")
 	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	ids = map[string]bool{"first": true}
@@ -75,8 +84,8 @@
 	return ids
 }
 
-// delivers checks that calls with all of ids come, and nothing else does.
-func delivers(t *testing.T, p *platform, e *endpoint, ids map[string]bool) {
+// expectDelivered checks that all messages in ids are sent, no others, and that none is given up.
+func expectDelivered(t *testing.T, p *platform, e *endpoint, ids map[string]bool) {
 	t.Helper()
 	for left := len(ids); left > 0; left-- {
 		select {
@@ -85,106 +94,108 @@
 				t.Fatalf("call with %s", in.id())
 			}
 			in.reply(200)
-		case n := <-p.notices:
-			t.Fatalf("%d messages are left, and %s is %s", left, n.ID, n.State)
+		case notice := <-p.notices:
+			t.Fatalf("with %d messages left, %s is %s", left, notice.ID, notice.State)
 		case <-time.After(patience):
 			t.Fatalf("%d messages are neither sent nor ended", left)
 		}
 	}
 }
 
-// Deadlines are spans of real time: a wall clock that is stepped while no process runs changes nothing for what was
-// taken on. Seen before: stepped forward all of it was given up with no call, stepped back some was never ended.
-func TestWallClockStepsOverARestart(t *testing.T) {
+// Deadlines are spans of real time, so stepping the wall clock while no process runs must not affect accepted messages.
+// Earlier, after a step forward all of them were given up without a call, and after a step back some never ended.
+func TestWallClockStepAcrossRestart(t *testing.T) {
 	for _, offset := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(offset.String(), func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
-			x := startProcess(t, p, dir, known)
-			ids := takeOn(t, x, e, 16000, 6)
-			x.kill()
-			step := faultinject.Plan{Steps: []faultinject.Step{{At: planTime(), Offset: offset}}}
-			x = startFaulty(t, p, dir, configText(p, known), step)
-			x.addr = await(t, x.ready, "ready program")
-			delivers(t, p, e, ids)
-			x.kill()
+			proc := startProcess(t, p, dir, known)
+			ids := acceptHeld(t, proc, e, 16000, 6)
+			proc.kill()
+			step := faultinject.Plan{Steps: []faultinject.Step{{At: faultTime(), Offset: offset}}}
+			proc = startWithFaults(t, p, dir, configText(p, known), step)
+			proc.addr = await(t, proc.ready, "ready program")
+			expectDelivered(t, p, e, ids)
+			proc.kill()
 			e.none(t)
-			// What has no endpoint ends in its time.
+			// A message without a usable endpoint must end by its deadline.
 			step.Steps[0].Offset = -offset
 			at := time.Now()
 			p.set(func() {
 				p.list = EndpointList{Generation: 2, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1", Zone: "a",
 					MachineType: "std", Dest: 2, Lifecycle: "draining"})}
 			})
-			x = startFaulty(t, p, dir, configText(p, p.list), step)
-			x.addr = await(t, x.ready, "ready program")
-			if got := dial(t, x.addr).do("MSG.PUT", "0", "short", "c=unsafe,d=2500,dest=2", "x"); got != "+OK" {
+			proc = startWithFaults(t, p, dir, configText(p, p.list), step)
+			proc.addr = await(t, proc.ready, "ready program")
+			if got := dial(t, proc.addr).do("MSG.PUT", "0", "short", "c=unsafe,d=2500,dest=2", "x"); got != "+OK" {
 				t.Fatalf("got %q", got)
 			}
-			x.kill()
+			proc.kill()
 			step.Steps[0].Offset = 0
-			x = startFaulty(t, p, dir, configText(p, p.list), step)
-			await(t, x.ready, "ready program")
-			n := await(t, p.notices, "notice")
-			for n.ID != "short" { // a kill just behind an answer leaves open whether what may not be repeated has run
-				n = await(t, p.notices, "notice")
+			proc = startWithFaults(t, p, dir, configText(p, p.list), step)
+			await(t, proc.ready, "ready program")
+			notice := await(t, p.notices, "notice")
+			for notice.ID != "short" { // after a kill right after a reply, unsafe messages may have run and fail
+				notice = await(t, p.notices, "notice")
 			}
 			if took := time.Since(at); took > 4*time.Second {
 				t.Errorf("ended after %v", took)
 			}
-			x.kill()
+			proc.kill()
 		})
 	}
 }
 
-// A read that fails for a moment is no torn end: what stands behind it is owed all the same.
-func TestReadErrorAtAStartLosesNothing(t *testing.T) {
+// A transient read error must not be taken for the end of the journal: the messages in the records after it are owed.
+func TestReadErrorAtStartLosesNothing(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	x := startProcess(t, p, dir, known)
-	ids := takeOn(t, x, e, 16000, 6)
-	x.kill()
-	x = startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: faultsFor(1200*time.Millisecond, syscall.EIO, "read", "pread")})
-	x.addr = await(t, x.ready, "ready program")
-	delivers(t, p, e, ids)
-	x.kill()
+	proc := startProcess(t, p, dir, known)
+	ids := acceptHeld(t, proc, e, 16000, 6)
+	proc.kill()
+	proc = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{
+		Faults: faultsFor(1200*time.Millisecond, syscall.EIO, "read", "pread"),
+	})
+	proc.addr = await(t, proc.ready, "ready program")
+	expectDelivered(t, p, e, ids)
+	proc.kill()
 	e.none(t)
 }
 
-// What fails for a moment at a start keeps it from being ready for so long, and does not end the process.
-func TestStartOutlivesTrouble(t *testing.T) {
+// A transient error at the start may delay readiness for as long as it lasts, but must not end the process.
+func TestStartSurvivesTransientErrors(t *testing.T) {
 	const span = 1500 * time.Millisecond
 	for name, make := range map[string]func() []faultinject.Fault{
 		"folder full":        func() []faultinject.Fault { return faultsFor(span, syscall.ENOSPC, "open", "pwrite", "truncate") },
 		"folder fails":       func() []faultinject.Fault { return faultsFor(span, syscall.EIO, "open", "unlink", "truncate") },
 		"truncation fails":   func() []faultinject.Fault { return faultsFor(span, syscall.EIO, "truncate") },
 		"lock interrupted":   func() []faultinject.Fault { return faultsFor(span, syscall.EINTR, "lock") },
-		"no socket":          func() []faultinject.Fault { return anywhere(span, syscall.ENOBUFS, "socket") },
-		"address in use":     func() []faultinject.Fault { return anywhere(span, syscall.EADDRINUSE, "bind") },
-		"no descriptor left": func() []faultinject.Fault { return anywhere(span, syscall.ENFILE, "open", "socket") },
+		"no socket":          func() []faultinject.Fault { return faultsAnywhere(span, syscall.ENOBUFS, "socket") },
+		"address in use":     func() []faultinject.Fault { return faultsAnywhere(span, syscall.EADDRINUSE, "bind") },
+		"no descriptor left": func() []faultinject.Fault { return faultsAnywhere(span, syscall.ENFILE, "open", "socket") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
-			x := startProcess(t, p, dir, known)
-			ids := takeOn(t, x, e, 16000, 2)
-			x.kill()
+			proc := startProcess(t, p, dir, known)
+			ids := acceptHeld(t, proc, e, 16000, 2)
+			proc.kill()
 			begun := time.Now()
-			x = startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: make()})
+			proc = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: make()})
 			select {
-			case x.addr = <-x.ready:
-			case err := <-x.done:
+			case proc.addr = <-proc.ready:
+			case err := <-proc.exited:
 				t.Fatalf("ended with %v after %v", err, time.Since(begun))
 			case <-time.After(span + 3*time.Second):
-				t.Fatal("not ready after the trouble")
+				t.Fatal("not ready after the errors have ended")
 			}
-			delivers(t, p, e, ids)
-			x.kill()
+			expectDelivered(t, p, e, ids)
+			proc.kill()
 		})
 	}
 }
 
-// anywhere makes calls fail from now on for a while, whatever they are about.
-func anywhere(span time.Duration, errno syscall.Errno, calls ...string) []faultinject.Fault {
+// faultsAnywhere is faultsFor without the restriction to the state folder.
+func faultsAnywhere(span time.Duration, errno syscall.Errno, calls ...string) []faultinject.Fault {
 	faults := faultsFor(span, errno, calls...)
 	for i := range faults {
 		faults[i].On = faultinject.Anything
@@ -192,19 +203,34 @@
 	return faults
 }
 
-// A write that fails says nothing of the next one: appends go on as soon as they work, though files can't be made yet.
-func TestAppendsGoOnAfterAFailure(t *testing.T) {
+// After a failed write, appends to the journal must resume as soon as writing works again, even if no new file can be
+// created.
+func TestAppendsResumeAfterFailure(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	now := planTime()
-	later := now + faultsBegin
+	now := faultTime()
+	later := now + faultDelay
 	var faults []faultinject.Fault
 	for _, call := range []string{"open", "rename"} {
-		faults = append(faults, faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: syscall.EIO, From: later, To: now + time.Minute, Chance: 1})
+		faults = append(faults, faultinject.Fault{
+			Call:   call,
+			On:     faultinject.StateFiles,
+			Errno:  syscall.EIO,
+			From:   later,
+			To:     now + time.Minute,
+			Chance: 1,
+		})
 	}
-	faults = append(faults, faultinject.Fault{Call: "pwrite", On: faultinject.StateFiles, Errno: syscall.ENOSPC, From: later, To: later + time.Second, Chance: 1})
-	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: faults})
-	x.addr = await(t, x.ready, "ready program")
-	c := dial(t, x.addr)
+	faults = append(faults, faultinject.Fault{
+		Call:   "pwrite",
+		On:     faultinject.StateFiles,
+		Errno:  syscall.ENOSPC,
+		From:   later,
+		To:     later + time.Second,
+		Chance: 1,
+	})
+	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: faults})
+	proc.addr = await(t, proc.ready, "ready program")
+	c := dial(t, proc.addr)
 	go func() {
 		for in := range e.calls {
 			in.reply(200)
@@ -219,40 +245,40 @@
 	for i := range 5 {
 		c.put(fmt.Sprint("later-", i), "safe", "+OK")
 	}
-	x.kill()
+	proc.kill()
 }
 
-// A configuration that cannot be read for a moment is read again: the signal does not come twice.
-func TestReloadOutlivesAReadThatFails(t *testing.T) {
+// If the configuration cannot be read for a moment, the reload must be retried, because the signal is not repeated.
+func TestReloadRetriesFailedRead(t *testing.T) {
 	old, fresh, e, dir := newPlatform(t), newPlatform(t), newEndpoint(t), t.TempDir()
 	known := EndpointList{Generation: 5, Reset: true, Instances: instances(e)}
 	old.list, fresh.list = known, known
-	now := planTime()
-	x := startFaulty(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "open",
+	now := faultTime()
+	proc := startWithFaults(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "open",
 		Errno: syscall.ENFILE, From: now + 800*time.Millisecond, To: now + 1800*time.Millisecond, Chance: 1}}})
-	await(t, x.ready, "ready program")
+	await(t, proc.ready, "ready program")
 	for faultinject.Now() < now+time.Second {
 		time.Sleep(10 * time.Millisecond)
 	}
-	x.hup(configText(fresh, known))
+	proc.reload(configText(fresh, known))
 	select {
 	case <-fresh.asked:
 	case <-time.After(3 * time.Second):
-		t.Error("discovery has not moved")
+		t.Error("discovery has not switched to the new address")
 	}
-	x.kill()
+	proc.kill()
 }
 
-// What is returned may be handed in again, so no later process may send it: the journal has its end before the platform
-// is told, or its time is up.
-func TestReturnedIsNeverSentByTheNextProcess(t *testing.T) {
+// A returned message may be submitted again, so no later process may send it. The platform must therefore be notified
+// only after the journal has the record, or when the message's deadline has come.
+func TestReturnedIsNotSentAfterRestart(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	now := planTime()
-	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", On: faultinject.StateFiles,
-		Errno: syscall.EIO, From: now + faultsBegin, To: now + time.Minute, Chance: 1}}})
-	x.addr = await(t, x.ready, "ready program")
-	c := dial(t, x.addr)
-	const usual = time.Second // what a call takes: with less than that left a message is returned
+	now := faultTime()
+	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", On: faultinject.StateFiles,
+		Errno: syscall.EIO, From: now + faultDelay, To: now + time.Minute, Chance: 1}}})
+	proc.addr = await(t, proc.ready, "ready program")
+	c := dial(t, proc.addr)
+	const usual = time.Second // duration of a call; a message with less time left is returned
 	for i := range 5 {
 		c.put(fmt.Sprint("usual-", i), "safe", "+OK")
 	}
@@ -263,17 +289,17 @@
 	time.Sleep(usual + 50*time.Millisecond)
 	c.put("told-to-wait", "safe", "+OK")
 	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
-	const span = faultsBegin + time.Second // it is returned after they have begun
+	const span = faultDelay + time.Second // the message is returned after the faults have begun
 	taken := time.Now()
 	c.putFor("held", "safe", int(span.Milliseconds()), "+OK")
 	returned := false
 	select {
-	case n := <-p.notices:
-		returned = n == Notice{ID: "held", State: "returned", AfterMS: n.AfterMS}
+	case notice := <-p.notices:
+		returned = notice == Notice{ID: "held", State: "returned", AfterMS: notice.AfterMS}
 	case <-time.After(span - usual/2 - time.Since(taken)):
 	}
-	x.kill()
-	x = startProcess(t, p, dir, known)
+	proc.kill()
+	proc = startProcess(t, p, dir, known)
 	for wait := time.After(span - time.Since(taken)); ; {
 		select {
 		case in := <-e.calls:
@@ -286,53 +312,53 @@
 		}
 		break
 	}
-	x.kill()
+	proc.kill()
 }
 
-// A wait that a signal interrupts says nothing of the connection: it stays, and what comes on it is answered.
-func TestInterruptedWaitsCloseNothing(t *testing.T) {
+// A read interrupted by a signal must not close the connection: it stays open, and requests on it are answered.
+func TestInterruptedReadKeepsConnection(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	now := planTime()
-	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "receive",
+	now := faultTime()
+	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "receive",
 		Errno: syscall.EINTR, From: now, To: now + time.Minute, Chance: 0.5}}})
-	x.addr = await(t, x.ready, "ready program")
-	c := dial(t, x.addr)
+	proc.addr = await(t, proc.ready, "ready program")
+	c := dial(t, proc.addr)
 	for i := range 40 {
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
 		await(t, e.calls, "call").reply(200)
 	}
-	x.kill()
+	proc.kill()
 }
 
-// What keeps a new connection from being accepted is no reason to close one that rests.
-func TestFailedAcceptsCloseNothing(t *testing.T) {
+// An error in accepting a new connection must not close an idle one.
+func TestFailedAcceptKeepsIdleConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EHOSTUNREACH, syscall.ECONNABORTED} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
-			now := planTime()
-			x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "accept",
+			now := faultTime()
+			proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "accept",
 				Errno: errno, From: now + 700*time.Millisecond, To: now + 1700*time.Millisecond, Chance: 0.9}}})
-			x.addr = await(t, x.ready, "ready program")
-			resting := dial(t, x.addr)
+			proc.addr = await(t, proc.ready, "ready program")
+			resting := dial(t, proc.addr)
 			resting.put("before", "safe", "+OK")
 			await(t, e.calls, "call").reply(200)
 			for faultinject.Now() < now+700*time.Millisecond {
 				time.Sleep(10 * time.Millisecond)
 			}
 			for i := range 3 {
-				dial(t, x.addr).put(fmt.Sprint("new-", i), "safe", "+OK")
+				dial(t, proc.addr).put(fmt.Sprint("new-", i), "safe", "+OK")
 				await(t, e.calls, "call").reply(200)
 			}
 			resting.put("after", "safe", "+OK")
 			await(t, e.calls, "call").reply(200)
-			x.kill()
+			proc.kill()
 		})
 	}
 }
 
-// Whoever reads the log may stall or go away: the sender goes on.
-func TestLogThatNobodyReads(t *testing.T) {
+// The sender must go on if the reader of its log stalls or exits.
+func TestUnreadLogDoesNotBlock(t *testing.T) {
 	for name, closed := range map[string]bool{"reader stalls": false, "reader is gone": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -378,7 +404,7 @@
 			}
 			c := dial(t, addr)
 			c.conn.SetDeadline(time.Now().Add(patience))
-			for i := range 900 { // too late to be sent: a line for each, more than a pipe holds
+			for i := range 900 { // too late to be sent; each logs a line, together more than a pipe holds
 				if got := c.do("MSG.PUT", "0", fmt.Sprint("m-", i), "c=safe,d=1,dest=1", "x"); !strings.HasPrefix(got, "-BUSY") {
 					t.Fatalf("put %d: got %q", i, got)
 				}
@@ -387,35 +413,36 @@
 	}
 }
 
-// A write that stops half way may leave whole records behind: what was refused with it must not be among them.
-func TestRefusedIsNotLeftInTheFile(t *testing.T) {
-	for i := range 16 { // where the write stops is a matter of chance
+// A write that fails halfway may leave complete records in the file. No message that was refused because of it may be
+// among them.
+func TestRefusedIsNotLeftInJournal(t *testing.T) {
+	for i := range 16 { // the position of the failure is random
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
-			refuseHalfWritten(t)
+			testRefusedPartialWrite(t)
 		})
 	}
 }
 
-func refuseHalfWritten(t *testing.T) {
+func testRefusedPartialWrite(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	now := planTime()
+	now := faultTime()
 	state := func(call string, errno syscall.Errno, most int, chance float64) faultinject.Fault {
 		return faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: errno, Most: most, Chance: chance,
-			From: now + faultsBegin, To: now + time.Minute}
+			From: now + faultDelay, To: now + time.Minute}
 	}
-	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{
+	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{
 		state("pwrite", 0, 400, 1), state("pwrite", syscall.ENOSPC, 0, 0.5), state("open", syscall.EIO, 0, 1)}})
-	x.addr = await(t, x.ready, "ready program")
-	c := dial(t, x.addr)
+	proc.addr = await(t, proc.ready, "ready program")
+	c := dial(t, proc.addr)
 	c.putFor("first", "safe", 16000, "+OK")
 	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
-	for faultinject.Now() < now+faultsBegin+100*time.Millisecond {
+	for faultinject.Now() < now+faultDelay+100*time.Millisecond {
 		time.Sleep(10 * time.Millisecond)
 	}
-	c = dial(t, x.addr) // the first one may have been idle for too long
+	c = dial(t, proc.addr) // the first connection may have been closed as idle
 	refused := map[string]bool{}
-	var batch strings.Builder // sent at once: several records in one write
+	var batch strings.Builder // sent together, so that one write has several records
 	const many = 6
 	for i := range many {
 		id := fmt.Sprint("m-", i)
@@ -426,36 +453,36 @@
 	for i := range many {
 		refused[fmt.Sprint("m-", i)] = strings.HasPrefix(c.line(), "-BUSY")
 	}
-	x.kill()
+	proc.kill()
 	j := openJournal(t, dir, 3e6)
 	for id, busy := range refused {
 		if busy && j.Entry(id) != nil {
-			t.Errorf("%s was refused and stands in the file", id)
+			t.Errorf("%s was refused and is in the file", id)
 		}
 	}
 }
 
-// A process that stood by and takes over without a handover is the same sender: what the one before was told of an
-// endpoint holds for it, and its own list may be old.
-func TestTakeOverWithoutHandoverHeedsTheList(t *testing.T) {
+// A standby process that takes over without a handover continues for the same sender. Changes of the list that the
+// previous process was told of must apply to it too, although its own list may be older.
+func TestTakeoverWithoutHandoverUsesNewList(t *testing.T) {
 	p, dir := newPlatform(t), t.TempDir()
 	stays, drains := newEndpoint(t), newEndpoint(t)
 	old := EndpointList{Generation: 1, Reset: true, Instances: instances(stays, drains)}
 	p.list = old
 	text := []byte(strings.Replace(string(configText(p, old)), `"on_request"`, `"pushed"`, 1))
-	x := execProcess(t, p, dir, text)
-	x.admin, x.addr = await(t, x.asked, "operators' address"), await(t, x.ready, "ready program")
+	proc := execProcess(t, p, dir, text)
+	proc.admin, proc.addr = await(t, proc.adminReady, "operators' address"), await(t, proc.ready, "ready program")
 	p.set(func() {
 		news := instances(stays, drains)
 		news[1].Lifecycle = "draining"
 		p.list = EndpointList{Generation: 2, Instances: news[1:]}
 	})
-	x.says("generation=2")
-	ids := takeOn(t, x, stays, 16000, 6)
+	proc.awaitLog("generation=2")
+	ids := acceptHeld(t, proc, stays, 16000, 6)
 	next := execProcess(t, p, dir, text)
-	next.says("stands by")
+	next.awaitLog("stands by")
 	p.set(func() { p.silent = true })
-	x.kill()
+	proc.kill()
 	time.AfterFunc(200*time.Millisecond, func() { p.set(func() { p.silent = false }) })
 	await(t, next.ready, "ready program")
 	for left := len(ids); left > 0; {
@@ -464,7 +491,7 @@
 			in.reply(200)
 			left--
 		case in := <-drains.calls:
-			t.Fatalf("%s sent to an endpoint that drains", in.id())
+			t.Fatalf("%s sent to a draining endpoint", in.id())
 		case <-time.After(patience):
 			t.Fatalf("%d messages are not sent", left)
 		}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -19,140 +19,150 @@
 	"rundeal/logic"
 )
 
-// upgradeWorld is a program with an endpoint, and where the next one is to start.
-type upgradeWorld struct {
-	t     *testing.T
-	p     *platform
-	e     *endpoint
-	dir   string
-	known EndpointList
+// upgradeFixture has what the processes of an upgrade test share: a platform, an endpoint and a state folder.
+type upgradeFixture struct {
+	t        *testing.T
+	platform *platform
+	endpoint *endpoint
+	dir      string
+	known    EndpointList
 }
 
-func newUpgradeWorld(t *testing.T) *upgradeWorld {
+func newUpgradeFixture(t *testing.T) *upgradeFixture {
 	p, e := newPlatform(t), newEndpoint(t)
-	w := &upgradeWorld{t: t, p: p, e: e, dir: t.TempDir(), known: EndpointList{Generation: 1, Reset: true, Instances: instances(e)}}
-	p.list = w.known
-	return w
+	fixture := &upgradeFixture{
+		t:        t,
+		platform: p,
+		endpoint: e,
+		dir:      t.TempDir(),
+		known:    EndpointList{Generation: 1, Reset: true, Instances: instances(e)},
+	}
+	p.list = fixture.known
+	return fixture
 }
 
-func (w *upgradeWorld) start() *process { return startProcess(w.t, w.p, w.dir, w.known) }
+func (f *upgradeFixture) start() *process {
+	return startProcess(f.t, f.platform, f.dir, f.known)
+}
 
-// beside starts the program while another serves, and waits for its yes.
-func (w *upgradeWorld) beside() *process {
-	w.t.Helper()
-	x := launchProcess(w.t, w.p, w.dir, w.known)
-	x.says("stands by")
-	if got := ask(w.t, x.admin, "ready\n"); got != "+OK\n" {
-		w.t.Fatalf("ready: %q", got)
+// startStandby starts the program while another process serves, and waits until it is ready to take over.
+func (f *upgradeFixture) startStandby() *process {
+	f.t.Helper()
+	proc := launchProcess(f.t, f.platform, f.dir, f.known)
+	proc.awaitLog("stands by")
+	if got := adminCall(f.t, proc.admin, "ready\n"); got != "+OK\n" {
+		f.t.Fatalf("ready: %q", got)
 	}
-	return x
+	return proc
 }
 
-// takeOver waits until x serves.
-func (x *process) takeOver() {
-	x.t.Helper()
-	x.addr = await(x.t, x.ready, "ready program")
+// awaitReady waits until the process serves clients.
+func (p *process) awaitReady() {
+	p.t.Helper()
+	p.addr = await(p.t, p.ready, "ready program")
 }
 
-// The old process keeps its clients and calls until they are done, and the new one owns what becomes of them: no
-// charge fails, none runs twice, and clients see no break. Twice in a row.
+// In an upgrade the old process keeps its connections and calls until they end, while the new one handles their
+// outcomes. No unsafe message may fail or run twice, and clients must not notice the upgrade. The second round upgrades a
+// process that has itself taken over.
 func TestUpgrade(t *testing.T) {
-	w := newUpgradeWorld(t)
-	x := w.start()
+	fixture := newUpgradeFixture(t)
+	proc := fixture.start()
 	for round := range 2 {
-		c := dial(t, x.addr)
+		c := dial(t, proc.addr)
 		id := func(s string) string { return fmt.Sprint(s, round) }
 		c.put(id("charge"), "unsafe", "+OK")
-		charge := await(t, w.e.calls, "call")
-		half := dial(t, x.addr)
-		io.WriteString(half.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$5\r\n"+id("half")+"\r\n")
-		next := w.beside()
-		if got := ask(t, next.admin, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("a process that stands by can be brought to serve: %q", got)
+		charge := await(t, fixture.endpoint.calls, "call")
+		incomplete := dial(t, proc.addr)
+		io.WriteString(incomplete.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$5\r\n"+id("half")+"\r\n")
+		next := fixture.startStandby()
+		if got := adminCall(t, next.admin, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
+			t.Errorf("resume of a standby process: %q", got)
 		}
-		x.term()
-		next.takeOver()
-		if next.addr != x.addr {
-			t.Fatalf("serves at %s, want %s", next.addr, x.addr)
+		proc.terminate()
+		next.awaitReady()
+		if next.addr != proc.addr {
+			t.Fatalf("serves at %s, want %s", next.addr, proc.addr)
 		}
-		if got := ask(t, x.admin, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
+		if got := adminCall(t, proc.admin, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("the old process is ready: %q", got)
 		}
-		io.WriteString(half.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n") // read by the old process, taken by the new
-		if got := half.line(); got != "+OK" {
+		// Read by the old process, accepted by the new one.
+		io.WriteString(incomplete.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n")
+		if got := incomplete.line(); got != "+OK" {
 			t.Errorf("relayed: %q", got)
 		}
-		in := await(t, w.e.calls, "call for the relayed message")
+		in := await(t, fixture.endpoint.calls, "call for the relayed message")
 		if in.id() != id("half") {
 			t.Errorf("call with %s", in.id())
 		}
 		in.reply(200)
 		if got := c.line(); got != "" {
-			t.Errorf("an idle connection of the old process gets %q", got)
+			t.Errorf("got %q on an idle connection of the old process", got)
 		}
 		c = dial(t, next.addr)
 		if got := c.do("PING"); got != "+PONG" {
 			t.Errorf("PING: %q", got)
 		}
-		c.put(id("charge"), "unsafe", "+OK") // the new process knows that it has it
+		c.put(id("charge"), "unsafe", "+OK") // a repeated put: the new process has the message already
 		c.put(id("new"), "unsafe", "+OK")
-		await(t, w.e.calls, "call").reply(200)
-		text := ask(t, next.admin, "show-stat\n")
-		if n := figure(t, text, "edge_balancer.open_requests"); n < 1 || n > 3 {
+		await(t, fixture.endpoint.calls, "call").reply(200)
+		text := adminCall(t, next.admin, "show-stat\n")
+		if n := metricValue(t, text, "edge_balancer.open_requests"); n < 1 || n > 3 {
 			t.Errorf("open_requests=%d", n)
 		}
 		charge.reply(200)
-		x.end()
-		x = next
-		for stop := time.Now().Add(patience); figure(t, text, "edge_balancer.operations.unsafe.fulfilled") < 2; {
+		proc.awaitExit()
+		proc = next
+		for stop := time.Now().Add(patience); metricValue(t, text, "edge_balancer.operations.unsafe.fulfilled") < 2; {
 			if time.Now().After(stop) {
-				t.Fatalf("the charge is not told to be delivered:\n%s", text)
+				t.Fatalf("the charge is not counted as delivered:\n%s", text)
 			}
-			text = ask(t, x.admin, "show-stat\n")
+			text = adminCall(t, proc.admin, "show-stat\n")
 		}
 	}
-	x.term()
-	x.end()
-	w.e.none(t)
-	if len(w.p.notices) != 0 {
-		t.Errorf("notice %+v", <-w.p.notices)
+	proc.terminate()
+	proc.awaitExit()
+	fixture.endpoint.none(t)
+	if len(fixture.platform.notices) != 0 {
+		t.Errorf("notice %+v", <-fixture.platform.notices)
 	}
-	if ids := owed(t, w.dir); ids != nil {
+	if ids := owed(t, fixture.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
 
-// What the rules need remembered goes over: a told wait, and the attempts made.
+// A wait that an endpoint has asked for, and the attempts made so far, must still count after a handover.
 func TestUpgradeKeepsWaits(t *testing.T) {
-	w := newUpgradeWorld(t)
-	x := w.start()
-	dial(t, x.addr).put("a", "unsafe", "+OK")
-	in := await(t, w.e.calls, "call")
-	next := w.beside()
+	fixture := newUpgradeFixture(t)
+	proc := fixture.start()
+	dial(t, proc.addr).put("a", "unsafe", "+OK")
+	in := await(t, fixture.endpoint.calls, "call")
+	next := fixture.startStandby()
 	in.reply(429, "X-Come-Back-Ms: 1500")
 	told := time.Now()
-	waitForOp(t, w.dir, `"op":3`)
-	x.term()
-	next.takeOver()
+	awaitJournalText(t, fixture.dir, `"op":3`)
+	proc.terminate()
+	next.awaitReady()
 	c := dial(t, next.addr)
 	c.put("b", "unsafe", "+OK")
 	for range 2 {
-		in := await(t, w.e.calls, "call")
+		in := await(t, fixture.endpoint.calls, "call")
 		if d := in.at.Sub(told); d < 1500*time.Millisecond {
 			t.Errorf("%s was sent %v after a wait of 1.5 s", in.id(), d)
 		}
 		in.reply(200)
 	}
-	x.end()
-	next.term()
-	next.end()
+	proc.awaitExit()
+	next.terminate()
+	next.awaitExit()
 }
 
-// waitForOp waits until the journal holds an operation.
-func waitForOp(t *testing.T, dir, op string) {
+// awaitJournalText waits until the journal file contains a text.
+func awaitJournalText(t *testing.T, dir, op string) {
 	t.Helper()
 	for stop := time.Now().Add(patience); ; {
-		b, err := os.ReadFile(dir + "/" + journalName)
+		b, err := os.ReadFile(dir + "/" + journalFile)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -165,101 +175,104 @@
 	}
 }
 
-// A call that the old process takes with it at its SIGKILL may have run.
+// If the old process is killed after the handover, its calls in flight may have run.
 func TestUpgradeThenKill(t *testing.T) {
-	w := newUpgradeWorld(t)
-	x := w.start()
-	c := dial(t, x.addr)
+	fixture := newUpgradeFixture(t)
+	proc := fixture.start()
+	c := dial(t, proc.addr)
 	c.put("u", "unsafe", "+OK")
-	await(t, w.e.calls, "call")
+	await(t, fixture.endpoint.calls, "call")
 	c.put("s", "safe", "+OK")
-	await(t, w.e.calls, "call")
-	next := w.beside()
-	x.term()
-	next.takeOver()
-	x.kill()
-	if n := await(t, w.p.notices, "notice"); n != (Notice{ID: "u", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	await(t, fixture.endpoint.calls, "call")
+	next := fixture.startStandby()
+	proc.terminate()
+	next.awaitReady()
+	proc.kill()
+	if notice := await(t, fixture.platform.notices, "notice"); notice != (Notice{ID: "u", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
-	if in := await(t, w.e.calls, "call again"); in.id() != "s" {
+	if in := await(t, fixture.endpoint.calls, "call again"); in.id() != "s" {
 		t.Errorf("call with %s", in.id())
 	} else {
 		in.reply(200)
 	}
-	next.term()
-	next.end()
-	w.e.none(t)
+	next.terminate()
+	next.awaitExit()
+	fixture.endpoint.none(t)
 }
 
-// A successor that dies before its turn changes nothing, and SIGTERM is then a plain end.
+// If a successor dies before the handover, the owner goes on as before, and SIGTERM ends it as without a successor.
 func TestSuccessorDies(t *testing.T) {
-	w := newUpgradeWorld(t)
-	x := w.start()
-	w.beside().kill()
-	x.says("the successor is gone")
-	c := dial(t, x.addr)
+	fixture := newUpgradeFixture(t)
+	proc := fixture.start()
+	fixture.startStandby().kill()
+	proc.awaitLog("the successor is gone")
+	c := dial(t, proc.addr)
 	c.put("a", "unsafe", "+OK")
-	await(t, w.e.calls, "call").reply(200)
-	x.term()
-	x.end()
-	if ids := owed(t, w.dir); ids != nil {
+	await(t, fixture.endpoint.calls, "call").reply(200)
+	proc.terminate()
+	proc.awaitExit()
+	if ids := owed(t, fixture.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
 
-// An owner that is killed: the process that stands by replays the journal, and the clients' socket outlives the kill.
+// If the owner is killed, the standby process replays the journal. The listener for clients survives the kill, because
+// the standby process shares it.
 func TestOwnerDies(t *testing.T) {
-	w := newUpgradeWorld(t)
-	x := w.start()
-	c := dial(t, x.addr)
+	fixture := newUpgradeFixture(t)
+	proc := fixture.start()
+	c := dial(t, proc.addr)
 	c.put("u", "unsafe", "+OK")
-	await(t, w.e.calls, "call")
-	next := w.beside()
-	x.kill()
-	late := dial(t, x.addr) // nobody may be serving yet
-	next.takeOver()
+	await(t, fixture.endpoint.calls, "call")
+	next := fixture.startStandby()
+	proc.kill()
+	late := dial(t, proc.addr) // possibly before the new process serves
+	next.awaitReady()
 	late.put("b", "safe", "+OK")
-	await(t, w.e.calls, "call").reply(200)
-	if n := await(t, w.p.notices, "notice"); n != (Notice{ID: "u", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	await(t, fixture.endpoint.calls, "call").reply(200)
+	if notice := await(t, fixture.platform.notices, "notice"); notice != (Notice{ID: "u", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
-	next.term()
-	next.end()
+	next.terminate()
+	next.awaitExit()
 }
 
-// SIGHUP while two processes are there: the one that stands by follows discovery, and so does its word of what is owed.
+// After SIGHUP during an upgrade the standby process uses the new address once it has taken over, both for discovery and
+// for the notices that are owed.
 func TestReloadDuringUpgrade(t *testing.T) {
-	w := newUpgradeWorld(t)
+	fixture := newUpgradeFixture(t)
 	fresh := newPlatform(t)
-	fresh.list = EndpointList{Generation: 7, Reset: true, Instances: instances(w.e)}
-	x := w.start()
-	c := dial(t, x.addr)
+	fresh.list = EndpointList{Generation: 7, Reset: true, Instances: instances(fixture.endpoint)}
+	proc := fixture.start()
+	c := dial(t, proc.addr)
 	c.put("u", "unsafe", "+OK")
-	in := await(t, w.e.calls, "call")
-	next := w.beside()
-	next.hup(configText(fresh, w.known))
-	x.term()
-	next.takeOver()
+	in := await(t, fixture.endpoint.calls, "call")
+	next := fixture.startStandby()
+	next.reload(configText(fresh, fixture.known))
+	proc.terminate()
+	next.awaitReady()
 	if q := await(t, fresh.asked, "call at the new address"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
 	in.reply(500)
-	if n := await(t, fresh.notices, "notice at the new address"); n != (Notice{ID: "u", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	if notice := await(t, fresh.notices, "notice at the new address"); notice != (Notice{ID: "u", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
-	x.end()
-	next.term()
-	next.end()
+	proc.awaitExit()
+	next.terminate()
+	next.awaitExit()
 }
 
-// fakeOwner holds the lock as an owner would, and hands over as a test says.
+// fakeOwner takes the lock as an owner does, and leaves the handover to the test. The accept function returns the link
+// to the next successor.
 func fakeOwner(t *testing.T, dir string) (lock *os.File, accept func() *link) {
 	t.Helper()
 	lock, err := tryLock(dir)
 	if err != nil || lock == nil {
 		t.Fatal(lock, err)
 	}
-	ln, err := listenForSuccessor(dir)
+	ln, err := listenHandover(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -276,153 +289,160 @@
 			t.Fatal(err)
 		}
 		l := &link{conn: conn}
-		if err := l.hear(); err != nil {
+		if err := l.readGreeting(); err != nil {
 			t.Fatal(err)
 		}
-		if err := l.welcome("127.0.0.1:0", clients.(*net.TCPListener)); err != nil {
+		if err := l.sendListener("127.0.0.1:0", clients.(*net.TCPListener)); err != nil {
 			t.Fatal(err)
 		}
 		return l
 	}
 }
 
-// A handover that is torn, or that makes no sense, is refused, and what the journal holds is served from there.
-func TestTornHandover(t *testing.T) {
+// A successor must reject an incomplete or invalid handover, and continue from the journal alone.
+func TestInvalidHandover(t *testing.T) {
 	whole := []byte(`{"State":{"Module":"e30="}}`)
 	frame := binary.LittleEndian.AppendUint32(nil, uint32(len(whole)))
 	frame = binary.LittleEndian.AppendUint32(frame, crc32.ChecksumIEEE(whole))
 	frame = append(frame, whole...)
-	spoilt := append([]byte{}, frame...)
-	spoilt[len(spoilt)-4] ^= 1
-	for name, b := range map[string][]byte{"nothing": nil, "a byte": frame[:1], "half a head": frame[:5], "a head": frame[:8],
-		"all but one byte": frame[:len(frame)-1], "spoilt": spoilt, "no module": frame,
-		"too long": {255, 255, 255, 255, 0, 0, 0, 0}} {
+	corrupt := append([]byte{}, frame...)
+	corrupt[len(corrupt)-4] ^= 1
+	for name, b := range map[string][]byte{
+		"nothing":          nil,
+		"one byte":         frame[:1],
+		"half a header":    frame[:5],
+		"header only":      frame[:8],
+		"one byte short":   frame[:len(frame)-1],
+		"corrupt":          corrupt,
+		"invalid snapshot": frame,
+		"too long":         {255, 255, 255, 255, 0, 0, 0, 0},
+	} {
 		t.Run(name, func(t *testing.T) {
-			w := newUpgradeWorld(t)
-			lock, accept := fakeOwner(t, w.dir)
-			j := openJournal(t, w.dir, 3e6)
+			fixture := newUpgradeFixture(t)
+			lock, accept := fakeOwner(t, fixture.dir)
+			j := openJournal(t, fixture.dir, 3e6)
 			m := Message{ID: "kept", Class: "unsafe", Dest: 1, Deadline: time.Now().Add(time.Minute).UnixMicro(), Body: []byte("x")}
 			if err := j.Append([]record{{Op: opAccept, Entry: &Entry{Message: m}}}); err != nil {
 				t.Fatal(err)
 			}
-			x := launchProcess(t, w.p, w.dir, w.known)
+			proc := launchProcess(t, fixture.platform, fixture.dir, fixture.known)
 			l := accept()
 			l.conn.Write(b)
 			l.close()
-			x.says("no handover")
+			proc.awaitLog("no handover")
 			lock.Close()
-			x.takeOver()
-			if in := await(t, w.e.calls, "call"); in.id() != "kept" {
+			proc.awaitReady()
+			if in := await(t, fixture.endpoint.calls, "call"); in.id() != "kept" {
 				t.Errorf("call with %s", in.id())
 			} else {
 				in.reply(200)
 			}
-			x.term()
-			x.end()
+			proc.terminate()
+			proc.awaitExit()
 		})
 	}
 }
 
-// A successor that takes the state and then dies, or does not understand it, leaves the owner what it was: it ends as
-// without one, and owes nothing more than before.
-func TestHandoverNotTaken(t *testing.T) {
-	for name, say := range map[string]func(*link) error{
-		"dies":    func(*link) error { return nil },
-		"refuses": func(l *link) error { return l.write(packet{Refused: "no"}) },
-		"babbles": func(l *link) error { _, err := l.conn.Write([]byte("+OK\r\n+OK\r\n+OK\r\n")); return err },
+// If a successor receives the state and then dies or does not accept it, the owner must remain the owner, and shut down
+// as without a successor.
+func TestHandoverNotAccepted(t *testing.T) {
+	for name, respond := range map[string]func(*link) error{
+		"dies":          func(*link) error { return nil },
+		"refuses":       func(l *link) error { return l.write(packet{Refused: "no"}) },
+		"sends garbage": func(l *link) error { _, err := l.conn.Write([]byte("+OK\r\n+OK\r\n+OK\r\n")); return err },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newUpgradeWorld(t)
-			x := w.start()
-			dial(t, x.addr).put("u", "unsafe", "+OK")
-			in := await(t, w.e.calls, "call")
-			l, err := dialOwner(w.dir)
+			fixture := newUpgradeFixture(t)
+			proc := fixture.start()
+			dial(t, proc.addr).put("u", "unsafe", "+OK")
+			in := await(t, fixture.endpoint.calls, "call")
+			l, err := dialOwner(fixture.dir)
 			if err != nil {
 				t.Fatal(err)
 			}
-			ln, err := l.greet("127.0.0.1:0")
+			ln, err := l.receiveListener("127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			ln.Close()
-			x.says("a successor stands by")
-			x.term()
+			proc.awaitLog("a successor stands by")
+			proc.terminate()
 			var p packet
 			if err := l.read(&p, time.Now().Add(patience)); err != nil || p.State == nil {
 				t.Fatal(p, err)
 			}
-			if err := say(l); err != nil {
+			if err := respond(l); err != nil {
 				t.Fatal(err)
 			}
 			l.close()
-			x.says("the handover failed")
+			proc.awaitLog("the handover failed")
 			in.reply(200)
-			x.end()
-			if ids := owed(t, w.dir); ids != nil {
+			proc.awaitExit()
+			if ids := owed(t, fixture.dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
 		})
 	}
 }
 
-// refusing is a listener that fails so many times, and is then closed.
-type refusing int
+// failingListener is a listener that fails the given number of times and is then closed.
+type failingListener int
 
-func (f *refusing) AcceptUnix() (*net.UnixConn, error) {
+func (f *failingListener) AcceptUnix() (*net.UnixConn, error) {
 	if *f--; *f >= 0 {
 		return nil, syscall.ENOSYS
 	}
 	return nil, net.ErrClosed
 }
 
-func (f *refusing) Close() error { return nil }
+func (f *failingListener) Close() error { return nil }
 
-// Where the platform refuses Unix sockets, the log has one line of it, not one every few milliseconds.
-func TestRefusedHandoverIsLoggedOnce(t *testing.T) {
+// On a platform that refuses Unix sockets, accepting fails every few milliseconds. This must be logged once only.
+func TestHandoverAcceptErrorIsLoggedOnce(t *testing.T) {
 	var log strings.Builder
 	n := &Node{log: slog.New(slog.NewTextHandler(&log, nil))}
-	ln := refusing(4)
-	n.awaitSuccessors(context.Background(), &ln, nil)
+	ln := failingListener(4)
+	n.acceptSuccessors(context.Background(), &ln, nil)
 	if got := strings.Count(log.String(), "\n"); got != 1 {
 		t.Errorf("%d lines:\n%s", got, log.String())
 	}
 }
 
-// A state folder in which the handover's socket cannot be made is one that a sender serves from all the same.
-func TestServesWithoutTheHandoverSocket(t *testing.T) {
-	w := newUpgradeWorld(t)
-	if err := os.MkdirAll(filepath.Join(w.dir, socketName, "foreign"), 0o700); err != nil {
+// If the handover socket cannot be created in the state folder, the sender must still serve clients.
+func TestServesWithoutHandoverSocket(t *testing.T) {
+	fixture := newUpgradeFixture(t)
+	if err := os.MkdirAll(filepath.Join(fixture.dir, handoverSocket, "foreign"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	x := w.start()
-	dial(t, x.addr).put("m1", "safe", "+OK")
-	await(t, w.e.calls, "call").reply(200)
-	x.term()
-	x.end()
+	proc := fixture.start()
+	dial(t, proc.addr).put("m1", "safe", "+OK")
+	await(t, fixture.endpoint.calls, "call").reply(200)
+	proc.terminate()
+	proc.awaitExit()
 }
 
-// A call of the process before is out for this one too: a wait holds it back while it connects there, and its
-// endpoint is in use until it ends.
-func TestCallOfTheProcessBeforeIsOut(t *testing.T) {
+// A call that the predecessor has in flight must count as in flight here too: a wait puts it on hold while it is still
+// connecting, and its endpoint is in use until it ends.
+func TestPredecessorCallIsInFlight(t *testing.T) {
 	old, n := newStoppedNode(t, t.TempDir()), newStoppedNode(t, t.TempDir())
-	rec := accept("a", 10)
+	rec := acceptRecord("a", 10)
 	mustAppend(t, n.journal, rec)
 	old.held["a"] = &held{msg: &rec.Entry.Message}
 	old.goesOut(old.held["a"], &call{id: "a", endpoint: 7, state: new(atomic.Int32)}, func() {})
-	st, err := old.handoverState()
+	st, err := old.collectHandoverState()
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.before = &predecessor{link: &link{conn: new(net.UnixConn)}, out: map[string]*call{}}
-	if err := n.adopt(st); err != nil {
+	n.before = &predecessor{link: &link{conn: new(net.UnixConn)}, calls: map[string]*call{}}
+	if err := n.restoreHandover(st); err != nil {
 		t.Fatal(err)
 	}
-	c := n.before.out["a"]
+	c := n.before.calls["a"]
 	if c == nil || !n.calls()[7] {
 		t.Fatalf("call %v, endpoints in use %v", c, n.calls())
 	}
 	if n.holdWait(7); c.state.Load() != callAborted {
-		t.Errorf("a wait leaves the call in state %d", c.state.Load())
+		t.Errorf("after a wait the call is in state %d", c.state.Load())
 	}
 	n.reply(replyEvent{call: c, result: callResult{outcome: logic.Moot}})
 	if len(n.calls()) != 0 {
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// A body holds 64 KiB: more notices than that go in several, in order, and each is confirmed once.
+// Notices that exceed the limit of 64 KiB for one body must be sent in several, in order, and each confirmed once.
 func TestNoticesBody(t *testing.T) {
 	bodies := make(chan []byte, 64)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -28,38 +28,40 @@
 	}))
 	defer srv.Close()
 	events := make(chan any, 64)
-	q := newNotices(strings.TrimPrefix(srv.URL, "http://"), slog.New(slog.DiscardHandler), events)
-	const most = 2000
-	for i := range most {
+	q := newNoticeQueue(strings.TrimPrefix(srv.URL, "http://"), slog.New(slog.DiscardHandler), events)
+	const count = 2000
+	for i := range count {
 		q.add(Notice{ID: fmt.Sprintf("%064d", i), State: "failed"})
 	}
 	go q.run(t.Context())
-	told := 0
-	for told < most {
-		for _, id := range await(t, events, "confirmation").(noticedEvent).ids {
-			if want := fmt.Sprintf("%064d", told); id != want {
+	confirmed := 0
+	for confirmed < count {
+		for _, id := range await(t, events, "confirmation").(noticesConfirmedEvent).ids {
+			if want := fmt.Sprintf("%064d", confirmed); id != want {
 				t.Fatalf("confirmed %s, want %s", id, want)
 			}
-			told++
+			confirmed++
 		}
 		b := await(t, bodies, "body")
 		if len(b) > 64<<10 {
-			t.Errorf("a body of %d bytes", len(b))
+			t.Errorf("body of %d bytes", len(b))
 		}
 		for lines := bufio.NewScanner(bytes.NewReader(b)); lines.Scan(); {
-			var x Notice
-			if err := json.Unmarshal(lines.Bytes(), &x); err != nil {
+			var notice Notice
+			if err := json.Unmarshal(lines.Bytes(), &notice); err != nil {
 				t.Error(err)
 			}
 		}
 	}
 }
 
-// A post that the old address leaves without an answer goes to the new one at once.
-func TestNoticesMoveFromSilence(t *testing.T) {
+// When the address changes while a request to the old one is still unanswered, the notices must go to the new address at
+// once.
+func TestNoticesMoveFromSilentAddress(t *testing.T) {
 	asked := make(chan struct{}, 1)
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, err := io.Copy(io.Discard, r.Body); err != nil { // read whole, so that the end of the connection is seen
+		// Read completely, so that the server notices when the connection is closed.
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			t.Error(err)
 		}
 		asked <- struct{}{}
@@ -67,18 +69,18 @@
 	}))
 	defer silent.Close()
 	p := newPlatform(t)
-	q := newNotices(strings.TrimPrefix(silent.URL, "http://"), slog.New(slog.DiscardHandler), make(chan any, 1))
+	q := newNoticeQueue(strings.TrimPrefix(silent.URL, "http://"), slog.New(slog.DiscardHandler), make(chan any, 1))
 	go q.run(t.Context())
 	q.add(Notice{ID: "a", State: "failed"})
 	await(t, asked, "post")
-	q.move(strings.TrimPrefix(p.srv.URL, "http://"))
-	if x := await(t, p.notices, "notice"); x.ID != "a" {
-		t.Errorf("notice %+v", x)
+	q.setAddr(strings.TrimPrefix(p.srv.URL, "http://"))
+	if notice := await(t, p.notices, "notice"); notice.ID != "a" {
+		t.Errorf("notice %+v", notice)
 	}
 }
 
-// A connection that falls silent must not hold an end up past the 0.3 s that it may be late.
-func TestNoticeOverASilentConnection(t *testing.T) {
+// A notice may be at most 0.3 s late, even if the first request gets no answer.
+func TestNoticeOverSilentConnection(t *testing.T) {
 	var first atomic.Bool
 	heard := make(chan time.Time, 8)
 	silent := make(chan struct{})
@@ -93,12 +95,12 @@
 	defer srv.Close()
 	defer close(silent)
 	events := make(chan any, 8)
-	q := newNotices(strings.TrimPrefix(srv.URL, "http://"), slog.New(slog.DiscardHandler), events)
+	q := newNoticeQueue(strings.TrimPrefix(srv.URL, "http://"), slog.New(slog.DiscardHandler), events)
 	go q.run(t.Context())
 	begun := time.Now()
 	q.add(Notice{ID: "a", State: noticeFailed})
 	if took := await(t, heard, "notice").Sub(begun); took > 300*time.Millisecond {
-		t.Errorf("told after %v", took)
+		t.Errorf("notice arrived after %v", took)
 	}
 	await(t, events, "confirmation")
 }
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// program is built once for all tests.
+// program returns the path of the program, which is built once for all tests.
 var program = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "cometrack")
 	if err != nil {
@@ -38,47 +38,47 @@
 	os.Exit(code)
 }
 
-// process is the real program.
+// process is a running instance of the program.
 type process struct {
-	t     *testing.T
-	cmd   *exec.Cmd
-	addr  string
-	admin string // where operators call
-	conf  string // its configuration file
-	done  chan error
-	said  chan string   // its log
-	ready chan string   // the address of clients, once they are served
-	asked chan string   // the address of operators
-	took  time.Duration // from its start to ready; set before ready is sent
+	t           *testing.T
+	cmd         *exec.Cmd
+	addr        string
+	admin       string // address of the operators' interface
+	configPath  string
+	exited      chan error
+	logLines    chan string   // lines of its log
+	ready       chan string   // receives the address for clients once they are served
+	adminReady  chan string   // receives the address of the operators' interface
+	startupTime time.Duration // from its start to ready; set before ready is sent
 }
 
-// startProcess starts it and waits until it serves.
+// startProcess starts the program and waits until it serves clients.
 func startProcess(t *testing.T, p *platform, dir string, known EndpointList) *process {
 	t.Helper()
-	x := launchProcess(t, p, dir, known)
-	x.addr = await(t, x.ready, "ready program")
-	return x
+	proc := launchProcess(t, p, dir, known)
+	proc.addr = await(t, proc.ready, "ready program")
+	return proc
 }
 
-// launchProcess starts it with what the platform would tell it, and waits until it can be asked and signalled.
+// launchProcess starts the program as the platform does, and waits until it serves operators and handles signals.
 func launchProcess(t *testing.T, p *platform, dir string, known EndpointList) *process {
 	t.Helper()
-	x := execProcess(t, p, dir, configText(p, known))
-	x.admin = await(t, x.asked, "operators' address")
-	return x
+	proc := execProcess(t, p, dir, configText(p, known))
+	proc.admin = await(t, proc.adminReady, "operators' address")
+	return proc
 }
 
-// execProcess starts it with the text of a configuration, and does not wait.
-func execProcess(t *testing.T, p *platform, dir string, text []byte) *process {
+// execProcess starts the program with the text of a configuration. It does not wait.
+func execProcess(t *testing.T, p *platform, dir string, config []byte) *process {
 	t.Helper()
 	path, err := program()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return execProgram(t, path, p, dir, text)
+	return execProgram(t, path, p, dir, config)
 }
 
-// execProgram starts a build of the program, with more in its environment.
+// execProgram starts the program at path, with additional environment variables.
 func execProgram(t *testing.T, path string, p *platform, dir string, text []byte, env ...string) *process {
 	t.Helper()
 	config := filepath.Join(t.TempDir(), "config.json")
@@ -86,7 +86,8 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(path)
-	cmd.Env = append(append(os.Environ(), env...), "BALANCER_NAME=n0", "BALANCER_LISTEN=127.0.0.1:0", "BALANCER_ADMIN_ADDR=127.0.0.1:0",
+	cmd.Env = append(append(os.Environ(), env...), "BALANCER_NAME=n0",
+		"BALANCER_LISTEN=127.0.0.1:0", "BALANCER_ADMIN_ADDR=127.0.0.1:0",
 		"BALANCER_DISCOVERY="+strings.TrimPrefix(p.srv.URL, "http://"), "BALANCER_STATE="+dir, "BALANCER_CONFIG="+config)
 	logs, err := cmd.StderrPipe()
 	if err != nil {
@@ -96,55 +97,56 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	x := &process{t: t, cmd: cmd, conf: config, done: make(chan error, 1), said: make(chan string, 4096),
-		ready: make(chan string, 1), asked: make(chan string, 1)}
+	proc := &process{t: t, cmd: cmd, configPath: config, exited: make(chan error, 1), logLines: make(chan string, 4096),
+		ready: make(chan string, 1), adminReady: make(chan string, 1)}
 	t.Cleanup(func() { cmd.Process.Kill() })
 	go func() {
 		for s := bufio.NewScanner(logs); s.Scan(); {
-			x.said <- s.Text()
+			proc.logLines <- s.Text()
 			_, rest, _ := strings.Cut(s.Text(), "addr=")
 			addr, _, _ := strings.Cut(rest, " ")
 			switch {
 			case strings.Contains(s.Text(), "msg=ready "):
-				x.took = time.Since(begun)
-				x.ready <- addr
+				proc.startupTime = time.Since(begun)
+				proc.ready <- addr
 			case strings.Contains(s.Text(), "msg=operators "):
-				x.asked <- addr
+				proc.adminReady <- addr
 			}
 		}
-		x.done <- cmd.Wait()
+		proc.exited <- cmd.Wait()
 	}()
-	return x
+	return proc
 }
 
-func (x *process) kill() {
-	x.t.Helper()
-	x.cmd.Process.Kill()
-	await(x.t, x.done, "end of the program")
+func (p *process) kill() {
+	p.t.Helper()
+	p.cmd.Process.Kill()
+	await(p.t, p.exited, "end of the program")
 }
 
-// term sends SIGTERM; end checks that the program ends by itself.
-func (x *process) term() { x.cmd.Process.Signal(syscall.SIGTERM) }
+// terminate sends SIGTERM.
+func (p *process) terminate() { p.cmd.Process.Signal(syscall.SIGTERM) }
 
-func (x *process) end() {
-	x.t.Helper()
-	if err := await(x.t, x.done, "end of the program"); err != nil {
-		x.t.Errorf("ended with %v", err)
+// awaitExit checks that the program exits without an error.
+func (p *process) awaitExit() {
+	p.t.Helper()
+	if err := await(p.t, p.exited, "end of the program"); err != nil {
+		p.t.Errorf("ended with %v", err)
 	}
 }
 
-// A crash with a call out: it may have run. Nothing is handed in again, so the sender itself must send it again
-// where that is harmless, and must not where it is not.
-func TestKillWithCallOut(t *testing.T) {
+// A call in flight at a crash may have run. Clients do not submit the message again, so the sender must repeat it after
+// the restart if that is harmless, and must fail it otherwise.
+func TestKillWithCallInFlight(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	x := startProcess(t, p, dir, known)
-	c := dial(t, x.addr)
+	proc := startProcess(t, p, dir, known)
+	c := dial(t, proc.addr)
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		c.put("m-"+class, class, "+OK")
 		await(t, e.calls, "call")
 	}
-	x.kill()
-	x = startProcess(t, p, dir, known)
+	proc.kill()
+	proc = startProcess(t, p, dir, known)
 	again := map[string]string{}
 	for range 2 {
 		in := await(t, e.calls, "call again")
@@ -154,57 +156,60 @@
 	if again["m-safe"] != "key-m-safe body of m-safe" || again["m-keyed"] != "key-m-keyed body of m-keyed" {
 		t.Errorf("sent again: %v", again)
 	}
-	if n := await(t, p.notices, "notice"); n != (Notice{ID: "m-unsafe", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	if notice := await(t, p.notices, "notice"); notice != (Notice{ID: "m-unsafe", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
-	x.term()
-	x.end()
+	proc.terminate()
+	proc.awaitExit()
 	e.none(t)
 	if ids := owed(t, dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
 
-// Attempts before a crash count: a message that brings the process down each time must not come for ever.
+// Attempts before a crash must count: otherwise a message that crashes the process would be sent forever.
 func TestKillCountsAttempts(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	for i := range 3 { // max_attempts
-		x := startProcess(t, p, dir, known)
+		proc := startProcess(t, p, dir, known)
 		if i == 0 {
-			dial(t, x.addr).putFor("a", "safe", 16000, "+OK")
+			dial(t, proc.addr).putFor("a", "safe", 16000, "+OK")
 		}
 		await(t, e.calls, "call")
-		x.kill()
+		proc.kill()
 	}
-	x := startProcess(t, p, dir, known)
-	if n := await(t, p.notices, "notice"); n != (Notice{ID: "a", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	proc := startProcess(t, p, dir, known)
+	if notice := await(t, p.notices, "notice"); notice != (Notice{ID: "a", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
-	x.term()
-	x.end()
+	proc.terminate()
+	proc.awaitExit()
 	e.none(t)
 }
 
-// What a restart finds taken on and untried is tried, all of it, by a process that knows nothing of latencies yet: after
-// a kill and after a stop in good order, also where the first call is refused.
-func TestRestartTriesTheUntried(t *testing.T) {
-	for name, stop := range map[string]func(*process){"kill": (*process).kill, "term": func(x *process) { x.term(); x.end() }} {
+// A restarted process, which knows no latencies yet, must send all accepted messages that have not been tried: after a
+// kill and after an orderly shutdown, even if the first call is refused.
+func TestRestartSendsUntriedMessages(t *testing.T) {
+	for name, stop := range map[string]func(*process){
+		"kill": (*process).kill,
+		"term": func(proc *process) { proc.terminate(); proc.awaitExit() },
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
-			x := startProcess(t, p, dir, known)
-			c := dial(t, x.addr)
+			proc := startProcess(t, p, dir, known)
+			c := dial(t, proc.addr)
 			c.putFor("first", "unsafe", 16000, "+OK")
 			await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 			var want []string
-			for i, class := range []string{"safe", "keyed", "unsafe", "safe", "unsafe", "keyed"} { // held back by the wait
+			for i, class := range []string{"safe", "keyed", "unsafe", "safe", "unsafe", "keyed"} { // not sent because of the wait
 				id := fmt.Sprintf("untried-%d", i)
 				want = append(want, id)
 				c.putFor(id, class, 16000, "+OK")
 			}
-			stop(x)
+			stop(proc)
 			e.none(t)
-			x = startProcess(t, p, dir, known)
+			proc = startProcess(t, p, dir, known)
 			refused := false
 			for got := map[string]bool{}; len(got) < len(want); {
 				in := await(t, e.calls, "call")
@@ -218,7 +223,7 @@
 					in.reply(200)
 				}
 			}
-			x.kill()
+			proc.kill()
 			if n := len(p.notices); n != 0 {
 				t.Errorf("%d given up: %+v", n, <-p.notices)
 			}
@@ -226,42 +231,42 @@
 	}
 }
 
-// A journal that is damaged is read up to the damage; the log says so, and the sender serves.
+// A damaged journal must be replayed up to the damage. The sender logs this and serves clients.
 func TestDamagedJournal(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	x := startProcess(t, p, dir, known)
-	dial(t, x.addr).put("whole", "safe", "+OK")
+	proc := startProcess(t, p, dir, known)
+	dial(t, proc.addr).put("whole", "safe", "+OK")
 	await(t, e.calls, "call")
-	x.kill()
-	f, err := os.OpenFile(filepath.Join(dir, journalName), os.O_WRONLY|os.O_APPEND, 0)
+	proc.kill()
+	f, err := os.OpenFile(filepath.Join(dir, journalFile), os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.WriteString("no record of ours, and more than the head of one"); err != nil {
+	if _, err := f.WriteString("not a valid record, and longer than the header of one"); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
-	x = launchProcess(t, p, dir, known)
-	x.says("the end cannot be read")
-	x.addr = await(t, x.ready, "ready program")
+	proc = launchProcess(t, p, dir, known)
+	proc.awaitLog("the end cannot be read")
+	proc.addr = await(t, proc.ready, "ready program")
 	if in := await(t, e.calls, "call"); in.id() != "whole" {
 		t.Errorf("call with %s", in.id())
 	} else {
 		in.reply(200)
 	}
-	dial(t, x.addr).put("next", "safe", "+OK")
+	dial(t, proc.addr).put("next", "safe", "+OK")
 	await(t, e.calls, "call").reply(200)
-	x.term()
-	x.end()
+	proc.terminate()
+	proc.awaitExit()
 }
 
-// Without its lock the state folder may belong to another process, and what may not be repeated might go out twice: a
-// sender that can't open it ends with a plain message and serves nobody.
-func TestNoLockNoService(t *testing.T) {
+// Without the lock another process may own the state folder, and an unsafe message could be sent twice. A sender that
+// cannot open the lock file must fail with a clear error.
+func TestNewFailsWithoutLock(t *testing.T) {
 	p, dir := newPlatform(t), t.TempDir()
-	if err := os.Mkdir(filepath.Join(dir, lockName), 0o700); err != nil {
+	if err := os.Mkdir(filepath.Join(dir, lockFile), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	cfg, err := ParseConfig(configText(p, EndpointList{}))
@@ -274,15 +279,15 @@
 	}
 }
 
-// What was not sent, or refused, before a crash is sent after it, an unsafe message too; what ran out of time
-// meanwhile is returned, and a notice that nobody confirmed is sent again.
-func TestKillWithoutCallOut(t *testing.T) {
+// Messages that were not sent or were refused before a crash must be sent after it, unsafe ones too. A message whose
+// deadline has passed meanwhile is returned, and an unconfirmed notice is sent again.
+func TestKillWithoutCallInFlight(t *testing.T) {
 	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
 	known := EndpointList{Generation: 1, Reset: true, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1",
 		Zone: "a", MachineType: "std", Dest: 2, Lifecycle: "draining"})}
 	p.list, p.deaf = known, true
-	x := startProcess(t, p, dir, known)
-	c := dial(t, x.addr)
+	proc := startProcess(t, p, dir, known)
+	c := dial(t, proc.addr)
 	c.put("failed", "unsafe", "+OK")
 	await(t, e.calls, "call").reply(500)
 	await(t, p.refused, "notice")
@@ -293,22 +298,22 @@
 	}
 	over := time.Now().Add(600 * time.Millisecond)
 	for stop := time.Now().Add(patience); ; {
-		b, err := os.ReadFile(filepath.Join(dir, journalName))
+		b, err := os.ReadFile(filepath.Join(dir, journalFile))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.Count(string(b), `"op":3`) >= 2 { // both outcomes
+		if strings.Count(string(b), `"op":3`) >= 2 { // the outcomes of both calls
 			break
 		}
 		if time.Now().After(stop) {
 			t.Fatal("no outcome in the journal")
 		}
 	}
-	c.put("unsent", "unsafe", "+OK") // waits: the sender has been told to
-	x.kill()
+	c.put("unsent", "unsafe", "+OK") // not sent: the endpoint has told the sender to wait
+	proc.kill()
 	time.Sleep(time.Until(over))
 	p.set(func() { p.deaf = false })
-	x = startProcess(t, p, dir, known)
+	proc = startProcess(t, p, dir, known)
 	got := map[string]bool{}
 	for range 2 {
 		in := await(t, e.calls, "call")
@@ -320,34 +325,34 @@
 	}
 	ends := map[string]string{}
 	for range 2 {
-		n := await(t, p.notices, "notice")
-		ends[n.ID] = n.State
+		notice := await(t, p.notices, "notice")
+		ends[notice.ID] = notice.State
 	}
 	if ends["failed"] != "failed" || ends["short"] != "returned" {
 		t.Errorf("notices: %v", ends)
 	}
-	x.term()
-	x.end()
+	proc.terminate()
+	proc.awaitExit()
 	e.none(t)
 }
 
-// A planned restart: clients are served a while, connections are closed between requests, calls under way end and
-// are journalled, and the next start owes nothing.
-func TestTermWithCallOut(t *testing.T) {
+// At SIGTERM the sender must close connections between requests, let calls in flight end and write their outcomes to the
+// journal, so that nothing is owed at the next start.
+func TestTermWithCallInFlight(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
 			p, e, dir, known := oneEndpoint(t)
-			x := startProcess(t, p, dir, known)
-			c := dial(t, x.addr)
+			proc := startProcess(t, p, dir, known)
+			c := dial(t, proc.addr)
 			c.put("a", class, "+OK")
 			in := await(t, e.calls, "call")
-			x.term()
+			proc.terminate()
 			if got := c.line(); got != "" { // the connection is closed between requests
 				t.Errorf("got %q", got)
 			}
 			in.reply(200)
-			x.end()
+			proc.awaitExit()
 			if ids := owed(t, dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
@@ -358,34 +363,34 @@
 	}
 }
 
-// A call that does not end must not keep the program from ending in time; it stays in the journal as open.
+// A call that does not end must not delay the exit after SIGTERM. It stays in the journal as in flight.
 func TestTermWithSilentCall(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
-	x := startProcess(t, p, dir, known)
-	dial(t, x.addr).put("a", "unsafe", "+OK")
+	proc := startProcess(t, p, dir, known)
+	dial(t, proc.addr).put("a", "unsafe", "+OK")
 	await(t, e.calls, "call")
 	at := time.Now()
-	x.term()
-	x.end()
+	proc.terminate()
+	proc.awaitExit()
 	if d := time.Since(at); d > stopAll+2*time.Second {
 		t.Errorf("ended after %v", d)
 	}
 	if ids := owed(t, dir); len(ids) != 1 {
 		t.Errorf("owed: %v", ids)
 	}
-	x = startProcess(t, p, dir, known)
-	if n := await(t, p.notices, "notice"); n != (Notice{ID: "a", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	proc = startProcess(t, p, dir, known)
+	if notice := await(t, p.notices, "notice"); notice != (Notice{ID: "a", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
-	x.kill()
+	proc.kill()
 }
 
-// lines are those that it has logged so far.
-func (x *process) lines() func(yield func(string) bool) {
+// loggedLines yields the log lines so far that have not been read.
+func (p *process) loggedLines() func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for {
 			select {
-			case line := <-x.said:
+			case line := <-p.logLines:
 				if !yield(line) {
 					return
 				}
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// readyTime is within how long nine in ten restarted processes have to be ready.
-const readyTime = 10 * time.Second
+// maxReadyTime is the time within which nine of ten restarted processes must be ready.
+const maxReadyTime = 10 * time.Second
 
-// withDisk is a configuration with so much room for the journal.
-func withDisk(t *testing.T, p *platform, known EndpointList, mb float64) []byte {
+// configWithDisk returns a configuration with a disk limit of mb megabytes.
+func configWithDisk(t *testing.T, p *platform, known EndpointList, mb float64) []byte {
 	t.Helper()
 	var text map[string]any
 	if err := json.Unmarshal(configText(p, known), &text); err != nil {
@@ -29,38 +29,38 @@
 	return out
 }
 
-// fillJournal takes on as many messages as the journal has room for, and lets its file grow to its limit.
+// fillJournal adds as many messages as the journal accepts, and lets the file grow to its size limit.
 func fillJournal(t *testing.T, dir string, mb float64) {
 	t.Helper()
 	j := openJournal(t, dir, int64(mb*1e6))
 	deadline := time.Now().Add(2 * patience).UnixMicro()
-	for i := 0; j.Room(300); i++ {
-		rec := accept(fmt.Sprint("m-", i), 300)
+	for i := 0; j.HasRoom(300); i++ {
+		rec := acceptRecord(fmt.Sprint("m-", i), 300)
 		rec.Entry.Deadline = deadline
 		mustAppend(t, j, rec)
 	}
-	for i := 0; j.size+4000 < j.limit; i++ { // and what is over
+	for i := 0; j.size+4000 < j.maxBytes; i++ { // messages that have ended
 		id := fmt.Sprint("over-", i)
-		mustAppend(t, j, accept(id, 300), record{Op: opSend, ID: id, At: 1}, record{Op: opDone, ID: id})
+		mustAppend(t, j, acceptRecord(id, 300), record{Op: opSend, ID: id, At: 1}, record{Op: opDone, ID: id})
 	}
 }
 
-// Clients of a restarted process wait until it is ready: not for discovery, whatever the journal holds, and also where
-// many start at one time. The log says what the time went into.
+// Clients of a restarted process wait until it is ready, so it must be ready in time: without an answer of discovery,
+// with any journal, and when many processes start at once. The ready log line breaks the time down.
 func TestReadyInTime(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name      string
 		disk      float64
 		processes int
-		leave     func(t *testing.T, dir string, p *platform) // what the start finds
-		served    string                                      // a message that it has to send, if any
+		leave     func(t *testing.T, dir string, p *platform) // prepares the state folder
+		served    string                                      // id prefix of a message that must be sent; empty for none
 	}{
 		{"nothing", 3, 1, func(*testing.T, string, *platform) {}, ""},
 		{"full journal", 3, 1, func(t *testing.T, dir string, _ *platform) { fillJournal(t, dir, 3) }, "m-"},
-		{"full journal of the most that is used", 40, 1, func(t *testing.T, dir string, _ *platform) { fillJournal(t, dir, 40) }, "m-"},
+		{"full journal of the maximum size", 40, 1, func(t *testing.T, dir string, _ *platform) { fillJournal(t, dir, 40) }, "m-"},
 		{"torn journal", 3, 1, func(t *testing.T, dir string, _ *platform) {
 			fillJournal(t, dir, 3)
-			path := filepath.Join(dir, journalName)
+			path := filepath.Join(dir, journalFile)
 			info, err := os.Stat(path)
 			if err != nil {
 				t.Fatal(err)
@@ -75,50 +75,51 @@
 			fillJournal(t, dir, 3)
 		}, "m-"},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			p, e := newPlatform(t), newEndpoint(t)
 			known := EndpointList{Generation: 1, Reset: true, Instances: instances(e)}
 			p.list = known
-			text := withDisk(t, p, known, x.disk)
+			config := configWithDisk(t, p, known, test.disk)
 			var dirs []string
-			for range x.processes {
+			for range test.processes {
 				dir := t.TempDir()
 				dirs = append(dirs, dir)
-				first := execProcess(t, p, dir, text)
+				first := execProcess(t, p, dir, config)
 				await(t, first.ready, "ready program")
 				first.kill()
-				x.leave(t, dir, p)
+				test.leave(t, dir, p)
 			}
-			var all []*process
+			var procs []*process
 			for _, dir := range dirs {
-				all = append(all, execProcess(t, p, dir, text))
+				procs = append(procs, execProcess(t, p, dir, config))
 			}
-			var took []time.Duration
-			for _, y := range all {
-				y.addr = await(t, y.ready, "ready program")
-				took = append(took, y.took)
-				if got := dial(t, y.addr).do("PING"); got != "+PONG" {
-					t.Errorf("ready, and PING gets %q", got)
+			var times []time.Duration
+			for _, proc := range procs {
+				proc.addr = await(t, proc.ready, "ready program")
+				times = append(times, proc.startupTime)
+				if got := dial(t, proc.addr).do("PING"); got != "+PONG" {
+					t.Errorf("PING to a ready process: %q", got)
 				}
 			}
-			if x.served != "" {
-				if in := await(t, e.calls, "call"); !strings.HasPrefix(in.id(), x.served) {
+			if test.served != "" {
+				if in := await(t, e.calls, "call"); !strings.HasPrefix(in.id(), test.served) {
 					t.Errorf("call with %s", in.id())
 				}
 			}
-			slices.Sort(took)
-			worst := took[len(took)*9/10] // of nine in ten; of a few, the last
-			for line := range all[0].lines() {
+			slices.Sort(times)
+			worst := times[len(times)*9/10] // of the fastest nine in ten; with fewer than ten processes, of all
+			for line := range procs[0].loggedLines() {
 				if strings.Contains(line, "msg=ready ") {
 					_, spent, _ := strings.Cut(line, "held=")
-					t.Logf("%d starts: nine in ten ready within %v, all within %v; the first: held=%s", len(took), worst, took[len(took)-1], spent)
+					t.Logf("%d starts: nine in ten ready within %v, all within %v; the first: held=%s",
+						len(times), worst, times[len(times)-1], spent)
 				}
 			}
-			if worst > readyTime {
+			if worst > maxReadyTime {
 				t.Errorf("ready after %v", worst)
 			}
-			for _, y := range all {
-				y.kill()
+			for _, proc := range procs {
+				proc.kill()
 			}
 		})
 	}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// reloadEvent carries a configuration that was read anew.
+// reloadEvent delivers a newly read configuration to the event loop.
 type reloadEvent struct{ cfg *Config }
 
-// ReloadOn makes Run read the configuration anew with load at each signal. Only the
-// address of discovery and notices moves; the rest is for the next start.
+// ReloadOn makes Run reload the configuration with load at each signal. Of the new
+// configuration only the address of discovery and notices takes effect; all other
+// changes need a restart.
 func (n *Node) ReloadOn(signals <-chan os.Signal, load func() (*Config, error)) {
 	n.reload, n.load = signals, load
 }
 
 const (
-	reloadPause    = 100 * time.Millisecond // before a configuration that could not be read is read again
-	reloadPatience = 30 * time.Second       // for a file that makes no sense to be replaced by one that does
+	reloadRetryDelay = 100 * time.Millisecond // between tries to read the configuration
+	reloadTimeout    = 30 * time.Second       // for an invalid file to be replaced by a valid one
 )
 
-// reloadNow has the configuration read without a signal.
-func (n *Node) reloadNow() {
+// requestReload requests a reload without a signal.
+func (n *Node) requestReload() {
 	select {
 	case n.again <- struct{}{}:
-	default: // it is about to be
+	default: // already requested
 	}
 }
 
-// reloads passes new configurations on to the loop.
-func (n *Node) reloads(ctx context.Context) {
+// watchReloads reloads the configuration at each signal or request and passes it to the event loop.
+func (n *Node) watchReloads(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -37,47 +38,48 @@
 		case <-n.reload:
 		case <-n.again:
 		}
-		if cfg := n.loadPatiently(ctx); cfg != nil {
+		if cfg := n.loadWithRetry(ctx); cfg != nil {
 			n.events <- reloadEvent{cfg}
 		}
 	}
 }
 
-// loadPatiently reads the configuration until it can be read: the address that the old one names takes no calls any
-// more, and the signal does not come again. One that makes no sense for long changes nothing.
-func (n *Node) loadPatiently(ctx context.Context) *Config {
-	said := false
-	begun := time.Now()
+// loadWithRetry tries to load the configuration until it succeeds: the old discovery address takes no more calls, and
+// the signal is not repeated. It returns nil if the configuration stays invalid for reloadTimeout; the old one then
+// remains in use.
+func (n *Node) loadWithRetry(ctx context.Context) *Config {
+	logged := false
+	start := time.Now()
 	for {
 		cfg, err := n.load()
 		if err == nil {
 			return cfg
 		}
-		if !said {
+		if !logged {
 			n.log.Error("reload: the old configuration stands", "err", err)
-			said = true
+			logged = true
 		}
-		if !momentary(err) && time.Since(begun) > reloadPatience {
+		if !isTransient(err) && time.Since(start) > reloadTimeout {
 			return nil
 		}
 		select {
-		case <-time.After(jitter(reloadPause)):
-		case <-n.reload: // another file
-			said, begun = false, time.Now()
+		case <-time.After(jitter(reloadRetryDelay)):
+		case <-n.reload: // the file has been replaced again
+			logged, start = false, time.Now()
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// moveTo follows discovery and notices to the address that cfg names.
-func (n *Node) moveTo(work context.Context, cfg *Config) {
-	if cfg.Discovery == n.disc.addr {
-		n.log.Info("reload: same discovery", "addr", cfg.Discovery)
+// switchDiscovery switches discovery and notices to the address in cfg.
+func (n *Node) switchDiscovery(work context.Context, cfg *Config) {
+	if cfg.DiscoveryAddr == n.disc.addr {
+		n.log.Info("reload: same discovery", "addr", cfg.DiscoveryAddr)
 		return
 	}
-	n.log.Info("reload: discovery moves", "from", n.disc.addr, "to", cfg.Discovery)
-	n.notices.move(cfg.Discovery)
-	n.disc.setAddr(cfg.Discovery)
-	n.disc.startWatch(work) // at once: what it has to tell counts as told soon
+	n.log.Info("reload: discovery moves", "from", n.disc.addr, "to", cfg.DiscoveryAddr)
+	n.notices.setAddr(cfg.DiscoveryAddr)
+	n.disc.setAddr(cfg.DiscoveryAddr)
+	n.disc.startWatch(work) // at once: this sender is soon expected to follow what the new address announces
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -8,40 +8,45 @@
 	"testing"
 )
 
-// hup replaces the configuration and signals.
-func (x *process) hup(text []byte) {
-	x.t.Helper()
-	if err := os.WriteFile(x.conf+".new", text, 0o600); err != nil {
-		x.t.Fatal(err)
+// reload replaces the configuration file and sends SIGHUP.
+func (p *process) reload(text []byte) {
+	p.t.Helper()
+	if err := os.WriteFile(p.configPath+".new", text, 0o600); err != nil {
+		p.t.Fatal(err)
 	}
-	if err := os.Rename(x.conf+".new", x.conf); err != nil {
-		x.t.Fatal(err)
+	if err := os.Rename(p.configPath+".new", p.configPath); err != nil {
+		p.t.Fatal(err)
 	}
-	x.cmd.Process.Signal(syscall.SIGHUP)
+	p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// says waits for a line of the log.
-func (x *process) says(part string) {
-	x.t.Helper()
-	for !strings.Contains(await(x.t, x.said, "line with "+part), part) {
+// awaitLog waits for a log line that contains a text.
+func (p *process) awaitLog(part string) {
+	p.t.Helper()
+	for !strings.Contains(await(p.t, p.logLines, "line with "+part), part) {
 	}
 }
 
-// SIGHUP under load, with a file that can't be used and then a good one: messages go on, and discovery and notices
-// move, a batch that the old address has not confirmed too. The environment still names the old address.
+// SIGHUP with traffic, first with invalid configurations and then with a valid one: messages must be sent throughout,
+// and discovery and notices must switch to the new address, with a notice that the old address has not confirmed. The
+// environment still names the old address.
 func TestReload(t *testing.T) {
 	old, fresh, e, added := newPlatform(t), newPlatform(t), newEndpoint(t), newEndpoint(t)
 	known := EndpointList{Generation: 5, Reset: true, Instances: instances(e)}
 	old.list = known
-	x := startProcess(t, old, t.TempDir(), known)
+	proc := startProcess(t, old, t.TempDir(), known)
 	await(t, old.asked, "watch")
-	c := dial(t, x.addr)
+	c := dial(t, proc.addr)
 	c.put("under-way", "safe", "+OK")
 	underWay := await(t, e.calls, "call")
 
-	for i, bad := range []string{"{", "{}", strings.Replace(string(configText(fresh, known)), `"discovery":"`, `"discovery":"no address `, 1)} {
-		x.hup([]byte(strings.ReplaceAll(bad, "no address 127.0.0.1:", "no address ")))
-		x.says("old configuration stands")
+	for i, bad := range []string{
+		"{",
+		"{}",
+		strings.Replace(string(configText(fresh, known)), `"discovery":"`, `"discovery":"no address `, 1),
+	} {
+		proc.reload([]byte(strings.ReplaceAll(bad, "no address 127.0.0.1:", "no address ")))
+		proc.awaitLog("old configuration stands")
 		id := fmt.Sprint("bad-", i)
 		c.put(id, "safe", "+OK")
 		in := await(t, e.calls, "call")
@@ -55,19 +60,19 @@
 	c.put("fails", "unsafe", "+OK")
 	await(t, e.calls, "call").reply(500)
 	await(t, old.refused, "notice")
-	// The new address numbers its lists anew: a watch from the old number would wait for ever.
+	// The new address has its own generation numbers: a watch from the old generation would wait forever.
 	fresh.list = EndpointList{Generation: 2, Reset: true, Instances: instances(e, added)}
-	x.hup(configText(fresh, known))
-	if n := await(t, fresh.notices, "notice at the new address"); n != (Notice{ID: "fails", State: "failed"}) {
-		t.Errorf("notice %+v", n)
+	proc.reload(configText(fresh, known))
+	if notice := await(t, fresh.notices, "notice at the new address"); notice != (Notice{ID: "fails", State: "failed"}) {
+		t.Errorf("notice %+v", notice)
 	}
 	if q := await(t, fresh.asked, "call at the new address"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
-	await(t, fresh.asked, "watch at the new address") // the list before it has been read
+	await(t, fresh.asked, "watch at the new address") // the list has been read by then
 	old.srv.CloseClientConnections()
 	underWay.reply(200)
-	for i := 0; ; i++ { // the endpoint that only the new address lists gets its share
+	for i := 0; ; i++ { // until the endpoint that only the new address lists gets a call
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
 		var in *inCall
 		select {
@@ -79,9 +84,9 @@
 			break
 		}
 		if i == 20 {
-			t.Fatal("the new list is not heeded")
+			t.Fatal("the endpoint on the new list gets no call")
 		}
 	}
-	x.term()
-	x.end()
+	proc.terminate()
+	proc.awaitExit()
 }
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -231,8 +231,8 @@
 
 // numberedAcceptRecord returns the record of the i-th message, for a destination without endpoints.
 func numberedAcceptRecord(i int) record {
-	rec := accept(fmt.Sprintf("%016x", i), messageBodySize)
-	rec.Entry.Key, rec.Entry.Dest = fmt.Sprintf("key-%016x", i), -1
+	rec := acceptRecord(fmt.Sprintf("%016x", i), messageBodySize)
+	rec.Entry.IdempotencyKey, rec.Entry.Dest = fmt.Sprintf("key-%016x", i), -1
 	rec.Entry.Deadline = time.Now().Add(time.Hour).UnixMicro()
 	return rec
 }
@@ -245,7 +245,7 @@
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { j.Close() })
-	for i := 0; count == 0 && j.Room(messageBodySize) || i < count; i++ {
+	for i := 0; count == 0 && j.HasRoom(messageBodySize) || i < count; i++ {
 		if err := j.Append([]record{numberedAcceptRecord(i)}); err != nil {
 			tb.Fatal(err)
 		}
@@ -272,7 +272,7 @@
 					b.Fatal(err)
 				}
 				d := NewDirectory(cfg)
-				s, err := logic.New(cfg.Deploy.Settings, 1)
+				s, err := logic.New(cfg.Deployment.Settings, 1)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -399,7 +399,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		cfg.StateDir, cfg.Limits.DiskMB, cfg.Deploy.Settings.MaxOpen = dir, 0, 0
+		cfg.StateDir, cfg.Limits.DiskMB, cfg.Deployment.Settings.MaxOpen = dir, 0, 0
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			b.Fatal(err)
@@ -448,7 +448,7 @@
 			n := newNodeWithList(b, size)
 			var frame []byte
 			for b.Loop() {
-				st, err := n.handoverState()
+				st, err := n.collectHandoverState()
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -457,7 +457,7 @@
 				}
 			}
 			b.ReportMetric(float64(len(frame)), "frame-B")
-			b.ReportMetric(float64(len(frame))/maxFrame, "frames")
+			b.ReportMetric(float64(len(frame))/maxFrameBytes, "frames")
 		})
 	}
 }
@@ -465,15 +465,15 @@
 // Confirmed notices, and only those, are removed from the queue, at the same cost for a queue of any length.
 func TestNoticesScale(t *testing.T) {
 	for _, size := range []int{1000, 5000, 20000, 80000} {
-		q := newNotices("", slog.New(slog.DiscardHandler), nil)
+		q := newNoticeQueue("", slog.New(slog.DiscardHandler), nil)
 		for i := range size {
 			q.add(Notice{ID: fmt.Sprintf("%016x", i), State: "failed"})
 		}
 		var ids []string
-		bytes := allocatedBytes(func() { ids = q.confirmed(10) })
-		if len(ids) != 10 || ids[9] != fmt.Sprintf("%016x", 9) || len(q.ids) != size-10 || len(q.queue) != size-10 ||
-			q.ids[0] != fmt.Sprintf("%016x", 10) || !strings.Contains(string(q.queue[0]), q.ids[0]) {
-			t.Errorf("%d notices: confirmed %v, left %d and %d from %q on", size, ids, len(q.ids), len(q.queue), q.ids[0])
+		bytes := allocatedBytes(func() { ids = q.dequeue(10) })
+		if len(ids) != 10 || ids[9] != fmt.Sprintf("%016x", 9) || len(q.ids) != size-10 || len(q.lines) != size-10 ||
+			q.ids[0] != fmt.Sprintf("%016x", 10) || !strings.Contains(string(q.lines[0]), q.ids[0]) {
+			t.Errorf("%d notices: confirmed %v, left %d and %d from %q on", size, ids, len(q.ids), len(q.lines), q.ids[0])
 		}
 		t.Logf("%d notices: %d bytes allocated to remove 10", size, bytes)
 		if bytes > 4096 {
@@ -487,15 +487,15 @@
 	for _, size := range []int{1000, 5000, 20000, 80000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			before := heapBytes()
-			q := newNotices("", slog.New(slog.DiscardHandler), nil)
+			q := newNoticeQueue("", slog.New(slog.DiscardHandler), nil)
 			for i := range size {
 				q.add(Notice{ID: fmt.Sprintf("%016x", i), State: "returned", AfterMS: 500})
 			}
 			kept := heapBytes() - before
-			all, ids := q.queue, q.ids
+			all, ids := q.lines, q.ids
 			for b.Loop() {
-				q.queue, q.ids = all, ids
-				q.confirmed(1000)
+				q.lines, q.ids = all, ids
+				q.dequeue(1000)
 			}
 			b.ReportMetric(float64(kept)/float64(size), "heap-B/notice")
 		})
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -10,96 +10,113 @@
 	"time"
 )
 
-// What may fail for a moment at a start is tried again until it works: a start
-// that gives up leaves what was taken on to nobody.
+// Steps of the start that fail with a transient error are retried until they
+// succeed: if the start gave up, no process would handle the accepted messages.
 
 const (
-	startPause   = 100 * time.Millisecond // before a call that failed is made again
-	readPatience = 20 * time.Second       // for a journal that cannot be read: a start has 30 s in all
+	startRetryDelay    = 100 * time.Millisecond // between tries of a step that fails
+	journalReadTimeout = 20 * time.Second       // for a journal that cannot be read; a start has 30 s in all
 )
 
-// momentaryErrors are those that Linux documents for want of something that may be there again soon.
-var momentaryErrors = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EINTR, syscall.EAGAIN, syscall.EBUSY,
-	syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.ENOLCK, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL,
-	syscall.ENETDOWN, syscall.ENETUNREACH, syscall.ECONNABORTED}
+// transientErrors are the errors that Linux documents for a lack of resources that may soon be available again.
+var transientErrors = []error{
+	syscall.ENOSPC,
+	syscall.EDQUOT,
+	syscall.EIO,
+	syscall.EINTR,
+	syscall.EAGAIN,
+	syscall.EBUSY,
+	syscall.EMFILE,
+	syscall.ENFILE,
+	syscall.ENOMEM,
+	syscall.ENOBUFS,
+	syscall.ENOLCK,
+	syscall.EADDRINUSE,
+	syscall.EADDRNOTAVAIL,
+	syscall.ENETDOWN,
+	syscall.ENETUNREACH,
+	syscall.ECONNABORTED,
+}
 
-// momentary says whether an error may be over soon.
-func momentary(err error) bool {
-	for _, x := range momentaryErrors {
-		if errors.Is(err, x) {
+// isTransient reports whether a call that failed with err may soon succeed.
+func isTransient(err error) bool {
+	for _, transient := range transientErrors {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
 	return false
 }
 
-// failures logs a row of failures of one thing: the first of them, and how many there were once it works again.
-type failures struct {
-	log   *slog.Logger
-	what  string
-	count int
+// failureLog logs consecutive failures of one operation: the first of them, and their number once it works again.
+type failureLog struct {
+	log       *slog.Logger
+	operation string
+	count     int
 }
 
-func (f *failures) note(err error) {
+// observe takes the result of one try of the operation.
+func (f *failureLog) observe(err error) {
 	if err == nil {
 		if f.count > 0 {
-			f.log.Info(f.what+": works again", "failures", f.count)
+			f.log.Info(f.operation+": works again", "failures", f.count)
 		}
 		f.count = 0
 		return
 	}
 	if f.count++; f.count == 1 {
-		f.log.Error(f.what, "err", err)
+		f.log.Error(f.operation, "err", err)
 	}
 }
 
-// Persist does something until it works, fails for good, or ctx is over.
-func Persist(ctx context.Context, log *slog.Logger, what string, do func() error) error {
-	row := failures{log: log, what: what}
+// RetryTransient calls do until it succeeds, fails with an error that is not transient, or ctx is done.
+func RetryTransient(ctx context.Context, log *slog.Logger, operation string, do func() error) error {
+	failures := failureLog{log: log, operation: operation}
 	for {
 		err := do()
-		if err != nil && !momentary(err) {
+		if err != nil && !isTransient(err) {
 			return err
 		}
-		row.note(err)
+		failures.observe(err)
 		if err == nil {
 			return nil
 		}
-		pause(ctx, jitter(startPause))
+		pause(ctx, jitter(startRetryDelay))
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
 }
 
-// listeningEvent brings the socket on which clients are taken.
-type listeningEvent struct{ ln net.Listener }
+// listenerEvent delivers the listener for clients to the event loop.
+type listenerEvent struct{ ln net.Listener }
 
-// listen opens the socket for clients, or has it opened as soon as that works: what is owed does not wait for it.
-func (n *Node) listen(work context.Context) error {
+// listenForClients opens the listener for clients. After a transient error it keeps trying in the background, so that
+// the delivery of accepted messages does not wait for the listener.
+func (n *Node) listenForClients(work context.Context) error {
 	open := func() (err error) {
 		if n.ln == nil {
-			n.ln, err = net.Listen("tcp", n.cfg.Listen)
+			n.ln, err = net.Listen("tcp", n.cfg.ListenAddr)
 		}
 		return err
 	}
 	err := open()
 	if err == nil {
-		n.serve(work, n.ln)
+		n.serveClients(work, n.ln)
 		return nil
 	}
-	if !momentary(err) {
+	if !isTransient(err) {
 		return fmt.Errorf("listen: %w", err)
 	}
 	go func() {
 		var ln net.Listener
-		err := Persist(work, n.log, "listen", func() (err error) {
-			ln, err = net.Listen("tcp", n.cfg.Listen)
+		err := RetryTransient(work, n.log, "listen", func() (err error) {
+			ln, err = net.Listen("tcp", n.cfg.ListenAddr)
 			return err
 		})
 		switch {
 		case err == nil:
-			n.events <- listeningEvent{ln}
+			n.events <- listenerEvent{ln}
 		case work.Err() == nil:
 			n.log.Error("listen", "err", err)
 		}
@@ -107,8 +124,8 @@
 	return nil
 }
 
-// serve begins to serve clients on ln, unless this process is on its way out.
-func (n *Node) serve(work context.Context, ln net.Listener) {
+// serveClients starts serving clients on ln, unless this process is shutting down.
+func (n *Node) serveClients(work context.Context, ln net.Listener) {
 	if !n.closing.IsZero() {
 		ln.Close()
 		return
@@ -117,45 +134,47 @@
 		report(n.log, n.figures, notOwner, "")
 	}
 	n.ln = ln
-	go n.openToSuccessors(work, ln)
+	go n.serveSuccessors(work, ln)
 	n.clients.turn(serving)
 	go n.clients.serve(ln)
 	n.stages.done("listen")
-	n.log.Info("ready", "name", n.cfg.Name, "addr", ln.Addr().String(), "held", len(n.held), slog.Group("ms", n.stages.spent...))
+	n.log.Info("ready", "name", n.cfg.Name, "addr", ln.Addr().String(), "held", len(n.held),
+		slog.Group("ms", n.stages.spent...))
 	n.ready <- ln.Addr()
 }
 
-// openToSuccessors opens the socket for processes that come to replace this one, and serves them.
-func (n *Node) openToSuccessors(ctx context.Context, clients net.Listener) {
+// serveSuccessors opens the handover socket and serves the processes that connect there to replace this one.
+func (n *Node) serveSuccessors(ctx context.Context, clients net.Listener) {
 	tcp, ok := clients.(*net.TCPListener)
 	if !ok {
 		return
 	}
 	var ln *net.UnixListener
-	err := Persist(ctx, n.log, "handover: listen", func() (err error) {
-		ln, err = listenForSuccessor(n.cfg.StateDir)
+	err := RetryTransient(ctx, n.log, "handover: listen", func() (err error) {
+		ln, err = listenHandover(n.cfg.StateDir)
 		return err
 	})
 	switch {
 	case err == nil:
-		n.awaitSuccessors(ctx, ln, tcp)
+		n.acceptSuccessors(ctx, ln, tcp)
 	case ctx.Err() == nil:
 		n.log.Error("no successor can take over", "err", err)
 	}
 }
 
-// serveOperators answers operators, as soon as their address can be listened at. The channel is closed at its end.
+// serveOperators serves the operators' interface as soon as its address can be listened on. The returned channel is
+// closed when it has ended.
 func (n *Node) serveOperators(work context.Context) (<-chan struct{}, error) {
 	served := make(chan struct{})
-	ln, err := net.Listen("tcp", n.cfg.Admin)
-	if err != nil && !momentary(err) {
+	ln, err := net.Listen("tcp", n.cfg.AdminAddr)
+	if err != nil && !isTransient(err) {
 		return nil, fmt.Errorf("listen for operators: %w", err)
 	}
 	go func() {
 		defer close(served)
 		if ln == nil {
-			err := Persist(work, n.log, "listen for operators", func() (err error) {
-				ln, err = net.Listen("tcp", n.cfg.Admin)
+			err := RetryTransient(work, n.log, "listen for operators", func() (err error) {
+				ln, err = net.Listen("tcp", n.cfg.AdminAddr)
 				return err
 			})
 			if err != nil {
--- a/internal/node/window_test.go
+++ b/internal/node/window_test.go
@@ -30,7 +30,7 @@
 	j := openJournal(t, dir, 3e6)
 	now := time.Now()
 	accepted := func(id, class string) record {
-		return record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, Key: "key-" + id, Class: class, Dest: 1,
+		return record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, IdempotencyKey: "key-" + id, Class: class, Dest: 1,
 			Deadline: now.Add(2 * patience).UnixMicro()}}}
 	}
 	sent := func(id string, at time.Time) record {
@@ -40,7 +40,7 @@
 	mustAppend(t, j, accepted("open", "keyed"), accepted("over", "keyed"), accepted("answered late", "keyed"), accepted("never ran", "keyed"),
 		accepted("untried", "keyed"), accepted("unsafe", "unsafe"),
 		sent("open", firstSend), sent("over", now.Add(-1001*time.Millisecond)),
-		sent("answered late", now.Add(-2*time.Second)), record{Op: opOutcome, ID: "answered late", MayRun: true},
+		sent("answered late", now.Add(-2*time.Second)), record{Op: opOutcome, ID: "answered late", MayHaveRun: true},
 		sent("answered late", now.Add(-500*time.Millisecond)), // the window counts from the first send
 		sent("never ran", now.Add(-2*time.Second)), record{Op: opOutcome, ID: "never ran"},
 		sent("unsafe", now.Add(-time.Millisecond)))
@@ -90,9 +90,9 @@
 	cfg.StateDir = t.TempDir()
 	j := openJournal(t, cfg.StateDir, 3e6)
 	first := time.Now().Add(patience)
-	mustAppend(t, j, record{Op: opAccept, Entry: &Entry{Message: Message{ID: "m", Key: "k", Class: "keyed", Dest: 1,
+	mustAppend(t, j, record{Op: opAccept, Entry: &Entry{Message: Message{ID: "m", IdempotencyKey: "k", Class: "keyed", Dest: 1,
 		Deadline: first.Add(patience).UnixMicro()}}}, record{Op: opSend, ID: "m", At: first.UnixMicro()},
-		record{Op: opAccept, Entry: &Entry{Message: Message{ID: "over", Key: "l", Class: "keyed", Dest: 1,
+		record{Op: opAccept, Entry: &Entry{Message: Message{ID: "over", IdempotencyKey: "l", Class: "keyed", Dest: 1,
 			Deadline: first.UnixMicro()}}}, record{Op: opSend, ID: "over", At: time.Now().Add(-1001 * time.Millisecond).UnixMicro()})
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -102,7 +102,7 @@
 	defer n.journal.Close()
 	n.resume()
 	n.step(t.Context())
-	if e := n.journal.Entry("over"); e.Tries != 1 || e.End == nil || e.End.State != "failed" {
+	if e := n.journal.Entry("over"); e.Attempts != 1 || e.End == nil || e.End.State != "failed" {
 		t.Errorf("window over, after the first step: %+v", e)
 	}
 	for n.held["m"].call == nil { // the rate limit admits it shortly after the start
@@ -115,7 +115,7 @@
 	if got, want := n.held["m"].call.writeBy, n.clock.At(first.UnixMicro()).Add(time.Second); !got.Equal(want) {
 		t.Errorf("to be written before %v, want %v", got, want)
 	}
-	if e := n.journal.Entry("m"); e.Tries != 2 || e.FirstMay != first.UnixMicro() {
+	if e := n.journal.Entry("m"); e.Attempts != 2 || e.FirstMayRunAt != first.UnixMicro() {
 		t.Errorf("the journal has %+v", e)
 	}
 }
@@ -139,13 +139,13 @@
 			t.Fatal("no call")
 		}
 		killed.kill()
-		firstSend := openJournal(t, dir, 3e6).Entry("m").FirstMay
+		firstSend := openJournal(t, dir, 3e6).Entry("m").FirstMayRunAt
 		restarted := execProcess(t, p, dir, text)
 		await(t, restarted.ready, "ready program")
 		select {
 		case in := <-calls:
 			e := openJournal(t, copyJournal(t, dir), 3e6).Entry("m")
-			if in.id() != first.id() || e.Tries != 2 || e.FirstMay != firstSend {
+			if in.id() != first.id() || e.Attempts != 2 || e.FirstMayRunAt != firstSend {
 				t.Errorf("call with %s, journal %+v", in.id(), e)
 			}
 			in.reply(200)
@@ -159,8 +159,8 @@
 		case <-time.After(patience):
 			t.Fatal("neither retried nor failed")
 		}
-		restarted.term()
-		restarted.end()
+		restarted.terminate()
+		restarted.awaitExit()
 		if ids := owed(t, dir); ids != nil {
 			t.Errorf("unfinished messages: %v", ids)
 		}
@@ -175,11 +175,11 @@
 func copyJournal(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
-	text, err := os.ReadFile(filepath.Join(dir, journalName))
+	text, err := os.ReadFile(filepath.Join(dir, journalFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(to, journalName), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(to, journalFile), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return to
