--- a/logic/logic.go
+++ b/logic/logic.go
@@ -358,7 +358,7 @@
 			s.backOff(e)
 		}
 	}
-	a, give := s.startAttempt(m, e), m.deadline-s.now
+	a, give := s.recordAttempt(m, e), m.deadline-s.now
 	if t := 2 * s.stuckAfter(e.dest, m); !s.cfg.MayCancel && (m.class.Effect == Safe ||
 		m.class.Effect == Keyed && s.now+t < m.mayRunAt+m.class.Window) {
 		give = min(give, t) // nothing can be called off here: let it time out, if it can be sent again then
--- a/logic/state.go
+++ b/logic/state.go
@@ -389,8 +389,8 @@
 		append(dropBefore(e.sentAt, cutoff), s.now), append(dropBefore(lim.sentAt, cutoff), s.now)
 }
 
-// startAttempt records an attempt of m at e, in the call that is open there.
-func (s *Sender) startAttempt(m *msg, e *endpoint) *attempt {
+// recordAttempt records an attempt of m at e, in the call that is open there.
+func (s *Sender) recordAttempt(m *msg, e *endpoint) *attempt {
 	e.openCall.messages++
 	e.openCall.unfinished++
 	e.lastSent = s.now
