--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -11,8 +11,8 @@
 // destCounts are numbers of destinations with two endpoints each. The last is the one expected within two years.
 var destCounts = []int{350, 3500, 17500, 35000}
 
-// fullList makes a whole list of n destinations with two endpoints each.
-func fullList(n int) Endpoints {
+// listOfDestinations makes a whole list of n destinations with two endpoints each.
+func listOfDestinations(n int) Endpoints {
 	ev := Endpoints{Form: ListFull}
 	for i := range 2 * n {
 		ev.Entries = append(ev.Entries, Entry{Endpoint: EndpointID(i + 1), Dest: int64(i / 2)})
@@ -27,7 +27,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	s.Step(0, []Event{fullList(n)})
+	s.Step(0, []Event{listOfDestinations(n)})
 	return s
 }
 
@@ -99,7 +99,7 @@
 // The memory of a destination that was never sent anything, with its two endpoints, stays small in a list of any size.
 func TestIdleDestinationScale(t *testing.T) {
 	for _, n := range destCounts {
-		list := fullList(n)
+		list := listOfDestinations(n)
 		s, err := New(base(), 7)
 		if err != nil {
 			t.Fatal(err)
@@ -119,7 +119,7 @@
 // Measures the first whole list, and one that repeats it.
 func BenchmarkWholeList(b *testing.B) {
 	for _, n := range destCounts {
-		list := []Event{fullList(n)}
+		list := []Event{listOfDestinations(n)}
 		b.Run(fmt.Sprintf("first/%d", 2*n), func(b *testing.B) {
 			for b.Loop() {
 				s, err := New(base(), 7)
@@ -183,7 +183,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		s.Step(0, append([]Event{fullList(x.dests)}, undeliverable(x.held)...))
+		s.Step(0, append([]Event{listOfDestinations(x.dests)}, undeliverable(x.held)...))
 		text, err := s.Snapshot()
 		if err != nil {
 			b.Fatal(err)
