--- a/internal/hollow/call.go
+++ b/internal/hollow/call.go
@@ -21,7 +21,7 @@
 }
 
 // call makes an attempt.
-func (s *sender) call(a logic.CallOut) {
+func (s *sender) call(a logic.Send) {
 	f, m := s.f, s.held[a.ID]
 	c := &call{s: s, m: m, id: a.Endpoint, ep: f.byAddr[s.dir.Addr(a.Endpoint)], attempt: m.tries, at: f.now}
 	m.call = c
@@ -33,7 +33,7 @@
 	f.rec.Calls++
 	f.traceEvent(traceCall, s.number, int(m.number), c.ep.number)
 	s.sendsInto(c)
-	f.after(a.GiveUp, func() { c.giveUp(logic.Overdue) })
+	f.after(a.Timeout, func() { c.giveUp(logic.TimedOut) })
 	if c.conn = s.kept(a.Endpoint); c.conn != nil {
 		c.write()
 		return
@@ -88,7 +88,7 @@
 	f := c.s.f
 	f.after(f.sc.Destinations.ConnTimeout.Micros, func() {
 		if !c.written {
-			c.end(logic.RefusedConn, 0, nil)
+			c.end(logic.ConnRefused, 0, nil)
 		}
 	})
 	if !c.reaches() {
@@ -100,12 +100,12 @@
 		}
 		back := c.delay()
 		if c.ep.refuses() {
-			f.after(back, func() { c.end(logic.RefusedConn, 0, nil) })
+			f.after(back, func() { c.end(logic.ConnRefused, 0, nil) })
 			return
 		}
 		if most := f.sc.Destinations.Connections; most > 0 && c.ep.conns >= most {
 			f.rec.NoPlace++
-			f.after(back+f.sc.Destinations.Handshake.Micros, func() { c.end(logic.Full, 0, nil) })
+			f.after(back+f.sc.Destinations.Handshake.Micros, func() { c.end(logic.Refused, 0, nil) })
 			return
 		}
 		c.ep.conns++
@@ -134,23 +134,23 @@
 	switch {
 	case c.ep.silent():
 	case c.conn.epoch != c.ep.epoch || c.ep.refuses():
-		c.answer(logic.Severed, 0, nil)
+		c.answer(logic.ConnLost, 0, nil)
 	case d.down != nil: // a refusal without a report would mean that there is no place for the connection
-		c.answer(logic.Full, 0, d.report(f.now))
+		c.answer(logic.Refused, 0, d.report(f.now))
 	case d.arrives(f.now, c.s.number):
 		f.rec.Falls++
 		if d.blamed() {
 			f.rec.Blamed++
 		}
 		f.startOutage(d, downRefused, f.sc.Cold.FallFor.Micros)
-		c.answer(logic.Severed, 0, nil)
+		c.answer(logic.ConnLost, 0, nil)
 	case !d.admits(f.now):
 		f.rec.OverLimit++
 		wait := logic.Micros(0)
 		if set.Refuse == "429" {
 			wait = set.ComeBack.Micros
 		}
-		c.answer(logic.Full, wait, d.report(f.now))
+		c.answer(logic.Refused, wait, d.report(f.now))
 	default:
 		c.ep.serving = append(c.ep.serving, c)
 		epoch := c.ep.epoch
@@ -166,7 +166,7 @@
 			if c.m.runs++; c.m.runs > 1 {
 				f.rec.Repeats++
 			}
-			c.answer(logic.Completed, 0, d.report(f.now))
+			c.answer(logic.Delivered, 0, d.report(f.now))
 		})
 	}
 }
@@ -181,7 +181,7 @@
 // giveUp ends the call from the sender's side. One that was still connecting has surely not run.
 func (c *call) giveUp(o logic.Outcome) {
 	if !c.written {
-		o = logic.RefusedConn
+		o = logic.ConnRefused
 	}
 	c.end(o, 0, nil)
 }
@@ -193,16 +193,16 @@
 	}
 	c.over = true
 	f, s, m := c.s.f, c.s, c.m
-	if c.into && o != logic.Completed && o != logic.Moot {
+	if c.into && o != logic.Delivered && o != logic.Skipped {
 		c.ep.dest.told[s.number] = true
 	}
 	s.flying = slices.DeleteFunc(s.flying, func(x *call) bool { return x == c })
 	m.call = nil
-	if o != logic.Full && o != logic.RefusedConn && o != logic.Moot {
+	if o != logic.Refused && o != logic.ConnRefused && o != logic.Skipped {
 		m.mayRun = true
 	}
 	if c.conn != nil {
-		if answered := o == logic.Completed || o == logic.Full; answered && c.written {
+		if answered := o == logic.Delivered || o == logic.Refused; answered && c.written {
 			s.keep(c.id, c.conn)
 		} else {
 			c.conn.close()
@@ -210,7 +210,7 @@
 	}
 	f.traceEvent(traceReply, s.number, int(m.number), int(o))
 	ended := m.over
-	if !ended && o == logic.Completed {
+	if !ended && o == logic.Delivered {
 		f.end(m.offer, delivered)
 		s.drop(m)
 	} else if ended {
@@ -219,7 +219,7 @@
 	if wait > 0 { // the destination's other endpoints too: they share its limit
 		s.hold(func(x *call) bool { return x.ep.dest == c.ep.dest })
 	}
-	s.hear(logic.Reply{ID: m.id, NoMore: m.over, Endpoint: c.id, Attempt: c.attempt, Outcome: o, Took: f.now - c.at, Wait: wait, Load: load})
+	s.hear(logic.AttemptResult{ID: m.id, Final: m.over, Endpoint: c.id, Attempt: c.attempt, Outcome: o, Latency: f.now - c.at, RetryAfter: wait, Load: load})
 }
 
 // keep puts a connection aside for the next call; it closes after its time.
--- a/internal/hollow/faults.go
+++ b/internal/hollow/faults.go
@@ -117,7 +117,7 @@
 	cut := e.serving
 	e.serving = nil
 	for _, c := range cut {
-		c.answer(logic.Severed, 0, nil)
+		c.answer(logic.ConnLost, 0, nil)
 	}
 }
 
--- a/internal/hollow/scenario.go
+++ b/internal/hollow/scenario.go
@@ -461,21 +461,21 @@
 // settings are what a sender in a zone is told.
 func (sc *Scenario) settings(zone int) logic.Settings {
 	d, c := &sc.Destinations, &sc.Cold
-	set := logic.Settings{Senders: sc.Fleet.Senders, Zone: zone, Zones: sc.Fleet.Zones, Slots: sc.Fleet.Slots,
-		MaxOpen: sc.Fleet.MaxOpen, MaxTries: sc.Fleet.MaxTries, Tick: sc.Fleet.Tick.Micros, MayCancel: true,
-		RetryAfter: true, MaxRetryAfter: 2 * logic.Second, Kinds: []logic.Kind{{Name: kindName, Batch: 1}},
-		ConnIdle: d.ConnIdle.Micros, ConnCalls: 1, DrainGrace: logic.Second,
-		FallMultiple: c.FallMultiple, FallWindow: c.FallWindow.Micros, ColdFrom: c.From,
-		WarmAfter: c.WarmAfter.Micros, ReportLeft: -1, ReportLimit: -1}
+	set := logic.Settings{Senders: sc.Fleet.Senders, Zone: zone, Zones: sc.Fleet.Zones, CallSlots: sc.Fleet.Slots,
+		MaxOpen: sc.Fleet.MaxOpen, MaxAttempts: sc.Fleet.MaxTries, Tick: sc.Fleet.Tick.Micros, MayCancel: true,
+		RetryAfter: true, MaxRetryAfter: 2 * logic.Second, Kinds: []logic.DestinationKind{{Name: kindName, MaxBatch: 1}},
+		ConnIdleTimeout: d.ConnIdle.Micros, CallsPerConn: 1, DrainGrace: logic.Second,
+		OverloadMultiple: c.FallMultiple, OverloadWindow: c.FallWindow.Micros, ColdCapacity: c.From,
+		WarmupTime: c.WarmAfter.Micros, LoadRemainingIndex: -1, LoadLimitIndex: -1}
 	if d.Reports {
-		set.ReportLeft, set.ReportLimit = 0, 1
+		set.LoadRemainingIndex, set.LoadLimitIndex = 0, 1
 	}
 	if d.Nominal {
 		set.Weights = logic.WeightsNominal
 	}
 	for _, x := range sc.Classes {
-		set.Classes = append(set.Classes, logic.Class{Name: x.Name, Aim: x.Aim.Micros, Deadline: x.Deadline.Micros, Worth: x.Worth,
-			LateWorth: x.LateWorth, Window: x.Window.Micros, Effect: logic.Effect(slices.Index(effectNames, x.Effect))})
+		set.Classes = append(set.Classes, logic.Class{Name: x.Name, TargetLatency: x.Aim.Micros, Deadline: x.Deadline.Micros, Value: x.Worth,
+			LateValue: x.LateWorth, DedupWindow: x.Window.Micros, Idempotency: logic.Idempotency(slices.Index(effectNames, x.Effect))})
 	}
 	return set
 }
--- a/internal/hollow/sender.go
+++ b/internal/hollow/sender.go
@@ -105,13 +105,13 @@
 	s.idle, s.noticed = map[logic.EndpointID][]*conn{}, map[*outage]*noting{}
 	known := f.disc.whole(s.agent)
 	began := time.Now()
-	s.next = append(s.next, logic.Endpoints{Form: logic.ListCached, Entries: s.dir.Take(known, s.wall())})
+	s.next = append(s.next, logic.EndpointUpdate{Kind: logic.UpdateCached, Entries: s.dir.Take(known, s.wall())})
 	for _, m := range s.owed() {
 		s.open++
 		c := s.event(m)
-		c.Past = logic.Past{Taken: true, Tries: m.tries, MayRun: m.mayRun}
+		c.History = logic.History{Accepted: true, Attempts: m.tries, MayHaveRun: m.mayRun}
 		if m.mayRun {
-			c.Past.Age, c.Past.Zone = f.now-m.firstMay, m.zone
+			c.History.Age, c.History.Zone = f.now-m.firstMay, m.zone
 		}
 		s.next = append(s.next, c)
 	}
@@ -136,8 +136,8 @@
 	return list
 }
 
-func (s *sender) event(m *message) logic.Call {
-	return logic.Call{ID: m.id, Left: m.deadline - s.f.now, Dest: int64(m.dest), Tenant: -1, Class: m.class}
+func (s *sender) event(m *message) logic.Message {
+	return logic.Message{ID: m.id, TimeLeft: m.deadline - s.f.now, Dest: int64(m.dest), Tenant: -1, Class: m.class}
 }
 
 // kill ends the process. If its machine has vanished, what is open at endpoints stays so until they close it, and
@@ -265,13 +265,13 @@
 func (s *sender) act(a logic.Action) {
 	f := s.f
 	switch a := a.(type) {
-	case logic.CallOut:
+	case logic.Send:
 		s.call(a)
 	case logic.Cancel:
 		if m := s.held[a.ID]; m != nil && m.call != nil && m.call.attempt == a.Attempt {
-			m.call.giveUp(logic.Recalled)
+			m.call.giveUp(logic.Cancelled)
 		}
-	case logic.Refuse:
+	case logic.Reject:
 		s.finish(a.ID, returned)
 	case logic.Fail:
 		s.finish(a.ID, failed)
@@ -280,10 +280,10 @@
 		n := s.timer
 		s.whileUp(f.now+a.Wait, func() {
 			if n == s.timer {
-				s.hear(logic.Due{Token: a.Token})
+				s.hear(logic.TimerFired{Token: a.Token})
 			}
 		})
-	case logic.Release:
+	case logic.ReleaseConns:
 		for _, c := range s.idle[a.Endpoint] {
 			c.close()
 		}
@@ -315,28 +315,28 @@
 	began := time.Now()
 	rows := s.dir.Take(l, s.wall())
 	s.f.rec.takes.add(began)
-	form := logic.ListDelta
+	form := logic.UpdateDelta
 	if l.Reset {
-		form = logic.ListFull
+		form = logic.UpdateFull
 	}
 	// What is still connecting to an endpoint that takes no more is not written.
 	s.hold(func(c *call) bool {
-		i := slices.IndexFunc(rows, func(row logic.Entry) bool { return row.Endpoint == c.id })
+		i := slices.IndexFunc(rows, func(row logic.EndpointEntry) bool { return row.Endpoint == c.id })
 		return i >= 0 && rows[i].State != logic.Ready || i < 0 && l.Reset
 	})
 	for _, row := range rows {
 		if row.State != logic.Ready {
-			s.act(logic.Release{Endpoint: row.Endpoint})
+			s.act(logic.ReleaseConns{Endpoint: row.Endpoint})
 		}
 	}
-	s.hear(logic.Endpoints{Form: form, Entries: rows})
+	s.hear(logic.EndpointUpdate{Kind: form, Entries: rows})
 }
 
 // hold ends calls that are still connecting as never sent.
 func (s *sender) hold(match func(*call) bool) {
 	for _, c := range slices.Clone(s.flying) {
 		if !c.written && match(c) {
-			c.end(logic.Moot, 0, nil)
+			c.end(logic.Skipped, 0, nil)
 		}
 	}
 }
@@ -349,7 +349,7 @@
 		if s.f.now >= s.watchEnd {
 			s.bytes.Empty += s.f.disc.emptySize(s.agent)
 			s.watchEnd = s.f.now + s.f.sc.Discovery.Hold.Micros
-			s.hear(logic.Endpoints{Form: logic.ListDelta})
+			s.hear(logic.EndpointUpdate{Kind: logic.UpdateDelta})
 		}
 		s.whileUp(s.watchEnd, look)
 	}
--- a/internal/hollow/standin_test.go
+++ b/internal/hollow/standin_test.go
@@ -111,7 +111,7 @@
 }
 
 // reply hands a message in and returns its first outcome.
-func reply(t *testing.T, f *fleet, s *sender, during func()) logic.Reply {
+func reply(t *testing.T, f *fleet, s *sender, during func()) logic.AttemptResult {
 	t.Helper()
 	f.offers++
 	f.rec.Offered++
@@ -122,13 +122,13 @@
 			during = nil
 		}
 		for _, ev := range s.next {
-			if r, ok := ev.(logic.Reply); ok {
+			if r, ok := ev.(logic.AttemptResult); ok {
 				return r
 			}
 		}
 	}
 	t.Fatal("no outcome")
-	return logic.Reply{}
+	return logic.AttemptResult{}
 }
 
 // The outcomes are those of the table in "Senders to endpoints".
@@ -144,18 +144,18 @@
 		wait   logic.Micros
 		load   int
 	}{
-		{name: "served", want: logic.Completed, took: 47_000, load: 2}, // 1 + 5 ms of handshake, 1 ms, 40 ms
-		{name: "served, kept", kept: true, want: logic.Completed, took: 41_000, load: 2},
-		{name: "refused", how: downRefused, want: logic.RefusedConn, took: 1000},
-		{name: "503", how: downShut, want: logic.Full, took: 7000, load: 2},
-		{name: "503, kept", how: downShut, kept: true, want: logic.Full, took: 1000, load: 2},
-		{name: "silent", how: downSilent, want: logic.RefusedConn, took: 1500_000},
-		{name: "silent, kept", how: downSilent, kept: true, want: logic.Recalled, took: -1},
+		{name: "served", want: logic.Delivered, took: 47_000, load: 2}, // 1 + 5 ms of handshake, 1 ms, 40 ms
+		{name: "served, kept", kept: true, want: logic.Delivered, took: 41_000, load: 2},
+		{name: "refused", how: downRefused, want: logic.ConnRefused, took: 1000},
+		{name: "503", how: downShut, want: logic.Refused, took: 7000, load: 2},
+		{name: "503, kept", how: downShut, kept: true, want: logic.Refused, took: 1000, load: 2},
+		{name: "silent", how: downSilent, want: logic.ConnRefused, took: 1500_000},
+		{name: "silent, kept", how: downSilent, kept: true, want: logic.Cancelled, took: -1},
 		{name: "over the limit", before: func(f *fleet) { f.dests[0].limit = bucket{depth: 1, filled: f.now}; f.dests[0].factor = 1e-3 },
-			want: logic.Full, took: 7000, wait: 300_000, load: 2},
-		{name: "no place", before: func(f *fleet) { f.sc.Destinations.Connections, f.eps[0].conns = 1, 1 }, want: logic.Full, took: 6000},
-		{name: "killed under it", during: func(f *fleet) { f.startOutage(f.dests[0], downRefused, logic.Second) }, want: logic.Severed, took: 7000},
-		{name: "machine gone under it", during: func(f *fleet) { f.failMachines([]*machine{f.eps[0].machine}, 30*logic.Second) }, want: logic.Recalled, took: -1},
+			want: logic.Refused, took: 7000, wait: 300_000, load: 2},
+		{name: "no place", before: func(f *fleet) { f.sc.Destinations.Connections, f.eps[0].conns = 1, 1 }, want: logic.Refused, took: 6000},
+		{name: "killed under it", during: func(f *fleet) { f.startOutage(f.dests[0], downRefused, logic.Second) }, want: logic.ConnLost, took: 7000},
+		{name: "machine gone under it", during: func(f *fleet) { f.failMachines([]*machine{f.eps[0].machine}, 30*logic.Second) }, want: logic.Cancelled, took: -1},
 	} {
 		f, s := one(t)
 		if x.kept {
@@ -174,7 +174,7 @@
 			during = func() { x.during(f) }
 		}
 		r := reply(t, f, s, during)
-		if r.Outcome != x.want || r.Wait != x.wait || len(r.Load) != x.load || x.took >= 0 && r.Took != x.took {
+		if r.Outcome != x.want || r.RetryAfter != x.wait || len(r.Load) != x.load || x.took >= 0 && r.Latency != x.took {
 			t.Errorf("%s: %+v, want outcome %d after %d with a wait of %d", x.name, r, x.want, x.took, x.wait)
 		}
 	}
@@ -228,7 +228,7 @@
 	if s.bytes.Changes != int64(len(change)) {
 		t.Errorf("change of %d bytes, want %d", s.bytes.Changes, len(change))
 	}
-	if r := reply(t, f, s, nil); r.Outcome != logic.Completed || s.dir.Addr(r.Endpoint) != "10.0.0.1:6379" {
+	if r := reply(t, f, s, nil); r.Outcome != logic.Delivered || s.dir.Addr(r.Endpoint) != "10.0.0.1:6379" {
 		t.Errorf("after the change: %+v", r)
 	}
 	for f.next(40 * logic.Second) {
--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -59,7 +59,7 @@
 		if status == http.StatusOK && body == nil { // true whatever follows
 			limit.wait(tailTime)
 			header, keep, err := readRest(r, status, io.Discard)
-			return result{outcome: logic.Completed, load: header.Get(loadHeader)}, err == nil && keep
+			return result{outcome: logic.Delivered, load: header.Get(loadHeader)}, err == nil && keep
 		}
 		if status/100 == 1 && status != http.StatusSwitchingProtocols {
 			if _, err := readHeader(r); err != nil {
@@ -87,9 +87,9 @@
 	case l.over():
 		return result{outcome: l.outcome()}
 	case errors.Is(err, errSpoilt), isTimeout(err):
-		return result{outcome: logic.Spoilt}
+		return result{outcome: logic.Unreadable}
 	}
-	return result{outcome: logic.Severed}
+	return result{outcome: logic.ConnLost}
 }
 
 // readStatus reads the first line of an answer, however long. A line that does not end says nothing: what it
@@ -171,18 +171,18 @@
 func outcomeOf(status int, header http.Header) result {
 	switch status {
 	case http.StatusOK:
-		return result{outcome: logic.Completed, wait: waitOf(header)}
+		return result{outcome: logic.Delivered, wait: waitOf(header)}
 	case http.StatusTooManyRequests:
-		return result{outcome: logic.Full, wait: waitOf(header)}
+		return result{outcome: logic.Refused, wait: waitOf(header)}
 	case http.StatusServiceUnavailable:
 		if header.Get("X-Line-Busy") == "1" {
-			return result{outcome: logic.Moot}
+			return result{outcome: logic.Skipped}
 		}
-		return result{outcome: logic.Full}
+		return result{outcome: logic.Refused}
 	case http.StatusGatewayTimeout:
-		return result{outcome: logic.Moot}
+		return result{outcome: logic.Skipped}
 	case http.StatusGone:
-		return result{outcome: logic.Moot, over: true}
+		return result{outcome: logic.Skipped, over: true}
 	}
 	return result{outcome: logic.Errored}
 }
--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -50,7 +50,7 @@
 			got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
 			in := await(t, e.calls, "call")
 			io.WriteString(in.conn, text)
-			if r := await(t, got, "result"); r.outcome != logic.Spoilt || r.over {
+			if r := await(t, got, "result"); r.outcome != logic.Unreadable || r.over {
 				t.Errorf("got %+v, want Spoilt", r)
 			}
 			in.awaitEnd(t)
@@ -73,7 +73,7 @@
 			got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
 			in := await(t, e.calls, "call")
 			go io.WriteString(in.conn, "HTTP/1.1 200 OK\r\n"+rest)
-			if r := await(t, got, "result"); r.outcome != logic.Completed {
+			if r := await(t, got, "result"); r.outcome != logic.Delivered {
 				t.Errorf("got %+v, want Completed", r)
 			}
 			in.awaitEnd(t)
@@ -91,9 +91,9 @@
 			"silent": func(*inCall) {},
 			"closed": func(in *inCall) { in.conn.CloseWrite() },
 		} {
-			want := map[string]logic.Outcome{"silent": logic.Spoilt, "closed": logic.Severed}[name]
+			want := map[string]logic.Outcome{"silent": logic.Unreadable, "closed": logic.ConnLost}[name]
 			if strings.HasSuffix(line, "\n") {
-				want = logic.Completed
+				want = logic.Delivered
 			}
 			t.Run(fmt.Sprintf("%s, %d bytes %.16q", name, len(line), line), func(t *testing.T) {
 				t.Parallel()
@@ -186,7 +186,7 @@
 		t.Error("a call on a connection with an answer on it")
 	}
 	third.reply(429)
-	if r := await(t, got, "result"); r.outcome != logic.Full {
+	if r := await(t, got, "result"); r.outcome != logic.Refused {
 		t.Errorf("got %+v, want Full", r)
 	}
 }
@@ -202,9 +202,9 @@
 		{"late", patience, func(_ func(), in *inCall) {
 			time.Sleep(headTime + headTime/4) // the time that the rest of a head has
 			in.reply(200)
-		}, logic.Completed},
-		{"cancelled", patience, func(cancel func(), in *inCall) { cancel(); in.awaitEnd(t); in.reset() }, logic.Recalled},
-		{"silent", 100 * time.Millisecond, func(_ func(), in *inCall) { in.awaitEnd(t); in.reset() }, logic.Overdue},
+		}, logic.Delivered},
+		{"cancelled", patience, func(cancel func(), in *inCall) { cancel(); in.awaitEnd(t); in.reset() }, logic.Cancelled},
+		{"silent", 100 * time.Millisecond, func(_ func(), in *inCall) { in.awaitEnd(t); in.reset() }, logic.TimedOut},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
@@ -228,7 +228,7 @@
 	e, c := newEndpoint(t), newCaller(time.Second, time.Hour, 4, shares{calls: 1, idle: 1}, new(atomic.Int64))
 	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
 	in := await(t, e.calls, "call")
-	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.Unsent || !r.local {
+	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.LocalFailure || !r.local {
 		t.Errorf("got %+v, want Unsent for a local cause", r)
 	}
 	in.reply(200)
@@ -241,7 +241,7 @@
 	await(t, got, "result")
 	c.release(2)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return syscall.EMFILE }
-	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.Unsent || !r.local {
+	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.LocalFailure || !r.local {
 		t.Errorf("got %+v, want Unsent for a local cause", r)
 	}
 	if c.open != 0 || c.count != 0 {
@@ -352,10 +352,10 @@
 		defer conn.Close()
 		defer peer.Close()
 		r, keep := readAnswer(newReader(in), &cutoff{conn: conn, by: time.Now().Add(patience)})
-		if r.outcome == logic.Completed && !(strings.Contains(in, "HTTP/1.") && strings.Contains(in, " 200")) {
+		if r.outcome == logic.Delivered && !(strings.Contains(in, "HTTP/1.") && strings.Contains(in, " 200")) {
 			t.Errorf("%q is read as a delivery", in)
 		}
-		if keep && r.outcome == logic.Spoilt {
+		if keep && r.outcome == logic.Unreadable {
 			t.Errorf("%q: the connection is kept", in)
 		}
 	})
@@ -414,7 +414,7 @@
 	if second, _ := call(true, answered); second.conn != first.conn {
 		t.Error("kept connections are not used while none breaks")
 	}
-	if _, r := call(false, (*inCall).reset); r.outcome != logic.Severed {
+	if _, r := call(false, (*inCall).reset); r.outcome != logic.ConnLost {
 		t.Errorf("got %+v, want Severed", r)
 	}
 	third, _ := call(false, answered)
@@ -431,7 +431,7 @@
 		n.launch(t.Context())
 		await(t, e.calls, "call").reply(status, "Endpoint-Load-Metrics: x0=0.4,x1=25")
 		n.reply(await(t, n.events, "outcome").(replyEvent))
-		if got := n.next[0].(logic.Reply).Load; !slices.Equal(got, []float64{0.4, 25}) {
+		if got := n.next[0].(logic.AttemptResult).Load; !slices.Equal(got, []float64{0.4, 25}) {
 			t.Errorf("%d: load %v", status, got)
 		}
 	}
--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -39,11 +39,11 @@
 
 // bulkOutcomes are the outcomes of the states that a bulkEnd may have. Any other state can't be read.
 var bulkOutcomes = map[string]result{
-	"done":    {outcome: logic.Completed},
+	"done":    {outcome: logic.Delivered},
 	"failed":  {outcome: logic.Errored},
-	"busy":    {outcome: logic.Full},
-	"void":    {outcome: logic.Moot, over: true},
-	"used_up": {outcome: logic.Moot},
+	"busy":    {outcome: logic.Refused},
+	"void":    {outcome: logic.Skipped, over: true},
+	"used_up": {outcome: logic.Skipped},
 }
 
 // bulkSize is what m adds to the body of a bulk call, or a little less than that.
@@ -102,17 +102,17 @@
 
 // giveUp settles a message whose own context is over, by its time-out or by a cancel.
 func (b *bulk) giveUp(in *call, why error) {
-	r := result{outcome: logic.Recalled}
+	r := result{outcome: logic.Cancelled}
 	switch {
 	case in.state.CompareAndSwap(callConnecting, callHeld):
-		r.outcome = logic.RefusedConn
+		r.outcome = logic.ConnRefused
 	case in.state.Load() == callHeld:
-		r.outcome = logic.Moot
+		r.outcome = logic.Skipped
 	case !b.copies:
 		b.leave(in)
 		return
 	case errors.Is(why, context.DeadlineExceeded):
-		r.outcome = logic.Overdue
+		r.outcome = logic.TimedOut
 	}
 	b.settle(in, r)
 }
@@ -154,13 +154,13 @@
 		if o.write() {
 			sent = append(sent, o.call)
 		} else {
-			b.settle(o.call, result{outcome: logic.Moot})
+			b.settle(o.call, result{outcome: logic.Skipped})
 		}
 	}
 	if err != nil {
-		r := result{outcome: logic.RefusedConn}
+		r := result{outcome: logic.ConnRefused}
 		if ownFault(err) {
-			r = result{outcome: logic.Unsent, local: true}
+			r = result{outcome: logic.LocalFailure, local: true}
 			pause(ctx, jitter(retryPause)) // descriptors, say: room may come
 		}
 		b.settleAll(sent, r)
@@ -177,13 +177,13 @@
 	first.request, err = bulkRequest(sent, first.addr, first.giveUp)
 	if err != nil {
 		c.drop(conn)
-		b.settleAll(sent, result{outcome: logic.Moot})
+		b.settleAll(sent, result{outcome: logic.Skipped})
 		return
 	}
 	first.carries = len(sent)
 	var body bytes.Buffer
 	r := c.exchange(ctx, &first, conn, deadline, &body)
-	if r.outcome != logic.Completed {
+	if r.outcome != logic.Delivered {
 		b.settleAll(sent, r)
 		return
 	}
@@ -210,7 +210,7 @@
 	for _, in := range sent {
 		r, ok := bulkOutcomes[states[in.id]]
 		if !ok {
-			r = result{outcome: logic.Spoilt}
+			r = result{outcome: logic.Unreadable}
 		}
 		r.wait, r.load, r.idle = answer.wait, answer.load, answer.idle
 		out = append(out, r)
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	cfg.StateDir = t.TempDir()
-	cfg.Deploy.Settings.Kinds[0].Batch = 10
+	cfg.Deploy.Settings.Kinds[0].MaxBatch = 10
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 	for _, id := range slices.Sorted(maps.Keys(bodies)) {
 		m := Message{ID: id, Class: "safe", Dest: 1, Body: []byte(bodies[id])}
 		n.held[id] = takenOn(t, n, m)
-		n.callOut(t.Context(), logic.CallOut{ID: id, GiveUp: micros(patience), Endpoint: rows[0].Endpoint}, true)
+		n.callOut(t.Context(), logic.Send{ID: id, Timeout: micros(patience), Endpoint: rows[0].Endpoint}, true)
 	}
 	return n, e
 }
@@ -85,7 +85,7 @@
 		t.Errorf("sent %q", got)
 	}
 	bulkBody(in, `[{"id":"a","state":"done"},{"id":"b","state":"busy"},{"id":"c","state":"failed"}]`)
-	want := map[string]logic.Outcome{"a": logic.Completed, "b": logic.Full, "c": logic.Errored}
+	want := map[string]logic.Outcome{"a": logic.Delivered, "b": logic.Refused, "c": logic.Errored}
 	if got := ends(t, n, 3); !maps.Equal(got, want) {
 		t.Errorf("outcomes %v, want %v", got, want)
 	}
@@ -115,7 +115,7 @@
 		t.Errorf("sent in the order %v", got)
 	}
 	bulkBody(in, `[{"id":"c","state":"failed"},{"id":"a","state":"done"},{"id":"b","state":"busy"}]`)
-	want := map[string]logic.Outcome{"a": logic.Completed, "b": logic.Full, "c": logic.Errored}
+	want := map[string]logic.Outcome{"a": logic.Delivered, "b": logic.Refused, "c": logic.Errored}
 	if got := ends(t, n, 3); !maps.Equal(got, want) {
 		t.Errorf("outcomes %v, want %v", got, want)
 	}
@@ -127,12 +127,12 @@
 		answer string
 		a, b   logic.Outcome
 	}{
-		"full":       {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", logic.Full, logic.Full},
-		"no slot":    {"HTTP/1.1 503 x\r\nX-Line-Busy: 1\r\nContent-Length: 0\r\n\r\n", logic.Moot, logic.Moot},
+		"full":       {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", logic.Refused, logic.Refused},
+		"no slot":    {"HTTP/1.1 503 x\r\nX-Line-Busy: 1\r\nContent-Length: 0\r\n\r\n", logic.Skipped, logic.Skipped},
 		"error":      {"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", logic.Errored, logic.Errored},
-		"spoilt":     {"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nnot JSON!", logic.Spoilt, logic.Spoilt},
-		"cut short":  {"HTTP/1.1 200 x\r\nContent-Length: 99\r\n\r\n[]", logic.Severed, logic.Severed},
-		"one absent": {"HTTP/1.1 200 x\r\nContent-Length: 27\r\n\r\n[{\"id\":\"a\",\"state\":\"done\"}]", logic.Completed, logic.Spoilt},
+		"spoilt":     {"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nnot JSON!", logic.Unreadable, logic.Unreadable},
+		"cut short":  {"HTTP/1.1 200 x\r\nContent-Length: 99\r\n\r\n[]", logic.ConnLost, logic.ConnLost},
+		"one absent": {"HTTP/1.1 200 x\r\nContent-Length: 27\r\n\r\n[{\"id\":\"a\",\"state\":\"done\"}]", logic.Delivered, logic.Unreadable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, e := bulkStep(t, map[string]string{"a": "x", "b": "y"})
@@ -160,12 +160,12 @@
 		in := await(t, e.calls, "call")
 		n.held["a"].stop()
 		if copies {
-			if got := ends(t, n, 1); got["a"] != logic.Recalled {
+			if got := ends(t, n, 1); got["a"] != logic.Cancelled {
 				t.Fatalf("outcomes %v", got)
 			}
 		}
 		bulkBody(in, `[{"id":"a","state":"failed"},{"id":"b","state":"done"},{"id":"c","state":"busy"}]`)
-		want := map[string]logic.Outcome{"b": logic.Completed, "c": logic.Full}
+		want := map[string]logic.Outcome{"b": logic.Delivered, "c": logic.Refused}
 		if !copies {
 			want["a"] = logic.Errored
 		}
@@ -182,7 +182,7 @@
 	in := await(t, e.calls, "call")
 	n.held["a"].stop()
 	n.held["b"].stop()
-	if got := ends(t, n, 2); got["a"] != logic.Recalled || got["b"] != logic.Recalled {
+	if got := ends(t, n, 2); got["a"] != logic.Cancelled || got["b"] != logic.Cancelled {
 		t.Errorf("outcomes %v", got)
 	}
 	in.awaitEnd(t)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -105,13 +105,13 @@
 		if err == nil && !c.put(in.ep, conn) {
 			c.drop(conn)
 		}
-		return result{outcome: logic.Moot}
+		return result{outcome: logic.Skipped}
 	}
 	if err != nil {
 		if ownFault(err) {
-			return result{outcome: logic.Unsent, local: true}
+			return result{outcome: logic.LocalFailure, local: true}
 		}
-		return result{outcome: logic.RefusedConn}
+		return result{outcome: logic.ConnRefused}
 	}
 	return c.exchange(ctx, in, conn, deadline, nil)
 }
@@ -121,7 +121,7 @@
 	var b bytes.Buffer
 	if err := in.request.Write(&b); err != nil {
 		c.drop(conn)
-		return result{outcome: logic.RefusedConn}
+		return result{outcome: logic.ConnRefused}
 	}
 	idle := time.Duration(0)
 	if !conn.since.IsZero() {
@@ -136,19 +136,19 @@
 	if _, err := conn.Write(b.Bytes()); err != nil {
 		stop()
 		c.drop(conn)
-		return result{outcome: logic.RefusedConn} // its last byte was not written
+		return result{outcome: logic.ConnRefused} // its last byte was not written
 	}
 	c.relayed.Add(int64(in.carries))
 	conn.limit.N = maxAnswer
 	r, keep := readWhole(conn.r, limit, body)
 	r.idle = idle
-	if r.outcome == logic.Severed && !conn.since.IsZero() {
+	if r.outcome == logic.ConnLost && !conn.since.IsZero() {
 		c.mu.Lock()
 		c.brokeAt = time.Now()
 		c.mu.Unlock()
 	}
-	if conn.limit.N <= 0 && r.outcome != logic.Completed {
-		r = result{outcome: logic.Spoilt} // it goes on for ever, say
+	if conn.limit.N <= 0 && r.outcome != logic.Delivered {
+		r = result{outcome: logic.Unreadable} // it goes on for ever, say
 	}
 	if !stop() || !keep || limit.over() || !c.put(in.ep, conn) {
 		c.drop(conn)
@@ -216,9 +216,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.off {
-		return logic.Recalled
+		return logic.Cancelled
 	}
-	return logic.Overdue
+	return logic.TimedOut
 }
 
 // over says whether the connection may be of no more use: it is given up, or a cancel may touch it yet.
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -43,16 +43,16 @@
 		headers []string
 		want    result
 	}{
-		{200, nil, result{outcome: logic.Completed}},
+		{200, nil, result{outcome: logic.Delivered}},
 		{500, nil, result{outcome: logic.Errored}},
 		{400, nil, result{outcome: logic.Errored}},
-		{429, []string{"X-Come-Back-Ms: 250"}, result{outcome: logic.Full, wait: 250 * time.Millisecond}},
-		{429, []string{"X-Come-Back-Ms: -1"}, result{outcome: logic.Full}},
-		{429, []string{"X-Come-Back-Ms: soon"}, result{outcome: logic.Full}},
-		{503, nil, result{outcome: logic.Full}},
-		{503, []string{"X-Line-Busy: 1"}, result{outcome: logic.Moot}},
-		{504, nil, result{outcome: logic.Moot}},
-		{410, nil, result{outcome: logic.Moot, over: true}},
+		{429, []string{"X-Come-Back-Ms: 250"}, result{outcome: logic.Refused, wait: 250 * time.Millisecond}},
+		{429, []string{"X-Come-Back-Ms: -1"}, result{outcome: logic.Refused}},
+		{429, []string{"X-Come-Back-Ms: soon"}, result{outcome: logic.Refused}},
+		{503, nil, result{outcome: logic.Refused}},
+		{503, []string{"X-Line-Busy: 1"}, result{outcome: logic.Skipped}},
+		{504, nil, result{outcome: logic.Skipped}},
+		{410, nil, result{outcome: logic.Skipped, over: true}},
 	} {
 		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
 		in := await(t, e.calls, "call")
@@ -99,7 +99,7 @@
 	}
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
-	if r := await(t, got, "result"); r.outcome != logic.RefusedConn {
+	if r := await(t, got, "result"); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 }
@@ -109,7 +109,7 @@
 	e, c := newEndpoint(t), testCaller()
 	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
 	await(t, e.calls, "call").reset()
-	if r := await(t, got, "result"); r.outcome != logic.Severed {
+	if r := await(t, got, "result"); r.outcome != logic.ConnLost {
 		t.Errorf("reset: got %+v, want Severed", r)
 	}
 	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
@@ -117,7 +117,7 @@
 	io.WriteString(in.conn, "HTTP/1.1 2")
 	in.conn.Close()
 	in.done <- false
-	if r := await(t, got, "result"); r.outcome != logic.Severed {
+	if r := await(t, got, "result"); r.outcome != logic.ConnLost {
 		t.Errorf("half an answer: got %+v, want Severed", r)
 	}
 }
@@ -126,7 +126,7 @@
 func TestConnectionRefused(t *testing.T) {
 	e, c := newEndpoint(t), testCaller()
 	e.ln.Close()
-	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.RefusedConn {
+	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 }
@@ -140,7 +140,7 @@
 		t.Helper()
 		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
 		end(await(t, e.calls, "call"))
-		if r := await(t, got, "result"); r.outcome != logic.Completed {
+		if r := await(t, got, "result"); r.outcome != logic.Delivered {
 			t.Fatalf("got %+v, want Completed", r)
 		}
 	}
@@ -186,7 +186,7 @@
 		got := goDo(t.Context(), c, newCall(t, e.addr(), "first", patience)) // leaves a kept connection
 		await(t, e.calls, "call").reply(200)
 		await(t, got, "result")
-		if r := c.do(ctx, newCall(t, e.addr(), "over", patience)); r.outcome != logic.RefusedConn {
+		if r := c.do(ctx, newCall(t, e.addr(), "over", patience)); r.outcome != logic.ConnRefused {
 			t.Fatalf("got %+v, want RefusedConn", r)
 		}
 	}
@@ -204,14 +204,14 @@
 	cancel()
 	in.awaitEnd(t)
 	in.reset()
-	if r := await(t, got, "result"); r.outcome != logic.Recalled {
+	if r := await(t, got, "result"); r.outcome != logic.Cancelled {
 		t.Errorf("cancelled: got %+v, want Recalled", r)
 	}
 	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
 	in.awaitEnd(t)
 	in.reset()
-	if r := await(t, got, "result"); r.outcome != logic.Overdue {
+	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
 		t.Errorf("timed out: got %+v, want Overdue", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
@@ -220,13 +220,13 @@
 	cancel()
 	in.awaitEnd(t)
 	in.reply(200)
-	if r := await(t, got, "result"); r.outcome != logic.Completed {
+	if r := await(t, got, "result"); r.outcome != logic.Delivered {
 		t.Errorf("answered while it was given up: got %+v, want Completed", r)
 	}
 	c.linger = time.Millisecond // an endpoint that does not react
 	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
-	if r := await(t, got, "result"); r.outcome != logic.Overdue {
+	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
 		t.Errorf("silent: got %+v, want Overdue", r)
 	}
 	in.awaitEnd(t)
@@ -240,7 +240,7 @@
 	e, c := newEndpoint(t), testCaller()
 	ctx, cancel := context.WithCancel(t.Context())
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
-	if r := c.do(ctx, newCall(t, e.addr(), "hello", patience)); r.outcome != logic.RefusedConn {
+	if r := c.do(ctx, newCall(t, e.addr(), "hello", patience)); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 	e.none(t)
@@ -254,7 +254,7 @@
 		in.state.CompareAndSwap(callConnecting, callHeld)
 		return nil
 	}
-	if r := c.do(t.Context(), in); r.outcome != logic.Moot {
+	if r := c.do(t.Context(), in); r.outcome != logic.Skipped {
 		t.Errorf("got %+v, want Moot", r)
 	}
 	e.none(t)
@@ -265,7 +265,7 @@
 	e, c := newEndpoint(t), testCaller()
 	in := newCall(t, e.addr(), "hello", patience)
 	in.writeBy = time.Now().Add(-time.Millisecond)
-	if r := c.do(t.Context(), in); r.outcome != logic.Moot {
+	if r := c.do(t.Context(), in); r.outcome != logic.Skipped {
 		t.Errorf("got %+v, want Moot", r)
 	}
 	e.none(t)
@@ -278,7 +278,7 @@
 	in := await(t, e.calls, "call")
 	io.WriteString(in.conn, "HTTP/1.1 102 Processing\r\n\r\n")
 	in.reply(200)
-	if r := await(t, got, "result"); r.outcome != logic.Completed {
+	if r := await(t, got, "result"); r.outcome != logic.Delivered {
 		t.Errorf("got %+v, want Completed", r)
 	}
 }
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -191,7 +191,7 @@
 	for sockets := 128; sockets <= 4096; sockets *= 2 {
 		for _, slots := range []int{0, 6, 60, 300} {
 			cfg := &Config{Limits: Limits{Sockets: sockets}}
-			cfg.Deploy.Settings.Slots = slots
+			cfg.Deploy.Settings.CallSlots = slots
 			s := shareOut(cfg)
 			if s.clients+s.calls+otherSockets > sockets || s.idle > s.calls || s.clients*3 < sockets-otherSockets {
 				t.Errorf("%d sockets, %d slots: %+v", sockets, slots, s)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -43,7 +43,7 @@
 	if i, ok := c.Classes[m.Class]; ok {
 		return c.Deploy.Settings.Classes[i]
 	}
-	return logic.Class{Name: m.Class, Effect: logic.Unsafe}
+	return logic.Class{Name: m.Class, Idempotency: logic.NonIdempotent}
 }
 
 // LoadConfig reads the environment and the file that it names.
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -62,7 +62,7 @@
 // Directory maps the list's names to the module's numbers. The loop owns it.
 type Directory struct {
 	zones []string
-	kinds []logic.Kind
+	kinds []logic.DestinationKind
 	ids   map[string]logic.EndpointID
 	eps   map[logic.EndpointID]target
 	dests map[int64]int                  // how many of eps a destination has
@@ -96,7 +96,7 @@
 // apart says whether an endpoint is a route of its own.
 func (d *Directory) apart(id logic.EndpointID) bool {
 	kind := d.eps[id].kind
-	return kind >= 0 && kind < len(d.kinds) && d.kinds[kind].Apart
+	return kind >= 0 && kind < len(d.kinds) && d.kinds[kind].SeparateRoutes
 }
 
 // Addr is where an endpoint can be reached, as hostPort of the list; empty if it is not known.
@@ -133,8 +133,8 @@
 
 // Take turns a list that came at a time into the module's entries. An endpoint keeps its number as long
 // as it is on the list, whatever its address, and for a while after.
-func (d *Directory) Take(l List, now time.Time) []logic.Entry {
-	rows := make([]logic.Entry, 0, len(l.Instances))
+func (d *Directory) Take(l List, now time.Time) []logic.EndpointEntry {
+	rows := make([]logic.EndpointEntry, 0, len(l.Instances))
 	if l.Reset {
 		on := map[string]bool{}
 		for _, in := range l.Instances {
@@ -156,13 +156,13 @@
 			id = d.last
 			d.ids[in.ID] = id
 		}
-		row := logic.Entry{Endpoint: id, Zone: slices.Index(d.zones, in.Zone), Dest: in.Dest, Nominal: in.Weight,
-			Kind: slices.IndexFunc(d.kinds, func(k logic.Kind) bool { return k.Name == in.Kind })}
+		row := logic.EndpointEntry{Endpoint: id, Zone: slices.Index(d.zones, in.Zone), Dest: in.Dest, NominalRate: in.Weight,
+			Kind: slices.IndexFunc(d.kinds, func(k logic.DestinationKind) bool { return k.Name == in.Kind })}
 		switch in.Lifecycle {
 		case "up":
 			row.State = logic.Ready
 		case "removed":
-			row.State = logic.Gone
+			row.State = logic.Removed
 		default: // a state that is not known is no invitation to send
 			row.State = logic.Draining
 		}
@@ -174,7 +174,7 @@
 			to = target{name: in.ID, addr: in.HostPort, zone: row.Zone, dest: row.Dest, kind: row.Kind}
 		}
 		d.dests[to.dest]++
-		if row.State == logic.Gone {
+		if row.State == logic.Removed {
 			d.leave(id, now)
 		} else {
 			delete(d.gone, id)
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -90,7 +90,7 @@
 
 func newFigures(cfg *Config) *figures {
 	var outcomes []string
-	for o := logic.Completed; int(o) < len(outcomeNames); o++ {
+	for o := logic.Delivered; int(o) < len(outcomeNames); o++ {
 		outcomes = append(outcomes, outcomeNames[o])
 	}
 	f := &figures{ends: map[string]*tally{}, violations: newCounters(violations), refused: newCounters(refusals),
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -304,7 +304,7 @@
 	if ev.gone {
 		for id, c := range p.out {
 			delete(p.out, id)
-			out = append(out, replyEvent{c, result{outcome: logic.Severed}, 0})
+			out = append(out, replyEvent{c, result{outcome: logic.ConnLost}, 0})
 		}
 	}
 	return out
@@ -321,7 +321,7 @@
 		n.reply(r)
 	}
 	if ev.Health != nil {
-		n.next = append(n.next, logic.HealthResult{Endpoint: ev.Health.Endpoint, Outcome: ev.Health.Outcome})
+		n.next = append(n.next, logic.ProbeResult{Endpoint: ev.Health.Endpoint, Outcome: ev.Health.Outcome})
 	}
 }
 
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -424,7 +424,7 @@
 	if n.holdWait(7); c.state.Load() != callHeld {
 		t.Errorf("a wait leaves the call in state %d", c.state.Load())
 	}
-	n.reply(replyEvent{call: c, result: result{outcome: logic.Moot}})
+	n.reply(replyEvent{call: c, result: result{outcome: logic.Skipped}})
 	if len(n.calls()) != 0 {
 		t.Errorf("endpoints in use after the end: %v", n.calls())
 	}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -47,7 +47,7 @@
 	}
 	rest := max(sockets-otherSockets, 16)
 	clients := rest / 2
-	if need := cfg.Deploy.Settings.Slots + lingering; rest-clients < need {
+	if need := cfg.Deploy.Settings.CallSlots + lingering; rest-clients < need {
 		clients = max(rest-need, rest*2/5)
 	}
 	calls := rest - clients
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -128,14 +128,14 @@
 	spent.done("lock")
 	figures := newFigures(cfg)
 	// The module asks for the list only where it must, and anywhere after a failed call.
-	n := &Node{cfg: cfg, log: log, lock: lock, follow: !set.OnRequest, sender: sender, dir: NewDirectory(cfg), figures: figures,
-		caller: newCaller(span(cfg.Deploy.ConnectTimeout), span(set.ConnIdle), set.Slots, shareOut(cfg), &figures.relayed),
+	n := &Node{cfg: cfg, log: log, lock: lock, follow: !set.ListOnRequest, sender: sender, dir: NewDirectory(cfg), figures: figures,
+		caller: newCaller(span(cfg.Deploy.ConnectTimeout), span(set.ConnIdleTimeout), set.CallSlots, shareOut(cfg), &figures.relayed),
 		events: make(chan any, eventRoom), ready: make(chan net.Addr, 1), again: make(chan struct{}, 1), began: began, start: time.Now(), stages: spent, due: time.NewTimer(time.Hour), held: map[string]*held{}, out: map[string]*held{}, recent: map[string]int64{},
 		clock: clock.New(), flush: time.NewTimer(time.Hour), failing: failures{log: log, what: "journal"}}
 	n.permits = newPermits(n)
 	n.caller.copies = cfg.Deploy.SecondCopies
 	n.disc = newDiscovery(cfg.Discovery, set.Senders, log, n.events)
-	n.disc.pushed = !set.OnRequest
+	n.disc.pushed = !set.ListOnRequest
 	n.notices = newNotices(cfg.Discovery, log, n.events)
 	n.clients = newClients(cfg, log, n.events, figures)
 	n.admin = newAdmin(log, n.clients, figures)
@@ -334,7 +334,7 @@
 		case ev := <-n.events:
 			n.take(work, ev)
 		case <-n.due.C:
-			n.next = append(n.next, logic.Due{Token: n.token})
+			n.next = append(n.next, logic.TimerFired{Token: n.token})
 		case <-n.flush.C:
 			n.record(nil)
 		case <-sweep.C:
@@ -376,7 +376,7 @@
 				n.log.Error("the handover failed: this process stays the owner until its end", "err", err)
 			}
 			served, stopped = n.shutDown(work)
-			n.next = append(n.next, logic.Closing{Left: micros(max(stopSends-time.Since(n.closing), 0))})
+			n.next = append(n.next, logic.Shutdown{TimeLeft: micros(max(stopSends-time.Since(n.closing), 0))})
 			n.step(work)
 		}
 		rest.Reset(tick)
@@ -388,7 +388,7 @@
 func (n *Node) resume() {
 	if n.cfg.Known.Generation != 0 || len(n.cfg.Known.Instances) > 0 {
 		n.disc.gen, n.disc.started = n.cfg.Known.Generation, true
-		n.next = append(n.next, logic.Endpoints{Form: logic.ListCached, Entries: n.dir.Take(n.cfg.Known, time.Now())})
+		n.next = append(n.next, logic.EndpointUpdate{Kind: logic.UpdateCached, Entries: n.dir.Take(n.cfg.Known, time.Now())})
 	}
 	for _, e := range n.journal.Entries() {
 		if e.End != nil {
@@ -402,9 +402,9 @@
 		n.held[e.ID] = &held{msg: &e.Message, tries: e.Tries, trail: trail{came: time.Now()}}
 		n.open++
 		c := n.callOf(&e.Message)
-		c.Past = logic.Past{Taken: true, Tries: e.Tries, MayRun: e.MayRun || e.Open}
-		if c.Past.MayRun {
-			c.Past.Zone = e.FirstZone
+		c.History = logic.History{Accepted: true, Attempts: e.Tries, MayHaveRun: e.MayRun || e.Open}
+		if c.History.MayHaveRun {
+			c.History.Zone = e.FirstZone
 		}
 		if e.Open { // whoever reads the journal next must not take its outcome for a later one's
 			n.records = append(n.records, record{Op: opOutcome, ID: e.ID, MayRun: true})
@@ -425,8 +425,8 @@
 }
 
 // callOf is the module's view of a message, without its times: those are set at the step.
-func (n *Node) callOf(m *Message) logic.Call {
-	c := logic.Call{ID: m.ID, Key: m.Order, Dest: m.Dest, Tenant: -1, Class: n.cfg.Classes[m.Class]}
+func (n *Node) callOf(m *Message) logic.Message {
+	c := logic.Message{ID: m.ID, OrderKey: m.Order, Dest: m.Dest, Tenant: -1, Class: n.cfg.Classes[m.Class]}
 	if t, ok := n.cfg.Tenants[m.Tenant]; ok && m.Tenant != "" {
 		c.Tenant = t
 	}
@@ -441,7 +441,7 @@
 	case replyEvent:
 		n.reply(ev)
 	case healthEvent:
-		n.next = append(n.next, logic.HealthResult{Endpoint: ev.Endpoint, Outcome: ev.Outcome})
+		n.next = append(n.next, logic.ProbeResult{Endpoint: ev.Endpoint, Outcome: ev.Outcome})
 	case listEvent:
 		n.list(ev)
 	case noticedEvent:
@@ -530,12 +530,12 @@
 		return
 	}
 	if ev.err != nil {
-		n.next = append(n.next, logic.Endpoints{Form: logic.ListFailed, Took: micros(ev.took)})
+		n.next = append(n.next, logic.EndpointUpdate{Kind: logic.UpdateFailed, RequestTime: micros(ev.took)})
 		return
 	}
-	form := logic.ListDelta
+	form := logic.UpdateDelta
 	if ev.list.Reset {
-		form = logic.ListFull
+		form = logic.UpdateFull
 	}
 	rows := n.dir.Take(ev.list, time.Now())
 	if ev.list.Reset || len(rows) > 0 { // not each watch that ends without news
@@ -559,7 +559,7 @@
 			n.caller.release(id)
 		}
 	}
-	n.next = append(n.next, logic.Endpoints{Form: form, Entries: rows})
+	n.next = append(n.next, logic.EndpointUpdate{Kind: form, Entries: rows})
 }
 
 // calls lists the endpoints that calls are out to.
@@ -609,7 +609,7 @@
 		n.landed(h)
 	}
 	r := ev.result
-	if r.outcome == logic.Unsent {
+	if r.outcome == logic.LocalFailure {
 		h.tries--
 	}
 	h.trail.heard(r)
@@ -619,27 +619,27 @@
 		n.holdWait(ev.call.ep)
 	}
 	ended := h.over
-	done := r.outcome == logic.Completed || r.over
+	done := r.outcome == logic.Delivered || r.over
 	switch {
 	case ended:
 	case done:
 		n.records = append(n.records, record{Op: opDone, ID: ev.call.id})
-		if late := time.Since(h.trail.came) > span(n.cfg.classOf(h.msg).Aim); late || r.over {
+		if late := time.Since(h.trail.came) > span(n.cfg.classOf(h.msg).TargetLatency); late || r.over {
 			n.badEnd(h, map[bool]string{true: "over", false: "late"}[r.over])
 		}
-		if r.outcome == logic.Completed {
+		if r.outcome == logic.Delivered {
 			n.figures.fulfilled(h.msg.Class)
 		}
 		n.finish(ev.call.id, h)
-	case r.outcome == logic.Unsent && !ev.call.recorded: // the journal knows nothing of it
+	case r.outcome == logic.LocalFailure && !ev.call.recorded: // the journal knows nothing of it
 	default:
-		n.records = append(n.records, record{Op: opOutcome, ID: ev.call.id, MayRun: mayHaveRun(r.outcome), Unsent: r.outcome == logic.Unsent})
+		n.records = append(n.records, record{Op: opOutcome, ID: ev.call.id, MayRun: mayHaveRun(r.outcome), Unsent: r.outcome == logic.LocalFailure})
 	}
 	if h.over {
 		delete(n.held, ev.call.id)
 	}
-	n.next = append(n.next, logic.Reply{ID: ev.call.id, NoMore: ended || done, Endpoint: ev.call.ep,
-		Attempt: ev.call.attempt, Outcome: r.outcome, Took: micros(ev.took), Wait: micros(r.wait), Load: loadOf(r.load, n.cfg.Deploy.Reports)})
+	n.next = append(n.next, logic.AttemptResult{ID: ev.call.id, Final: ended || done, Endpoint: ev.call.ep,
+		Attempt: ev.call.attempt, Outcome: r.outcome, Latency: micros(ev.took), RetryAfter: micros(r.wait), Load: loadOf(r.load, n.cfg.Deploy.Reports)})
 }
 
 // badEnd logs the course of a message that was not delivered in the time wanted.
@@ -650,7 +650,7 @@
 
 // mayHaveRun says what an outcome leaves open.
 func mayHaveRun(o logic.Outcome) bool {
-	return o != logic.Full && o != logic.RefusedConn && o != logic.Moot && o != logic.Unsent
+	return o != logic.Refused && o != logic.ConnRefused && o != logic.Skipped && o != logic.LocalFailure
 }
 
 // finish takes a message off the books; its id is remembered until its time is up.
@@ -677,15 +677,15 @@
 // have waited for it, for the list of a start say.
 func (n *Node) setTimes(events []logic.Event) {
 	for i, ev := range events {
-		c, ok := ev.(logic.Call)
+		c, ok := ev.(logic.Message)
 		if !ok {
 			continue
 		}
 		if h := n.held[c.ID]; h != nil {
-			c.Left = logic.Micros(h.msg.Deadline - n.decided)
+			c.TimeLeft = logic.Micros(h.msg.Deadline - n.decided)
 		}
-		if c.Past.MayRun {
-			c.Past.Age = logic.Micros(max(n.decided-n.journal.Entry(c.ID).FirstMay, 0))
+		if c.History.MayHaveRun {
+			c.History.Age = logic.Micros(max(n.decided-n.journal.Entry(c.ID).FirstMay, 0))
 		}
 		events[i] = c
 	}
@@ -707,9 +707,9 @@
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case logic.CallOut:
+		case logic.Send:
 			n.records = append(n.records, record{Op: opSend, ID: a.ID, At: n.decided, Zone: n.dir.eps[a.Endpoint].zone})
-		case logic.Refuse, logic.Fail:
+		case logic.Reject, logic.Fail:
 			x := noticeOf(a)
 			if answers[x.ID] == "" && n.journal.Entry(x.ID) != nil {
 				n.records = append(n.records, record{Op: opEnd, ID: x.ID, Notice: &x})
@@ -767,9 +767,9 @@
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case logic.Refuse:
+		case logic.Reject:
 			if n.waits(a.ID) {
-				out[a.ID] = busy(a.RetryIn)
+				out[a.ID] = busy(a.RetryAfter)
 			}
 		case logic.Fail:
 			if n.waits(a.ID) {
@@ -782,8 +782,8 @@
 
 func noticeOf(a logic.Action) Notice {
 	switch a := a.(type) {
-	case logic.Refuse:
-		return Notice{ID: a.ID, State: noticeReturned, AfterMS: int64((a.RetryIn + 999) / 1000)}
+	case logic.Reject:
+		return Notice{ID: a.ID, State: noticeReturned, AfterMS: int64((a.RetryAfter + 999) / 1000)}
 	case logic.Fail:
 		return Notice{ID: a.ID, State: noticeFailed}
 	}
@@ -800,13 +800,13 @@
 
 func (n *Node) act(work context.Context, a logic.Action, answers map[string]string, written bool) {
 	switch a := a.(type) {
-	case logic.CallOut:
+	case logic.Send:
 		n.callOut(work, a, written)
 	case logic.Cancel:
 		if h := n.held[a.ID]; h != nil && h.stop != nil && h.tries-1 == a.Attempt {
 			h.stop()
 		}
-	case logic.Refuse, logic.Fail:
+	case logic.Reject, logic.Fail:
 		x := noticeOf(a)
 		if h := n.held[x.ID]; h != nil && !h.over {
 			n.badEnd(h, x.State)
@@ -826,9 +826,9 @@
 		n.token = a.Token
 	case logic.Probe:
 		n.probe(work, a.Endpoint)
-	case logic.Release:
+	case logic.ReleaseConns:
 		n.caller.release(a.Endpoint)
-	case logic.Listen:
+	case logic.Subscribe:
 		n.disc.watch(work)
 	case logic.Log:
 		n.log.Info(a.Text)
@@ -836,10 +836,10 @@
 }
 
 // callOut makes an attempt. Without its record in the journal it is not made.
-func (n *Node) callOut(work context.Context, a logic.CallOut, written bool) {
+func (n *Node) callOut(work context.Context, a logic.Send, written bool) {
 	h := n.held[a.ID]
 	if h == nil { // never taken on; the module is still owed its one outcome
-		n.next = append(n.next, logic.Reply{ID: a.ID, NoMore: true, Endpoint: a.Endpoint, Outcome: logic.Moot})
+		n.next = append(n.next, logic.AttemptResult{ID: a.ID, Final: true, Endpoint: a.Endpoint, Outcome: logic.Skipped})
 		return
 	}
 	permitted := !written || n.permits.send(h, a.Endpoint)
@@ -847,11 +847,11 @@
 	h.tries++
 	h.trail.sent(a.Endpoint)
 	to := n.dir.eps[a.Endpoint]
-	in := &call{id: a.ID, attempt: attempt, ep: a.Endpoint, addr: to.addr, giveUp: span(a.GiveUp), msg: h.msg, state: new(atomic.Int32), carries: 1}
+	in := &call{id: a.ID, attempt: attempt, ep: a.Endpoint, addr: to.addr, giveUp: span(a.Timeout), msg: h.msg, state: new(atomic.Int32), carries: 1}
 	c := n.cfg.classOf(h.msg)
-	in.fragile = c.Effect == logic.Unsafe
-	if e := n.journal.Entry(a.ID); e != nil && e.MayRun && c.Effect == logic.Keyed { // a repeat: by the end of the window it must be written
-		in.writeBy = n.clock.At(e.FirstMay).Add(span(c.Window))
+	in.fragile = c.Idempotency == logic.NonIdempotent
+	if e := n.journal.Entry(a.ID); e != nil && e.MayRun && c.Idempotency == logic.IdempotentByKey { // a repeat: by the end of the window it must be written
+		in.writeBy = n.clock.At(e.FirstMay).Add(span(c.DedupWindow))
 	}
 	ctx, stop := context.WithCancel(work)
 	n.goesOut(h, in, stop)
@@ -861,9 +861,9 @@
 		if err != nil {
 			n.log.Error("call", "err", err)
 		}
-		ev := replyEvent{in, result{outcome: logic.Unsent}, 0}
+		ev := replyEvent{in, result{outcome: logic.LocalFailure}, 0}
 		if written { // it will not work later either
-			ev.result.outcome = logic.Moot
+			ev.result.outcome = logic.Skipped
 		}
 		time.AfterFunc(jitter(retryPause), func() { n.events <- ev }) // a full disk, say: room may come
 		return
@@ -886,7 +886,7 @@
 func (n *Node) batch(ep logic.EndpointID) int {
 	kinds := n.cfg.Deploy.Settings.Kinds
 	if kind := n.dir.eps[ep].kind; kind >= 0 && kind < len(kinds) {
-		return kinds[kind].Batch
+		return kinds[kind].MaxBatch
 	}
 	return 1
 }
@@ -924,7 +924,7 @@
 func (n *Node) probe(work context.Context, ep logic.EndpointID) {
 	addr := n.dir.eps[ep].addr
 	go func() {
-		out := logic.RefusedConn
+		out := logic.ConnRefused
 		if req, err := probeRequest(addr); err == nil {
 			out = n.caller.do(work, &call{ep: ep, addr: addr, giveUp: probeTime, request: req, state: new(atomic.Int32)}).outcome
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -457,7 +457,7 @@
 			t.Fatal(err)
 		}
 		cfg.StateDir = t.TempDir()
-		cfg.Deploy.Settings.Kinds[0].Apart = x.apart
+		cfg.Deploy.Settings.Kinds[0].SeparateRoutes = x.apart
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
@@ -484,8 +484,8 @@
 
 // Whether an attempt may have run decides after a restart whether an unsafe message is sent again.
 func TestMayHaveRunByOutcome(t *testing.T) {
-	for o, want := range map[logic.Outcome]bool{logic.Completed: true, logic.Errored: true, logic.Overdue: true,
-		logic.Severed: true, logic.Recalled: true, logic.Full: false, logic.RefusedConn: false, logic.Moot: false} {
+	for o, want := range map[logic.Outcome]bool{logic.Delivered: true, logic.Errored: true, logic.TimedOut: true,
+		logic.ConnLost: true, logic.Cancelled: true, logic.Refused: false, logic.ConnRefused: false, logic.Skipped: false} {
 		if mayHaveRun(o) != want {
 			t.Errorf("outcome %d: may have run %v", o, !want)
 		}
--- a/internal/node/permit.go
+++ b/internal/node/permit.go
@@ -101,7 +101,7 @@
 		return endpointShut
 	case time.Now().Before(p.waits[p.lane(ep)]):
 		return waitTold
-	case set.MaxTries > 0 && h.tries >= set.MaxTries:
+	case set.MaxAttempts > 0 && h.tries >= set.MaxAttempts:
 		return triesUsedUp
 	case now >= h.msg.Deadline:
 		return timeUp
@@ -115,11 +115,11 @@
 	switch {
 	case !e.MayRun:
 		return noViolation
-	case c.Effect == logic.Unsafe:
+	case c.Idempotency == logic.NonIdempotent:
 		return repeatUnsafe
-	case c.Effect == logic.Keyed && c.ByZone && zone != e.FirstZone:
+	case c.Idempotency == logic.IdempotentByKey && c.DedupPerZone && zone != e.FirstZone:
 		return repeatElse
-	case c.Effect == logic.Keyed && now > e.FirstMay+int64(c.Window):
+	case c.Idempotency == logic.IdempotentByKey && now > e.FirstMay+int64(c.DedupWindow):
 		return repeatLate
 	}
 	return noViolation
@@ -170,7 +170,7 @@
 // mayHaveRun says whether a promise that a message may be handed in again would be wrong.
 func (p *permits) mayHaveRun(e *Entry) bool {
 	c := p.node.cfg.classOf(&e.Message)
-	return (e.MayRun || e.Open) && (c.Effect == logic.Unsafe || c.Effect == logic.Keyed && c.ByZone)
+	return (e.MayRun || e.Open) && (c.Idempotency == logic.NonIdempotent || c.Idempotency == logic.IdempotentByKey && c.DedupPerZone)
 }
 
 // refuse checks the answer to a message that is not taken on.
--- a/internal/node/permit_test.go
+++ b/internal/node/permit_test.go
@@ -33,7 +33,7 @@
 		}},
 		{repeatElse, "keyed", func(n *Node, _ *held, e *Entry) {
 			e.MayRun, e.FirstMay, e.FirstZone = true, n.clock.Now(), 1
-			n.cfg.Deploy.Settings.Classes[n.cfg.Classes["keyed"]].ByZone = true
+			n.cfg.Deploy.Settings.Classes[n.cfg.Classes["keyed"]].DedupPerZone = true
 		}},
 		{notOwner, "safe", func(n *Node, _ *held, _ *Entry) { n.lock = nil }},
 	} {
@@ -59,7 +59,7 @@
 	n := quietNode(t, newEndpoint(t))
 	h := takenOn(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
 	e := n.journal.Entry("m")
-	window := int64(n.cfg.classOf(h.msg).Window)
+	window := int64(n.cfg.classOf(h.msg).DedupWindow)
 	e.MayRun, e.FirstMay = true, n.clock.Now()-window-1
 	n.decided = e.FirstMay + window - 1
 	if n.permits.send(h, 1) {
@@ -77,12 +77,12 @@
 	n.held["m"] = h
 	n.journal.Entry("m").FirstMay = h.msg.Deadline - 7_000_000
 	c := n.callOf(h.msg)
-	c.Past = logic.Past{Taken: true, Tries: 1, MayRun: true}
-	events := []logic.Event{logic.Due{}, c}
+	c.History = logic.History{Accepted: true, Attempts: 1, MayHaveRun: true}
+	events := []logic.Event{logic.TimerFired{}, c}
 	n.decided = h.msg.Deadline - 2_000_000
 	n.setTimes(events)
-	if got := events[1].(logic.Call); got.Left != 2_000_000 || got.Past.Age != 5_000_000 {
-		t.Errorf("left %d us, age %d us; want 2 s, 5 s", got.Left, got.Past.Age)
+	if got := events[1].(logic.Message); got.TimeLeft != 2_000_000 || got.History.Age != 5_000_000 {
+		t.Errorf("left %d us, age %d us; want 2 s, 5 s", got.TimeLeft, got.History.Age)
 	}
 }
 
--- a/internal/node/put.go
+++ b/internal/node/put.go
@@ -75,7 +75,7 @@
 		return m, errors.New("unknown class")
 	}
 	class := c.cfg.Deploy.Settings.Classes[i]
-	if class.Effect == logic.Keyed && m.Key == "" {
+	if class.Idempotency == logic.IdempotentByKey && m.Key == "" {
 		return m, errors.New("k must be given in a keyed class")
 	}
 	if hold > holdTimes*span(class.Deadline) {
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -275,7 +275,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				s.Step(0, []logic.Event{logic.Endpoints{Form: logic.ListFull, Entries: d.Take(list, time.Now())}})
+				s.Step(0, []logic.Event{logic.EndpointUpdate{Kind: logic.UpdateFull, Entries: d.Take(list, time.Now())}})
 				return d, s
 			}
 			before := heap()
--- a/internal/node/trail.go
+++ b/internal/node/trail.go
@@ -8,9 +8,9 @@
 )
 
 // outcomeNames are for the people on call.
-var outcomeNames = map[logic.Outcome]string{logic.Completed: "ok", logic.Errored: "error", logic.Full: "full",
-	logic.Overdue: "timeout", logic.RefusedConn: "no-connection", logic.Severed: "reset", logic.Recalled: "recalled",
-	logic.Moot: "not-sent", logic.Unsent: "held-here", logic.Spoilt: "unreadable"}
+var outcomeNames = map[logic.Outcome]string{logic.Delivered: "ok", logic.Errored: "error", logic.Refused: "full",
+	logic.TimedOut: "timeout", logic.ConnRefused: "no-connection", logic.ConnLost: "reset", logic.Cancelled: "recalled",
+	logic.Skipped: "not-sent", logic.LocalFailure: "held-here", logic.Unreadable: "unreadable"}
 
 // trail is the course of a message: each attempt as the time of its send, its endpoint, its outcome and the
 // time of that, in milliseconds from when the message came.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -70,10 +70,10 @@
 	} `json:"specifics"`
 }
 
-var effects = map[string]logic.Effect{"retryable": logic.Safe, "dedup": logic.Keyed, "fragile": logic.Unsafe}
+var effects = map[string]logic.Idempotency{"retryable": logic.Idempotent, "dedup": logic.IdempotentByKey, "fragile": logic.NonIdempotent}
 
 var weightModes = map[string]logic.WeightsMode{"": logic.WeightsOff, "off": logic.WeightsOff,
-	"nominal": logic.WeightsNominal, "rough": logic.WeightsRough, "live": logic.WeightsRough}
+	"nominal": logic.WeightsNominal, "rough": logic.WeightsApproximate, "live": logic.WeightsApproximate}
 
 // micros turns seconds of the JSON text into whole microseconds.
 func micros(s float64) logic.Micros { return logic.Micros(math.Round(s * float64(logic.Second))) }
@@ -112,15 +112,15 @@
 }
 
 func (in *setup) settings() (logic.Settings, error) {
-	out := logic.Settings{Senders: in.Balancers, Zone: in.Zone, Zones: len(in.Zones), Slots: in.Facts.Slots,
-		ConnIdle: micros(in.Limits.ConnIdle), ConnCalls: in.Limits.ConnCalls, ConnPrice: in.Charges.Handshake,
-		MaxOpen: in.Limits.MaxOpen, MaxTries: in.Limits.MaxTries, Tick: micros(in.Tick),
-		OnRequest: in.Mode == "on_request", Probing: in.Limits.Probing, MayCancel: in.Limits.MayCancel,
-		RetryAfter: in.Limits.RetryAfter, Halves: in.Facts.Late == "halves",
-		MaxRetryAfter: micros(in.Limits.MaxRetryAfter), OverShareWorth: in.Over,
-		DrainGrace: micros(in.Rules.DrainGrace), FallMultiple: in.Rules.FallMultiple,
-		FallWindow: micros(in.Rules.Fall), ColdFrom: in.Rules.ColdFrom, WarmAfter: micros(in.Rules.WarmAfter),
-		KeyQuiet: micros(in.Rules.KeyQuiet), ReportLeft: -1, ReportLimit: -1}
+	out := logic.Settings{Senders: in.Balancers, Zone: in.Zone, Zones: len(in.Zones), CallSlots: in.Facts.Slots,
+		ConnIdleTimeout: micros(in.Limits.ConnIdle), CallsPerConn: in.Limits.ConnCalls, ConnCost: in.Charges.Handshake,
+		MaxOpen: in.Limits.MaxOpen, MaxAttempts: in.Limits.MaxTries, Tick: micros(in.Tick),
+		ListOnRequest: in.Mode == "on_request", Probing: in.Limits.Probing, MayCancel: in.Limits.MayCancel,
+		RetryAfter: in.Limits.RetryAfter, ExponentialDecay: in.Facts.Late == "halves",
+		MaxRetryAfter: micros(in.Limits.MaxRetryAfter), OverQuotaValue: in.Over,
+		DrainGrace: micros(in.Rules.DrainGrace), OverloadMultiple: in.Rules.FallMultiple,
+		OverloadWindow: micros(in.Rules.Fall), ColdCapacity: in.Rules.ColdFrom, WarmupTime: micros(in.Rules.WarmAfter),
+		KeyCooldown: micros(in.Rules.KeyQuiet), LoadRemainingIndex: -1, LoadLimitIndex: -1}
 	mode, ok := weightModes[in.Weights]
 	if !ok {
 		return out, fmt.Errorf("weights: unknown value %q", in.Weights)
@@ -131,20 +131,20 @@
 		if !ok {
 			return out, fmt.Errorf("classes[%d].idempotency: unknown value %q", i, c.Effect)
 		}
-		out.Classes = append(out.Classes, logic.Class{Name: c.Name, Aim: micros(c.Aim), Deadline: micros(c.Deadline),
-			Worth: c.Worth, LateWorth: c.Late, Effect: effect, ByZone: c.Group != "all" && c.Group != "",
-			Window: micros(c.Window), KeepOrder: c.KeepOrder})
+		out.Classes = append(out.Classes, logic.Class{Name: c.Name, TargetLatency: micros(c.Aim), Deadline: micros(c.Deadline),
+			Value: c.Worth, LateValue: c.Late, Idempotency: effect, DedupPerZone: c.Group != "all" && c.Group != "",
+			DedupWindow: micros(c.Window), KeepOrder: c.KeepOrder})
 	}
 	for _, t := range in.Tenants {
 		out.Tenants = append(out.Tenants, logic.Tenant{Name: t.Name, QuotaRPS: t.Quota})
 	}
 	for i, name := range in.Kinds {
-		k := logic.Kind{Name: name, Batch: 1}
+		k := logic.DestinationKind{Name: name, MaxBatch: 1}
 		if i < len(in.Facts.Batch) {
-			k.Batch = in.Facts.Batch[i]
+			k.MaxBatch = in.Facts.Batch[i]
 		}
 		if i < len(in.Facts.Apart) {
-			k.Apart = in.Facts.Apart[i]
+			k.SeparateRoutes = in.Facts.Apart[i]
 		}
 		out.Kinds = append(out.Kinds, k)
 	}
@@ -152,9 +152,9 @@
 		for i, name := range in.Load.Names {
 			switch name {
 			case "x0":
-				out.ReportLeft = i
+				out.LoadRemainingIndex = i
 			case "x1":
-				out.ReportLimit = i
+				out.LoadLimitIndex = i
 			}
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -55,7 +55,7 @@
 type Decoder struct {
 	r    *bufio.Reader
 	line int
-	kept [lists][]logic.Entry
+	kept [lists][]logic.EndpointEntry
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -134,7 +134,7 @@
 	if err := f.end(); err != nil {
 		return err
 	}
-	var rows []logic.Entry
+	var rows []logic.EndpointEntry
 	for i := int64(0); i < n; i++ {
 		s, err := d.readLine()
 		if err == io.EOF {
@@ -146,8 +146,8 @@
 		if e.name != "entry" {
 			return &Error{d.line, "", "want an entry, got " + strconv.Quote(e.name)}
 		}
-		row := logic.Entry{Endpoint: e.endpoint(), Zone: int(e.whole("zone")), Kind: int(e.whole("kind")),
-			Dest: e.whole("cell"), State: e.readiness(), Nominal: e.number("nominal")}
+		row := logic.EndpointEntry{Endpoint: e.endpoint(), Zone: int(e.whole("zone")), Kind: int(e.whole("kind")),
+			Dest: e.whole("cell"), State: e.readiness(), NominalRate: e.number("nominal")}
 		e.time("born_s")
 		if err := e.end(); err != nil {
 			return err
@@ -181,7 +181,7 @@
 	case "call":
 		it.Event = call(f)
 	case "started":
-		it.Event = logic.Started{ID: f.word("req"), Attempt: int(f.whole("copy"))}
+		it.Event = logic.StreamStarted{ID: f.word("req"), Attempt: int(f.whole("copy"))}
 		f.endpoint()
 		f.time("time_taken_s")
 	case "reply":
@@ -189,11 +189,11 @@
 	case "client_gone":
 		it.Event = logic.ClientGone{ID: f.word("req")}
 	case "due":
-		it.Event = logic.Due{Token: f.token("ctx")}
+		it.Event = logic.TimerFired{Token: f.token("ctx")}
 	case "health_result":
 		o := f.outcome()
 		f.time("time_taken_s")
-		it.Event = logic.HealthResult{Outcome: o, Endpoint: f.endpoint(), Load: f.load()}
+		it.Event = logic.ProbeResult{Outcome: o, Endpoint: f.endpoint(), Load: f.load()}
 	case "peer":
 		// The module uses no messages between senders; the line is checked and dropped.
 		f.whole("neighbour")
@@ -208,12 +208,12 @@
 func (d *Decoder) endpoints(f *fields) logic.Event {
 	form := f.whole("form")
 	f.whole("stamp")
-	if form < int64(logic.ListDelta) || form > int64(logic.ListFailed) {
+	if form < int64(logic.UpdateDelta) || form > int64(logic.UpdateFailed) {
 		f.fail("form", "out of range")
 		return nil
 	}
-	ev := logic.Endpoints{Form: logic.ListForm(form)}
-	if ev.Form == logic.ListFailed {
+	ev := logic.EndpointUpdate{Kind: logic.UpdateKind(form)}
+	if ev.Kind == logic.UpdateFailed {
 		f.word("set_id")
 		return ev
 	}
@@ -227,12 +227,12 @@
 }
 
 func call(f *fields) logic.Event {
-	c := logic.Call{ID: f.word("req")}
+	c := logic.Message{ID: f.word("req")}
 	f.flag("repeat")
-	c.Left = f.time("grace_s")
+	c.TimeLeft = f.time("grace_s")
 	f.flag("came_back")
 	f.number("expected_s")
-	c.Key = f.optional("key")
+	c.OrderKey = f.optional("key")
 	f.flag("is_write")
 	c.Dest = f.whole("to_exchange")
 	c.Tenant = -1
@@ -244,14 +244,14 @@
 }
 
 func reply(f *fields) logic.Event {
-	r := logic.Reply{ID: f.word("req"), NoMore: f.flag("no_more"), Endpoint: f.endpoint(),
-		Attempt: int(f.whole("copy")), Outcome: f.outcome(), Took: f.time("time_taken_s")}
+	r := logic.AttemptResult{ID: f.word("req"), Final: f.flag("no_more"), Endpoint: f.endpoint(),
+		Attempt: int(f.whole("copy")), Outcome: f.outcome(), Latency: f.time("time_taken_s")}
 	detail := int64(0)
 	if w := f.optional("detail"); w != "" {
 		detail = f.parseWhole("detail", w)
 	}
-	if r.Outcome == logic.Full && detail > 0 {
-		r.Wait = logic.Micros(detail) * logic.Second / 1000
+	if r.Outcome == logic.Refused && detail > 0 {
+		r.RetryAfter = logic.Micros(detail) * logic.Second / 1000
 	}
 	r.Load = f.load()
 	return r
@@ -410,9 +410,9 @@
 	return 0
 }
 
-var outcomes = [...]string{logic.Completed: "completed", logic.Errored: "errored", logic.Full: "saturated",
-	logic.Overdue: "overdue", logic.RefusedConn: "refused_conn", logic.Severed: "severed",
-	logic.Recalled: "recalled", logic.Moot: "superseded"}
+var outcomes = [...]string{logic.Delivered: "completed", logic.Errored: "errored", logic.Refused: "saturated",
+	logic.TimedOut: "overdue", logic.ConnRefused: "refused_conn", logic.ConnLost: "severed",
+	logic.Cancelled: "recalled", logic.Skipped: "superseded"}
 
 func (f *fields) readiness() logic.Readiness {
 	switch n := f.whole("readiness"); n {
@@ -421,10 +421,10 @@
 	case 3:
 		return logic.Draining
 	case 1:
-		return logic.Gone
+		return logic.Removed
 	default:
 		f.fail("readiness", fmt.Sprintf("unknown state %d", n))
-		return logic.Gone
+		return logic.Removed
 	}
 }
 
@@ -478,17 +478,17 @@
 func AppendAction(b []byte, who int, a logic.Action) []byte {
 	w := strconv.Itoa(who)
 	switch a := a.(type) {
-	case logic.CallOut:
+	case logic.Send:
 		b = append(b, "call_out "+w+" "+a.ID+" "...)
-		b = AppendTime(b, a.GiveUp)
+		b = AppendTime(b, a.Timeout)
 		b = append(b, ' ')
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
 	case logic.Cancel:
 		b = append(b, "stop_attempt "+w+" "+a.ID+" "+strconv.Itoa(a.Attempt)...)
-	case logic.Refuse:
+	case logic.Reject:
 		b = append(b, "say_no "+w+" "+a.ID+" "...)
-		if a.RetryIn > 0 {
-			b = AppendTime(b, a.RetryIn)
+		if a.RetryAfter > 0 {
+			b = AppendTime(b, a.RetryAfter)
 		} else {
 			b = append(b, '-')
 		}
@@ -502,10 +502,10 @@
 	case logic.Probe:
 		b = append(b, "sample "+w+" "...)
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
-	case logic.Release:
+	case logic.ReleaseConns:
 		b = append(b, "release "+w+" "...)
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
-	case logic.Listen:
+	case logic.Subscribe:
 		b = append(b, "listen "+w+" 1"...)
 	case logic.Log:
 		b = append(b, "journal_line "+w+" "+strings.ReplaceAll(a.Text, "\n", " ")...)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -55,19 +55,19 @@
 	}
 	ev := func(who int, e logic.Event) Item { return Item{Who: who, Event: e} }
 	want := []Item{
-		ev(3, logic.Endpoints{Form: logic.ListCached, Entries: []logic.Entry{{Endpoint: 51530247, Dest: 57, Nominal: 1},
-			{Endpoint: 747639282, Zone: 1, Dest: 57, State: logic.Draining, Nominal: 1.5}}}),
-		ev(3, logic.Endpoints{Entries: []logic.Entry{{Endpoint: 1, Dest: 58, State: logic.Gone}}}),
-		ev(3, logic.Endpoints{Form: logic.ListFailed}),
-		ev(3, logic.Call{ID: "rq_brwyere", Left: 240_000, Key: "91f03b7c55d20a64", Dest: 57}),
-		ev(3, logic.Call{ID: "rq_b", Left: 2_000_000, Dest: 57, Tenant: -1, Class: 1}),
-		ev(3, logic.Reply{ID: "rq_brwyere", NoMore: true, Endpoint: 51530247, Took: 18_500}),
-		ev(3, logic.Reply{ID: "rq_b", Endpoint: 51530247, Attempt: 2, Outcome: logic.Full, Took: 20_000, Wait: 1_500_000,
+		ev(3, logic.EndpointUpdate{Kind: logic.UpdateCached, Entries: []logic.EndpointEntry{{Endpoint: 51530247, Dest: 57, NominalRate: 1},
+			{Endpoint: 747639282, Zone: 1, Dest: 57, State: logic.Draining, NominalRate: 1.5}}}),
+		ev(3, logic.EndpointUpdate{Entries: []logic.EndpointEntry{{Endpoint: 1, Dest: 58, State: logic.Removed}}}),
+		ev(3, logic.EndpointUpdate{Kind: logic.UpdateFailed}),
+		ev(3, logic.Message{ID: "rq_brwyere", TimeLeft: 240_000, OrderKey: "91f03b7c55d20a64", Dest: 57}),
+		ev(3, logic.Message{ID: "rq_b", TimeLeft: 2_000_000, Dest: 57, Tenant: -1, Class: 1}),
+		ev(3, logic.AttemptResult{ID: "rq_brwyere", Final: true, Endpoint: 51530247, Latency: 18_500}),
+		ev(3, logic.AttemptResult{ID: "rq_b", Endpoint: 51530247, Attempt: 2, Outcome: logic.Refused, Latency: 20_000, RetryAfter: 1_500_000,
 			Load: []float64{0.25, 12}}),
-		ev(3, logic.Started{ID: "rq_b", Attempt: 1}),
+		ev(3, logic.StreamStarted{ID: "rq_b", Attempt: 1}),
 		ev(5, logic.ClientGone{ID: "rq_ahg8m23"}),
-		ev(3, logic.HealthResult{Endpoint: 747639282, Outcome: logic.RefusedConn}),
-		ev(3, logic.Due{Token: 77}),
+		ev(3, logic.ProbeResult{Endpoint: 747639282, Outcome: logic.ConnRefused}),
+		ev(3, logic.TimerFired{Token: 77}),
 		{Who: 5, Halt: true},
 	}
 	if f.Clock != 8_412_250 || f.Seq != "12" || !reflect.DeepEqual(f.Items, want) {
@@ -80,15 +80,15 @@
 
 func TestGoldenActions(t *testing.T) {
 	for want, a := range map[string]logic.Action{
-		"call_out 3 rq_a 0.08 51530247": logic.CallOut{ID: "rq_a", GiveUp: 80_000, Endpoint: 51530247},
+		"call_out 3 rq_a 0.08 51530247": logic.Send{ID: "rq_a", Timeout: 80_000, Endpoint: 51530247},
 		"stop_attempt 3 rq_a 1":         logic.Cancel{ID: "rq_a", Attempt: 1},
-		"say_no 3 rq_a 1.5":             logic.Refuse{ID: "rq_a", RetryIn: 1_500_000},
-		"say_no 3 rq_a -":               logic.Refuse{ID: "rq_a"},
+		"say_no 3 rq_a 1.5":             logic.Reject{ID: "rq_a", RetryAfter: 1_500_000},
+		"say_no 3 rq_a -":               logic.Reject{ID: "rq_a"},
 		"surrender 3 rq_a":              logic.Fail{ID: "rq_a"},
 		"notify_me 3 0.5 77":            logic.SetTimer{Wait: 500_000, Token: 77},
 		"sample 3 9":                    logic.Probe{Endpoint: 9},
-		"release 3 9":                   logic.Release{Endpoint: 9},
-		"listen 3 1":                    logic.Listen{},
+		"release 3 9":                   logic.ReleaseConns{Endpoint: 9},
+		"listen 3 1":                    logic.Subscribe{},
 		"journal_line 3 two servers":    logic.Log{Text: "two\nservers"},
 	} {
 		if got := string(AppendAction(nil, 3, a)); got != want+"\n" {
@@ -137,14 +137,14 @@
 "charges":{"handshake":0.02},"load_info":{"how":"inline","names":["x1","qps","x0"]},"over_share_worth":0.2,
 "rules":{"cold_from":0.19,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":14,"key_quiet_s":1.5},
 "specifics":{"batch_by_kind":[1,4],"call_slots":6,"late":"halves","separate_routes":[true,false]}}`))
-	want := logic.Settings{Senders: 3, Zone: 1, Zones: 2, Tick: 5000, OverShareWorth: 0.2, Slots: 6, MaxOpen: 69, MaxTries: 6,
-		OnRequest: true, Probing: true, MayCancel: true, RetryAfter: true, Halves: true, Weights: logic.WeightsRough,
-		MaxRetryAfter: 2_000_000, DrainGrace: 2_000_000, FallMultiple: 2, FallWindow: 3_000_000, ColdFrom: 0.19,
-		WarmAfter: 14_000_000, KeyQuiet: 1_500_000, ConnIdle: 10_000_000, ConnCalls: 8, ConnPrice: 0.02, ReportLeft: 2, ReportLimit: 0,
-		Classes: []logic.Class{{Name: "x", Aim: 2_500_000, Deadline: 24_000_000, Worth: 2, LateWorth: 0.4,
-			Effect: logic.Keyed, ByZone: true, Window: 25_000_000, KeepOrder: true}},
+	want := logic.Settings{Senders: 3, Zone: 1, Zones: 2, Tick: 5000, OverQuotaValue: 0.2, CallSlots: 6, MaxOpen: 69, MaxAttempts: 6,
+		ListOnRequest: true, Probing: true, MayCancel: true, RetryAfter: true, ExponentialDecay: true, Weights: logic.WeightsApproximate,
+		MaxRetryAfter: 2_000_000, DrainGrace: 2_000_000, OverloadMultiple: 2, OverloadWindow: 3_000_000, ColdCapacity: 0.19,
+		WarmupTime: 14_000_000, KeyCooldown: 1_500_000, ConnIdleTimeout: 10_000_000, CallsPerConn: 8, ConnCost: 0.02, LoadRemainingIndex: 2, LoadLimitIndex: 0,
+		Classes: []logic.Class{{Name: "x", TargetLatency: 2_500_000, Deadline: 24_000_000, Value: 2, LateValue: 0.4,
+			Idempotency: logic.IdempotentByKey, DedupPerZone: true, DedupWindow: 25_000_000, KeepOrder: true}},
 		Tenants: []logic.Tenant{{Name: "t", QuotaRPS: 10}},
-		Kinds:   []logic.Kind{{Name: "k", Apart: true, Batch: 1}, {Name: "l", Batch: 4}}}
+		Kinds:   []logic.DestinationKind{{Name: "k", SeparateRoutes: true, MaxBatch: 1}, {Name: "l", MaxBatch: 4}}}
 	if err != nil || !reflect.DeepEqual(set, want) {
 		t.Errorf("got %+v, %v\nwant %+v", set, err, want)
 	}
--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -4,40 +4,40 @@
 
 // Found at two senders before a cold destination: each call that it turned away and that was sent again raised the
 // rate taken for its capacity, and with it the budget, up to twice in a second.
-func TestRefusedCallsWidenNoBudget(t *testing.T) {
-	r := newRig(t, base())
-	r.step(0, list(1))
+func TestRefusedCallsDoNotRaiseCapacity(t *testing.T) {
+	r := newHarness(t, baseSettings())
+	r.step(0, fullList(1))
 	for i := range 12 { // six served, then six turned away, all within a second
 		at := 1 + 0.06*float64(i)
-		c := only[CallOut](r.step(at, r.call(0)))[0]
+		c := actionsOf[Send](r.step(at, r.message(0)))[0]
 		if i < 6 {
-			r.step(at+0.03, answer(c.ID, 1, 0, Completed))
+			r.step(at+0.03, result(c.ID, 1, 0, Delivered))
 			continue
 		}
-		r.step(at+0.03, answer(c.ID, 1, 0, Full), ClientGone{c.ID})
+		r.step(at+0.03, result(c.ID, 1, 0, Refused), ClientGone{c.ID})
 		r.s.dests[9].lane.pace = 0 // the pace is not what is tested
 	}
-	if c := r.s.capacity(r.s.eps[1]); c != 6 {
+	if c := r.s.capacityEstimate(r.s.eps[1]); c != 6 {
 		t.Errorf("capacity %v after a second in which 6 calls of 12 were served", c)
 	}
 }
 
 // Found at twenty senders before a destination that fell silent: a sender all of whose calls there were cut at τ knew
 // of no failure, and sent all that it held once the first trial was answered.
-func TestLongSilenceLeavesAColdEndpoint(t *testing.T) {
+func TestLongSilenceMakesEndpointCold(t *testing.T) {
 	for _, x := range []struct {
 		silent float64
 		cold   bool
 	}{{1.5, false}, {2.5, true}} {
-		r := newRig(t, base())
-		r.step(0, list(1))
+		r := newHarness(t, baseSettings())
+		r.step(0, fullList(1))
 		e := r.s.eps[1]
 		r.s.now = sec(1)
-		r.s.succeeded(e, sec(0.9))
+		r.s.recordSuccess(e, sec(0.9))
 		r.s.now = sec(20)
 		r.s.eject(e, "silent")
 		r.s.now += sec(x.silent)
-		r.s.succeeded(e, r.s.now)
+		r.s.recordSuccess(e, r.s.now)
 		if e.ejected || e.cold != x.cold {
 			t.Errorf("silent for %v s: out %v, cold %v", x.silent, e.ejected, e.cold)
 		}
@@ -45,24 +45,24 @@
 }
 
 // A lane that runs free owes a second's calls at most once a refusal sets its pace.
-func TestFreeLaneOwesLittle(t *testing.T) {
-	r := newRig(t, base())
-	r.step(0, list(1))
+func TestUnpacedLaneDebtIsBounded(t *testing.T) {
+	r := newHarness(t, baseSettings())
+	r.step(0, fullList(1))
 	at := 0.0
 	for range 300 {
 		at += 0.1
-		c := only[CallOut](r.step(at, r.call(0)))[0]
-		r.step(at+0.05, answer(c.ID, 1, 0, Completed))
+		c := actionsOf[Send](r.step(at, r.message(0)))[0]
+		r.step(at+0.05, result(c.ID, 1, 0, Delivered))
 	}
 	at += 1 // a quiet second: the pace starts low
-	c := only[CallOut](r.step(at, r.call(0)))[0]
-	r.step(at+0.01, answer(c.ID, 1, 0, Full))
+	c := actionsOf[Send](r.step(at, r.message(0)))[0]
+	r.step(at+0.01, result(c.ID, 1, 0, Refused))
 	l := r.s.dests[9].lane
 	if l.pace == 0 {
 		t.Fatal("a refusal set no pace")
 	}
 	for wait := 0.02; wait < 9; wait += 0.02 {
-		if len(only[CallOut](r.step(at+wait, Due{}))) > 0 {
+		if len(actionsOf[Send](r.step(at+wait, TimerFired{}))) > 0 {
 			if most := 1 + 1/l.pace + 0.05; wait > most {
 				t.Errorf("sent again after %.2f s at a pace of %v, want %.2f at most", wait, l.pace, most)
 			}
@@ -73,32 +73,32 @@
 }
 
 // What a window may hold is what the destination could do in it, which is less than what it can do at its end.
-func TestBudgetIsThatOfTheWholeWindow(t *testing.T) {
+func TestBudgetUsesMeanCapacityOfWindow(t *testing.T) {
 	const rate = 40.0
-	set := base()
-	set.Senders, set.Slots, set.MaxOpen, set.Weights = 1, 4000, 0, WeightsNominal
-	set.FallMultiple, set.FallWindow, set.ColdFrom, set.WarmAfter = 2.5, 3*Second, 0.15, sec(9.5)
-	r := newRig(t, set)
-	news := list(1)
-	news.Entries[0].Nominal = rate
+	set := baseSettings()
+	set.Senders, set.CallSlots, set.MaxOpen, set.Weights = 1, 4000, 0, WeightsNominal
+	set.OverloadMultiple, set.OverloadWindow, set.ColdCapacity, set.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
+	r := newHarness(t, set)
+	news := fullList(1)
+	news.Entries[0].NominalRate = rate
 	evs := []Event{news}
 	r.step(0, evs...)
 	e := r.s.eps[1]
 	e.cold, e.backAt = true, Second
 	for range 600 {
-		evs = append(evs, r.call(2))
+		evs = append(evs, r.message(2))
 	}
 	var sent []Micros
 	for at := 1.0; at < 10.5; at += 0.02 {
 		acts := r.step(at, evs...)
-		evs = []Event{Due{}}
-		for _, c := range only[CallOut](acts) {
+		evs = []Event{TimerFired{}}
+		for _, c := range actionsOf[Send](acts) {
 			sent = append(sent, r.s.now)
-			evs = append(evs, answer(c.ID, 1, 0, Completed))
+			evs = append(evs, result(c.ID, 1, 0, Delivered))
 		}
 		most := 0.0
 		for x := at - 3; x < at; x += 0.01 {
-			most += 0.01 * set.FallMultiple * rate * (0.15 + 0.85*max(x-1, 0)/9.5)
+			most += 0.01 * set.OverloadMultiple * rate * (0.15 + 0.85*max(x-1, 0)/9.5)
 		}
 		if n := since(sent, sec(at-3)); float64(n) > most+1 {
 			t.Fatalf("%.2f s after the return: %d calls in a window, want %.0f at most", at-1, n, most)
--- a/logic/churn_test.go
+++ b/logic/churn_test.go
@@ -7,9 +7,9 @@
 
 // A long life: endpoints, destinations and keys are ever new. What nothing refers to is forgotten, or the
 // process would grow for as long as it runs; what has a call out is not.
-func TestChurnIsForgotten(t *testing.T) {
-	set := Settings{Senders: 1, Slots: 4, MaxTries: 6, Tick: 5000, MayCancel: true,
-		Classes: []Class{{Name: "c", Aim: Second, Deadline: 10 * Second, Worth: 1, KeepOrder: true}}}
+func TestUnreferencedStateIsRemoved(t *testing.T) {
+	set := Settings{Senders: 1, CallSlots: 4, MaxAttempts: 6, Tick: 5000, MayCancel: true,
+		Classes: []Class{{Name: "c", TargetLatency: Second, Deadline: 10 * Second, Value: 1, KeepOrder: true}}}
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -17,15 +17,15 @@
 	now := Micros(0)
 	for i := 1; i <= 2000; i++ {
 		id, dest := EndpointID(i), int64(i/10)
-		evs := []Event{Endpoints{Form: ListDelta, Entries: []Entry{{Endpoint: id, Dest: dest, State: Ready}}}}
+		evs := []Event{EndpointUpdate{Kind: UpdateDelta, Entries: []EndpointEntry{{Endpoint: id, Dest: dest, State: Ready}}}}
 		if i > 1 {
-			evs = append(evs, Endpoints{Entries: []Entry{{Endpoint: id - 1, Dest: int64((i - 1) / 10), State: Gone}}})
+			evs = append(evs, EndpointUpdate{Entries: []EndpointEntry{{Endpoint: id - 1, Dest: int64((i - 1) / 10), State: Removed}}})
 		}
 		name := fmt.Sprint(i)
-		evs = append(evs, Call{ID: name, Key: name, Left: 10 * Second, Dest: dest, Tenant: -1})
+		evs = append(evs, Message{ID: name, OrderKey: name, TimeLeft: 10 * Second, Dest: dest, Tenant: -1})
 		sent := false
 		for _, a := range s.Step(now, evs) {
-			if c, ok := a.(CallOut); ok && c.ID == name {
+			if c, ok := a.(Send); ok && c.ID == name {
 				sent = true
 			}
 		}
@@ -33,7 +33,7 @@
 			t.Fatalf("message %d is not sent", i)
 		}
 		now += Second
-		s.Step(now, []Event{Reply{ID: name, NoMore: true, Endpoint: id, Outcome: Completed, Took: Second / 10}})
+		s.Step(now, []Event{AttemptResult{ID: name, Final: true, Endpoint: id, Outcome: Delivered, Latency: Second / 10}})
 		now += Second
 		if len(s.eps) > 60 || len(s.gone) > 60 || len(s.dests) > 20 || len(s.order) != len(s.dests) ||
 			len(s.keys) > 10 || len(s.msgs) > 0 {
@@ -41,70 +41,70 @@
 				len(s.gone), len(s.dests), len(s.keys), len(s.msgs))
 		}
 	}
-	s.Step(now, []Event{Call{ID: "out", Left: 1000 * Second, Dest: 200, Tenant: -1}})
-	s.Step(now, []Event{Endpoints{Entries: []Entry{{Endpoint: 2000, Dest: 200, State: Gone}}}})
-	s.Step(now+2*keepGone, nil)
+	s.Step(now, []Event{Message{ID: "out", TimeLeft: 1000 * Second, Dest: 200, Tenant: -1}})
+	s.Step(now, []Event{EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 2000, Dest: 200, State: Removed}}}})
+	s.Step(now+2*removedEndpointTTL, nil)
 	if s.eps[2000] == nil {
 		t.Error("an endpoint with a call out is forgotten")
 	}
-	s.Step(now+2*keepGone, []Event{Reply{ID: "out", NoMore: true, Endpoint: 2000, Outcome: Completed}})
-	s.Step(now+3*keepGone, nil)
+	s.Step(now+2*removedEndpointTTL, []Event{AttemptResult{ID: "out", Final: true, Endpoint: 2000, Outcome: Delivered}})
+	s.Step(now+3*removedEndpointTTL, nil)
 	if s.eps[2000] != nil {
 		t.Error("an endpoint off the list without a call is kept")
 	}
 }
 
 // Spoilt answers come from any endpoint alike: a few are no outage, a row of them is.
-func TestSpoiltIsNoOutage(t *testing.T) {
-	set := Settings{Senders: 1, Slots: 4, MaxTries: 100, Tick: 5000, MayCancel: true,
-		Classes: []Class{{Name: "c", Aim: Second, Deadline: 10 * Second, Worth: 1}}}
+func TestUnreadableAnswersAndOutage(t *testing.T) {
+	set := Settings{Senders: 1, CallSlots: 4, MaxAttempts: 100, Tick: 5000, MayCancel: true,
+		Classes: []Class{{Name: "c", TargetLatency: Second, Deadline: 10 * Second, Value: 1}}}
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Step(0, []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}},
-		Call{ID: "a", Left: 10 * Second, Dest: 1, Tenant: -1}})
-	for i := range spoiltDown {
+	s.Step(0, []Event{EndpointUpdate{Kind: UpdateFull, Entries: []EndpointEntry{{Endpoint: 1, Dest: 1}}},
+		Message{ID: "a", TimeLeft: 10 * Second, Dest: 1, Tenant: -1}})
+	for i := range outageUnreadable {
 		if s.eps[1].ejected {
 			t.Fatalf("out after %d spoilt answers", i)
 		}
-		s.Step(Micros(i+1)*100_000, []Event{Reply{ID: "a", Attempt: i, Endpoint: 1, Outcome: Spoilt}})
+		s.Step(Micros(i+1)*100_000, []Event{AttemptResult{ID: "a", Attempt: i, Endpoint: 1, Outcome: Unreadable}})
 	}
 	if !s.eps[1].ejected {
-		t.Errorf("not out after %d spoilt answers in a row", spoiltDown)
+		t.Errorf("not out after %d spoilt answers in a row", outageUnreadable)
 	}
 }
 
 // Connections break now and then without an outage: with answers between, an endpoint stays in use; a row of
 // breaks, or one and then no new connection, is an outage.
 func TestResetsAndOutage(t *testing.T) {
-	set := Settings{Senders: 1, Slots: 4, MaxTries: 100, Tick: 5000, MayCancel: true,
-		Classes: []Class{{Name: "c", Aim: Second, Deadline: 100 * Second, Worth: 1}}}
+	set := Settings{Senders: 1, CallSlots: 4, MaxAttempts: 100, Tick: 5000, MayCancel: true,
+		Classes: []Class{{Name: "c", TargetLatency: Second, Deadline: 100 * Second, Value: 1}}}
 	for _, x := range []struct {
 		name     string
 		outcomes []Outcome
 		out      bool
 	}{
-		{"now and then", []Outcome{Severed, Severed, Full, Severed, Severed, Full, Severed}, false},
-		{"three in a row", []Outcome{Severed, Severed, Severed}, true},
-		{"break and no connection", []Outcome{Severed, RefusedConn}, true},
-		{"no connection from the start", []Outcome{RefusedConn}, true},
-		{"no connection once, just after an answer", []Outcome{Completed, RefusedConn}, false},
+		{"now and then", []Outcome{ConnLost, ConnLost, Refused, ConnLost, ConnLost, Refused, ConnLost}, false},
+		{"three in a row", []Outcome{ConnLost, ConnLost, ConnLost}, true},
+		{"break and no connection", []Outcome{ConnLost, ConnRefused}, true},
+		{"no connection from the start", []Outcome{ConnRefused}, true},
+		{"no connection once, just after an answer", []Outcome{Delivered, ConnRefused}, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			s, err := New(set, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Step(0, []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}}})
+			s.Step(0, []Event{EndpointUpdate{Kind: UpdateFull, Entries: []EndpointEntry{{Endpoint: 1, Dest: 1}}}})
 			e, now := s.eps[1], Micros(0)
 			for i, o := range x.outcomes {
 				id := string(rune('a' + i))
-				s.Step(now, []Event{Call{ID: id, Left: 10 * Second, Dest: 1, Tenant: -1}})
+				s.Step(now, []Event{Message{ID: id, TimeLeft: 10 * Second, Dest: 1, Tenant: -1}})
 				now += Second / 2
-				s.Step(now, []Event{Reply{ID: id, NoMore: true, Endpoint: 1, Outcome: o, Took: 1000}})
+				s.Step(now, []Event{AttemptResult{ID: id, Final: true, Endpoint: 1, Outcome: o, Latency: 1000}})
 				now += 3 * Second
-				if o == Completed {
+				if o == Delivered {
 					now -= 3 * Second
 				}
 			}
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -10,11 +10,11 @@
 func Example() {
 	const second = logic.Second
 	sender, err := logic.New(logic.Settings{
-		Senders: 1, Zones: 1, Slots: 4, MaxTries: 6, Tick: 5000, MayCancel: true,
-		Classes:      []logic.Class{{Name: "note", Aim: 2 * second, Deadline: 20 * second, Worth: 1}},
-		Kinds:        []logic.Kind{{Name: "partner", Batch: 1}},
-		FallMultiple: 2, FallWindow: 2 * second, ColdFrom: 0.2, WarmAfter: 14 * second,
-		ReportLeft: -1, ReportLimit: -1,
+		Senders: 1, Zones: 1, CallSlots: 4, MaxAttempts: 6, Tick: 5000, MayCancel: true,
+		Classes:          []logic.Class{{Name: "note", TargetLatency: 2 * second, Deadline: 20 * second, Value: 1}},
+		Kinds:            []logic.DestinationKind{{Name: "partner", MaxBatch: 1}},
+		OverloadMultiple: 2, OverloadWindow: 2 * second, ColdCapacity: 0.2, WarmupTime: 14 * second,
+		LoadRemainingIndex: -1, LoadLimitIndex: -1,
 	}, 1)
 	if err != nil {
 		panic(err)
@@ -26,15 +26,15 @@
 			}
 		}
 	}
-	show(0, logic.Endpoints{Form: logic.ListFull, Entries: []logic.Entry{{Endpoint: 7, Dest: 3}}})
-	show(1*second, logic.Call{ID: "n1", Left: 20 * second, Dest: 3, Tenant: -1})
-	show(1100000, logic.Reply{ID: "n1", Endpoint: 7, Attempt: 0, Outcome: logic.Full, Wait: second / 2})
-	show(1500000, logic.Due{}) // the wait is not over: nothing is sent
-	show(2200000, logic.Due{})
-	show(2400000, logic.Reply{ID: "n1", Endpoint: 7, Attempt: 1, Outcome: logic.Completed, NoMore: true})
+	show(0, logic.EndpointUpdate{Kind: logic.UpdateFull, Entries: []logic.EndpointEntry{{Endpoint: 7, Dest: 3}}})
+	show(1*second, logic.Message{ID: "n1", TimeLeft: 20 * second, Dest: 3, Tenant: -1})
+	show(1100000, logic.AttemptResult{ID: "n1", Endpoint: 7, Attempt: 0, Outcome: logic.Refused, RetryAfter: second / 2})
+	show(1500000, logic.TimerFired{}) // the wait is not over: nothing is sent
+	show(2200000, logic.TimerFired{})
+	show(2400000, logic.AttemptResult{ID: "n1", Endpoint: 7, Attempt: 1, Outcome: logic.Delivered, Final: true})
 	fmt.Println("delivered")
 	// Output:
-	// 1.0 s: logic.CallOut
-	// 2.2 s: logic.CallOut
+	// 1.0 s: logic.Send
+	// 2.2 s: logic.Send
 	// delivered
 }
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -14,57 +14,57 @@
 // The destination fails from fleetDown to fleetBack, comes back with ColdFrom of its capacity and has all of it
 // WarmAfter later. It has a queue of half a second, and turns away what that has no room for.
 type fleetPlan struct {
-	set       Settings
-	seed      uint64
-	rate      float64 // messages a second, all senders together
-	headroom  float64 // capacity over rate
-	endpoints int
-	failure   Outcome // of the calls that meet the outage; Overdue stands for no answer
-	skew      float64 // of the senders' parts of the traffic; 0: all get as much
-	clumps    float64 // part of the messages that come a second's worth at a time, at one sender
-	limit     float64 // limit told, or weight listed, over the capacity
+	set         Settings
+	seed        uint64
+	rate        float64 // messages a second, all senders together
+	headroom    float64 // capacity over rate
+	endpoints   int
+	failure     Outcome // of the calls that meet the outage; Overdue stands for no answer
+	trafficSkew float64 // of the senders' parts of the traffic; 0: all get as much
+	burstShare  float64 // part of the messages that come a second's worth at a time, at one sender
+	limitRatio  float64 // limit told, or weight listed, over the capacity
 }
 
 const (
-	fleetDown = 12 * Second
-	fleetBack = 24 * Second
-	itemCost  = 0.2 // work of each further message of a call
+	outageStart = 12 * Second
+	outageEnd   = 24 * Second
+	itemCost    = 0.2 // work of each further message of a call
 )
 
 // fleet is a fleetPlan under way.
 type fleet struct {
 	fleetPlan
-	rnd     *rand.Rand
-	now     Micros
-	queue   fleetQueue
-	events  int
-	members []*member
-	servers []*server // by endpoint
+	rng        *rand.Rand
+	now        Micros
+	queue      fleetQueue
+	eventCount int
+	senders    []*simSender
+	servers    []*server // by endpoint
 }
 
-type member struct {
-	s     *Sender
-	calls map[string]*fleetCall // by message
-	told  bool                  // of the outage, by a call that failed or was refused in it
+type simSender struct {
+	s           *Sender
+	calls       map[string]*fleetCall // by message
+	knowsOutage bool                  // of the outage, by a call that failed or was refused in it
 }
 
 // server is what the endpoints of a destination share; those of routes apart have one each.
 type server struct {
-	capacity float64
-	backlog  float64 // calls, as of at
-	at       Micros
-	accepted []Micros
-	arrived  []Micros // calls and probes since fleetBack
-	told     []bool   // of these, whether they came from a sender that knew of the outage
+	capacity     float64
+	backlog      float64 // calls, as of at
+	at           Micros
+	accepted     []Micros
+	arrived      []Micros // calls and probes since fleetBack
+	fromInformed []bool   // of these, whether they came from a sender that knew of the outage
 }
 
 // fleetCall is a call under way.
 type fleetCall struct {
-	m    *member
-	ep   EndpointID
-	sent Micros
-	open []string // messages without an outcome
-	size int
+	sender   *simSender
+	endpoint EndpointID
+	sent     Micros
+	open     []string // messages without an outcome
+	size     int
 }
 
 type fleetEvent struct {
@@ -89,26 +89,26 @@
 }
 
 func (f *fleet) after(wait Micros, do func()) {
-	f.events++
-	heap.Push(&f.queue, fleetEvent{f.now + max(wait, 0), f.events, do})
+	f.eventCount++
+	heap.Push(&f.queue, fleetEvent{f.now + max(wait, 0), f.eventCount, do})
 }
 
 // net is the time that a message takes one way.
-func (f *fleet) net() Micros { return Micros(5_000 + f.rnd.IntN(10_000)) }
+func (f *fleet) networkDelay() Micros { return Micros(5_000 + f.rng.IntN(10_000)) }
 
 // play runs the plan to the end of the ramp.
 func (p fleetPlan) play(t *testing.T) *fleet {
 	t.Helper()
-	f := &fleet{fleetPlan: p, rnd: rand.New(rand.NewPCG(p.seed, 3))}
-	news := Endpoints{Form: ListFull}
+	f := &fleet{fleetPlan: p, rng: rand.New(rand.NewPCG(p.seed, 3))}
+	news := EndpointUpdate{Kind: UpdateFull}
 	whole := &server{capacity: p.rate * p.headroom}
 	for i := range p.endpoints {
 		x := whole
-		if p.set.Kinds[0].Apart {
+		if p.set.Kinds[0].SeparateRoutes {
 			x = &server{capacity: whole.capacity / float64(p.endpoints)}
 		}
 		f.servers = append(f.servers, x)
-		news.Entries = append(news.Entries, Entry{Endpoint: EndpointID(i), Dest: 9, Nominal: x.capacity * p.limit})
+		news.Entries = append(news.Entries, EndpointEntry{Endpoint: EndpointID(i), Dest: 9, NominalRate: x.capacity * p.limitRatio})
 	}
 	var parts []float64 // running sum
 	sum := 0.0
@@ -117,26 +117,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &member{s: s, calls: map[string]*fleetCall{}}
-		f.members = append(f.members, m)
-		sum += math.Exp(p.skew * f.rnd.NormFloat64())
+		m := &simSender{s: s, calls: map[string]*fleetCall{}}
+		f.senders = append(f.senders, m)
+		sum += math.Exp(p.trafficSkew * f.rng.NormFloat64())
 		parts = append(parts, sum)
-		f.after(Micros(f.rnd.IntN(50_000)), func() { f.step(m, news) })
+		f.after(Micros(f.rng.IntN(50_000)), func() { f.step(m, news) })
 	}
-	clump, id, end := max(int(p.rate), 1), 0, fleetBack+p.set.WarmAfter
+	clump, id, end := max(int(p.rate), 1), 0, outageEnd+p.set.WarmupTime
 	for at := 100_000.0; Micros(at) < end; {
 		n := 1
-		if f.rnd.Float64() < p.clumps/float64(clump) {
+		if f.rng.Float64() < p.burstShare/float64(clump) {
 			n = clump
 		}
-		at += float64(n) * f.rnd.ExpFloat64() / p.rate * float64(Second)
-		i, _ := slices.BinarySearch(parts, f.rnd.Float64()*sum)
-		m := f.members[i]
+		at += float64(n) * f.rng.ExpFloat64() / p.rate * float64(Second)
+		i, _ := slices.BinarySearch(parts, f.rng.Float64()*sum)
+		m := f.senders[i]
 		for range n {
 			id++
-			c := Call{ID: fmt.Sprint(id), Dest: 9, Tenant: -1, Class: 2 * f.rnd.IntN(2)} // safe or unsafe
-			c.Left = p.set.Classes[c.Class].Deadline
-			f.after(Micros(at)+Micros(f.rnd.IntN(10_000)*(n-1)/clump), func() { f.step(m, c) })
+			c := Message{ID: fmt.Sprint(id), Dest: 9, Tenant: -1, Class: 2 * f.rng.IntN(2)} // safe or unsafe
+			c.TimeLeft = p.set.Classes[c.Class].Deadline
+			f.after(Micros(at)+Micros(f.rng.IntN(10_000)*(n-1)/clump), func() { f.step(m, c) })
 		}
 	}
 	for len(f.queue) > 0 {
@@ -150,117 +150,117 @@
 }
 
 // step hands events to a sender and does what it says.
-func (f *fleet) step(m *member, evs ...Event) {
+func (f *fleet) step(m *simSender, evs ...Event) {
 	opened := map[EndpointID]*fleetCall{}
 	for _, a := range m.s.Step(f.now, evs) {
 		switch a := a.(type) {
-		case CallOut:
+		case Send:
 			c := opened[a.Endpoint]
-			if c == nil || c.size == max(f.set.Kinds[0].Batch, 1) {
-				c = &fleetCall{m: m, ep: a.Endpoint, sent: f.now}
+			if c == nil || c.size == max(f.set.Kinds[0].MaxBatch, 1) {
+				c = &fleetCall{sender: m, endpoint: a.Endpoint, sent: f.now}
 				opened[a.Endpoint] = c
-				f.after(f.net(), func() { f.arrive(c) })
+				f.after(f.networkDelay(), func() { f.arrive(c) })
 			}
 			c.size++
 			c.open = append(c.open, a.ID)
 			m.calls[a.ID] = c
-			f.after(a.GiveUp, func() { f.land(c, Overdue, nil, a.ID) })
+			f.after(a.Timeout, func() { f.deliver(c, TimedOut, nil, a.ID) })
 		case Cancel:
 			if c := m.calls[a.ID]; c != nil {
-				f.after(0, func() { f.land(c, Recalled, nil, a.ID) })
+				f.after(0, func() { f.deliver(c, Cancelled, nil, a.ID) })
 			}
 		case SetTimer:
-			f.after(max(a.Wait, f.set.Tick), func() { f.step(m, Due{a.Token}) })
+			f.after(max(a.Wait, f.set.Tick), func() { f.step(m, TimerFired{a.Token}) })
 		case Probe:
-			if x := f.servers[a.Endpoint]; f.now >= fleetBack {
-				x.arrived, x.told = append(x.arrived, f.now), append(x.told, m.told)
+			if x := f.servers[a.Endpoint]; f.now >= outageEnd {
+				x.arrived, x.fromInformed = append(x.arrived, f.now), append(x.fromInformed, m.knowsOutage)
 			}
-			f.after(2*f.net(), func() { f.step(m, HealthResult{Endpoint: a.Endpoint}) })
+			f.after(2*f.networkDelay(), func() { f.step(m, ProbeResult{Endpoint: a.Endpoint}) })
 		}
 	}
 }
 
 // arrive is a call that reaches the destination.
 func (f *fleet) arrive(c *fleetCall) {
-	x := f.servers[c.ep]
-	if f.now >= fleetDown && f.now < fleetBack {
-		if x.backlog = 0; f.failure != Overdue {
-			f.after(f.net(), func() { f.land(c, f.failure, nil, c.open...) })
+	x := f.servers[c.endpoint]
+	if f.now >= outageStart && f.now < outageEnd {
+		if x.backlog = 0; f.failure != TimedOut {
+			f.after(f.networkDelay(), func() { f.deliver(c, f.failure, nil, c.open...) })
 		}
 		return
 	}
-	if f.now >= fleetBack {
-		x.arrived, x.told = append(x.arrived, f.now), append(x.told, c.m.told)
+	if f.now >= outageEnd {
+		x.arrived, x.fromInformed = append(x.arrived, f.now), append(x.fromInformed, c.sender.knowsOutage)
 	}
-	able := x.capacity * f.share(f.now)
+	able := x.capacity * f.capacityShare(f.now)
 	x.backlog, x.at = max(0, x.backlog-able*seconds(f.now-x.at)), f.now
 	full := x.backlog > able/2
 	var load []float64
-	if f.set.ReportLimit >= 0 { // a limit over a second
-		limit := x.capacity * f.limit
+	if f.set.LoadLimitIndex >= 0 { // a limit over a second
+		limit := x.capacity * f.limitRatio
 		x.accepted = trim(x.accepted, f.now-Second)
 		n := float64(since(x.accepted, f.now-Second) + 1)
 		full = full || n > limit
-		load = []float64{max(0, 1-n/limit), limit * (0.9 + 0.2*f.rnd.Float64())}
+		load = []float64{max(0, 1-n/limit), limit * (0.9 + 0.2*f.rng.Float64())}
 	}
 	if full {
-		f.after(f.net(), func() { f.land(c, Full, load, c.open...) })
+		f.after(f.networkDelay(), func() { f.deliver(c, Refused, load, c.open...) })
 		return
 	}
 	x.accepted = append(x.accepted, f.now)
 	x.backlog += 1 + itemCost*float64(c.size-1)
-	wait := Micros(x.backlog/able*float64(Second)) + Micros(130_000*math.Exp(0.6*f.rnd.NormFloat64()))
-	o := Completed
-	if f.now < fleetDown && f.now+wait >= fleetDown { // it fails with the call on hand
+	wait := Micros(x.backlog/able*float64(Second)) + Micros(130_000*math.Exp(0.6*f.rng.NormFloat64()))
+	o := Delivered
+	if f.now < outageStart && f.now+wait >= outageStart { // it fails with the call on hand
 		switch f.failure {
-		case Overdue:
+		case TimedOut:
 			return
-		case RefusedConn:
-			wait, o = fleetDown-f.now, Severed
+		case ConnRefused:
+			wait, o = outageStart-f.now, ConnLost
 		}
 	}
-	f.after(wait+f.net(), func() { f.land(c, o, load, c.open...) })
+	f.after(wait+f.networkDelay(), func() { f.deliver(c, o, load, c.open...) })
 }
 
 // land hands a sender the outcome of messages of a call, those that have one already apart.
-func (f *fleet) land(c *fleetCall, o Outcome, load []float64, ids ...string) {
+func (f *fleet) deliver(c *fleetCall, o Outcome, load []float64, ids ...string) {
 	var evs []Event
 	for _, id := range slices.Clone(ids) {
-		if c.m.calls[id] != c {
+		if c.sender.calls[id] != c {
 			continue
 		}
-		delete(c.m.calls, id)
+		delete(c.sender.calls, id)
 		c.open = slices.DeleteFunc(c.open, func(x string) bool { return x == id })
-		evs = append(evs, Reply{ID: id, Endpoint: c.ep, Attempt: c.m.s.msgs[id].out.n, Outcome: o, Took: f.now - c.sent,
-			Load: load, NoMore: o == Completed})
+		evs = append(evs, AttemptResult{ID: id, Endpoint: c.endpoint, Attempt: c.sender.s.msgs[id].out.n, Outcome: o, Latency: f.now - c.sent,
+			Load: load, Final: o == Delivered})
 	}
 	if len(evs) > 0 {
-		if o != Completed && f.now >= fleetDown && c.sent < fleetBack && f.now < fleetBack+Second {
-			c.m.told = true
+		if o != Delivered && f.now >= outageStart && c.sent < outageEnd && f.now < outageEnd+Second {
+			c.sender.knowsOutage = true
 		}
-		f.step(c.m, evs...)
+		f.step(c.sender, evs...)
 	}
 }
 
 // share is the part of its capacity that the destination has.
-func (f *fleet) share(at Micros) float64 {
-	if at < fleetDown {
+func (f *fleet) capacityShare(at Micros) float64 {
+	if at < outageStart {
 		return 1
 	}
-	up := seconds(max(at-fleetBack, 0)) / seconds(f.set.WarmAfter)
-	return f.set.ColdFrom + (1-f.set.ColdFrom)*min(up, 1)
+	up := seconds(max(at-outageEnd, 0)) / seconds(f.set.WarmupTime)
+	return f.set.ColdCapacity + (1-f.set.ColdCapacity)*min(up, 1)
 }
 
 // worst is the most that arrived after the return in any span of FallWindow, over what is allowed in it: N and
 // 2√N + 2 for chance, N being FallMultiple times what the destination could do in that span.
-func (f *fleet) worst() (worst float64) {
-	w := f.set.FallWindow
+func (f *fleet) worstLoad() (worst float64) {
+	w := f.set.OverloadWindow
 	for _, x := range slices.Compact(slices.Clone(f.servers)) {
 		for i, at := range x.arrived {
 			from := at - w
-			ramp := max(from, fleetBack) // until then it has ColdFrom
-			mean := (f.set.ColdFrom*seconds(ramp-from) + (f.share(ramp)+f.share(at))/2*seconds(at-ramp)) / seconds(w)
-			n := f.set.FallMultiple * mean * x.capacity * seconds(w)
+			ramp := max(from, outageEnd) // until then it has ColdFrom
+			mean := (f.set.ColdCapacity*seconds(ramp-from) + (f.capacityShare(ramp)+f.capacityShare(at))/2*seconds(at-ramp)) / seconds(w)
+			n := f.set.OverloadMultiple * mean * x.capacity * seconds(w)
 			worst = max(worst, float64(since(x.arrived[:i+1], from))/(n+2*math.Sqrt(n)+2))
 		}
 	}
@@ -269,21 +269,23 @@
 
 // A destination that comes back cold falls under the sum of what all senders send, so the ramp has to hold for the
 // fleet, however it fails and whatever is known of its capacity. Found at two senders: 5 times what is allowed.
-func TestFleetHoldsTheRamp(t *testing.T) {
+func TestFleetKeepsRampLimit(t *testing.T) {
 	cases := []struct {
 		name string
 		vary func(*fleetPlan)
 	}{
 		{"plain", func(p *fleetPlan) {}},
 		{"two endpoints", func(p *fleetPlan) { p.endpoints = 2 }},
-		{"routes apart", func(p *fleetPlan) { p.endpoints, p.set.Kinds[0].Apart = 2, true }},
-		{"batches", func(p *fleetPlan) { p.set.Kinds[0].Batch = 10 }},
-		{"skewed", func(p *fleetPlan) { p.skew = 1.2 }},
-		{"clumps", func(p *fleetPlan) { p.clumps = 0.2 }},
-		{"told limit", func(p *fleetPlan) { p.limit, p.set.ReportLeft, p.set.ReportLimit = 1/1.15, 0, 1 }},
-		{"weights", func(p *fleetPlan) { p.limit, p.set.Weights = 1, WeightsNominal }},
-		{"rough weights", func(p *fleetPlan) { p.limit, p.set.Weights = 1.5, WeightsRough }},
-		{"told limit, much traffic", func(p *fleetPlan) { p.rate, p.limit, p.set.ReportLeft, p.set.ReportLimit = 80, 1/1.15, 0, 1 }},
+		{"routes apart", func(p *fleetPlan) { p.endpoints, p.set.Kinds[0].SeparateRoutes = 2, true }},
+		{"batches", func(p *fleetPlan) { p.set.Kinds[0].MaxBatch = 10 }},
+		{"skewed", func(p *fleetPlan) { p.trafficSkew = 1.2 }},
+		{"clumps", func(p *fleetPlan) { p.burstShare = 0.2 }},
+		{"told limit", func(p *fleetPlan) { p.limitRatio, p.set.LoadRemainingIndex, p.set.LoadLimitIndex = 1/1.15, 0, 1 }},
+		{"weights", func(p *fleetPlan) { p.limitRatio, p.set.Weights = 1, WeightsNominal }},
+		{"rough weights", func(p *fleetPlan) { p.limitRatio, p.set.Weights = 1.5, WeightsApproximate }},
+		{"told limit, much traffic", func(p *fleetPlan) {
+			p.rate, p.limitRatio, p.set.LoadRemainingIndex, p.set.LoadLimitIndex = 80, 1/1.15, 0, 1
+		}},
 		{"much traffic", func(p *fleetPlan) { p.rate = 80 }},
 	}
 	for _, senders := range []int{2, 20, 30} {
@@ -291,13 +293,13 @@
 			t.Parallel()
 			worst, seed := 0.0, uint64(senders)<<10
 			for _, x := range cases {
-				for _, failure := range []Outcome{RefusedConn, Full, Errored, Overdue} {
+				for _, failure := range []Outcome{ConnRefused, Refused, Errored, TimedOut} {
 					seed++
-					p := fleetPlan{set: base(), seed: seed, rate: 27, headroom: 1.5, endpoints: 1, failure: failure, skew: 0.4}
-					p.set.Senders, p.set.Slots, p.set.MaxOpen = senders, 64, 300
-					p.set.FallMultiple, p.set.FallWindow, p.set.ColdFrom, p.set.WarmAfter = 2.5, 3*Second, 0.15, sec(9.5)
+					p := fleetPlan{set: baseSettings(), seed: seed, rate: 27, headroom: 1.5, endpoints: 1, failure: failure, trafficSkew: 0.4}
+					p.set.Senders, p.set.CallSlots, p.set.MaxOpen = senders, 64, 300
+					p.set.OverloadMultiple, p.set.OverloadWindow, p.set.ColdCapacity, p.set.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
 					x.vary(&p)
-					got := p.play(t).worst()
+					got := p.play(t).worstLoad()
 					if worst = max(worst, got); got > 1 {
 						t.Errorf("%s, outcome %d, seed %d: %.2f times what is allowed", x.name, failure, seed, got)
 					}
@@ -309,7 +311,7 @@
 }
 
 // fallBound is how many calls a cold destination bears in a window in which the settings allow it n.
-func fallBound(n float64) float64 {
+func overloadBound(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
@@ -318,27 +320,27 @@
 
 // windowLoad is how much came to a cold destination in one window.
 type windowLoad struct {
-	over float64 // over what it bears
-	told float64 // part that came from senders that knew of the outage
+	ratio    float64 // over what it bears
+	informed float64 // part that came from senders that knew of the outage
 }
 
 // loads are those of all windows that end with a call.
-func (f *fleet) loads() (all []windowLoad) {
-	w := f.set.FallWindow
+func (f *fleet) windowLoads() (all []windowLoad) {
+	w := f.set.OverloadWindow
 	for _, x := range slices.Compact(slices.Clone(f.servers)) {
 		for i, at := range x.arrived {
 			from := at - w
-			ramp := max(from, fleetBack)
-			mean := (f.set.ColdFrom*seconds(ramp-from) + (f.share(ramp)+f.share(at))/2*seconds(at-ramp)) / seconds(w)
-			n := f.set.FallMultiple * mean * x.capacity * seconds(w)
+			ramp := max(from, outageEnd)
+			mean := (f.set.ColdCapacity*seconds(ramp-from) + (f.capacityShare(ramp)+f.capacityShare(at))/2*seconds(at-ramp)) / seconds(w)
+			n := f.set.OverloadMultiple * mean * x.capacity * seconds(w)
 			calls := since(x.arrived[:i+1], from)
 			told := 0
-			for _, known := range x.told[i+1-calls : i+1] {
+			for _, known := range x.fromInformed[i+1-calls : i+1] {
 				if known {
 					told++
 				}
 			}
-			all = append(all, windowLoad{float64(calls) / fallBound(n), float64(told) / float64(calls)})
+			all = append(all, windowLoad{float64(calls) / overloadBound(n), float64(told) / float64(calls)})
 		}
 	}
 	return all
@@ -346,7 +348,7 @@
 
 // The sizes at which too much was seen to come: few messages for each sender, refusals above the capacity, no reports.
 // A fall counts where over two thirds of it came from senders that had been told of the outage: the others know nothing.
-func TestFleetHoldsTheRampAtAnySize(t *testing.T) {
+func TestFleetKeepsRampLimitAtAnySize(t *testing.T) {
 	for _, senders := range []int{2, 5, 16, 17, 60, 120, 300, 580, 900} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
 			t.Parallel()
@@ -357,15 +359,15 @@
 			}
 			for seed := range uint64(seeds) {
 				for _, rate := range []float64{6, 27} {
-					for _, failure := range []Outcome{RefusedConn, Full, Errored, Overdue} {
-						p := fleetPlan{set: base(), seed: 7000 + seed, rate: rate, headroom: 1.5, endpoints: 2, failure: failure, skew: 0.4}
-						p.set.Senders, p.set.Slots, p.set.MaxOpen = senders, 64, 300
-						p.set.FallMultiple, p.set.FallWindow, p.set.ColdFrom, p.set.WarmAfter = 2.5, 3*Second, 0.15, sec(9.5)
+					for _, failure := range []Outcome{ConnRefused, Refused, Errored, TimedOut} {
+						p := fleetPlan{set: baseSettings(), seed: 7000 + seed, rate: rate, headroom: 1.5, endpoints: 2, failure: failure, trafficSkew: 0.4}
+						p.set.Senders, p.set.CallSlots, p.set.MaxOpen = senders, 64, 300
+						p.set.OverloadMultiple, p.set.OverloadWindow, p.set.ColdCapacity, p.set.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
 						broken := 0.0
-						for _, load := range p.play(t).loads() {
-							whole = max(whole, load.over)
-							if load.told > 2.0/3 {
-								broken = max(broken, load.over)
+						for _, load := range p.play(t).windowLoads() {
+							whole = max(whole, load.ratio)
+							if load.informed > 2.0/3 {
+								broken = max(broken, load.ratio)
 							}
 						}
 						if worst = max(worst, broken); broken > 1 {
--- a/logic/outage_test.go
+++ b/logic/outage_test.go
@@ -4,53 +4,53 @@
 
 // Found on a recorded day: what went to an endpoint before it failed filled the budget of its trials, so that one
 // that was back at once stayed out for a whole window.
-func TestTrialIsNotHeldByWhatWentBefore(t *testing.T) {
-	set := base()
-	set.FallMultiple, set.FallWindow = 2.5, 3*Second
-	r := newRig(t, set)
-	r.step(0, list(1))
+func TestCallsBeforeOutageDoNotDelayTrials(t *testing.T) {
+	set := baseSettings()
+	set.OverloadMultiple, set.OverloadWindow = 2.5, 3*Second
+	r := newHarness(t, set)
+	r.step(0, fullList(1))
 	at := 0.0
 	for range 60 {
 		at += 0.1
-		c := only[CallOut](r.step(at, r.call(0)))[0]
-		r.step(at+0.05, answer(c.ID, c.Endpoint, 0, Completed))
+		c := actionsOf[Send](r.step(at, r.message(0)))[0]
+		r.step(at+0.05, result(c.ID, c.Endpoint, 0, Delivered))
 	}
-	c := only[CallOut](r.step(at+0.1, r.call(0)))[0]
-	c = only[CallOut](r.step(at+0.11, answer(c.ID, c.Endpoint, 0, RefusedConn)))[0]
-	if acts := r.step(at+0.12, answer(c.ID, c.Endpoint, 1, RefusedConn)); len(only[CallOut](acts)) > 0 {
+	c := actionsOf[Send](r.step(at+0.1, r.message(0)))[0]
+	c = actionsOf[Send](r.step(at+0.11, result(c.ID, c.Endpoint, 0, ConnRefused)))[0]
+	if acts := r.step(at+0.12, result(c.ID, c.Endpoint, 1, ConnRefused)); len(actionsOf[Send](acts)) > 0 {
 		t.Fatal("no pause before the first trial")
 	}
 	if !r.s.eps[1].cold {
 		t.Fatal("two refused connections in a row are no outage")
 	}
-	back := at + 0.12 + seconds(trialGap) + 0.01
-	trial := only[CallOut](r.step(back, Due{}))
+	back := at + 0.12 + seconds(minTrialInterval) + 0.01
+	trial := actionsOf[Send](r.step(back, TimerFired{}))
 	if len(trial) != 1 {
 		t.Fatalf("%d calls at the time of the first trial, want 1", len(trial))
 	}
 	// After an outage that lasts, what goes there is counted: an own peak of 11 a second, shared by two, cold.
-	r.step(back+0.01, answer(trial[0].ID, 1, 2, RefusedConn))
+	r.step(back+0.01, result(trial[0].ID, 1, 2, ConnRefused))
 	back += 3
-	trial = only[CallOut](r.step(back, Due{}))
+	trial = actionsOf[Send](r.step(back, TimerFired{}))
 	if len(trial) != 1 {
 		t.Fatalf("%d calls at the time of a later trial, want 1", len(trial))
 	}
-	r.step(back+0.05, answer(trial[0].ID, 1, 3, Completed))
+	r.step(back+0.05, result(trial[0].ID, 1, 3, Delivered))
 	sent := len(trial)
 	for i := range 50 {
-		for _, c := range only[CallOut](r.step(back+0.06+0.04*float64(i), r.call(0))) {
+		for _, c := range actionsOf[Send](r.step(back+0.06+0.04*float64(i), r.message(0))) {
 			sent++
-			r.step(back+0.061+0.04*float64(i), answer(c.ID, c.Endpoint, 0, Completed))
+			r.step(back+0.061+0.04*float64(i), result(c.ID, c.Endpoint, 0, Delivered))
 		}
 	}
-	if most := 11 * set.FallMultiple * 3 * 0.4 / 2; float64(sent) > most {
+	if most := 11 * set.OverloadMultiple * 3 * 0.4 / 2; float64(sent) > most {
 		t.Errorf("%d calls within 2 s of the return, want %v at most", sent, most)
 	}
 }
 
 // Found on a recorded day: one refused connection at an endpoint that answered the calls beside it left it cold, and
 // held to a part of its traffic for as long as after an outage.
-func TestShortFailureLeavesNoColdEndpoint(t *testing.T) {
+func TestShortFailureDoesNotMakeEndpointCold(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		failures int
@@ -61,20 +61,20 @@
 		{"back after an outage", 2, 2.5, true},
 		{"most calls fail", 4, 1.9, true},
 	} {
-		r := newRig(t, base())
-		r.step(0, list(1))
+		r := newHarness(t, baseSettings())
+		r.step(0, fullList(1))
 		e := r.s.eps[1]
 		r.s.now = sec(1)
-		r.s.succeeded(e, r.s.now)
+		r.s.recordSuccess(e, r.s.now)
 		for i := range x.failures {
 			r.s.now = sec(1.1 + 0.1*float64(i))
-			r.s.sign(e, RefusedConn)
+			r.s.recordOutcome(e, ConnRefused)
 		}
 		if !e.ejected || !e.cold {
 			t.Fatalf("%s: not out after %d failures", x.name, x.failures)
 		}
 		r.s.now = sec(1 + x.back)
-		r.s.succeeded(e, r.s.now)
+		r.s.recordSuccess(e, r.s.now)
 		if e.ejected || e.cold != x.cold {
 			t.Errorf("%s: out %v, cold %v", x.name, e.ejected, e.cold)
 		}
@@ -83,21 +83,21 @@
 
 // Found on a recorded day: one batch that failed counted as a failure for each message in it, and took an endpoint
 // out that answered all else.
-func TestFailedBatchIsOneSign(t *testing.T) {
-	for _, o := range []Outcome{Spoilt, Errored, Severed, RefusedConn} {
-		set := base()
-		set.Kinds[0].Batch = 10
-		r := newRig(t, set)
-		r.step(0, list(1))
-		c := only[CallOut](r.step(1, r.call(0)))[0]
-		r.step(1.1, answer(c.ID, c.Endpoint, 0, Completed))
-		batch := only[CallOut](r.step(1.2, r.call(0), r.call(0), r.call(0), r.call(0), r.call(0)))
+func TestFailedBatchCountsOnce(t *testing.T) {
+	for _, o := range []Outcome{Unreadable, Errored, ConnLost, ConnRefused} {
+		set := baseSettings()
+		set.Kinds[0].MaxBatch = 10
+		r := newHarness(t, set)
+		r.step(0, fullList(1))
+		c := actionsOf[Send](r.step(1, r.message(0)))[0]
+		r.step(1.1, result(c.ID, c.Endpoint, 0, Delivered))
+		batch := actionsOf[Send](r.step(1.2, r.message(0), r.message(0), r.message(0), r.message(0), r.message(0)))
 		if len(batch) != 5 {
 			t.Fatalf("%d sends", len(batch))
 		}
 		var ends []Event
 		for _, c := range batch {
-			ends = append(ends, answer(c.ID, c.Endpoint, 0, o))
+			ends = append(ends, result(c.ID, c.Endpoint, 0, o))
 		}
 		r.step(1.3, ends...)
 		if r.s.eps[1].ejected {
@@ -107,35 +107,35 @@
 }
 
 // The answer to a batch may take messages on and tell a wait all the same.
-func TestWaitToldWithADelivery(t *testing.T) {
-	r := newRig(t, base())
-	r.step(0, list(2))
-	c := only[CallOut](r.step(1, r.call(0)))[0]
-	done := answer(c.ID, c.Endpoint, 0, Completed)
-	done.Wait = sec(1.5)
-	if n := len(only[CallOut](r.step(1.1, done, r.call(0)))); n != 0 {
+func TestRetryAfterOnDelivery(t *testing.T) {
+	r := newHarness(t, baseSettings())
+	r.step(0, fullList(2))
+	c := actionsOf[Send](r.step(1, r.message(0)))[0]
+	done := result(c.ID, c.Endpoint, 0, Delivered)
+	done.RetryAfter = sec(1.5)
+	if n := len(actionsOf[Send](r.step(1.1, done, r.message(0)))); n != 0 {
 		t.Errorf("%d calls during a wait", n)
 	}
-	if n := len(only[CallOut](r.step(2.7, Due{}))); n != 1 {
+	if n := len(actionsOf[Send](r.step(2.7, TimerFired{}))); n != 1 {
 		t.Errorf("%d calls after the wait, want 1", n)
 	}
 }
 
 // Found on the day of a large herd: after a restart half of the endpoints on the list kept from before were gone. Each
 // that refused a connection was taken for an outage of its destination, and held up the siblings for seconds.
-func TestOldListIsNoOutage(t *testing.T) {
+func TestCachedListAndOutage(t *testing.T) {
 	for _, news := range []bool{false, true} {
-		r := newRig(t, base())
-		first := list(2)
-		first.Form = ListCached
+		r := newHarness(t, baseSettings())
+		first := fullList(2)
+		first.Kind = UpdateCached
 		r.step(0, first)
 		if news {
-			r.step(0.05, Endpoints{Form: ListDelta})
+			r.step(0.05, EndpointUpdate{Kind: UpdateDelta})
 		}
-		c := only[CallOut](r.step(0.1, r.call(0)))[0]
-		r.step(0.2, answer(c.ID, c.Endpoint, 0, RefusedConn))
+		c := actionsOf[Send](r.step(0.1, r.message(0)))[0]
+		r.step(0.2, result(c.ID, c.Endpoint, 0, ConnRefused))
 		n := 0
-		for _, x := range only[CallOut](r.step(0.3, r.call(0), r.call(0))) {
+		for _, x := range actionsOf[Send](r.step(0.3, r.message(0), r.message(0))) {
 			if x.Endpoint == c.Endpoint {
 				t.Error("sent to the endpoint that refused")
 			}
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -136,8 +136,8 @@
 	b.waiting = append(b.waiting, m)
 	m.place = len(b.waiting)
 	s.expireAt(m, byDeadline, m.deadline)
-	if m.mayRun && m.class.Effect == Keyed {
-		s.expireAt(m, byWindow, m.firstMay+m.class.Window)
+	if m.mayRun && m.class.Idempotency == IdempotentByKey {
+		s.expireAt(m, byWindow, m.firstMay+m.class.DedupWindow)
 	}
 	s.advance(m)
 }
@@ -190,7 +190,7 @@
 
 // advance puts a waiting message among those looked at first.
 func (s *Sender) advance(m *msg) {
-	if b := m.dest.backlog; len(b.front) < 4*part {
+	if b := m.dest.backlog; len(b.front) < 4*sampleSize {
 		b.front = append(b.front, m)
 	}
 	s.touch(m.dest)
@@ -219,7 +219,7 @@
 // refile puts g where it belongs now.
 func (s *Sender) refile(g *expiry) {
 	to := 0
-	if g.kind == byDeadline && g.dest.hist.total < minWeight {
+	if g.kind == byDeadline && g.dest.hist.total < minSamples {
 		to = 1 + g.class
 	}
 	if to != g.in || len(g.queue.items) == 0 {
@@ -230,7 +230,7 @@
 	}
 	g.key = g.queue.items[0].ends[g.kind]
 	if to == 0 {
-		g.key -= s.need(g)
+		g.key -= s.minTimeLeft(g)
 	}
 	s.wait.expiries[to].put(g)
 }
@@ -263,7 +263,7 @@
 		x.looks.put(top)
 		look(top, true)
 	}
-	for i, free := range s.free() {
+	for i, free := range s.freeSlots() {
 		for range 2 * free {
 			if len(x.scarce[i].items) == 0 {
 				break
@@ -271,7 +271,7 @@
 			look(heap.Pop(&x.scarce[i]).(*backlog), false)
 		}
 	}
-	for range turns {
+	for range backlogsPerRound {
 		x.turn = (x.turn + 1) % len(x.looks.items)
 		look(x.looks.items[x.turn], false)
 	}
@@ -297,8 +297,8 @@
 	for _, m := range b.front {
 		add(m, 1)
 	}
-	stands := float64(len(b.waiting)-len(q)+from) / part
-	for range part {
+	stands := float64(len(b.waiting)-len(q)+from) / sampleSize
+	for range sampleSize {
 		b.turn = (b.turn + 1) % len(b.waiting)
 		add(b.waiting[b.turn], max(stands, 1))
 	}
@@ -306,7 +306,7 @@
 }
 
 // whole says whether a look is at all that waits.
-func (b *backlog) whole() bool { return len(b.waiting) <= 2*part }
+func (b *backlog) whole() bool { return len(b.waiting) <= 2*sampleSize }
 
 // file notes what came of the look at q, which is in order: what is left in front, and when to look again. A
 // message that is held back by itself says nothing of the others.
@@ -327,19 +327,19 @@
 			b.best = m.prio
 		}
 		switch held, timed := itself(m); {
-		case !held && b.ready < part:
+		case !held && b.ready < sampleSize:
 			b.ready++
 			b.front = append(b.front, m)
-		case timed && len(b.front)-b.ready < part:
+		case timed && len(b.front)-b.ready < sampleSize:
 			b.front = append(b.front, m)
 		}
 	}
-	free := s.free()
+	free := s.freeSlots()
 	for _, b := range x.looking {
 		if len(b.waiting) == 0 {
 			continue
 		}
-		b.scanned += part
+		b.scanned += sampleSize
 		switch {
 		case b.whole() || b.ready > 0 || b.left > 0 && b.scanned >= len(b.waiting):
 			b.again, b.scanned = b.soon, 0
@@ -378,7 +378,7 @@
 	m.over = true
 	s.open--
 	s.dequeue(m)
-	if len(s.held) > 2*s.open+part {
+	if len(s.held) > 2*s.open+sampleSize {
 		s.held = slices.DeleteFunc(s.held, func(m *msg) bool { return m.over })
 	}
 }
--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -18,10 +18,10 @@
 	s.subscribe()
 	s.forget()
 	s.walkHopeless()
-	s.cutLong()
+	s.cancelSlow()
 	s.walkDispatch()
-	s.giveBack()
-	s.arm()
+	s.releaseIdleConns()
+	s.setTimer()
 	return s.out
 }
 
@@ -34,13 +34,13 @@
 		left := m.deadline - s.now
 		need := last
 		if m.out == nil {
-			need = max(need, s.usual(m))
-			if m.mayRun && m.class.Effect == Keyed {
-				left = min(left, m.firstMay+m.class.Window-s.now+need-last)
+			need = max(need, s.medianLatency(m))
+			if m.mayRun && m.class.Idempotency == IdempotentByKey {
+				left = min(left, m.firstMay+m.class.DedupWindow-s.now+need-last)
 			}
 		}
 		if left <= need {
-			s.end(m)
+			s.endMessage(m)
 			continue
 		}
 		s.at(s.now + left - need)
@@ -51,7 +51,7 @@
 	var q []*msg
 	for _, m := range s.held {
 		if m.out == nil && !m.over {
-			m.prio = s.rate(m)
+			m.prio = s.priority(m)
 			m.dest.rank = 0
 			q = append(q, m)
 		}
@@ -59,20 +59,20 @@
 	slices.SortStableFunc(q, func(a, b *msg) int { return cmp.Compare(b.prio, a.prio) })
 	for i, m := range q {
 		s.trials = s.onTrial()
-		if s.send(m) {
+		if s.trySend(m) {
 			continue
 		}
 		m.dest.rank++
-		if !s.mayEnd(m) {
+		if !s.mayDrop(m) {
 			continue
 		}
 		p := s.destPace(m.dest)
-		if p > 0 && m.dest.rank/p > seconds(m.deadline-s.now-s.usual(m)) && s.crowd() > holdHalf {
-			s.end(m)
+		if p > 0 && m.dest.rank/p > seconds(m.deadline-s.now-s.medianLatency(m)) && s.crowd() > bufferHighWatermark {
+			s.endMessage(m)
 			continue
 		}
-		if s.crowd() > holdFull && i >= len(q)-1 && !m.mayRun {
-			s.end(m)
+		if s.crowd() > bufferFullWatermark && i >= len(q)-1 && !m.mayRun {
+			s.endMessage(m)
 		}
 	}
 }
@@ -96,9 +96,9 @@
 				t.Fatalf("%s is not where it should be", m.id)
 			}
 			last := 2 * max(s.set.Tick, 1000)
-			first = min(first, m.deadline-max(last, s.usual(m)))
-			if m.mayRun && m.class.Effect == Keyed {
-				first = min(first, m.firstMay+m.class.Window-last)
+			first = min(first, m.deadline-max(last, s.medianLatency(m)))
+			if m.mayRun && m.class.Idempotency == IdempotentByKey {
+				first = min(first, m.firstMay+m.class.DedupWindow-last)
 			}
 		}
 	}
@@ -123,8 +123,8 @@
 					continue
 				}
 				in, key := 1+class, g.queue.items[0].ends[kind]
-				if kind == byWindow || d.hist.total >= minWeight {
-					in, key = 0, key-s.need(g)
+				if kind == byWindow || d.hist.total >= minSamples {
+					in, key = 0, key-s.minTimeLeft(g)
 				}
 				if g.in != in || g.key != key || s.wait.expiries[in].items[g.place-1] != g {
 					t.Fatalf("destination %d, class %d: in queue %d at %d, want %d at %d", d.id, class, g.in, g.key, in, key)
@@ -135,10 +135,10 @@
 	for _, x := range s.wait.expiries {
 		if len(x.items) > 0 {
 			g := x.items[0]
-			due = min(due, g.queue.items[0].ends[g.kind]-s.need(g))
+			due = min(due, g.queue.items[0].ends[g.kind]-s.minTimeLeft(g))
 		}
 	}
-	if len(s.held) > 2*open+part {
+	if len(s.held) > 2*open+sampleSize {
 		t.Fatalf("%d listed as held, %d are", len(s.held), open)
 	}
 	if open != s.open || n != s.wait.count || told != s.told {
@@ -151,12 +151,12 @@
 
 // What is counted is what a walk over all finds, also in a module that was taken up from a snapshot.
 func TestBooksMatchWhatIsHeld(t *testing.T) {
-	for name, set := range variants() {
+	for name, set := range deploymentVariants() {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, set, 31)
-			w.each = func() {
+			w := newSimulation(t, set, 31)
+			w.beforeStep = func() {
 				checkBooks(t, w.s)
-				if w.rnd.IntN(100) == 0 {
+				if w.rng.IntN(100) == 0 {
 					w.renew()
 				}
 				if w.twin != nil {
@@ -170,29 +170,29 @@
 
 // Where few messages wait, the books change nothing: each step does what going over all does, timers and all.
 func TestBooksChangeNothing(t *testing.T) {
-	all := variants()
-	wide := base()
-	wide.MaxOpen, wide.Slots, wide.MaxTries = 400, 12, 0
+	all := deploymentVariants()
+	wide := baseSettings()
+	wide.MaxOpen, wide.CallSlots, wide.MaxAttempts = 400, 12, 0
 	all["hundreds held"] = wide
-	wide.ReportLeft, wide.ReportLimit, wide.Senders = 0, 1, 80
+	wide.LoadRemainingIndex, wide.LoadLimitIndex, wide.Senders = 0, 1, 80
 	wide.Classes = slices.Clone(wide.Classes)
-	wide.Classes[0].KeepOrder, wide.KeyQuiet = true, Second
+	wide.Classes[0].KeepOrder, wide.KeyCooldown = true, Second
 	all["hundreds held among many"] = wide
 	for name, set := range all {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(21); seed <= 22; seed++ {
-				w := newWorld(t, set, seed)
+				w := newSimulation(t, set, seed)
 				if set.MaxOpen == 400 {
-					w.each = func() { w.clump = min(200, max(set.MaxOpen-w.s.open, 0)) }
+					w.beforeStep = func() { w.burst = min(200, max(set.MaxOpen-w.s.open, 0)) }
 				}
 				other, err := New(set, seed)
 				if err != nil {
 					t.Fatal(err)
 				}
 				most := 0
-				w.after = func(evs []Event, acts []Action) {
+				w.afterStep = func(evs []Event, acts []Action) {
 					if want := walk(other, w.now, evs); !reflect.DeepEqual(acts, want) {
-						w.bad("the module does %v, want %v", acts, want)
+						w.fatalf("the module does %v, want %v", acts, want)
 					}
 					checkBooks(t, w.s)
 					most = max(most, w.s.open)
@@ -210,16 +210,16 @@
 // same worlds run apart soon, so it is counted over all of them.
 func TestRulesWhereManyWait(t *testing.T) {
 	served := map[int]int{}
-	for name, set := range variants() {
+	for name, set := range deploymentVariants() {
 		for seed := uint64(1); seed <= 8; seed++ {
-			for _, few := range []int{fewWait, 0} {
-				w := newWorld(t, set, seed)
+			for _, few := range []int{scanAllLimit, 0} {
+				w := newSimulation(t, set, seed)
 				w.s.few = few
 				n := 0
-				w.after = func(evs []Event, _ []Action) {
+				w.afterStep = func(evs []Event, _ []Action) {
 					checkBooks(t, w.s)
 					for _, ev := range evs {
-						if r, ok := ev.(Reply); ok && r.Outcome == Completed {
+						if r, ok := ev.(AttemptResult); ok && r.Outcome == Delivered {
 							n++
 						}
 					}
@@ -232,20 +232,20 @@
 			}
 		}
 	}
-	t.Logf("delivered: %d, where all are looked at %d", served[0], served[fewWait])
-	if served[0]*20 < served[fewWait]*19 {
-		t.Errorf("%d delivered, %d where all are looked at", served[0], served[fewWait])
+	t.Logf("delivered: %d, where all are looked at %d", served[0], served[scanAllLimit])
+	if served[0]*20 < served[scanAllLimit]*19 {
+		t.Errorf("%d delivered, %d where all are looked at", served[0], served[scanAllLimit])
 	}
 }
 
 // A restart in the middle of it takes the books up again.
 func TestRestartWhereManyWait(t *testing.T) {
-	for name, set := range variants() {
+	for name, set := range deploymentVariants() {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, set, 13)
+			w := newSimulation(t, set, 13)
 			w.s.few = 0
 			steps := 0
-			w.each = func() {
+			w.beforeStep = func() {
 				checkBooks(t, w.s)
 				if steps++; steps%150 > 0 {
 					return
@@ -269,30 +269,30 @@
 
 // The books follow a destination whose latencies are forgotten, and one that is forgotten itself.
 func TestBooksFollowWhatIsForgotten(t *testing.T) {
-	set := base()
-	set.Classes[0].Deadline, set.ReportLeft, set.ReportLimit = 1000*Second, 0, 1
-	r := newRig(t, set)
-	r.step(0, list(1))
+	set := baseSettings()
+	set.Classes[0].Deadline, set.LoadRemainingIndex, set.LoadLimitIndex = 1000*Second, 0, 1
+	r := newHarness(t, set)
+	r.step(0, fullList(1))
 	for at := 1.0; at < 5; at++ {
-		c := only[CallOut](r.step(at, r.call(0)))[0]
-		ok := answer(c.ID, 1, 0, Completed)
+		c := actionsOf[Send](r.step(at, r.message(0)))[0]
+		ok := result(c.ID, 1, 0, Delivered)
 		ok.Load = []float64{0.5, 100}
 		r.step(at+0.5, ok)
 	}
-	if d := r.s.dests[9]; d.hist.total < 3 || !r.s.reports() {
+	if d := r.s.dests[9]; d.hist.total < 3 || !r.s.hasLoadReports() {
 		t.Fatal("nothing is learnt")
 	}
-	feed(&r.s.dests[9].hist, 1, 0.5)
-	r.step(6, list(0), r.call(0))
+	addSamples(&r.s.dests[9].hist, 1, 0.5)
+	r.step(6, fullList(0), r.message(0))
 	checkBooks(t, r.s)
-	r.step(7+seconds(idleAge), r.call(1))
+	r.step(7+seconds(idleDestinationTTL), r.message(1))
 	if r.s.dests[9].hist.total > 0 {
 		t.Fatal("latencies are not forgotten")
 	}
 	checkBooks(t, r.s)
 	r.step(3000)
 	r.step(4000)
-	if r.s.dests[9] != nil || r.s.reports() {
+	if r.s.dests[9] != nil || r.s.hasLoadReports() {
 		t.Error("the destination or its report is not forgotten")
 	}
 	checkBooks(t, r.s)
@@ -301,15 +301,15 @@
 // A silent unsafe call gives its slot up for other destinations only.
 func TestUnsafeCallKeepsTheSlotFromItsOwn(t *testing.T) {
 	for _, dest := range []int64{8, 9} {
-		set := base()
-		set.Slots = 1
-		r := newRig(t, set)
-		r.step(0, list(1), Endpoints{Entries: []Entry{{Endpoint: 7, Dest: 8}}})
-		r.step(1, r.call(2))
-		next := r.call(2)
+		set := baseSettings()
+		set.CallSlots = 1
+		r := newHarness(t, set)
+		r.step(0, fullList(1), EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 7, Dest: 8}}})
+		r.step(1, r.message(2))
+		next := r.message(2)
 		next.Dest = dest
 		r.step(5, next)
-		if n := len(only[Cancel](r.step(10, Due{}))); n != int(9-dest) {
+		if n := len(actionsOf[Cancel](r.step(10, TimerFired{}))); n != int(9-dest) {
 			t.Errorf("a message waits for destination %d: %d calls given up for it", dest, n)
 		}
 	}
--- a/logic/rig_test.go
+++ b/logic/rig_test.go
@@ -8,55 +8,58 @@
 )
 
 // base is a plain deployment: two senders, one safe, one keyed and one unsafe class, one kind of destination.
-func base() Settings {
-	return Settings{Senders: 2, Zones: 1, Slots: 8, MaxOpen: 60, MaxTries: 6, Tick: 5000, MayCancel: true, RetryAfter: true,
+func baseSettings() Settings {
+	return Settings{Senders: 2, Zones: 1, CallSlots: 8, MaxOpen: 60, MaxAttempts: 6, Tick: 5000, MayCancel: true, RetryAfter: true,
 		Classes: []Class{
-			{Name: "a", Aim: Second, Deadline: 10 * Second, Worth: 1, LateWorth: 0.5},
-			{Name: "b", Aim: 2 * Second, Deadline: 12 * Second, Worth: 2, LateWorth: 0.4, Effect: Keyed, Window: 8 * Second},
-			{Name: "c", Aim: 2 * Second, Deadline: 14 * Second, Worth: 4, LateWorth: 0.3, Effect: Unsafe}},
-		Kinds: []Kind{{Name: "k", Batch: 1}}, MaxRetryAfter: 2 * Second, DrainGrace: Second, FallMultiple: 2,
-		FallWindow: 2 * Second, ColdFrom: 0.2, WarmAfter: 14 * Second, ReportLeft: -1, ReportLimit: -1}
+			{Name: "a", TargetLatency: Second, Deadline: 10 * Second, Value: 1, LateValue: 0.5},
+			{Name: "b", TargetLatency: 2 * Second, Deadline: 12 * Second, Value: 2, LateValue: 0.4, Idempotency: IdempotentByKey, DedupWindow: 8 * Second},
+			{Name: "c", TargetLatency: 2 * Second, Deadline: 14 * Second, Value: 4, LateValue: 0.3, Idempotency: NonIdempotent}},
+		Kinds: []DestinationKind{{Name: "k", MaxBatch: 1}}, MaxRetryAfter: 2 * Second, DrainGrace: Second, OverloadMultiple: 2,
+		OverloadWindow: 2 * Second, ColdCapacity: 0.2, WarmupTime: 14 * Second, LoadRemainingIndex: -1, LoadLimitIndex: -1}
 }
 
 // rig drives one Sender by hand.
-type rig struct {
-	t *testing.T
-	s *Sender
-	n int
+type harness struct {
+	t        *testing.T
+	s        *Sender
+	messages int
 }
 
-func newRig(t *testing.T, set Settings) *rig {
+func newHarness(t *testing.T, set Settings) *harness {
 	t.Helper()
 	s, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &rig{t: t, s: s}
+	return &harness{t: t, s: s}
 }
 
 func sec(x float64) Micros { return Micros(x * float64(Second)) }
 
-func (r *rig) step(at float64, evs ...Event) []Action { r.t.Helper(); return r.s.Step(sec(at), evs) }
+func (r *harness) step(at float64, evs ...Event) []Action {
+	r.t.Helper()
+	return r.s.Step(sec(at), evs)
+}
 
 // list makes a whole list of n endpoints, from 1 on, of destination 9.
-func list(n int) Endpoints {
-	ev := Endpoints{Form: ListFull}
+func fullList(n int) EndpointUpdate {
+	ev := EndpointUpdate{Kind: UpdateFull}
 	for i := 1; i <= n; i++ {
-		ev.Entries = append(ev.Entries, Entry{Endpoint: EndpointID(i), Dest: 9})
+		ev.Entries = append(ev.Entries, EndpointEntry{Endpoint: EndpointID(i), Dest: 9})
 	}
 	return ev
 }
 
-func (r *rig) call(class int) Call {
-	r.n++
-	return Call{ID: fmt.Sprintf("m%d", r.n), Left: r.s.set.Classes[class].Deadline, Dest: 9, Tenant: -1, Class: class}
+func (r *harness) message(class int) Message {
+	r.messages++
+	return Message{ID: fmt.Sprintf("m%d", r.messages), TimeLeft: r.s.set.Classes[class].Deadline, Dest: 9, Tenant: -1, Class: class}
 }
 
-func answer(id string, ep EndpointID, attempt int, o Outcome) Reply {
-	return Reply{ID: id, Endpoint: ep, Attempt: attempt, Outcome: o, Took: sec(0.1), NoMore: o == Completed}
+func result(id string, ep EndpointID, attempt int, o Outcome) AttemptResult {
+	return AttemptResult{ID: id, Endpoint: ep, Attempt: attempt, Outcome: o, Latency: sec(0.1), Final: o == Delivered}
 }
 
-func only[T Action](acts []Action) (out []T) {
+func actionsOf[T Action](acts []Action) (out []T) {
 	for _, a := range acts {
 		if x, ok := a.(T); ok {
 			out = append(out, x)
@@ -66,96 +69,96 @@
 }
 
 // world plays random legal outcomes against a Sender and asserts the six rules. It models no server.
-type world struct {
-	t        *testing.T
-	set      Settings
-	rnd      *rand.Rand
-	s        *Sender
-	now      Micros
-	msgs     map[string]*wmsg
-	ids      []string
-	live     []*wmsg
-	eps      map[EndpointID]*wep
-	order    []EndpointID
-	queue    []wevent
-	waits    map[string]Micros
-	asked    map[EndpointID]int
-	keys     map[string][]*wmsg
-	quiet    map[string]Micros
-	quietBy  map[string]*wmsg
-	slots    int
-	outage   [2]Micros // all of destination 1 refuses connections
-	knows    bool
-	twin     *Sender // must act as s does
-	each     func()  // before each step
-	after    func(evs []Event, acts []Action)
-	clump    int // messages that come at once now and then
-	coldSent []Micros
-	wellSent []Micros
-	peak     float64
-	mostOut  int // of rotation at one time
-	trace    []string
+type simulation struct {
+	t                *testing.T
+	set              Settings
+	rng              *rand.Rand
+	s                *Sender
+	now              Micros
+	msgs             map[string]*simMessage
+	ids              []string
+	live             []*simMessage
+	endpoints        map[EndpointID]*simEndpoint
+	order            []EndpointID
+	queue            []simEvent
+	waitUntil        map[string]Micros
+	probed           map[EndpointID]int
+	keys             map[string][]*simMessage
+	pausedUntil      map[string]Micros
+	pausedBy         map[string]*simMessage
+	slotsUsed        int
+	outage           [2]Micros // all of destination 1 refuses connections
+	sawOutage        bool
+	twin             *Sender // must act as s does
+	beforeStep       func()  // before each step
+	afterStep        func(evs []Event, acts []Action)
+	burst            int // messages that come at once now and then
+	sentAfterOutage  []Micros
+	sentBeforeOutage []Micros
+	peak             float64
+	maxOutOfRotation int // of rotation at one time
+	trace            []string
 }
 
-type wmsg struct {
-	id         string
-	class      Class
-	dest       int64
-	key        string
-	deadline   Micros
-	ended, out bool
-	mayRun     bool
-	firstMay   Micros
-	zone       int
-	tries      int
+type simMessage struct {
+	id              string
+	class           Class
+	dest            int64
+	key             string
+	deadline        Micros
+	ended, inFlight bool
+	mayHaveRun      bool
+	firstMayHaveRun Micros
+	zone            int
+	attempts        int
 }
 
-type wep struct {
-	row    Entry
-	told   Micros // when it was told to drain or go
-	closed bool
+type simEndpoint struct {
+	entry    EndpointEntry
+	closedAt Micros // when it was told to drain or go
+	closed   bool
 }
 
-type wevent struct {
-	at  Micros
-	ev  Event
-	own *wmsg
-	cl  *wcall
+type simEvent struct {
+	at   Micros
+	ev   Event
+	msg  *simMessage
+	call *simCall
 }
 
-type wcall struct{ open int }
+type simCall struct{ open int }
 
-func (w *world) lane(e *wep) string {
-	if w.set.Kinds[e.row.Kind].Apart {
-		return fmt.Sprint("route", e.row.Endpoint)
+func (w *simulation) laneKey(e *simEndpoint) string {
+	if w.set.Kinds[e.entry.Kind].SeparateRoutes {
+		return fmt.Sprint("route", e.entry.Endpoint)
 	}
-	return fmt.Sprint("dest", e.row.Dest)
+	return fmt.Sprint("dest", e.entry.Dest)
 }
 
-func (w *world) bad(format string, args ...any) {
+func (w *simulation) fatalf(format string, args ...any) {
 	w.t.Helper()
 	w.t.Fatalf("at %d: "+format, append([]any{w.now}, args...)...)
 }
 
-func newWorld(t *testing.T, set Settings, seed uint64) *world {
+func newSimulation(t *testing.T, set Settings, seed uint64) *simulation {
 	s, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &world{t: t, set: set, rnd: rand.New(rand.NewPCG(seed, 1)), s: s, msgs: map[string]*wmsg{},
-		eps: map[EndpointID]*wep{}, waits: map[string]Micros{}, asked: map[EndpointID]int{},
-		keys: map[string][]*wmsg{}, quiet: map[string]Micros{}, quietBy: map[string]*wmsg{},
-		outage: [2]Micros{12 * Second, 20 * Second}, clump: 15}
+	return &simulation{t: t, set: set, rng: rand.New(rand.NewPCG(seed, 1)), s: s, msgs: map[string]*simMessage{},
+		endpoints: map[EndpointID]*simEndpoint{}, waitUntil: map[string]Micros{}, probed: map[EndpointID]int{},
+		keys: map[string][]*simMessage{}, pausedUntil: map[string]Micros{}, pausedBy: map[string]*simMessage{},
+		outage: [2]Micros{12 * Second, 20 * Second}, burst: 15}
 }
 
 // play runs 40 seconds of random traffic.
-func (w *world) play() {
-	var first Endpoints
-	first.Form = ListCached
+func (w *simulation) play() {
+	var first EndpointUpdate
+	first.Kind = UpdateCached
 	for i := 0; i < 8; i++ {
-		row := Entry{Endpoint: EndpointID(100 + i), Dest: int64(1 + i/2), Kind: (i / 2) % len(w.set.Kinds),
-			Zone: i % max(w.set.Zones, 1), Nominal: 6}
-		w.eps[row.Endpoint] = &wep{row: row}
+		row := EndpointEntry{Endpoint: EndpointID(100 + i), Dest: int64(1 + i/2), Kind: (i / 2) % len(w.set.Kinds),
+			Zone: i % max(w.set.Zones, 1), NominalRate: 6}
+		w.endpoints[row.Endpoint] = &simEndpoint{entry: row}
 		w.order = append(w.order, row.Endpoint)
 		first.Entries = append(first.Entries, row)
 	}
@@ -164,46 +167,46 @@
 	for w.now < 60*Second {
 		w.now += w.set.Tick
 		var evs []Event
-		evs = append(evs, w.due()...)
+		evs = append(evs, w.dueEvents()...)
 		if w.now < 40*Second && w.now >= next {
-			next = w.now + Micros(w.rnd.IntN(150_000))
+			next = w.now + Micros(w.rng.IntN(150_000))
 			evs = append(evs, w.arrival())
-			if w.rnd.IntN(40) == 0 { // a clump
-				for range w.clump {
+			if w.rng.IntN(40) == 0 { // a clump
+				for range w.burst {
 					evs = append(evs, w.arrival())
 				}
 			}
 		}
-		if w.rnd.IntN(1500) == 0 {
+		if w.rng.IntN(1500) == 0 {
 			evs = append(evs, w.change())
 		}
-		if w.rnd.IntN(900) == 0 && len(w.ids) > 0 {
-			m := w.msgs[w.ids[w.rnd.IntN(len(w.ids))]]
+		if w.rng.IntN(900) == 0 && len(w.ids) > 0 {
+			m := w.msgs[w.ids[w.rng.IntN(len(w.ids))]]
 			m.ended = true // withdrawn, or ended long ago
-			evs = append(evs, ClientGone{m.id}, ClientGone{"nobody"}, Due{3})
+			evs = append(evs, ClientGone{m.id}, ClientGone{"nobody"}, TimerFired{3})
 		}
 		if len(evs) > 0 {
 			w.run(evs...)
 		}
-		w.live = slices.DeleteFunc(w.live, func(m *wmsg) bool { return m.ended })
+		w.live = slices.DeleteFunc(w.live, func(m *simMessage) bool { return m.ended })
 		for _, m := range w.live {
 			if w.now > m.deadline {
-				w.bad("message %s of class %s has no answer at its deadline", m.id, m.class.Name)
+				w.fatalf("message %s of class %s has no answer at its deadline", m.id, m.class.Name)
 			}
 		}
 	}
 }
 
-func (w *world) arrival() Event {
-	ci := w.rnd.IntN(len(w.set.Classes))
+func (w *simulation) arrival() Event {
+	ci := w.rng.IntN(len(w.set.Classes))
 	c := w.set.Classes[ci]
-	m := &wmsg{id: fmt.Sprint("r", len(w.ids)), class: c, dest: int64(1 + w.rnd.IntN(5))}
+	m := &simMessage{id: fmt.Sprint("r", len(w.ids)), class: c, dest: int64(1 + w.rng.IntN(5))}
 	left := c.Deadline
-	if w.rnd.IntN(5) == 0 {
+	if w.rng.IntN(5) == 0 {
 		left = c.Deadline / 3
 	}
 	if c.KeepOrder {
-		m.key = fmt.Sprint("k", w.rnd.IntN(4))
+		m.key = fmt.Sprint("k", w.rng.IntN(4))
 		w.keys[m.key] = append(w.keys[m.key], m)
 	}
 	m.deadline = w.now + left
@@ -212,39 +215,39 @@
 	w.live = append(w.live, m)
 	tenant := -1
 	if n := len(w.set.Tenants); n > 0 {
-		tenant = w.rnd.IntN(n)
+		tenant = w.rng.IntN(n)
 	}
-	return Call{ID: m.id, Left: left, Key: m.key, Dest: m.dest, Tenant: tenant, Class: ci}
+	return Message{ID: m.id, TimeLeft: left, OrderKey: m.key, Dest: m.dest, Tenant: tenant, Class: ci}
 }
 
 // change drains, removes or adds an endpoint.
-func (w *world) change() Event {
-	id := w.order[w.rnd.IntN(len(w.order))]
-	e := w.eps[id]
-	row := e.row
-	switch w.rnd.IntN(3) {
+func (w *simulation) change() Event {
+	id := w.order[w.rng.IntN(len(w.order))]
+	e := w.endpoints[id]
+	row := e.entry
+	switch w.rng.IntN(3) {
 	case 0:
 		row.State = Draining
 	case 1:
-		row.State = Gone
+		row.State = Removed
 	}
 	if row.State == Ready {
 		e.closed = false
 	} else if !e.closed {
-		e.closed, e.told = true, w.now
+		e.closed, e.closedAt = true, w.now
 	}
-	return Endpoints{Form: ListDelta, Entries: []Entry{row}}
+	return EndpointUpdate{Kind: UpdateDelta, Entries: []EndpointEntry{row}}
 }
 
-func (w *world) due() (evs []Event) {
-	var rest []wevent
+func (w *simulation) dueEvents() (evs []Event) {
+	var rest []simEvent
 	for _, q := range w.queue {
 		if q.at > w.now {
 			rest = append(rest, q)
 			continue
 		}
-		if r, ok := q.ev.(Reply); ok {
-			q.ev = w.land(r, q.own, q.cl)
+		if r, ok := q.ev.(AttemptResult); ok {
+			q.ev = w.applyResult(r, q.msg, q.call)
 		}
 		evs = append(evs, q.ev)
 	}
@@ -253,139 +256,139 @@
 }
 
 // land applies the outcome of an attempt to what the rules know.
-func (w *world) land(r Reply, m *wmsg, c *wcall) Reply {
+func (w *simulation) applyResult(r AttemptResult, m *simMessage, c *simCall) AttemptResult {
 	if c.open--; c.open == 0 {
-		w.slots--
+		w.slotsUsed--
 	}
-	m.out = false
-	if r.Outcome != Full && r.Outcome != RefusedConn && r.Outcome != Moot {
-		m.mayRun = true
+	m.inFlight = false
+	if r.Outcome != Refused && r.Outcome != ConnRefused && r.Outcome != Skipped {
+		m.mayHaveRun = true
 	}
-	if r.Outcome == Completed {
+	if r.Outcome == Delivered {
 		m.ended = true
 	}
-	r.NoMore = m.ended
-	if m.key != "" && (r.Outcome == Overdue || r.Outcome == Severed || r.Outcome == Recalled) {
-		w.quiet[m.key], w.quietBy[m.key] = w.now+w.set.KeyQuiet, m
+	r.Final = m.ended
+	if m.key != "" && (r.Outcome == TimedOut || r.Outcome == ConnLost || r.Outcome == Cancelled) {
+		w.pausedUntil[m.key], w.pausedBy[m.key] = w.now+w.set.KeyCooldown, m
 	}
-	e := w.eps[r.Endpoint]
-	if r.Wait > 0 {
-		w.waits[w.lane(e)] = max(w.waits[w.lane(e)], w.now+r.Wait)
+	e := w.endpoints[r.Endpoint]
+	if r.RetryAfter > 0 {
+		w.waitUntil[w.laneKey(e)] = max(w.waitUntil[w.laneKey(e)], w.now+r.RetryAfter)
 	}
-	if e.row.Dest == 1 && w.now > w.outage[0] && w.now < w.outage[1] && r.Outcome == RefusedConn {
-		w.knows = true
+	if e.entry.Dest == 1 && w.now > w.outage[0] && w.now < w.outage[1] && r.Outcome == ConnRefused {
+		w.sawOutage = true
 	}
 	return r
 }
 
-func (w *world) outcome(e *wep) (Outcome, Micros, Micros) {
-	if e.row.Dest == 1 && w.now > w.outage[0] && w.now < w.outage[1] {
-		return RefusedConn, 20_000, 0
+func (w *simulation) outcome(e *simEndpoint) (Outcome, Micros, Micros) {
+	if e.entry.Dest == 1 && w.now > w.outage[0] && w.now < w.outage[1] {
+		return ConnRefused, 20_000, 0
 	}
-	took := Micros(20_000 + w.rnd.IntN(300_000))
-	switch x := w.rnd.IntN(100); {
+	took := Micros(20_000 + w.rng.IntN(300_000))
+	switch x := w.rng.IntN(100); {
 	case x < 70:
-		return Completed, took, 0
+		return Delivered, took, 0
 	case x < 76:
 		return Errored, took, 0
 	case x < 80:
-		return Severed, took, 0
+		return ConnLost, took, 0
 	case x < 84:
-		return RefusedConn, took, 0
+		return ConnRefused, took, 0
 	case x < 94:
 		wait := Micros(0)
-		if w.rnd.IntN(2) == 0 {
-			wait = Micros(w.rnd.IntN(3_000_000))
+		if w.rng.IntN(2) == 0 {
+			wait = Micros(w.rng.IntN(3_000_000))
 		}
-		return Full, 20_000, wait
+		return Refused, 20_000, wait
 	}
-	return Overdue, never, 0 // silent: ends when given up or called off
+	return TimedOut, never, 0 // silent: ends when given up or called off
 }
 
 // run makes one step and checks all its actions.
-func (w *world) run(evs ...Event) {
-	opened := map[EndpointID]*wcall{}
+func (w *simulation) run(evs ...Event) {
+	opened := map[EndpointID]*simCall{}
 	count := map[EndpointID]int{}
-	if w.each != nil {
-		w.each()
+	if w.beforeStep != nil {
+		w.beforeStep()
 	}
 	acts := w.s.Step(w.now, evs)
 	w.checkOutOfRotation(w.s)
 	if w.twin != nil {
-		w.sameAs(acts, w.twin.Step(w.now, evs))
+		w.compareActions(acts, w.twin.Step(w.now, evs))
 		w.checkOutOfRotation(w.twin)
 	}
-	if w.after != nil {
-		w.after(evs, acts)
+	if w.afterStep != nil {
+		w.afterStep(evs, acts)
 	}
 	for _, a := range acts {
 		w.trace = append(w.trace, fmt.Sprintf("%d %#v", w.now, a))
 		switch a := a.(type) {
-		case CallOut:
-			m, e := w.msgs[a.ID], w.eps[a.Endpoint]
+		case Send:
+			m, e := w.msgs[a.ID], w.endpoints[a.Endpoint]
 			w.checkSend(m, e)
 			c := opened[a.Endpoint]
-			if c == nil || count[a.Endpoint]%max(w.set.Kinds[e.row.Kind].Batch, 1) == 0 {
-				c = &wcall{}
+			if c == nil || count[a.Endpoint]%max(w.set.Kinds[e.entry.Kind].MaxBatch, 1) == 0 {
+				c = &simCall{}
 				opened[a.Endpoint] = c
-				if w.slots++; w.slots > w.set.Slots {
-					w.bad("more calls out than slots")
+				if w.slotsUsed++; w.slotsUsed > w.set.CallSlots {
+					w.fatalf("more calls out than slots")
 				}
 				w.checkCold(e)
 			}
 			count[a.Endpoint]++
 			c.open++
 			o, took, wait := w.outcome(e)
-			if took >= a.GiveUp {
-				o, took, wait = Overdue, a.GiveUp, 0
+			if took >= a.Timeout {
+				o, took, wait = TimedOut, a.Timeout, 0
 			}
-			w.queue = append(w.queue, wevent{w.now + took, Reply{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.tries,
-				Outcome: o, Took: took, Wait: wait, Load: w.load()}, m, c})
-			m.tries++
+			w.queue = append(w.queue, simEvent{w.now + took, AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.attempts,
+				Outcome: o, Latency: took, RetryAfter: wait, Load: w.load()}, m, c})
+			m.attempts++
 		case Cancel:
 			if !w.set.MayCancel {
-				w.bad("cancel where none is allowed")
+				w.fatalf("cancel where none is allowed")
 			}
 			for i, q := range w.queue {
-				if r, ok := q.ev.(Reply); ok && r.ID == a.ID && r.Attempt == a.Attempt {
-					r.Outcome, r.Wait = Recalled, 0
+				if r, ok := q.ev.(AttemptResult); ok && r.ID == a.ID && r.Attempt == a.Attempt {
+					r.Outcome, r.RetryAfter = Cancelled, 0
 					w.queue[i].ev, w.queue[i].at = r, w.now+w.set.Tick
 				}
 			}
-		case Refuse:
+		case Reject:
 			m := w.msgs[a.ID]
-			if m.ended && m.deadline > w.now && !m.class.KeepOrder && m.out {
-				w.bad("refused a message with an attempt out")
+			if m.ended && m.deadline > w.now && !m.class.KeepOrder && m.inFlight {
+				w.fatalf("refused a message with an attempt out")
 			}
-			if m.mayRun && m.class.Effect == Unsafe || m.mayRun && m.class.ByZone || m.out {
-				w.bad("refused %s, which may have run", a.ID)
+			if m.mayHaveRun && m.class.Idempotency == NonIdempotent || m.mayHaveRun && m.class.DedupPerZone || m.inFlight {
+				w.fatalf("refused %s, which may have run", a.ID)
 			}
-			if a.RetryIn > w.set.MaxRetryAfter || a.RetryIn > 0 && !w.set.RetryAfter {
-				w.bad("advice of %d", a.RetryIn)
+			if a.RetryAfter > w.set.MaxRetryAfter || a.RetryAfter > 0 && !w.set.RetryAfter {
+				w.fatalf("advice of %d", a.RetryAfter)
 			}
-			w.end(m)
+			w.endMessage(m)
 		case Fail:
-			w.end(w.msgs[a.ID])
+			w.endMessage(w.msgs[a.ID])
 		case SetTimer:
-			w.queue = append(w.queue, wevent{w.now + max(a.Wait, 1), Due{a.Token}, nil, nil})
+			w.queue = append(w.queue, simEvent{w.now + max(a.Wait, 1), TimerFired{a.Token}, nil, nil})
 		case Probe:
 			if !w.set.Probing {
-				w.bad("probe where none is allowed")
+				w.fatalf("probe where none is allowed")
 			}
-			e := w.eps[a.Endpoint]
+			e := w.endpoints[a.Endpoint]
 			w.checkEndpoint(e)
 			w.checkCold(e)
 			o, took, _ := w.outcome(e)
-			if o == Overdue {
+			if o == TimedOut {
 				took = Second
 			}
-			w.queue = append(w.queue, wevent{w.now + took, HealthResult{a.Endpoint, o, nil}, nil, nil})
+			w.queue = append(w.queue, simEvent{w.now + took, ProbeResult{a.Endpoint, o, nil}, nil, nil})
 		}
 	}
 }
 
 // checkOutOfRotation compares what the Sender keeps count of with what a walk over its list finds.
-func (w *world) checkOutOfRotation(s *Sender) {
+func (w *simulation) checkOutOfRotation(s *Sender) {
 	n := 0
 	for _, d := range s.order {
 		for _, e := range d.eps {
@@ -394,93 +397,93 @@
 			}
 		}
 	}
-	w.mostOut = max(w.mostOut, n)
+	w.maxOutOfRotation = max(w.maxOutOfRotation, n)
 	if s.OutOfRotation() != n {
-		w.bad("%d endpoints out of rotation, want %d", s.OutOfRotation(), n)
+		w.fatalf("%d endpoints out of rotation, want %d", s.OutOfRotation(), n)
 	}
 }
 
-func (w *world) end(m *wmsg) {
-	if m.ended && !m.mayRun && w.now <= m.deadline {
-		w.bad("%s ended twice", m.id)
+func (w *simulation) endMessage(m *simMessage) {
+	if m.ended && !m.mayHaveRun && w.now <= m.deadline {
+		w.fatalf("%s ended twice", m.id)
 	}
 	m.ended = true
 }
 
-func (w *world) load() []float64 {
-	if w.set.ReportLimit < 0 {
+func (w *simulation) load() []float64 {
+	if w.set.LoadLimitIndex < 0 {
 		return nil
 	}
-	return []float64{w.rnd.Float64(), 4 + 4*w.rnd.Float64()}
+	return []float64{w.rng.Float64(), 4 + 4*w.rng.Float64()}
 }
 
-func (w *world) checkEndpoint(e *wep) {
-	if e.closed && w.now > e.told+w.set.DrainGrace {
-		w.bad("sent to an endpoint that drains or is gone")
+func (w *simulation) checkEndpoint(e *simEndpoint) {
+	if e.closed && w.now > e.closedAt+w.set.DrainGrace {
+		w.fatalf("sent to an endpoint that drains or is gone")
 	}
-	if w.now < w.waits[w.lane(e)] {
-		w.bad("sent before a told wait was over")
+	if w.now < w.waitUntil[w.laneKey(e)] {
+		w.fatalf("sent before a told wait was over")
 	}
 }
 
-func (w *world) checkSend(m *wmsg, e *wep) {
+func (w *simulation) checkSend(m *simMessage, e *simEndpoint) {
 	w.checkEndpoint(e)
 	c := m.class
 	switch {
 	case m.ended:
-		w.bad("sent %s after its end", m.id)
-	case m.out:
-		w.bad("two attempts of %s at once", m.id)
-	case e.row.Dest != m.dest:
-		w.bad("sent %s elsewhere", m.id)
-	case m.mayRun && c.Effect == Unsafe:
-		w.bad("unsafe %s sent again", m.id)
-	case m.mayRun && c.Effect == Keyed && (w.now > m.firstMay+c.Window || c.ByZone && e.row.Zone != m.zone):
-		w.bad("keyed %s sent outside its group or window", m.id)
-	case w.set.MaxTries > 0 && m.tries >= w.set.MaxTries:
-		w.bad("too many attempts of %s", m.id)
+		w.fatalf("sent %s after its end", m.id)
+	case m.inFlight:
+		w.fatalf("two attempts of %s at once", m.id)
+	case e.entry.Dest != m.dest:
+		w.fatalf("sent %s elsewhere", m.id)
+	case m.mayHaveRun && c.Idempotency == NonIdempotent:
+		w.fatalf("unsafe %s sent again", m.id)
+	case m.mayHaveRun && c.Idempotency == IdempotentByKey && (w.now > m.firstMayHaveRun+c.DedupWindow || c.DedupPerZone && e.entry.Zone != m.zone):
+		w.fatalf("keyed %s sent outside its group or window", m.id)
+	case w.set.MaxAttempts > 0 && m.attempts >= w.set.MaxAttempts:
+		w.fatalf("too many attempts of %s", m.id)
 	}
 	if m.key != "" {
 		for _, x := range w.keys[m.key] {
 			if x == m {
 				break
 			}
-			if !x.ended || x.out {
-				w.bad("%s sent before %s of its key was over", m.id, x.id)
+			if !x.ended || x.inFlight {
+				w.fatalf("%s sent before %s of its key was over", m.id, x.id)
 			}
 		}
-		if w.now < w.quiet[m.key] && w.quietBy[m.key] != m {
-			w.bad("%s sent while its key rests", m.id)
+		if w.now < w.pausedUntil[m.key] && w.pausedBy[m.key] != m {
+			w.fatalf("%s sent while its key rests", m.id)
 		}
 	}
-	m.out = true
-	if !m.mayRun {
-		m.firstMay, m.zone = w.now, e.row.Zone
+	m.inFlight = true
+	if !m.mayHaveRun {
+		m.firstMayHaveRun, m.zone = w.now, e.entry.Zone
 	}
 }
 
 // checkCold holds what goes to destination 1 after its outage against the figures of the rule, for one sender
 // that takes no more than its share, plus six calls for chance and for an endpoint not tried during the outage.
-func (w *world) checkCold(e *wep) {
-	if e.row.Dest == 1 && w.now < w.outage[0] {
-		w.wellSent = append(w.wellSent, w.now)
-		w.peak = max(w.peak, float64(since(w.wellSent, w.now-Second)))
+func (w *simulation) checkCold(e *simEndpoint) {
+	if e.entry.Dest == 1 && w.now < w.outage[0] {
+		w.sentBeforeOutage = append(w.sentBeforeOutage, w.now)
+		w.peak = max(w.peak, float64(since(w.sentBeforeOutage, w.now-Second)))
 	}
-	if e.row.Dest != 1 || !w.knows || w.now < w.outage[1] || w.now > w.outage[1]+w.set.WarmAfter {
+	if e.entry.Dest != 1 || !w.sawOutage || w.now < w.outage[1] || w.now > w.outage[1]+w.set.WarmupTime {
 		return
 	}
-	up := w.set.ColdFrom + (1-w.set.ColdFrom)*seconds(w.now-w.outage[1])/seconds(w.set.WarmAfter)
+	up := w.set.ColdCapacity + (1-w.set.ColdCapacity)*seconds(w.now-w.outage[1])/seconds(w.set.WarmupTime)
 	routes := 1.0
-	if w.set.Kinds[e.row.Kind].Apart {
+	if w.set.Kinds[e.entry.Kind].SeparateRoutes {
 		routes = 2
 	}
 	limit := 8.0 // the most that a report tells; where none is told, the sender's best second stands for it
-	if w.set.Weights == WeightsOff && w.set.ReportLimit < 0 {
+	if w.set.Weights == WeightsOff && w.set.LoadLimitIndex < 0 {
 		limit = max(limit, w.peak)
 	}
-	most := w.set.FallMultiple*up*limit*routes*seconds(w.set.FallWindow)/float64(w.set.Senders) + 6*routes
-	w.coldSent = append(w.coldSent, w.now)
-	if n := since(w.coldSent, w.now-w.set.FallWindow); float64(n) > most {
-		w.bad("%d calls in a fall window to a cold destination, want at most %.1f", n, most)
+	most := w.set.OverloadMultiple*up*limit*routes*seconds(w.set.OverloadWindow)/float64(w.set.Senders) + 6*routes
+	w.sentAfterOutage = append(w.sentAfterOutage, w.now)
+	if n := since(w.sentAfterOutage, w.now-w.set.OverloadWindow); float64(n) > most {
+		w.fatalf("%d calls in a fall window to a cold destination, want at most %.1f", n, most)
 	}
 }
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -46,7 +46,7 @@
 // slotsTaken holds ten messages at each of many destinations that all answer, for a few slots.
 func slotsTaken(tb testing.TB, n int) *load {
 	l := newLoad(tb, n/10, 10)
-	l.s.set.Slots = 8
+	l.s.set.CallSlots = 8
 	at := 0
 	l.next = func() int64 { at++; return int64(at % (n / 10) * 10) }
 	l.fill(n)
@@ -56,24 +56,24 @@
 // trialsScarce is mostDown with fewer slots for trials than trials that are due.
 func trialsScarce(tb testing.TB, n int) *load {
 	l := mostDown(tb, n)
-	l.s.set.Senders, l.s.set.Slots, l.s.many = 2, 4, false
+	l.s.set.Senders, l.s.set.CallSlots, l.s.many = 2, 4, false
 	return l
 }
 
 // newLoad makes a Sender for some destinations, numbered in steps.
 func newLoad(tb testing.TB, dests, by int) *load {
-	set := base()
-	set.Senders, set.Slots, set.MaxOpen, set.MaxTries, set.Weights = 580, 256, 0, 0, WeightsNominal
+	set := baseSettings()
+	set.Senders, set.CallSlots, set.MaxOpen, set.MaxAttempts, set.Weights = 580, 256, 0, 0, WeightsNominal
 	for i := range set.Classes {
-		set.Classes[i].Deadline, set.Classes[i].Window = 36000*Second, 36000*Second
+		set.Classes[i].Deadline, set.Classes[i].DedupWindow = 36000*Second, 36000*Second
 	}
 	s, err := New(set, 1)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	ev := Endpoints{Form: ListFull}
+	ev := EndpointUpdate{Kind: UpdateFull}
 	for i := range dests {
-		ev.Entries = append(ev.Entries, Entry{Endpoint: EndpointID(i * by), Dest: int64(i * by), Nominal: 100})
+		ev.Entries = append(ev.Entries, EndpointEntry{Endpoint: EndpointID(i * by), Dest: int64(i * by), NominalRate: 100})
 	}
 	return &load{s: s, evs: []Event{ev}}
 }
@@ -90,7 +90,7 @@
 
 func (l *load) call() {
 	class := l.n % len(l.s.set.Classes)
-	l.evs = append(l.evs, Call{ID: fmt.Sprint(l.n), Left: l.s.set.Classes[class].Deadline, Dest: l.next(), Tenant: -1,
+	l.evs = append(l.evs, Message{ID: fmt.Sprint(l.n), TimeLeft: l.s.set.Classes[class].Deadline, Dest: l.next(), Tenant: -1,
 		Class: class})
 	l.n++
 }
@@ -99,10 +99,10 @@
 	l.now += l.s.set.Tick
 	acts := l.s.Step(l.now, l.evs)
 	l.evs = nil
-	for _, c := range only[CallOut](acts) {
-		r := Reply{ID: c.ID, Endpoint: c.Endpoint, Attempt: l.s.msgs[c.ID].tries - 1, Outcome: RefusedConn}
+	for _, c := range actionsOf[Send](acts) {
+		r := AttemptResult{ID: c.ID, Endpoint: c.Endpoint, Attempt: l.s.msgs[c.ID].tries - 1, Outcome: ConnRefused}
 		if up(c.Endpoint) {
-			r.Outcome, r.NoMore, r.Took = Completed, true, l.s.set.Tick
+			r.Outcome, r.Final, r.Latency = Delivered, true, l.s.set.Tick
 			l.call()
 		}
 		l.evs = append(l.evs, r)
@@ -134,7 +134,7 @@
 		l.step()
 		visits += float64(l.s.visits)
 		for _, ev := range l.evs {
-			if _, ok := ev.(Reply); ok {
+			if _, ok := ev.(AttemptResult); ok {
 				calls++
 			}
 		}
@@ -167,17 +167,17 @@
 // quiet makes a Sender that holds n messages at one paced destination, all of them long past their aim.
 func quiet(t *testing.T, n int) *load {
 	l := newLoad(t, 1, 1)
-	l.s.set.Halves = true
+	l.s.set.ExponentialDecay = true
 	l.next = func() int64 { return 0 }
 	for range n {
 		l.call()
 	}
-	l.evs = append(l.evs, Call{ID: "riser", Left: 36000*Second + 20*Second, Dest: 0, Tenant: -1, Class: 1})
+	l.evs = append(l.evs, Message{ID: "riser", TimeLeft: 36000*Second + 20*Second, Dest: 0, Tenant: -1, Class: 1})
 	l.s.Step(0, l.evs)
 	l.s.dests[0].lane.until = 15 * Second
 	l.evs = nil
 	for _, a := range l.s.flying {
-		l.evs = append(l.evs, Reply{ID: a.m.id, Endpoint: a.ep.id, NoMore: true, Took: l.s.set.Tick})
+		l.evs = append(l.evs, AttemptResult{ID: a.m.id, Endpoint: a.ep.id, Final: true, Latency: l.s.set.Tick})
 	}
 	return l
 }
@@ -186,12 +186,12 @@
 func (l *load) until(t *testing.T, id string) (n int) {
 	for range 2000 {
 		l.now += l.s.set.Tick
-		acts := only[CallOut](l.s.Step(l.now, l.evs))
+		acts := actionsOf[Send](l.s.Step(l.now, l.evs))
 		l.evs = nil
 		for _, c := range acts {
-			l.evs = append(l.evs, Reply{ID: c.ID, Endpoint: c.Endpoint, NoMore: true, Took: l.s.set.Tick})
+			l.evs = append(l.evs, AttemptResult{ID: c.ID, Endpoint: c.Endpoint, Final: true, Latency: l.s.set.Tick})
 		}
-		if i := slices.IndexFunc(acts, func(c CallOut) bool { return c.ID == id }); i >= 0 {
+		if i := slices.IndexFunc(acts, func(c Send) bool { return c.ID == id }); i >= 0 {
 			return n + i
 		}
 		n += len(acts)
@@ -205,14 +205,14 @@
 	for _, n := range []int{1000, 5000} {
 		l := quiet(t, n)
 		l.now = 14 * Second
-		l.evs = append(l.evs, Call{ID: "new", Left: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
+		l.evs = append(l.evs, Message{ID: "new", TimeLeft: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
 		if k := l.until(t, "new"); k > 0 {
 			t.Errorf("of %d: %d calls before that for the new message", n, k)
 		}
 		// One that rests meanwhile is not lost sight of.
 		l.s.dests[0].lane.until = l.now + 2*Second
 		l.now += l.s.set.Tick
-		l.evs = append(l.evs, Call{ID: "rests", Left: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
+		l.evs = append(l.evs, Message{ID: "rests", TimeLeft: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
 		l.s.Step(l.now, l.evs)
 		l.s.msgs["rests"].rest = l.now + Second
 		l.evs = nil
@@ -228,8 +228,8 @@
 			t.Errorf("of %d: %d calls before that for the one that has rested", n, k)
 		}
 		m := l.s.msgs["riser"]
-		m.first = l.now + Second/2 - m.class.Aim // its time comes in half a second
-		if k := l.until(t, "riser"); k > 50+n/part {
+		m.first = l.now + Second/2 - m.class.TargetLatency // its time comes in half a second
+		if k := l.until(t, "riser"); k > 50+n/sampleSize {
 			t.Errorf("of %d: %d calls before that for the one that has become urgent", n, k)
 		}
 	}
@@ -240,15 +240,15 @@
 	l := newLoad(t, 1, 10)
 	l.s.set.Classes[0].KeepOrder, l.s.set.Weights = true, WeightsOff
 	for i := range 2000 {
-		l.evs = append(l.evs, Call{ID: fmt.Sprint(i), Left: 36000 * Second, Key: "k", Dest: 0, Tenant: -1})
+		l.evs = append(l.evs, Message{ID: fmt.Sprint(i), TimeLeft: 36000 * Second, OrderKey: "k", Dest: 0, Tenant: -1})
 	}
 	for i := range 400 {
 		l.now += l.s.set.Tick
-		out := only[CallOut](l.s.Step(l.now, l.evs))
+		out := actionsOf[Send](l.s.Step(l.now, l.evs))
 		if len(out) != 1 || out[0].ID != fmt.Sprint(i) {
 			t.Fatalf("step %d: %v", i, out)
 		}
-		l.evs = []Event{Reply{ID: out[0].ID, NoMore: true, Took: l.s.set.Tick}}
+		l.evs = []Event{AttemptResult{ID: out[0].ID, Final: true, Latency: l.s.set.Tick}}
 		checkBooks(t, l.s)
 	}
 }
@@ -258,16 +258,16 @@
 	l := mostDown(t, 2000)
 	l.s.set.Classes[1].KeepOrder = true
 	for i := range 1900 {
-		l.evs = append(l.evs, Call{ID: fmt.Sprint("k", i), Left: 36000 * Second, Key: "k", Dest: 0, Tenant: -1, Class: 1})
+		l.evs = append(l.evs, Message{ID: fmt.Sprint("k", i), TimeLeft: 36000 * Second, OrderKey: "k", Dest: 0, Tenant: -1, Class: 1})
 	}
 	for i := range 20 {
-		l.evs = append(l.evs, Call{ID: fmt.Sprint("p", i), Left: 36000 * Second, Dest: 0, Tenant: -1})
+		l.evs = append(l.evs, Message{ID: fmt.Sprint("p", i), TimeLeft: 36000 * Second, Dest: 0, Tenant: -1})
 	}
 	l.s.eps[0].state = Draining
 	l.now += l.s.set.Tick
 	l.s.Step(l.now, l.evs)
 	l.s.keys["k"].q[0].rest = 36000 * Second // so the others wait for it
-	l.evs = []Event{Endpoints{Entries: []Entry{{Endpoint: 0, Dest: 0, Nominal: 100}}}}
+	l.evs = []Event{EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 0, Dest: 0, NominalRate: 100}}}}
 	l.next = func() int64 { return 10 } // none comes here any more
 	for range 150 {
 		l.step()
@@ -301,10 +301,14 @@
 func TestChangeIsLookedAt(t *testing.T) {
 	for name, change := range map[string]func(i int) Event{
 		"gone": func(i int) Event {
-			return Endpoints{Entries: []Entry{{Endpoint: EndpointID(i), Dest: int64(i), State: Gone}}}
+			return EndpointUpdate{Entries: []EndpointEntry{{Endpoint: EndpointID(i), Dest: int64(i), State: Removed}}}
+		},
+		"listed": func(i int) Event {
+			return EndpointUpdate{Entries: []EndpointEntry{{Endpoint: EndpointID(i), Dest: int64(i)}}}
+		},
+		"new": func(i int) Event {
+			return Message{ID: fmt.Sprint("new", i), TimeLeft: Second, Dest: int64(i), Tenant: -1}
 		},
-		"listed": func(i int) Event { return Endpoints{Entries: []Entry{{Endpoint: EndpointID(i), Dest: int64(i)}}} },
-		"new":    func(i int) Event { return Call{ID: fmt.Sprint("new", i), Left: Second, Dest: int64(i), Tenant: -1} },
 	} {
 		l := mostDown(t, 2000)
 		for i := 1; i < 10; i++ {
@@ -323,22 +327,22 @@
 	l.s.set.Weights = WeightsOff
 	l.s.dests[0].lane.limit = 0
 	for i := range 300 {
-		l.evs = append(l.evs, Call{ID: fmt.Sprint("r", i), Left: 36000 * Second, Dest: 0, Tenant: -1})
+		l.evs = append(l.evs, Message{ID: fmt.Sprint("r", i), TimeLeft: 36000 * Second, Dest: 0, Tenant: -1})
 	}
-	var out []CallOut
+	var out []Send
 	for range 20 { // those of the tens answer; the lane takes half of the slots
 		l.now += l.s.set.Tick
-		out = append(out, only[CallOut](l.s.Step(l.now, l.evs))...)
+		out = append(out, actionsOf[Send](l.s.Step(l.now, l.evs))...)
 		l.evs = nil
 	}
-	out = slices.DeleteFunc(out, func(c CallOut) bool { return c.Endpoint != 0 })
+	out = slices.DeleteFunc(out, func(c Send) bool { return c.Endpoint != 0 })
 	if len(out) < 100 || l.s.dests[0].backlog == nil {
 		t.Fatalf("%d calls, none waits: %v", len(out), l.s.dests[0].backlog == nil)
 	}
 	for _, c := range out[:20] {
 		l.now += l.s.set.Tick
-		acts := only[CallOut](l.s.Step(l.now, []Event{Reply{ID: c.ID, NoMore: true, Took: l.s.set.Tick}}))
-		if !slices.ContainsFunc(acts, func(c CallOut) bool { return c.Endpoint == 0 }) {
+		acts := actionsOf[Send](l.s.Step(l.now, []Event{AttemptResult{ID: c.ID, Final: true, Latency: l.s.set.Tick}}))
+		if !slices.ContainsFunc(acts, func(c Send) bool { return c.Endpoint == 0 }) {
 			t.Fatalf("after the reply for %s nothing is sent", c.ID)
 		}
 	}
@@ -348,7 +352,7 @@
 func TestEachIsLookedAtInTurn(t *testing.T) {
 	l := mostDown(t, 2000)
 	from := l.s.step
-	for range 4 * len(l.s.dests) / turns {
+	for range 4 * len(l.s.dests) / backlogsPerRound {
 		l.step()
 	}
 	for _, b := range l.s.wait.looks.items {
@@ -381,11 +385,11 @@
 	l = slotsTaken(t, 2000)
 	var replies []Event
 	for _, ev := range l.evs {
-		if r, ok := ev.(Reply); ok {
+		if r, ok := ev.(AttemptResult); ok {
 			replies = append(replies, r)
 		}
 	}
-	timer := only[SetTimer](l.s.Step(l.now+1000, append(replies, Closing{Left: 1})))
+	timer := actionsOf[SetTimer](l.s.Step(l.now+1000, append(replies, Shutdown{TimeLeft: 1})))
 	if len(l.s.wait.scarce[anySlot].items) == 0 || l.s.busy > 0 {
 		t.Fatalf("%d wait for a slot, %d are busy", len(l.s.wait.scarce[anySlot].items), l.s.busy)
 	}
@@ -412,12 +416,12 @@
 
 // A timer that goes off late, or a clock that jumps, makes ends late, and no more: all of them come in that step.
 func TestLateTimerEndsAll(t *testing.T) {
-	for _, few := range []int{0, fewWait} {
+	for _, few := range []int{0, scanAllLimit} {
 		l := mostDown(t, 2000)
 		l.s.few = few
 		l.now += 40000 * Second
 		acts := l.s.Step(l.now, l.evs)
-		if n := len(only[Refuse](acts)) + len(only[Fail](acts)); n < 2000 {
+		if n := len(actionsOf[Reject](acts)) + len(actionsOf[Fail](acts)); n < 2000 {
 			t.Errorf("%d ends", n)
 		}
 		if l.s.wait.count > 2 {
@@ -432,21 +436,21 @@
 	l := mostDown(t, 2000)
 	id := l.s.held[1000].id
 	for _, evs := range [][]Event{
-		{Call{ID: id, Left: 36000 * Second, Dest: 1, Tenant: -1}},                      // again, for another destination
-		{Call{ID: "none", Left: -Second, Dest: 77777, Tenant: 9, Class: 1}},            // over when it comes
-		{Call{ID: "odd", Dest: 1, Class: 99}, Call{ID: "odd", Dest: 1, Class: -1}},     // of no class
-		{Reply{ID: id, Attempt: 99}, Reply{ID: id, Attempt: -1}, ClientGone{"nobody"}}, // of nothing that is out
-		{ClientGone{id}, ClientGone{id}, Reply{ID: id}},
-		{Endpoints{Form: ListDelta, Entries: []Entry{{Endpoint: 1, Dest: 2}, {Endpoint: 2, Dest: 1}}}}, // moved
-		{Endpoints{Form: ListFull}}, // nothing is left
-		{Due{99}, Started{ID: id}, Closing{Left: Second}},
+		{Message{ID: id, TimeLeft: 36000 * Second, Dest: 1, Tenant: -1}},                               // again, for another destination
+		{Message{ID: "none", TimeLeft: -Second, Dest: 77777, Tenant: 9, Class: 1}},                     // over when it comes
+		{Message{ID: "odd", Dest: 1, Class: 99}, Message{ID: "odd", Dest: 1, Class: -1}},               // of no class
+		{AttemptResult{ID: id, Attempt: 99}, AttemptResult{ID: id, Attempt: -1}, ClientGone{"nobody"}}, // of nothing that is out
+		{ClientGone{id}, ClientGone{id}, AttemptResult{ID: id}},
+		{EndpointUpdate{Kind: UpdateDelta, Entries: []EndpointEntry{{Endpoint: 1, Dest: 2}, {Endpoint: 2, Dest: 1}}}}, // moved
+		{EndpointUpdate{Kind: UpdateFull}},                                                                            // nothing is left
+		{TimerFired{99}, StreamStarted{ID: id}, Shutdown{TimeLeft: Second}},
 	} {
 		l.s.Step(l.now, evs)
 		checkBooks(t, l.s)
 	}
 	l.s.Step(0, nil) // a clock that goes back
 	checkBooks(t, l.s)
-	l.s.Step(never, []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}}}) // and one that runs out
+	l.s.Step(never, []Event{EndpointUpdate{Kind: UpdateFull, Entries: []EndpointEntry{{Endpoint: 1, Dest: 1}}}}) // and one that runs out
 	checkBooks(t, l.s)
 	if l.s.wait.count > 0 {
 		t.Errorf("%d wait past the end of time", l.s.wait.count)
@@ -457,29 +461,29 @@
 // are looked at, and as much is delivered.
 func TestFullHoldWhereManyWait(t *testing.T) {
 	play := func(few int) (delivered, returned int) {
-		set := base()
-		set.MaxOpen, set.Senders, set.MaxTries, set.Slots = 1500, 1, 0, 64
+		set := baseSettings()
+		set.MaxOpen, set.Senders, set.MaxAttempts, set.CallSlots = 1500, 1, 0, 64
 		s, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.few = few
-		evs := []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}}}
+		evs := []Event{EndpointUpdate{Kind: UpdateFull, Entries: []EndpointEntry{{Endpoint: 1, Dest: 1}}}}
 		n := 0
 		for now := Micros(0); now < 40*Second; now += set.Tick {
 			for range 2 { // 400 a second
 				if n++; s.open < set.MaxOpen {
-					evs = append(evs, Call{ID: fmt.Sprint(n), Left: set.Classes[n%2].Deadline, Dest: 1, Tenant: -1, Class: n % 2})
+					evs = append(evs, Message{ID: fmt.Sprint(n), TimeLeft: set.Classes[n%2].Deadline, Dest: 1, Tenant: -1, Class: n % 2})
 				}
 			}
 			s.dest(1).lane.pace = 100
 			acts := s.Step(now, evs)
 			evs = nil
-			for _, c := range only[CallOut](acts) {
+			for _, c := range actionsOf[Send](acts) {
 				delivered++
-				evs = append(evs, Reply{ID: c.ID, Endpoint: 1, Attempt: s.msgs[c.ID].tries - 1, NoMore: true, Took: set.Tick})
+				evs = append(evs, AttemptResult{ID: c.ID, Endpoint: 1, Attempt: s.msgs[c.ID].tries - 1, Final: true, Latency: set.Tick})
 			}
-			for _, r := range only[Refuse](acts) {
+			for _, r := range actionsOf[Reject](acts) {
 				if s.now < Second {
 					t.Fatalf("%s is turned away by an empty hold", r.ID)
 				}
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -2,47 +2,47 @@
 
 import "fmt"
 
-// check says which setting makes no sense.
-func check(set *Settings) error {
-	bad := func(field string) error { return fmt.Errorf("settings: %s makes no sense", field) }
+// validate returns an error that names the first invalid setting.
+func validate(set *Settings) error {
+	invalid := func(field string) error { return fmt.Errorf("settings: invalid %s", field) }
 	switch {
 	case len(set.Classes) == 0:
-		return bad("Classes")
+		return invalid("Classes")
 	case set.Senders < 1:
-		return bad("Senders")
+		return invalid("Senders")
 	case set.Zones < 0 || set.Zone < 0 || set.Zone >= max(set.Zones, 1):
-		return bad("Zone")
-	case set.Slots < 0:
-		return bad("Slots")
+		return invalid("Zone")
+	case set.CallSlots < 0:
+		return invalid("CallSlots")
 	case set.MaxOpen < 0:
-		return bad("MaxOpen")
-	case set.MaxTries < 0:
-		return bad("MaxTries")
+		return invalid("MaxOpen")
+	case set.MaxAttempts < 0:
+		return invalid("MaxAttempts")
 	case set.Tick < 0:
-		return bad("Tick")
+		return invalid("Tick")
 	case set.MaxRetryAfter < 0:
-		return bad("MaxRetryAfter")
-	case set.DrainGrace < 0 || set.KeyQuiet < 0 || set.FallWindow < 0 || set.WarmAfter < 0:
-		return bad("a span of the rules")
-	case set.FallMultiple < 0:
-		return bad("FallMultiple")
-	case set.ColdFrom < 0 || set.ColdFrom > 1:
-		return bad("ColdFrom")
+		return invalid("MaxRetryAfter")
+	case set.DrainGrace < 0 || set.KeyCooldown < 0 || set.OverloadWindow < 0 || set.WarmupTime < 0:
+		return invalid("DrainGrace, KeyCooldown, OverloadWindow or WarmupTime")
+	case set.OverloadMultiple < 0:
+		return invalid("OverloadMultiple")
+	case set.ColdCapacity < 0 || set.ColdCapacity > 1:
+		return invalid("ColdCapacity")
 	}
 	for i, c := range set.Classes {
-		if c.Deadline <= 0 || min(c.Aim, c.Window) < 0 || min(c.Worth, c.LateWorth) < 0 ||
-			c.Effect < Safe || c.Effect > Unsafe {
-			return bad(fmt.Sprintf("Classes[%d]", i))
+		if c.Deadline <= 0 || min(c.TargetLatency, c.DedupWindow) < 0 || min(c.Value, c.LateValue) < 0 ||
+			c.Idempotency < Idempotent || c.Idempotency > NonIdempotent {
+			return invalid(fmt.Sprintf("Classes[%d]", i))
 		}
 	}
 	for i, t := range set.Tenants {
 		if t.QuotaRPS < 0 {
-			return bad(fmt.Sprintf("Tenants[%d]", i))
+			return invalid(fmt.Sprintf("Tenants[%d]", i))
 		}
 	}
 	for i, k := range set.Kinds {
-		if k.Batch < 0 {
-			return bad(fmt.Sprintf("Kinds[%d]", i))
+		if k.MaxBatch < 0 {
+			return invalid(fmt.Sprintf("Kinds[%d]", i))
 		}
 	}
 	return nil
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -12,10 +12,10 @@
 var destSizes = []int{350, 3500, 17500, 35000}
 
 // destList is a whole list of n destinations with two endpoints each.
-func destList(n int) Endpoints {
-	ev := Endpoints{Form: ListFull}
+func destList(n int) EndpointUpdate {
+	ev := EndpointUpdate{Kind: UpdateFull}
 	for i := range 2 * n {
-		ev.Entries = append(ev.Entries, Entry{Endpoint: EndpointID(i + 1), Dest: int64(i / 2)})
+		ev.Entries = append(ev.Entries, EndpointEntry{Endpoint: EndpointID(i + 1), Dest: int64(i / 2)})
 	}
 	return ev
 }
@@ -23,7 +23,7 @@
 // listed makes a Sender that knows n destinations with two endpoints each.
 func listed(tb testing.TB, n int) *Sender {
 	tb.Helper()
-	s, err := New(base(), 7)
+	s, err := New(baseSettings(), 7)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -65,14 +65,14 @@
 // stranded are n messages for destinations that no endpoint serves, so that they stay.
 func stranded(n int) (evs []Event) {
 	for i := range n {
-		evs = append(evs, Call{ID: fmt.Sprintf("%016x", i), Left: 14 * Second, Dest: -1, Tenant: -1, Class: 2})
+		evs = append(evs, Message{ID: fmt.Sprintf("%016x", i), TimeLeft: 14 * Second, Dest: -1, Tenant: -1, Class: 2})
 	}
 	return evs
 }
 
 // unbounded is a deployment that holds as many messages as come.
 func unbounded() Settings {
-	set := base()
+	set := baseSettings()
 	set.MaxOpen = 0
 	return set
 }
@@ -100,7 +100,7 @@
 func TestIdleDestinationScale(t *testing.T) {
 	for _, n := range destSizes {
 		list := destList(n)
-		s, err := New(base(), 7)
+		s, err := New(baseSettings(), 7)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,7 +122,7 @@
 		list := []Event{destList(n)}
 		b.Run(fmt.Sprintf("first/%d", 2*n), func(b *testing.B) {
 			for b.Loop() {
-				s, err := New(base(), 7)
+				s, err := New(baseSettings(), 7)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -145,7 +145,7 @@
 	for _, n := range destSizes {
 		b.Run(fmt.Sprint(2*n), func(b *testing.B) {
 			s := listed(b, n)
-			change := []Event{Endpoints{Form: ListDelta, Entries: []Entry{{Endpoint: 3, Dest: 1, State: Draining}}}}
+			change := []Event{EndpointUpdate{Kind: UpdateDelta, Entries: []EndpointEntry{{Endpoint: 3, Dest: 1, State: Draining}}}}
 			for b.Loop() {
 				s.Step(0, change)
 			}
--- a/logic/snapshot.go
+++ b/logic/snapshot.go
@@ -154,7 +154,7 @@
 		return nil
 	}
 	h.w = (*weights)(x.W)
-	h.update()
+	h.recompute()
 	return nil
 }
 
@@ -327,7 +327,7 @@
 			return nil, errSnapshot
 		}
 		d := s.order[y.Dest]
-		e := &endpoint{id: y.ID, zone: y.Zone, state: Gone, dest: d, lane: d.lane, sent: y.Sent, bad: y.Bad,
+		e := &endpoint{id: y.ID, zone: y.Zone, state: Removed, dest: d, lane: d.lane, sent: y.Sent, bad: y.Bad,
 			fails: y.Fails, fulls: y.Fulls, spoilt: y.Spoilt, resets: y.Resets, goneAt: y.GoneAt, lastOK: y.LastOK,
 			lastBad: y.LastBad, well: y.Well, okSent: y.OKSent, outAt: y.OutAt, cold: y.Cold, backAt: y.BackAt, downAt: y.DownAt,
 			trialAt: y.TrialAt, trialGap: y.TrialGap, inflight: y.Inflight, slow: y.Slow, lastSent: y.LastSent, warm: y.Warm}
--- a/logic/snapshot_test.go
+++ b/logic/snapshot_test.go
@@ -13,17 +13,17 @@
 )
 
 // sameAs checks that a twin does what the Sender does. Timers apart: a twin begins without one.
-func (w *world) sameAs(acts, twin []Action) {
+func (w *simulation) compareActions(acts, twin []Action) {
 	w.t.Helper()
 	timer := func(a Action) bool { _, ok := a.(SetTimer); return ok }
 	want, got := slices.DeleteFunc(slices.Clone(acts), timer), slices.DeleteFunc(twin, timer)
 	if !reflect.DeepEqual(append([]Action{}, want...), append([]Action{}, got...)) {
-		w.bad("a restored module does %v, want %v", got, want)
+		w.fatalf("a restored module does %v, want %v", got, want)
 	}
 }
 
 // renew takes a new twin.
-func (w *world) renew() {
+func (w *simulation) renew() {
 	w.t.Helper()
 	text, err := w.s.Snapshot()
 	if err != nil {
@@ -38,23 +38,23 @@
 		w.t.Fatal(err)
 	}
 	if !bytes.Equal(text, again) {
-		w.bad("a snapshot of the restored module differs:\n%s\n%s", text, again)
+		w.fatalf("a snapshot of the restored module differs:\n%s\n%s", text, again)
 	}
 }
 
 // A module that another process takes up goes on as if nothing had happened, whatever is out or due.
 func TestSnapshotGoesOn(t *testing.T) {
-	for name, set := range variants() {
+	for name, set := range deploymentVariants() {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, set, 11)
-			w.each = func() {
-				if w.rnd.IntN(100) == 0 {
+			w := newSimulation(t, set, 11)
+			w.beforeStep = func() {
+				if w.rng.IntN(100) == 0 {
 					w.renew()
 				}
 			}
 			w.play()
-			if w.twin == nil || len(w.trace) < 100 || w.mostOut < 2 {
-				t.Fatalf("%d actions, twin %v, %d endpoints out of rotation at most", len(w.trace), w.twin, w.mostOut)
+			if w.twin == nil || len(w.trace) < 100 || w.maxOutOfRotation < 2 {
+				t.Fatalf("%d actions, twin %v, %d endpoints out of rotation at most", len(w.trace), w.twin, w.maxOutOfRotation)
 			}
 		})
 	}
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Restore(base(), text)
+	s, err := Restore(baseSettings(), text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,8 +92,8 @@
 
 // What does not fit together is refused, not taken up in part.
 func TestSnapshotThatDoesNotFit(t *testing.T) {
-	r := newRig(t, base())
-	r.step(100, list(2), r.call(0), r.call(2))
+	r := newHarness(t, baseSettings())
+	r.step(100, fullList(2), r.message(0), r.message(2))
 	text, err := r.s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -109,16 +109,16 @@
 		if bad == string(text) {
 			t.Errorf("%s: the text is as it was", name)
 		}
-		if _, err := Restore(base(), []byte(bad)); err == nil {
+		if _, err := Restore(baseSettings(), []byte(bad)); err == nil {
 			t.Errorf("%s: restored", name)
 		}
 	}
-	other := base()
+	other := baseSettings()
 	other.Classes = other.Classes[:1]
 	if _, err := Restore(other, text); err == nil {
 		t.Error("restored under other settings")
 	}
-	if _, err := Restore(base(), text); err != nil {
+	if _, err := Restore(baseSettings(), text); err != nil {
 		t.Error(err)
 	}
 }
@@ -131,7 +131,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		set := variants()[name]
+		set := deploymentVariants()[name]
 		s, err := Restore(set, text)
 		if err != nil {
 			t.Fatal(err)
@@ -159,7 +159,7 @@
 				t.Fatalf("%s: at %d it does %v, want %v", name, now, acts, want)
 			}
 			checkBooks(t, s)
-			ends += len(only[Refuse](acts)) + len(only[Fail](acts))
+			ends += len(actionsOf[Reject](acts)) + len(actionsOf[Fail](acts))
 		}
 		if ends != held {
 			t.Errorf("%s: %d of %d end", name, ends, held)
--- a/logic/state.go
+++ b/logic/state.go
@@ -200,10 +200,10 @@
 func (s *Sender) at(t Micros) { s.wake = min(s.wake, t) }
 
 func (s *Sender) unlist(e *endpoint) {
-	if e.state != Gone {
+	if e.state != Removed {
 		s.gone = append(s.gone, e)
 	}
-	s.setStatus(e, Gone, e.ejected)
+	s.setStatus(e, Removed, e.ejected)
 	e.goneAt = s.now
 	s.touch(e.dest)
 	e.dest.eps = slices.DeleteFunc(e.dest.eps, func(x *endpoint) bool { return x == e })
@@ -215,12 +215,12 @@
 	if s.now < s.forgetAt {
 		return
 	}
-	s.forgetAt = s.now + keepGone/8
+	s.forgetAt = s.now + removedEndpointTTL/8
 	s.gone = slices.DeleteFunc(s.gone, func(e *endpoint) bool {
-		if e.state != Gone {
+		if e.state != Removed {
 			return true // it has come back
 		}
-		if s.now < e.goneAt+keepGone || e.inflight > 0 {
+		if s.now < e.goneAt+removedEndpointTTL || e.inflight > 0 {
 			return false
 		}
 		if s.eps[e.id] == e {
@@ -233,7 +233,7 @@
 		used[e.dest] = true
 	}
 	s.order = slices.DeleteFunc(s.order, func(d *dest) bool {
-		if len(d.eps) > 0 || d.msgs > 0 || used[d] || s.now < d.used+idleAge {
+		if len(d.eps) > 0 || d.msgs > 0 || used[d] || s.now < d.used+idleDestinationTTL {
 			return false
 		}
 		if d.lane.told {
@@ -267,11 +267,11 @@
 	return len(d.backlog.waiting)
 }
 
-func (s *Sender) kind(d *dest) Kind {
+func (s *Sender) kind(d *dest) DestinationKind {
 	if d.kind >= 0 && d.kind < len(s.set.Kinds) {
 		return s.set.Kinds[d.kind]
 	}
-	return Kind{}
+	return DestinationKind{}
 }
 
 // value is the worth of m if it is delivered at t.
@@ -280,19 +280,19 @@
 		return 0
 	}
 	c := m.class
-	late := float64(t - m.first - c.Aim)
+	late := float64(t - m.first - c.TargetLatency)
 	switch {
 	case late <= 0:
-		return c.Worth
-	case s.set.Halves:
-		return c.Worth * max(c.LateWorth, math.Exp2(-late/float64(max(c.Aim, 1))))
+		return c.Value
+	case s.set.ExponentialDecay:
+		return c.Value * max(c.LateValue, math.Exp2(-late/float64(max(c.TargetLatency, 1))))
 	}
-	return c.Worth * (1 - (1-c.LateWorth)*min(1, late/float64(max(c.Deadline-c.Aim, 1))))
+	return c.Value * (1 - (1-c.LateValue)*min(1, late/float64(max(c.Deadline-c.TargetLatency, 1))))
 }
 
 // destPace is the pace of a destination over all its lanes; 0 if one of them is free.
 func (s *Sender) destPace(d *dest) float64 {
-	if !s.kind(d).Apart {
+	if !s.kind(d).SeparateRoutes {
 		return d.lane.pace
 	}
 	sum := 0.0
@@ -306,18 +306,18 @@
 }
 
 func bin(t Micros) int {
-	i, _ := slices.BinarySearch(edges[:], t)
+	i, _ := slices.BinarySearch(binEdges[:], t)
 	return i
 }
 
 // report takes the limit that an answer tells.
 func (s *Sender) report(e *endpoint, load []float64) {
-	if i := s.set.ReportLimit; i >= 0 && i < len(load) && load[i] > 0 {
+	if i := s.set.LoadLimitIndex; i >= 0 && i < len(load) && load[i] > 0 {
 		if !e.lane.told && e.lane == e.dest.lane {
 			s.told++
 		}
 		e.lane.limit, e.lane.told = load[i], true
-		if i := s.set.ReportLeft; i >= 0 && i < len(load) {
+		if i := s.set.LoadRemainingIndex; i >= 0 && i < len(load) {
 			e.lane.left = load[i]
 		}
 	}
@@ -358,13 +358,13 @@
 
 // joins says whether a send to e now would travel in a call that this step opens anyway.
 func (s *Sender) joins(e *endpoint) bool {
-	return e.open != nil && e.open.step == s.step && e.open.n < s.kind(e.dest).Batch
+	return e.open != nil && e.open.step == s.step && e.open.n < s.kind(e.dest).MaxBatch
 }
 
 // mark notes a call to e for the budget and the pace.
 func (s *Sender) mark(e *endpoint) {
 	l := e.lane
-	keep := s.now - max(s.set.FallWindow, Second) - 1
+	keep := s.now - max(s.set.OverloadWindow, Second) - 1
 	e.sent, l.sent = append(trim(e.sent, keep), s.now), append(trim(l.sent, keep), s.now)
 }
 
@@ -401,43 +401,43 @@
 func seconds(t Micros) float64 { return float64(t) / float64(Second) }
 
 // accept takes a new message into the books.
-func (s *Sender) accept(c Call) {
+func (s *Sender) accept(c Message) {
 	if s.msgs[c.ID] != nil {
 		return
 	}
 	if c.Class < 0 || c.Class >= len(s.set.Classes) {
-		s.do(Refuse{ID: c.ID})
+		s.do(Reject{ID: c.ID})
 		return
 	}
 	class := &s.set.Classes[c.Class]
 	s.seq++
 	m := &msg{id: c.ID, class: class, ci: c.Class, dest: s.dest(c.Dest), seq: s.seq,
-		deadline: s.now + c.Left, first: min(s.now, s.now+c.Left-class.Deadline), came: s.now}
-	if !c.Past.Taken {
+		deadline: s.now + c.TimeLeft, first: min(s.now, s.now+c.TimeLeft-class.Deadline), came: s.now}
+	if !c.History.Accepted {
 		m.fresh = s.step
 	}
-	s.ageOut(m.dest)
+	s.resetIfIdle(m.dest)
 	m.dest.came++
-	m.share = s.shareOf(c.Tenant)
+	m.share = s.quotaFactor(c.Tenant)
 	s.msgs[m.id] = m
 	m.dest.msgs++
 	s.hold(m)
-	if class.KeepOrder && c.Key != "" {
-		line := s.keys[c.Key]
+	if class.KeepOrder && c.OrderKey != "" {
+		line := s.keys[c.OrderKey]
 		if line == nil {
 			line = &keyLine{}
-			s.keys[c.Key] = line
+			s.keys[c.OrderKey] = line
 		}
 		line.q = append(line.q, m)
 		m.line = line
 	}
-	if s.resume(m, c.Past); !m.over {
+	if s.restoreHistory(m, c.History); !m.over {
 		s.enqueue(m)
 	}
 }
 
 // keepOnly takes off the list what is not among the entries.
-func (s *Sender) keepOnly(rows []Entry) {
+func (s *Sender) keepOnly(rows []EndpointEntry) {
 	in := map[EndpointID]bool{}
 	for _, row := range rows {
 		in[row.Endpoint] = true
@@ -487,7 +487,7 @@
 
 // log writes a line for the people on call, within the cap.
 func (s *Sender) log(format string, args ...any) {
-	if s.logs++; s.logs <= logMost {
+	if s.logs++; s.logs <= maxLogLines {
 		s.do(Log{fmt.Sprintf(format, args...)})
 	}
 }
@@ -513,16 +513,16 @@
 // take hands an event to the section that it concerns.
 func (s *Sender) take(ev Event) {
 	switch ev := ev.(type) {
-	case Endpoints:
-		s.list(ev)
-	case Call:
+	case EndpointUpdate:
+		s.applyUpdate(ev)
+	case Message:
 		s.accept(ev)
-	case Started:
+	case StreamStarted:
 		if m := s.msgs[ev.ID]; m != nil && m.out != nil && m.out.n == ev.Attempt {
 			m.flows = true
 		}
-	case Reply:
-		s.reply(ev)
+	case AttemptResult:
+		s.handleResult(ev)
 	case ClientGone:
 		if m := s.msgs[ev.ID]; m != nil && !m.over {
 			s.close(m)
@@ -530,9 +530,9 @@
 				s.cancel(m.out)
 			}
 		}
-	case Closing:
-		s.closeAt = s.now + ev.Left
-	case Due:
+	case Shutdown:
+		s.closeAt = s.now + ev.TimeLeft
+	case TimerFired:
 		if s.now >= s.timer {
 			s.timer = 0
 		}
