--- a/logic/types.go
+++ b/logic/types.go
@@ -1,186 +1,191 @@
-// Package logic decides for one sender that hands messages to destinations it
-// does not control: what to send where and when, what to call off, and when a
-// message ends undelivered.
+// Package logic makes the decisions of one sender that delivers messages to
+// destinations outside its control: which message to send to which endpoint and
+// when, which attempts to cancel, and when to end a message undelivered.
 //
-// A caller makes a [Sender] with [New] and hands it what happened, in order,
-// through [Sender.Step]; the reply is the list of things to do, in order. The
-// module has no clock, no I/O, no goroutines and no globals. A Sender is not
-// safe for concurrent use: one goroutine at a time may call Step.
+// A caller creates a [Sender] with [New] and passes it events, in order, through
+// [Sender.Step], which returns the actions to take, in order. The package has no
+// clock, I/O, goroutines or global state. A Sender is not safe for concurrent
+// use: only one goroutine at a time may call Step.
 //
-// The caller owes: events in the order in which they happened; a time that does
-// not go back (an earlier time is read as the last one); exactly one [Reply] for
-// each [CallOut] and one [HealthResult] for each [Probe]; and a Step with a
-// [Due] when a [SetTimer] has run out (a late one only makes the module late).
+// The caller must deliver events in the order in which they happened; use a time
+// that does not go back (an earlier time is treated as the last one seen); report
+// exactly one [AttemptResult] for each [Send] and one [ProbeResult] for each
+// [Probe]; and call Step with a [TimerFired] when a [SetTimer] expires (a late
+// call only delays the Sender's decisions).
 //
-// The module promises: each message ends exactly once and in time (by the Reply
-// that carries NoMore, a [Refuse] or a [Fail]), nothing is sent for it after
-// that, and the six rules of the design page hold for this sender alone. Events
-// for messages, endpoints or timers that it does not know do no harm. The same
-// events give the same actions.
+// The Sender ends each message exactly once and by its deadline (through an
+// AttemptResult with Final set, a [Reject] or a [Fail]) and sends nothing for it
+// afterwards. On its own part it keeps the rules for sending: draining, requested
+// waits, resends, attempt limits, order by key, and load on destinations that
+// recover. Events for messages, endpoints or timers that it does not know are
+// ignored. The same events produce the same actions.
 package logic
 
-// Micros is a time or a span in whole microseconds. The clock may start
-// anywhere.
+// Micros is a point in time or a duration in whole microseconds. The clock may
+// start at any value.
 type Micros int64
 
 // Second is one second.
 const Second Micros = 1_000_000
 
-// Effect tells what a repeat of a message does.
-type Effect int
+// Idempotency says whether a message may be sent again after an attempt that may
+// have run.
+type Idempotency int
 
-// The three kinds of effect.
+// The idempotency of a message class.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // the destination drops repeats within a window
-	Unsafe               // must never take effect twice
+	Idempotent      Idempotency = iota // safe: may be sent again at any time
+	IdempotentByKey                    // keyed: the destination drops duplicates within a window
+	NonIdempotent                      // unsafe: must never take effect twice
 )
 
 // Class describes one class of message.
 type Class struct {
-	Name      string
-	Aim       Micros // delivered within this, it earns its full worth
-	Deadline  Micros // how long it may be delivered at all
-	Worth     float64
-	LateWorth float64 // share of the worth that is left at the deadline
-	Effect    Effect
-	ByZone    bool   // keyed: only endpoints of one zone drop repeats of each other
-	Window    Micros // keyed: how long repeats are dropped, from the first send that may have run
-	KeepOrder bool   // messages of one key go one at a time, in order of arrival
+	Name          string
+	TargetLatency Micros // a message delivered within this time has its full value
+	Deadline      Micros // time limit for delivery
+	Value         float64
+	LateValue     float64 // fraction of the value that remains at the deadline
+	Idempotency   Idempotency
+	DedupPerZone  bool   // keyed: only endpoints of the same zone recognize each other's duplicates
+	DedupWindow   Micros // keyed: how long duplicates are dropped, from the first send that may have run
+	KeepOrder     bool   // messages with the same key are sent one at a time, in order of arrival
 }
 
 // Tenant is one customer with a share of the service.
 type Tenant struct {
 	Name     string
-	QuotaRPS float64 // messages a second inside its share, over all senders
+	QuotaRPS float64 // messages per second within its share, over all senders
 }
 
-// WeightsMode tells what Entry.Nominal holds.
+// WeightsMode says what EndpointEntry.NominalRate holds.
 type WeightsMode int
 
 // The kinds of weights.
 const (
-	WeightsOff     WeightsMode = iota // nothing
-	WeightsNominal                    // the destination's rate in calls a second, all senders together
-	WeightsRough                      // the same, up to half too high or too low
+	WeightsOff         WeightsMode = iota // nothing
+	WeightsNominal                        // the destination's rate in calls per second, for all senders together
+	WeightsApproximate                    // the same, but up to half too high or too low
 )
 
-// Settings are the facts that a deployment states at start.
+// Settings describe a deployment. They are fixed when the sender starts.
 type Settings struct {
-	Senders    int // senders that share the destinations, this one counted
-	Zone       int // this sender's zone
-	Zones      int
-	Classes    []Class
-	Tenants    []Tenant // may be empty
-	Kinds      []Kind
-	Slots      int // calls out at once
-	MaxOpen    int // messages held at once; 0 for no limit
-	MaxTries   int // attempts for a message; 0 for no limit
-	Tick       Micros
-	OnRequest  bool // the endpoint list comes only when asked for
-	Probing    bool
-	MayCancel  bool
-	RetryAfter bool // clients are given advice on when to come again
-	Halves     bool // worth falls by half with each aim after the first; else evenly
-	Weights    WeightsMode
-
-	ConnIdle  Micros  // idle connections close after this
-	ConnCalls int     // calls that one connection carries at once
-	ConnPrice float64 // points taken off for a new connection with each message
-
-	MaxRetryAfter  Micros
-	OverShareWorth float64 // part of its worth that a message over its tenant's quota keeps
-
-	DrainGrace   Micros
-	FallMultiple float64 // sent more than this many times its capacity
-	FallWindow   Micros  // for this long, a cold destination falls over
-	ColdFrom     float64 // share of its capacity that a destination has after an outage
-	WarmAfter    Micros  // and when it has all of it again
-	KeyQuiet     Micros  // rest of a key after an attempt whose end is not sure
-
-	ReportLeft  int // place of the share of the limit that is left in Reply.Load; -1 if none
-	ReportLimit int // place of the limit in calls a second in Reply.Load; -1 if none
+	Senders          int // number of senders that share the destinations, including this one
+	Zone             int // this sender's zone
+	Zones            int
+	Classes          []Class
+	Tenants          []Tenant // may be empty
+	Kinds            []DestinationKind
+	CallSlots        int    // maximum number of concurrent calls
+	MaxOpen          int    // maximum number of messages held at once; 0 for no limit
+	MaxAttempts      int    // maximum number of attempts per message; 0 for no limit
+	Tick             Micros // resolution of timers
+	ListOnRequest    bool   // the endpoint list must be requested with Subscribe
+	Probing          bool   // health probes may be sent
+	MayCancel        bool   // attempts may be cancelled
+	RetryAfter       bool   // clients are advised when to retry a rejected message
+	ExponentialDecay bool   // a late message loses half its value per TargetLatency; else linear decay
+	Weights          WeightsMode
+
+	ConnIdleTimeout Micros  // idle connections are closed after this time
+	CallsPerConn    int     // concurrent calls on one connection
+	ConnCost        float64 // points deducted for a message that needs a new connection
+
+	MaxRetryAfter  Micros  // longest retry advice that clients follow
+	OverQuotaValue float64 // fraction of its value that a message over its tenant's quota keeps
+
+	DrainGrace       Micros  // time allowed to stop sending to an endpoint that drains or is removed
+	OverloadMultiple float64 // a cold destination fails under this multiple of its capacity ...
+	OverloadWindow   Micros  // ... that lasts this long
+	ColdCapacity     float64 // fraction of its capacity that a destination has right after an outage
+	WarmupTime       Micros  // time from the end of the outage until it has its full capacity
+	KeyCooldown      Micros  // pause of an order key after an attempt that may still be running
+
+	LoadRemainingIndex int // index in AttemptResult.Load of the unused fraction of the limit; -1 if not reported
+	LoadLimitIndex     int // index in AttemptResult.Load of the limit in calls per second; -1 if not reported
 }
 
-// Kind is a kind of destination.
-type Kind struct {
-	Name  string
-	Apart bool // endpoints are routes apart, each with its own limit, pace and outages
-	Batch int  // messages in one call at most
+// DestinationKind describes a kind of destination.
+type DestinationKind struct {
+	Name           string
+	SeparateRoutes bool // endpoints are independent routes, each with its own limit, pace and outages
+	MaxBatch       int  // maximum number of messages in one call
 }
 
-// EndpointID names an endpoint; it tells nothing else.
+// EndpointID identifies an endpoint. The number has no other meaning.
 type EndpointID uint32
 
-// Readiness is what the list says of an endpoint. It says nothing of health.
+// Readiness is the state of an endpoint in the list. It says nothing about the
+// endpoint's health.
 type Readiness int
 
-// The states of a listed endpoint.
+// The states of an endpoint in the list.
 const (
 	Ready Readiness = iota
 	Draining
-	Gone
+	Removed
 )
 
-// Entry is one line of the endpoint list.
-type Entry struct {
-	Endpoint EndpointID
-	Zone     int
-	Kind     int
-	Dest     int64
-	State    Readiness
-	Nominal  float64
+// EndpointEntry is one entry of the endpoint list.
+type EndpointEntry struct {
+	Endpoint    EndpointID
+	Zone        int
+	Kind        int
+	Dest        int64
+	State       Readiness
+	NominalRate float64
 }
 
 // Event is something that happened: one of the types below.
 type Event interface{ isEvent() }
 
-// ListForm tells how an Endpoints event is to be read.
-type ListForm int
+// UpdateKind says how to read an EndpointUpdate.
+type UpdateKind int
 
-// The forms of list news.
+// The kinds of update of the endpoint list.
 const (
-	ListDelta  ListForm = iota // changes only
-	ListFull                   // the whole list; what is not in it is gone
-	ListCached                 // the whole list as last saved, maybe old
-	ListFailed                 // a request for the list failed; the old one stands
+	UpdateDelta  UpdateKind = iota // changes only
+	UpdateFull                     // the full list: endpoints that are not in it are removed
+	UpdateCached                   // the full list as last saved, possibly out of date
+	UpdateFailed                   // a request for the list failed: the current list stays in use
 )
 
-// Endpoints is news of the endpoint list.
-type Endpoints struct {
-	Form    ListForm
-	Entries []Entry
-	Took    Micros // by a request that failed: since then there may be news
+// EndpointUpdate reports changes of the endpoint list.
+type EndpointUpdate struct {
+	Kind        UpdateKind
+	Entries     []EndpointEntry
+	RequestTime Micros // duration of a failed request; the list may have changed since it started
 }
 
-// Call is a new message, or one that this sender had before a restart.
-type Call struct {
-	ID     string
-	Left   Micros // how long it may still be delivered
-	Key    string // order key; empty if none
-	Dest   int64
-	Tenant int // -1 if none
-	Class  int
-	Past   Past
+// Message hands a message to the Sender: a new one, or one that this sender had
+// accepted before a restart.
+type Message struct {
+	ID       string
+	TimeLeft Micros // time until the deadline
+	OrderKey string // messages with the same key keep their order; empty if none
+	Dest     int64
+	Tenant   int // -1 if none
+	Class    int
+	History  History
 }
 
-// Past is what became of a message before a restart; the zero value is that of a
-// new message.
-type Past struct {
-	Taken  bool   // it was taken on before the restart
-	Tries  int    // attempts made
-	MayRun bool   // one of them may have run
-	Age    Micros // time since the first that may have run was sent
-	Zone   int    // zone of its endpoint
+// History says what happened to a message before a restart. It is zero for a new
+// message.
+type History struct {
+	Accepted   bool   // the message was accepted before the restart
+	Attempts   int    // number of attempts made
+	MayHaveRun bool   // at least one attempt may have run
+	Age        Micros // time since the first attempt that may have run was sent
+	Zone       int    // zone of the endpoint of that attempt
 }
 
-// Closing says that the sender stops within Left: what cannot finish by then is
-// not to be begun.
-type Closing struct{ Left Micros }
+// Shutdown says that the sender stops after TimeLeft: attempts that cannot finish
+// by then must not be started.
+type Shutdown struct{ TimeLeft Micros }
 
-// Started says that a stream has begun to flow: nothing more can be done for
-// the message.
-type Started struct {
+// StreamStarted says that a stream has begun to flow: the Sender can do nothing
+// more for the message.
+type StreamStarted struct {
 	ID      string
 	Attempt int
 }
@@ -188,105 +193,107 @@
 // Outcome says how an attempt ended.
 type Outcome int
 
-// Outcomes. Full, RefusedConn, Moot and Unsent prove that the attempt never ran.
+// Outcomes. Refused, ConnRefused, Skipped and LocalFailure prove that the attempt
+// never ran.
 const (
-	Completed   Outcome = iota // delivered
-	Errored                    // answered with an error
-	Full                       // turned away unseen
-	Overdue                    // no answer in the time given
-	RefusedConn                // no connection could be made
-	Severed                    // the connection broke
-	Recalled                   // called off
-	Moot                       // never sent: no slot, message over, or too many attempts
-	Spoilt                     // answered with what can't be read: it may have run, and the endpoint is there
-	Unsent                     // never left this process for want of something here: it counts as no attempt
+	Delivered    Outcome = iota // the endpoint took the message
+	Errored                     // answered with an error
+	Refused                     // refused by the endpoint without being processed
+	TimedOut                    // no answer within the timeout
+	ConnRefused                 // no connection could be made
+	ConnLost                    // the connection broke
+	Cancelled                   // cancelled by the Sender
+	Skipped                     // not sent: no free slot, the message had ended, or too many attempts
+	Unreadable                  // malformed answer: the attempt may have run, and the endpoint is up
+	LocalFailure                // not sent for lack of a local resource; does not count as an attempt
 )
 
-// Reply is the one outcome of an attempt.
-type Reply struct {
-	ID       string
-	NoMore   bool // the message is over
-	Endpoint EndpointID
-	Attempt  int
-	Outcome  Outcome
-	Took     Micros
-	Wait     Micros // the wait that was told, with any outcome; 0 if none
-	Load     []float64
+// AttemptResult reports the outcome of an attempt. Each attempt has exactly one.
+type AttemptResult struct {
+	ID         string
+	Final      bool // the message has ended
+	Endpoint   EndpointID
+	Attempt    int
+	Outcome    Outcome
+	Latency    Micros
+	RetryAfter Micros // wait requested by the endpoint, with any outcome; 0 if none
+	Load       []float64
 }
 
-// ClientGone says that nobody wants the message any more.
+// ClientGone says that the client no longer wants the message.
 type ClientGone struct{ ID string }
 
-// Due says that a timer has run out.
-type Due struct{ Token uint64 }
+// TimerFired says that a timer has expired.
+type TimerFired struct{ Token uint64 }
 
-// HealthResult is the one outcome of a probe.
-type HealthResult struct {
+// ProbeResult reports the outcome of a probe. Each probe has exactly one.
+type ProbeResult struct {
 	Endpoint EndpointID
 	Outcome  Outcome
 	Load     []float64
 }
 
-func (Endpoints) isEvent()    {}
-func (Call) isEvent()         {}
-func (Started) isEvent()      {}
-func (Reply) isEvent()        {}
-func (ClientGone) isEvent()   {}
-func (Due) isEvent()          {}
-func (HealthResult) isEvent() {}
-func (Closing) isEvent()      {}
+func (EndpointUpdate) isEvent() {}
+func (Message) isEvent()        {}
+func (StreamStarted) isEvent()  {}
+func (AttemptResult) isEvent()  {}
+func (ClientGone) isEvent()     {}
+func (TimerFired) isEvent()     {}
+func (ProbeResult) isEvent()    {}
+func (Shutdown) isEvent()       {}
 
-// Action is something to do: one of the types below.
+// Action is something for the caller to do: one of the types below.
 type Action interface{ isAction() }
 
-// CallOut sends the message to an endpoint. The first CallOut of a message is
-// attempt 0, the next attempt 1, and so on. CallOuts of one Step to one
-// endpoint travel as one call as far as its kind's Batch allows.
-type CallOut struct {
+// Send starts an attempt to deliver a message to an endpoint. The first Send of a
+// message is attempt 0, the next one attempt 1, and so on. Sends of one Step to
+// the same endpoint share a call, up to MaxBatch of the destination's kind.
+type Send struct {
 	ID       string
-	GiveUp   Micros
+	Timeout  Micros
 	Endpoint EndpointID
 }
 
-// Cancel calls off an attempt; its one Reply still comes.
+// Cancel cancels an attempt. Its AttemptResult still follows.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Refuse ends a message undelivered; the client may safely come again.
-type Refuse struct {
-	ID      string
-	RetryIn Micros // advice; 0 for none
+// Reject ends a message undelivered. It has not run, so the client may safely
+// retry it.
+type Reject struct {
+	ID         string
+	RetryAfter Micros // advice on when to retry; 0 for none
 }
 
-// Fail ends a message; whether it took effect is not known.
+// Fail ends a message of which it is not known whether it took effect.
 type Fail struct{ ID string }
 
-// SetTimer asks for a Due after Wait.
+// SetTimer asks for a TimerFired event after Wait.
 type SetTimer struct {
 	Wait  Micros
 	Token uint64
 }
 
-// Probe sends a check to an endpoint.
+// Probe sends a health probe to an endpoint.
 type Probe struct{ Endpoint EndpointID }
 
-// Release gives back the idle connections to an endpoint.
-type Release struct{ Endpoint EndpointID }
+// ReleaseConns closes the idle connections to an endpoint.
+type ReleaseConns struct{ Endpoint EndpointID }
 
-// Listen asks for the endpoint list and its changes.
-type Listen struct{}
+// Subscribe requests the endpoint list and its changes.
+type Subscribe struct{}
 
-// Log is a line for the people on call.
+// Log is a log line for operators.
 type Log struct{ Text string }
 
-func (CallOut) isAction()  {}
-func (Cancel) isAction()   {}
-func (Refuse) isAction()   {}
-func (Fail) isAction()     {}
-func (SetTimer) isAction() {}
-func (Probe) isAction()    {}
-func (Release) isAction()  {}
-func (Listen) isAction()   {}
-func (Log) isAction()      {}
+func (Send) isAction()         {}
+func (Cancel) isAction()       {}
+func (Reject) isAction()       {}
+func (Fail) isAction()         {}
+func (SetTimer) isAction()     {}
+func (Probe) isAction()        {}
+func (ReleaseConns) isAction() {}
+func (Subscribe) isAction()    {}
+func (Log) isAction()          {}
