--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,7 +1,7 @@
 package logic
 
-// Every decision of the module, with its tables and tuned values. The interface (settings, events, actions)
-// is in logic/types.go. What is marked "design" comes from the design page, what is marked "ours" is our own.
+// All decisions of the package, with their constants. The interface (settings, events, actions) is in
+// logic/types.go.
 
 import (
 	"cmp"
@@ -10,74 +10,83 @@
 	"slices"
 )
 
-// ---- Tuned values --------------------------------------------------------------------
+// ---- Constants -----------------------------------------------------------------------
 
 const (
-	latencyHalfLife   = 30 * Second // design: half-life of the latency histograms
-	firstBinEdge      = 2000        // ours: upper edge of the first bin, microseconds
-	binGrowth         = 1.25        // ours: each edge over the one before; finer bins need more samples
-	binCount          = 48          // ours: the last edge lies near 70 s
-	minSamples        = 4.0         // ours: samples before a histogram is believed
-	minRestartSamples = 12.0        // ours: samples before τ is; an early τ cuts healthy calls
-	maxRestartCost    = 0.85        // ours: ⟨t⟩ at τ must be under this part of ⟨t⟩ of waiting; noise reaches 0.9
-	resendMargin      = Second      // ours: to call a keyed call off and send it again; a quarter of a shorter window
-	maxRestarts       = 2           // ours: restarts of one message; each doubles the next limit
-	stuckP95Factor    = 2.0         // ours: a call is stuck past this many times the 95th percentile ...
-	minStuckTime      = Second / 2  // ours: ... and this
-	stuckCancelFactor = 2           // ours: a stuck call is called off past this many times the time that made it so
-	defaultStuckTime  = 2 * Second  // ours: where no latency is known yet
-
-	minPace        = 1.0        // design: calls a second
-	paceInterval   = Second     // design: the span of the first pace, and between two halvings
-	burstTime      = Second / 2 // ours: what an idle pace saves up; more of it meets limits in bursts
-	paceGrowth     = 0.1        // ours: growth of the pace with each success
-	limitHeadroom  = 0.75       // ours: part of a told limit that the floors of many senders add up to
-	minUsedShare   = 0.3        // ours: least part in use that a report is believed to tell: it is late and noisy
-	paceDropFactor = 4.0        // ours: a pace this many times what is sent sets nothing any more and is dropped
-
-	failureAlpha             = 0.3                 // ours: weight of the newest outcome in an endpoint's share of failures
-	outageFailureRate        = 0.45                // ours: failing more than this is an outage
-	minFirstPause            = 2 * Second          // ours: many senders: least rest after a first refusal; as much by chance
-	maxMeanPause             = 8 * Second          // ours: longest mean rest of a lane, among many senders
-	outageResendFactor       = 1.0                 // ours: part of the traffic of an outage that comes again at one time
-	assumedOutage            = 5 * Second          // ours: how long an outage lasted, beside the time since we saw it
-	minOutage                = 2 * Second          // ours: an endpoint that answers again within this was not out, and is not cold
-	nonIdempotentFailureRate = 0.2                 // ours: unsafe messages keep away above this
-	outageRefusals           = 4                   // ours: refusals in a row that look like a shut destination ...
-	outageRefusalSpan        = 1500_000            // ours: ... when they span this, more than a limit's window leaves empty
-	outageRetryAfter         = 2 * Second          // ours: a told wait past this is a shut destination, not a limit's window
-	minTrialInterval         = 400_000             // ours: first pause between single trials
-	maxTrialInterval         = 2 * Second          // ours: and the longest
-	removedEndpointTTL       = 60 * Second         // ours: an endpoint off the list is remembered so long: it may come back
-	idleDestinationTTL       = 4 * latencyHalfLife // ours: state of a destination without traffic is dropped after this
-	slowFactor               = 3.0                 // ours: an endpoint this much slower than its best sibling is passed over
-	slowRetryInterval        = 4 * Second          // ours: but tried again after this
-	connReuseInterval        = 5 * Second          // ours: an endpoint called less often than this shares its connections
-	refusalAlpha             = 0.05                // ours: weight of the newest call in a kind's share of calls turned away
-	maxIdleConnRefusalRate   = 0.01                // ours: share above which many senders keep no idle connection
-	expensiveConnCost        = 0.04                // ours: price of a connection with each message above which none is given back
-	manySenders              = 16                  // ours: more than this, one idle connection each, may fill an endpoint
-	outageResets             = 3                   // ours: connections that break in a row, no answer between, look like an outage
-	recentAnswer             = Second              // ours: one refused connection does not, if an answer came so shortly before
-	outageUnreadable         = 4                   // ours: spoilt answers in a row that look like an outage
-	errorBackoff             = 100_000             // ours: pause of a message after an error, doubled with each try
-	connShortageTime         = 60 * Second         // ours: many senders keep no idle connection so long after one found none
-	connShortageBackoff      = 50_000              // ours: mean pause of a message that found no connection, doubled with each try
-	outageConnShortages      = 8                   // ours: such refusals in a row, and no answer for fullsSpan, look like an outage
-
-	quotaHalfLife        = 5 * Second // ours: half-life of a tenant's rate
-	valueLossHorizon     = Second     // ours: loss of worth within this sets who goes first
-	minTryShare          = 0.7        // protocol: part of its time for which a message taken on is tried
-	bufferHighWatermark  = 0.7        // ours: share of the hold above which messages that the pace cannot send in time end
-	bufferFullWatermark  = 0.9        // ours: share of the hold above which the least worthy are refused
-	scanAllLimit         = 512        // ours: so many waiting messages are all looked at in each step ...
-	sampleSize           = 64         // ours: ... of more, so many in front and in turn of a destination's
-	backlogsPerRound     = 4          // ours: ... and so many destinations in turn, beside those where something is due
-	cachedListTime       = 6 * Second // protocol: news of the list counts as told so long after a start at the latest
-	minSubscribeDelay    = Second     // ours: first pause before the list is asked for again
-	maxSubscribeDelay    = 3 * Second // ours: and the longest
-	maxSubscribeInterval = 5_400_000  // ours: from a request in vain to the next, from start to start
-	maxLogLines          = 200        // ours: log lines in a life
+	// Latency histograms, restart times and stuck calls.
+	latencyHalfLife   = 30 * Second // half-life of the samples
+	firstBinEdge      = 2000        // upper edge of the first bin, microseconds
+	binGrowth         = 1.25        // ratio of successive edges; finer bins need more samples
+	binCount          = 48          // the last edge lies near 70 s
+	minSamples        = 4.0         // samples needed before a histogram is used
+	minRestartSamples = 12.0        // samples needed before τ is used; an early τ cancels healthy calls
+	maxRestartCost    = 0.85        // τ must lower the mean time to an answer to this fraction; noise reaches 0.9
+	resendMargin      = Second      // time to cancel a keyed call and resend it; a quarter of a shorter window
+	maxRestarts       = 2           // restarts of one message; each doubles the next limit
+	stuckP95Factor    = 2.0         // a call is stuck after this multiple of the 95th percentile ...
+	minStuckTime      = Second / 2  // ... but not before this time
+	stuckCancelFactor = 2           // a stuck call is cancelled after this multiple of the stuck time
+	defaultStuckTime  = 2 * Second  // stuck time while no latency is known
+
+	// Pace of calls to a lane.
+	minPace        = 1.0        // calls per second
+	paceInterval   = Second     // interval that sets the first pace, and least time between two halvings
+	burstTime      = Second / 2 // an idle lane saves up calls for this time; more would hit limits in bursts
+	paceGrowth     = 0.1        // relative growth of the pace with each success
+	limitHeadroom  = 0.75       // fraction of a reported limit that the least paces of many senders add up to
+	minUsedShare   = 0.3        // least used share of a limit to assume; reports are late and noisy
+	paceDropFactor = 4.0        // a pace this many times above the actual rate has no effect and is dropped
+
+	// Outages, trials, endpoint selection and connections.
+	failureAlpha       = 0.3        // weight of the newest outcome in an endpoint's failure rate
+	outageFailureRate  = 0.45       // failure rate above which an endpoint is out
+	minFirstPause      = 2 * Second // many senders: least pause after a first refusal; jitter adds up to as much
+	maxMeanPause       = 8 * Second // many senders: longest mean pause of a lane
+	outageResendFactor = 1.0        // part of the messages of an outage that is resent at the same time
+	assumedOutage      = 5 * Second // assumed length of an outage before this sender noticed it
+	minOutage          = 2 * Second // an endpoint that answers again within this time was not out, and is not cold
+
+	nonIdempotentFailureRate = 0.2        // failure rate above which unsafe messages avoid an endpoint
+	outageRefusals           = 4          // refusals in a row that count as an outage ...
+	outageRefusalSpan        = 1500_000   // ... if they span this time, more than a used-up limit window lasts
+	outageRetryAfter         = 2 * Second // a longer requested wait means an outage, not a rate limit's window
+	minTrialInterval         = 400_000    // first pause between single trials
+	maxTrialInterval         = 2 * Second // longest pause between single trials
+
+	removedEndpointTTL = 60 * Second         // a removed endpoint is kept this long: it may be listed again
+	idleDestinationTTL = 4 * latencyHalfLife // state of a destination without traffic is dropped after this time
+	slowFactor         = 3.0                 // an endpoint this many times slower than its fastest sibling is avoided ...
+	slowRetryInterval  = 4 * Second          // ... but tried again after this time
+
+	connReuseInterval      = 5 * Second  // connections to an endpoint called less often than this are released
+	refusalAlpha           = 0.05        // weight of the newest call in the refusal rate of a destination kind
+	maxIdleConnRefusalRate = 0.01        // refusal rate above which many senders keep no idle connections
+	expensiveConnCost      = 0.04        // cost of a new connection from which none is released for rare use
+	manySenders            = 16          // with more senders, one idle connection each may fill an endpoint
+	outageResets           = 3           // broken connections in a row without an answer that count as an outage
+	recentAnswer           = Second      // a refused connection so soon after an answer is no outage by itself
+	outageUnreadable       = 4           // unreadable answers in a row that count as an outage
+	errorBackoff           = 100_000     // pause of a message after an error; doubles with each attempt
+	connShortageTime       = 60 * Second // many senders keep no idle connections for this time after a shortage
+	connShortageBackoff    = 50_000      // mean pause of a message that got no connection; doubles with each attempt
+	outageConnShortages    = 8           // shortages in a row, no answer for outageRefusalSpan, that are an outage
+
+	// Priorities, buffer, scans and list subscription.
+	quotaHalfLife       = 5 * Second // half-life of the count that gives a tenant's rate
+	valueLossHorizon    = Second     // messages are ordered by the value they lose within this time
+	minTryShare         = 0.7        // the protocol has an accepted message tried for this fraction of its time
+	bufferHighWatermark = 0.7        // fill level above which messages that the pace cannot send in time are ended
+	bufferFullWatermark = 0.9        // fill level above which the least valuable messages are rejected
+
+	scanAllLimit     = 512 // up to this many waiting messages are all examined in each step ...
+	sampleSize       = 64  // ... else this many of a backlog's front, and of the rest in rotation ...
+	backlogsPerRound = 4   // ... and this many backlogs in rotation, besides those that are due
+
+	cachedListTime       = 6 * Second // by protocol, changes to the list count as known this long after a start
+	minSubscribeDelay    = Second     // first pause before the list is requested again
+	maxSubscribeDelay    = 3 * Second // longest pause before the list is requested again
+	maxSubscribeInterval = 5_400_000  // from the start of a failed request to the start of the next one
+	maxLogLines          = 200        // log lines during the life of a Sender
 	never                = Micros(math.MaxInt64)
 	longAgo              = Micros(math.MinInt64 / 2)
 )
@@ -125,8 +134,8 @@
 	if ev.Kind == UpdateFailed {
 		// Asked in vain or subscription broken: ask again, later each time, and not when all others do. News counts
 		// as told 6 s later, so what the request took counts too; the longest pause is one and a half gaps.
-		gap := min(s.askGap, max(maxSubscribeInterval-ev.RequestTime, 0)*2/3)
-		s.askAt = s.now + Micros((0.5+s.rng.Float64())*float64(gap))
+		delay := min(s.askGap, max(maxSubscribeInterval-ev.RequestTime, 0)*2/3)
+		s.askAt = s.now + Micros((0.5+s.rng.Float64())*float64(delay))
 		s.askGap = min(2*s.askGap, maxSubscribeDelay)
 		return
 	}
@@ -140,38 +149,38 @@
 	if ev.Kind != UpdateDelta {
 		s.keepOnly(ev.Entries)
 	}
-	for _, row := range ev.Entries {
-		s.applyEntry(row)
+	for _, entry := range ev.Entries {
+		s.applyEntry(entry)
 	}
 }
 
-func (s *Sender) applyEntry(row EndpointEntry) {
-	e := s.eps[row.Endpoint]
-	if row.State == Removed {
+func (s *Sender) applyEntry(entry EndpointEntry) {
+	e := s.eps[entry.Endpoint]
+	if entry.State == Removed {
 		if e != nil {
 			s.unlist(e)
 		}
 		return
 	}
-	d := s.dest(row.Dest)
-	d.kind = row.Kind
+	d := s.dest(entry.Dest)
+	d.kind = entry.Kind
 	s.touch(d)
 	if e == nil || e.dest != d {
 		if e != nil {
 			s.unlist(e)
 		}
-		e = &endpoint{id: row.Endpoint, dest: d, lane: d.lane, state: Removed}
+		e = &endpoint{id: entry.Endpoint, dest: d, lane: d.lane, state: Removed}
 		e.lastOK, e.lastBad, e.lastSent, e.well, e.okSent = longAgo, longAgo, longAgo, longAgo, longAgo
 		if s.kind(d).SeparateRoutes {
 			e.lane = &lane{}
 		}
 		s.eps[e.id] = e
 		// A machine that joins a destination in trouble is as cold as the others: what topples it is shared.
-		for _, x := range d.eps {
-			if x.cold && e.lane == x.lane {
-				s.setStatus(e, e.state, x.ejected)
-				e.cold, e.backAt, e.trialAt, e.lastBad, e.outAt = true, x.backAt, x.trialAt, x.lastBad, x.outAt
-				e.downAt = x.downAt
+		for _, sibling := range d.eps {
+			if sibling.cold && e.lane == sibling.lane {
+				s.setStatus(e, e.state, sibling.ejected)
+				e.cold, e.backAt, e.trialAt, e.lastBad, e.outAt = true, sibling.backAt, sibling.trialAt, sibling.lastBad, sibling.outAt
+				e.downAt = sibling.downAt
 			}
 		}
 	}
@@ -181,10 +190,10 @@
 			d.next = s.rng.IntN(len(d.eps))
 		}
 	}
-	s.setStatus(e, row.State, e.ejected)
-	e.zone = row.Zone
-	if s.set.Weights != WeightsOff && row.NominalRate > 0 && !e.lane.told {
-		e.lane.limit = row.NominalRate
+	s.setStatus(e, entry.State, e.ejected)
+	e.zone = entry.Zone
+	if s.set.Weights != WeightsOff && entry.NominalRate > 0 && !e.lane.told {
+		e.lane.limit = entry.NominalRate
 	}
 }
 
@@ -205,10 +214,10 @@
 
 // rate orders the queue: the worth that waiting a little longer would lose, for each second of a slot.
 func (s *Sender) priority(m *msg) float64 {
-	u := max(s.medianLatency(m), 10_000)
-	soon := s.value(m, s.now+u)
-	loss := soon - s.value(m, s.now+u+valueLossHorizon)
-	return m.share * (loss + 0.02*soon) / (float64(u) * float64(1+m.dest.lane.inflight))
+	latency := max(s.medianLatency(m), 10_000)
+	value := s.value(m, s.now+latency)
+	loss := value - s.value(m, s.now+latency+valueLossHorizon)
+	return m.share * (loss + 0.02*value) / (float64(latency) * float64(1+m.dest.lane.inflight))
 }
 
 // shareOf is the part of its worth that a new message keeps: less while its tenant sends past its quota here,
@@ -217,10 +226,10 @@
 	if tenant < 0 || tenant >= len(s.set.Tenants) || s.set.Tenants[tenant].QuotaRPS <= 0 {
 		return 1
 	}
-	u := &s.usage[tenant]
-	u.n = u.n*math.Exp2(-seconds(s.now-u.at)/seconds(quotaHalfLife)) + 1
-	u.at = s.now
-	if u.n*math.Ln2/seconds(quotaHalfLife) > s.set.Tenants[tenant].QuotaRPS/float64(s.set.Senders) {
+	usage := &s.usage[tenant]
+	usage.n = usage.n*math.Exp2(-seconds(s.now-usage.at)/seconds(quotaHalfLife)) + 1
+	usage.at = s.now
+	if usage.n*math.Ln2/seconds(quotaHalfLife) > s.set.Tenants[tenant].QuotaRPS/float64(s.set.Senders) {
 		return s.set.OverQuotaValue
 	}
 	return 1
@@ -242,14 +251,14 @@
 // dispatch sends what the gate lets through, the most urgent first.
 func (s *Sender) dispatch() {
 	s.trials = s.onTrial()
-	q := s.candidates()
-	s.visits += len(q) + len(s.wait.looking)
-	for _, m := range q {
+	msgs := s.candidates()
+	s.visits += len(msgs) + len(s.wait.looking)
+	for _, m := range msgs {
 		m.prio = s.priority(m)
 		m.dest.rank = 0
 	}
-	slices.SortFunc(q, func(a, b *msg) int { return cmp.Or(cmp.Compare(b.prio, a.prio), a.seq-b.seq) })
-	for i, m := range q {
+	slices.SortFunc(msgs, func(a, b *msg) int { return cmp.Or(cmp.Compare(b.prio, a.prio), a.seq-b.seq) })
+	for i, m := range msgs {
 		if s.trySend(m) {
 			continue
 		}
@@ -258,27 +267,27 @@
 			continue
 		}
 		// What the pace cannot send in time ends now, if the hold has little room: paces and limits come back.
-		p := s.destPace(m.dest)
-		if p > 0 && m.dest.rank/p > seconds(m.deadline-s.now-s.medianLatency(m)) && s.crowd() > bufferHighWatermark {
+		pace := s.destPace(m.dest)
+		if pace > 0 && m.dest.rank/pace > seconds(m.deadline-s.now-s.medianLatency(m)) && s.crowd() > bufferHighWatermark {
 			s.endMessage(m)
 			continue
 		}
 		// A nearly full hold gives up its least worthy rather than turning new messages away unseen.
-		if s.crowd() > bufferFullWatermark && i >= len(q)-1 && !m.mayRun {
+		if s.crowd() > bufferFullWatermark && i >= len(msgs)-1 && !m.mayRun {
 			s.endMessage(m)
 		}
 	}
-	s.file(q, s.blockedByItself)
+	s.file(msgs, s.blockedByItself)
 }
 
 // holdsItself says whether m is held back by what says nothing of other messages for its destination, and
 // whether for a known time.
-func (s *Sender) blockedByItself(m *msg) (held, timed bool) {
-	l, c := m.line, m.class
-	if l != nil && l.q[0] != m || m.mayRun && c.DedupPerZone {
+func (s *Sender) blockedByItself(m *msg) (blocked, timed bool) {
+	line, c := m.line, m.class
+	if line != nil && line.q[0] != m || m.mayRun && c.DedupPerZone {
 		return true, false
 	}
-	timed = s.now < m.rest || l != nil && s.now < l.quiet && l.by != m ||
+	timed = s.now < m.rest || line != nil && s.now < line.quiet && line.by != m ||
 		c.Idempotency == NonIdempotent && s.now < m.first+c.TargetLatency
 	return timed, timed
 }
@@ -299,14 +308,14 @@
 // send tries the endpoints of m's destination in rotation and reports whether one took it.
 func (s *Sender) trySend(m *msg) bool {
 	d := m.dest
-	best := math.Inf(1)
+	fastest := math.Inf(1)
 	for _, e := range d.eps {
 		if e.slow > 0 && !e.ejected {
-			best = min(best, e.slow)
+			fastest = min(fastest, e.slow)
 		}
 	}
-	var pick *endpoint
-	rank := 99
+	var chosen *endpoint
+	lowest := 99
 	for i := range d.eps {
 		e := d.eps[(d.next+i)%len(d.eps)]
 		ok, at := s.checkSend(m, e)
@@ -315,33 +324,33 @@
 			d.backlog.soon = min(d.backlog.soon, at)
 			continue
 		}
-		r := 0
+		penalty := 0
 		if !s.joins(e) {
-			r++ // a call that leaves anyway comes first
+			penalty++ // a call that leaves anyway comes first
 		}
 		if s.many && (s.now >= e.warm || e.inflight >= max(s.set.CallsPerConn, 1)) {
-			r++ // among many senders connections rarely last until the rotation comes round again
+			penalty++ // among many senders connections rarely last until the rotation comes round again
 		}
 		if e == m.last {
-			r += 4 // a resend goes elsewhere where it can
+			penalty += 4 // a resend goes elsewhere where it can
 		}
 		if e.fulls > 1 {
-			r += 2 // refuses while others may not: draining, or a route at its limit
+			penalty += 2 // refuses while others may not: draining, or a route at its limit
 		}
-		if e.slow > slowFactor*best && s.now < e.lastSent+slowRetryInterval {
-			r += 2
+		if e.slow > slowFactor*fastest && s.now < e.lastSent+slowRetryInterval {
+			penalty += 2
 		}
-		if r < rank {
-			rank, pick = r, e
+		if penalty < lowest {
+			lowest, chosen = penalty, e
 		}
 	}
-	if pick == nil {
+	if chosen == nil {
 		return false
 	}
-	if m.tries == 0 && rank > 0 {
-		d.next = (slices.Index(d.eps, pick) + 1) % len(d.eps)
+	if m.tries == 0 && lowest > 0 {
+		d.next = (slices.Index(d.eps, chosen) + 1) % len(d.eps)
 	}
-	s.startAttempt(m, pick)
+	s.startAttempt(m, chosen)
 	return true
 }
 
@@ -358,12 +367,12 @@
 			s.delayNextTrial(e)
 		}
 	}
-	a, give := s.fly(m, e), m.deadline-s.now
-	if t := 2 * s.stuckTime(e.dest, m); !s.set.MayCancel && (m.class.Idempotency == Idempotent ||
-		m.class.Idempotency == IdempotentByKey && s.now+t < m.firstMay+m.class.DedupWindow) {
-		give = min(give, t) // nothing can be called off here: let it time out, if it can be sent again then
+	a, timeout := s.fly(m, e), m.deadline-s.now
+	if stuck := 2 * s.stuckTime(e.dest, m); !s.set.MayCancel && (m.class.Idempotency == Idempotent ||
+		m.class.Idempotency == IdempotentByKey && s.now+stuck < m.firstMay+m.class.DedupWindow) {
+		timeout = min(timeout, stuck) // nothing can be called off here: let it time out, if it can be sent again then
 	}
-	s.do(Send{ID: a.m.id, Timeout: give, Endpoint: e.id})
+	s.do(Send{ID: a.m.id, Timeout: timeout, Endpoint: e.id})
 	s.at(s.now + s.stuckTime(e.dest, m) + 1) // looked at in time even if nothing else happens until then
 }
 
@@ -384,12 +393,12 @@
 	if s.closeAt != 0 && s.now+s.expectedDuration(m, e) > s.closeAt { // it stays in the journal for the next start
 		return false, never
 	}
-	if l := m.line; l != nil { // order of its key
-		if l.q[0] != m {
+	if line := m.line; line != nil { // order of its key
+		if line.q[0] != m {
 			return false, never
 		}
-		if s.now < l.quiet && l.by != m {
-			return false, l.quiet
+		if s.now < line.quiet && line.by != m {
+			return false, line.quiet
 		}
 	}
 	if m.mayRun { // effect
@@ -445,8 +454,8 @@
 	}
 	// Outages mostly take all endpoints: after one has failed, the others are tried singly until they answer.
 	if e.inflight > 0 && e.lane == e.dest.lane {
-		for _, x := range e.dest.eps {
-			if x.ejected && x.lastBad > e.lastOK && !s.maybeRemoved(x) {
+		for _, sibling := range e.dest.eps {
+			if sibling.ejected && sibling.lastBad > e.lastOK && !s.maybeRemoved(sibling) {
 				return never
 			}
 		}
@@ -456,7 +465,7 @@
 
 // mayBeGone says whether x, which seems out, may just have gone: it has not answered yet, and the list is
 // still that of the start, which may be old. That says nothing of its siblings.
-func (s *Sender) maybeRemoved(x *endpoint) bool { return s.now < s.unsure && x.lastOK == longAgo }
+func (s *Sender) maybeRemoved(e *endpoint) bool { return s.now < s.unsure && e.lastOK == longAgo }
 
 // slowStart keeps what goes to a destination after an outage under this sender's share of what topples it.
 // The endpoints of a lane that are cold share one budget: the lane falls over as a whole.
@@ -475,59 +484,59 @@
 	}
 	// What went there before the outage is no burden on what comes back: counted, it would hold up the first
 	// trial, and with it the return, for a whole window.
-	guess := e.lane.limit == 0 && s.set.Senders > 1 // capacity goes by what this sender alone saw
-	up, cold, last, long, from := 1.0, 0, []Micros(nil), s.set.OverloadWindow, s.now
+	guessed := e.lane.limit == 0 && s.set.Senders > 1 // capacity goes by what this sender alone saw
+	warm, cold, recent, window, countFrom := 1.0, 0, []Micros(nil), s.set.OverloadWindow, s.now
 	for _, x := range e.dest.eps {
 		if x.cold && x.lane == e.lane {
-			from = min(from, x.downAt)
+			countFrom = min(countFrom, x.downAt)
 		}
 	}
 	for _, x := range e.dest.eps {
 		if (x.cold || x == e) && x.lane == e.lane {
 			cold++
-			last = append(last, x.sent[len(x.sent)-since(x.sent, from):]...)
+			recent = append(recent, x.sent[len(x.sent)-since(x.sent, countFrom):]...)
 			if x.ejected {
-				up = min(up, 0)
+				warm = min(warm, 0)
 			} else if x.cold {
-				t, w := seconds(s.now-x.backAt), seconds(long)
+				t, w := seconds(s.now-x.backAt), seconds(window)
 				switch { // what counts is what x could do in the window, on average; a guess errs further
-				case guess:
+				case guessed:
 				case t < w:
 					t *= t / (2 * w)
 				default:
 					t -= w / 2
 				}
-				up = min(up, t/seconds(s.set.WarmupTime))
+				warm = min(warm, t/seconds(s.set.WarmupTime))
 			}
 		}
 	}
-	c := s.capacityEstimate(e) * float64(max(cold, 1))
-	k := s.set.OverloadMultiple * (s.set.ColdCapacity + (1-s.set.ColdCapacity)*up) * seconds(long)
+	capacity := s.capacityEstimate(e) * float64(max(cold, 1))
+	allowed := s.set.OverloadMultiple * (s.set.ColdCapacity + (1-s.set.ColdCapacity)*warm) * seconds(window)
 	n := float64(s.set.Senders)
-	if guess && !s.many {
+	if guessed && !s.many {
 		n = 2 // the best second of one of a few is about twice its part of the traffic
 	}
-	most := k * c / n
-	slices.Sort(last)
-	if most < 1 {
+	budget := allowed * capacity / n
+	slices.Sort(recent)
+	if budget < 1 {
 		// Many senders: our share is that of our messages among all since the outage began, which add up however
 		// many saw it; and one call goes in a longer span, at a time of our own.
-		own := outageResendFactor * float64(e.dest.came) / seconds(s.now-e.dest.downAt+assumedOutage)
+		ownRate := outageResendFactor * float64(e.dest.came) / seconds(s.now-e.dest.downAt+assumedOutage)
 		if e.lane != e.dest.lane {
-			own /= float64(len(e.dest.eps))
+			ownRate /= float64(len(e.dest.eps))
 		}
-		most = max(most, k*min(own, c/2))
-		long = Micros(float64(long) / min(most, 1))
+		budget = max(budget, allowed*min(ownRate, capacity/2))
+		window = Micros(float64(window) / min(budget, 1))
 		at := max(e.lane.until, e.dest.downAt)
-		if n := len(last); n > 0 {
-			at = max(at, last[n-1]+long/2)
+		if n := len(recent); n > 0 {
+			at = max(at, recent[n-1]+window/2)
 		}
-		if most < 1 {
-			return at + Micros(e.lane.phase*float64(long))
+		if budget < 1 {
+			return at + Micros(e.lane.phase*float64(window))
 		}
 	}
-	if n := since(last, s.now-long); float64(n+1) > most {
-		return last[len(last)-n] + long + 1
+	if n := since(recent, s.now-window); float64(n+1) > budget {
+		return recent[len(recent)-n] + window + 1
 	}
 	return 0
 }
@@ -560,30 +569,30 @@
 // use: were all to send so, it would be just used up. To wait for refusals is too late: they count, so that a
 // clump that many senders send at once has all of the next seconds refused.
 func (s *Sender) paceAllowsAt(l *lane) Micros {
-	r := l.pace
+	rate := l.pace
 	if l.limit > 0 {
-		lim := l.limit
+		limit := l.limit
 		if s.many && l.told && s.set.LoadRemainingIndex >= 0 {
-			lim = max(lim/float64(s.set.Senders)/max(1-l.left, minUsedShare), 1/seconds(maxMeanPause))
+			limit = max(limit/float64(s.set.Senders)/max(1-l.left, minUsedShare), 1/seconds(maxMeanPause))
 		}
 		if s.set.Weights == WeightsApproximate && !l.told {
-			lim *= 1.5
+			limit *= 1.5
 		}
-		if r == 0 || r > lim {
-			r = lim
+		if rate == 0 || rate > limit {
+			rate = limit
 		}
 	}
-	if r == 0 {
+	if rate == 0 {
 		return 0
 	}
 	// What went while the lane was free is owed, but for no more than a second.
-	l.tokens = max(l.tokens+r*seconds(s.now-l.filled), -r*seconds(paceInterval))
-	l.tokens = min(l.tokens, max(1, r*seconds(burstTime)))
+	l.tokens = max(l.tokens+rate*seconds(s.now-l.filled), -rate*seconds(paceInterval))
+	l.tokens = min(l.tokens, max(1, rate*seconds(burstTime)))
 	l.filled = s.now
 	if l.tokens >= 1-1e-9 {
 		return 0
 	}
-	return s.now + Micros((1-l.tokens)/r*float64(Second)) + 1
+	return s.now + Micros((1-l.tokens)/rate*float64(Second)) + 1
 }
 
 // refused slows a lane down: the pace starts at the last second's rate and is halved at most once a second.
@@ -591,13 +600,13 @@
 	if s.now < l.halved+paceInterval && l.pace > 0 {
 		return
 	}
-	switch f := s.paceFloor(l); {
-	case f < minPace && s.many: // our part of the limit is known: no need to feel for it
-		l.pace = max(f, 1/seconds(maxMeanPause))
+	switch floor := s.paceFloor(l); {
+	case floor < minPace && s.many: // our part of the limit is known: no need to feel for it
+		l.pace = max(floor, 1/seconds(maxMeanPause))
 	case l.pace == 0:
-		l.pace = max(f, float64(since(l.sent, s.now-paceInterval)))
+		l.pace = max(floor, float64(since(l.sent, s.now-paceInterval)))
 	default:
-		l.pace = max(f, l.pace/2)
+		l.pace = max(floor, l.pace/2)
 	}
 	l.halved = s.now
 	s.paceAllowsAt(l)
@@ -646,17 +655,17 @@
 	return e
 }()
 
-func (h *hist) add(now, took Micros, cut bool) {
+func (h *hist) add(now, took Micros, cancelled bool) {
 	if h.w == nil {
 		h.w = new(weights)
 	}
-	f := math.Exp2(-float64(now-h.at) / float64(latencyHalfLife))
+	decay := math.Exp2(-float64(now-h.at) / float64(latencyHalfLife))
 	h.at = now
 	for i := range h.w {
-		h.w[i] *= f
+		h.w[i] *= decay
 	}
-	h.total, h.cuts = h.total*f, h.cuts*f
-	if cut {
+	h.total, h.cuts = h.total*decay, h.cuts*decay
+	if cancelled {
 		h.cuts++
 	} else {
 		h.w[bin(took)]++
@@ -668,9 +677,9 @@
 // update finds τ, the edge with the least mean time to an answer under unlimited restarts, and percentiles.
 func (h *hist) recompute() {
 	h.tau, h.median, h.p95 = 0, 0, 0
-	all := h.total + max(h.cuts, 0)
+	total := h.total + max(h.cuts, 0)
 	var m0, m1 float64
-	best, bestAt, wait := math.Inf(1), Micros(0), math.Inf(1)
+	lowestMean, bestEdge, mean := math.Inf(1), Micros(0), math.Inf(1)
 	for i, edge := range binEdges {
 		low := Micros(0)
 		if i > 0 {
@@ -687,14 +696,14 @@
 		if m0 == 0 {
 			continue
 		}
-		p := m0 / all
-		wait = (m1/all + float64(edge)*(1-p)) / p
-		if wait < best {
-			best, bestAt = wait, edge
+		p := m0 / total
+		mean = (m1/total + float64(edge)*(1-p)) / p
+		if mean < lowestMean {
+			lowestMean, bestEdge = mean, edge
 		}
 	}
-	if h.total >= minRestartSamples && best < maxRestartCost*wait {
-		h.tau = bestAt
+	if h.total >= minRestartSamples && lowestMean < maxRestartCost*mean {
+		h.tau = bestEdge
 	}
 }
 
@@ -746,8 +755,8 @@
 			}
 			continue
 		}
-		long := stuck << a.m.cuts
-		if a.stuck && e.ejected && (age > stuckCancelFactor*long || age > long && s.elsewhere(e)) {
+		stuckLimit := stuck << a.m.cuts
+		if a.stuck && e.ejected && (age > stuckCancelFactor*stuckLimit || age > stuckLimit && s.elsewhere(e)) {
 			a.m.cuts = min(a.m.cuts+1, maxRestarts)
 			s.cancel(a)
 			continue
@@ -757,7 +766,7 @@
 			h = &s.byClass[a.m.ci]
 		}
 		if h.tau > 0 && s.mayRestart(a) {
-			limit := max(h.tau<<a.m.cuts, long)
+			limit := max(h.tau<<a.m.cuts, stuckLimit)
 			if age > limit {
 				a.cut = true
 				a.m.cuts++
@@ -802,14 +811,14 @@
 	}
 	a, e := m.out, m.out.ep
 	lastOfCall := s.landed(a)
-	x, crowded := s.turned[e.dest.kind]*(1-refusalAlpha), s.isConnShortage(r)
+	refusalRate, connShortage := s.turned[e.dest.kind]*(1-refusalAlpha), s.isConnShortage(r)
 	switch {
-	case crowded:
+	case connShortage:
 		s.short[e.dest.kind] = s.now + connShortageTime
 	case r.Outcome == Refused && !s.hasLoadReports():
-		x += refusalAlpha
+		refusalRate += refusalAlpha
 	}
-	s.turned[e.dest.kind] = x
+	s.turned[e.dest.kind] = refusalRate
 	s.report(e, r.Load)
 	if r.Outcome == Delivered || r.Outcome == Refused || r.Outcome == Errored {
 		e.resets = 0
@@ -844,7 +853,7 @@
 			s.speedUp(e.lane)
 		}
 	case Refused:
-		if crowded {
+		if connShortage {
 			m.rest = s.now + Micros((0.5+s.rng.Float64())*float64(Micros(connShortageBackoff)<<min(m.tries-1, 5)))
 			if lastOfCall {
 				s.recordConnShortage(e)
@@ -928,17 +937,17 @@
 
 // succeeded notes an answer to what was sent at a time. One sent before the last failure tells nothing of a
 // return: else a call that was under way when a destination shut would end the watch before it opens.
-func (s *Sender) recordSuccess(e *endpoint, sent Micros) {
-	if e.ejected && sent < e.lastBad {
+func (s *Sender) recordSuccess(e *endpoint, sentAt Micros) {
+	if e.ejected && sentAt < e.lastBad {
 		return
 	}
 	if e.ejected { // one that was silent for long comes back as cold as one that was seen to fail
 		s.log("endpoint %d answers again", e.id)
 		s.setStatus(e, e.state, false)
 		e.backAt, e.trialGap = s.now, 0
-		e.cold = sent >= e.downAt+minOutage || e.cold && e.bad*(1-failureAlpha) > outageFailureRate
+		e.cold = sentAt >= e.downAt+minOutage || e.cold && e.bad*(1-failureAlpha) > outageFailureRate
 	}
-	e.okSent = max(e.okSent, sent)
+	e.okSent = max(e.okSent, sentAt)
 	e.lastOK = s.now
 	e.fails, e.fulls, e.spoilt, e.lane.fulls = 0, 0, 0, 0
 	e.bad *= 1 - failureAlpha
@@ -947,34 +956,34 @@
 // vouch notes which siblings of x are well by themselves: a call that was sent to x at a time has failed, and
 // they answered one that was sent since x was out and before that. An answer alone may come of the return of
 // all, with x not tried since.
-func (s *Sender) recordWellSiblings(x *endpoint, sent Micros) {
-	for _, e := range x.dest.eps {
-		if e != x && e.lane == x.lane && e.okSent > x.outAt && e.okSent < sent {
+func (s *Sender) recordWellSiblings(failed *endpoint, sentAt Micros) {
+	for _, e := range failed.dest.eps {
+		if e != failed && e.lane == failed.lane && e.okSent > failed.outAt && e.okSent < sentAt {
 			e.well = s.now
 		}
 	}
 }
 
 // failed notes a sign of an outage at e: an error, a reset, no connection or no answer.
-func (s *Sender) recordFailure(e *endpoint, how string) {
+func (s *Sender) recordFailure(e *endpoint, reason string) {
 	e.fails++
 	e.lastBad = s.now
 	e.bad += failureAlpha * (1 - e.bad)
-	if e.fails >= 2 || e.bad > outageFailureRate || how != "errors" {
-		s.ejectFailed(e, how)
+	if e.fails >= 2 || e.bad > outageFailureRate || reason != "errors" {
+		s.ejectFailed(e, reason)
 	}
 }
 
 // full notes a refusal; refusals in a row over longer than a limit's window, or a long told wait, mean shut.
 // Many senders come too rarely to tell by four: those that were refused twice would topple what opens again.
-func (s *Sender) recordRefusal(e *endpoint, wait Micros) {
+func (s *Sender) recordRefusal(e *endpoint, retryAfter Micros) {
 	s.slowDown(e.lane)
 	e.fulls++
 	l := e.lane
 	if l.fulls++; l.fulls == 1 {
 		l.firstFull = s.now
 	}
-	if e.ejected || wait > outageRetryAfter || (l.fulls >= outageRefusals || s.many && l.fulls > 1) &&
+	if e.ejected || retryAfter > outageRetryAfter || (l.fulls >= outageRefusals || s.many && l.fulls > 1) &&
 		s.now-l.firstFull > outageRefusalSpan {
 		e.lastBad = s.now
 		s.ejectFailed(e, "refuses all")
@@ -1000,8 +1009,8 @@
 }
 
 // ejectCold ejects an endpoint that has failed: after its return there is a budget.
-func (s *Sender) ejectFailed(e *endpoint, how string) {
-	s.eject(e, how)
+func (s *Sender) ejectFailed(e *endpoint, reason string) {
+	s.eject(e, reason)
 	if !e.cold {
 		e.cold, e.downAt = true, e.lastOK
 		e.dest.came, e.dest.downAt = 1, s.now
@@ -1009,9 +1018,9 @@
 }
 
 // eject takes an endpoint out of rotation (outlier ejection): from now on single trials.
-func (s *Sender) eject(e *endpoint, how string) {
+func (s *Sender) eject(e *endpoint, reason string) {
 	if !e.ejected {
-		s.log("endpoint %d out: %s", e.id, how)
+		s.log("endpoint %d out: %s", e.id, reason)
 		e.outAt = s.now
 		s.setStatus(e, e.state, true)
 		e.trialGap, e.trialAt = minTrialInterval, s.now+minTrialInterval
@@ -1054,13 +1063,13 @@
 
 // resume takes up a message where a restart cut it off: its attempts count, and one without an outcome may
 // have run. What may not be sent again ends at once.
-func (s *Sender) restoreHistory(m *msg, p History) {
-	if p.Attempts == 0 {
+func (s *Sender) restoreHistory(m *msg, history History) {
+	if history.Attempts == 0 {
 		return
 	}
-	m.tries = p.Attempts
-	if m.mayRun = p.MayHaveRun; m.mayRun {
-		m.firstMay, m.mayZone = s.now-p.Age, p.Zone
+	m.tries = history.Attempts
+	if m.mayRun = history.MayHaveRun; m.mayRun {
+		m.firstMay, m.mayZone = s.now-history.Age, history.Zone
 	}
 	s.endIfExhausted(m)
 }
@@ -1079,17 +1088,17 @@
 
 // endHopeless ends messages whose time is nearly up: unsent ones at a usual call's time before the deadline.
 func (s *Sender) endExpired() {
-	var q []*msg
+	var expired []*msg
 	for i := range s.wait.expiries {
-		for x := &s.wait.expiries[i]; len(x.items) > 0; s.visits++ {
-			g := x.items[0]
-			m := g.queue.items[0]
-			if at := m.ends[g.kind] - s.minTimeLeft(g); at > s.now {
+		for queue := &s.wait.expiries[i]; len(queue.items) > 0; s.visits++ {
+			first := queue.items[0]
+			m := first.queue.items[0]
+			if at := m.ends[first.kind] - s.minTimeLeft(first); at > s.now {
 				s.at(at)
 				break
 			}
 			s.dequeue(m)
-			q = append(q, m)
+			expired = append(expired, m)
 		}
 	}
 	s.visits += len(s.flying)
@@ -1100,11 +1109,11 @@
 		if at := a.m.deadline - s.endMargin(); at > s.now {
 			s.at(at)
 		} else {
-			q = append(q, a.m)
+			expired = append(expired, a.m)
 		}
 	}
-	slices.SortFunc(q, func(a, b *msg) int { return a.seq - b.seq })
-	for _, m := range q {
+	slices.SortFunc(expired, func(a, b *msg) int { return a.seq - b.seq })
+	for _, m := range expired {
 		s.endMessage(m)
 	}
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -84,7 +84,7 @@
 	} {
 		set := baseSettings()
 		f(&set)
-		if _, err := New(set, 1); err == nil || err.Error() != "settings: invalid "+want {
+		if _, err := New(set, 1); err == nil || err.Error() != "settings: "+want+" is invalid" {
 			t.Errorf("%s: got error %v", want, err)
 		}
 	}
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -4,7 +4,7 @@
 
 // validate returns an error that names the first invalid setting.
 func validate(set *Settings) error {
-	invalid := func(field string) error { return fmt.Errorf("settings: invalid %s", field) }
+	invalid := func(field string) error { return fmt.Errorf("settings: %s is invalid", field) }
 	switch {
 	case len(set.Classes) == 0:
 		return invalid("Classes")
