--- a/logic/logic.go
+++ b/logic/logic.go
@@ -20,7 +20,7 @@
 	binCount          = 48          // the last edge lies near 70 s
 	minSamples        = 4.0         // samples needed before a histogram is used
 	minRestartSamples = 12.0        // samples needed before τ is used; an early τ cancels healthy calls
-	maxRestartCost    = 0.85        // τ must lower the mean time to an answer to this fraction; noise reaches 0.9
+	maxRestartCost    = 0.85        // τ must cut the mean time to an answer to this fraction; noise reaches 0.9
 	resendMargin      = Second      // time to cancel a keyed call and resend it; a quarter of a shorter window
 	maxRestarts       = 2           // restarts of one message; each doubles the next limit
 	stuckP95Factor    = 2.0         // a call is stuck after this multiple of the 95th percentile ...
@@ -44,7 +44,7 @@
 	maxMeanPause       = 8 * Second // many senders: longest mean pause of a lane
 	outageResendFactor = 1.0        // part of the messages of an outage that is resent at the same time
 	assumedOutage      = 5 * Second // assumed length of an outage before this sender noticed it
-	minOutage          = 2 * Second // an endpoint that answers again within this time was not out, and is not cold
+	minOutage          = 2 * Second // an endpoint that answers again sooner was not out, and is not cold
 
 	nonIdempotentFailureRate = 0.2        // failure rate above which unsafe messages avoid an endpoint
 	outageRefusals           = 4          // refusals in a row that count as an outage ...
@@ -55,8 +55,8 @@
 
 	removedEndpointTTL = 60 * Second         // a removed endpoint is kept this long: it may be listed again
 	idleDestinationTTL = 4 * latencyHalfLife // state of a destination without traffic is dropped after this time
-	slowFactor         = 3.0                 // an endpoint this many times slower than its fastest sibling is avoided ...
-	slowRetryInterval  = 4 * Second          // ... but tried again after this time
+	slowFactor         = 3.0                 // an endpoint slower by this factor than its best sibling is avoided ...
+	slowRetryInterval  = 4 * Second          // ... until it has had no call for this time
 
 	connReuseInterval      = 5 * Second  // connections to an endpoint called less often than this are released
 	refusalAlpha           = 0.05        // weight of the newest call in the refusal rate of a destination kind
@@ -68,14 +68,14 @@
 	outageUnreadable       = 4           // unreadable answers in a row that count as an outage
 	errorBackoff           = 100_000     // pause of a message after an error; doubles with each attempt
 	connShortageTime       = 60 * Second // many senders keep no idle connections for this time after a shortage
-	connShortageBackoff    = 50_000      // mean pause of a message that got no connection; doubles with each attempt
-	outageConnShortages    = 8           // shortages in a row, no answer for outageRefusalSpan, that are an outage
+	connShortageBackoff    = 50_000      // mean pause after a connection shortage; doubles with each attempt
+	outageConnShortages    = 8           // shortages in a row, without an answer for outageRefusalSpan
 
 	// Priorities, buffer, scans and list subscription.
 	quotaHalfLife       = 5 * Second // half-life of the count that gives a tenant's rate
 	valueLossHorizon    = Second     // messages are ordered by the value they lose within this time
 	minTryShare         = 0.7        // the protocol has an accepted message tried for this fraction of its time
-	bufferHighWatermark = 0.7        // fill level above which messages that the pace cannot send in time are ended
+	bufferHighWatermark = 0.7        // fill level above which messages that cannot be sent in time are ended
 	bufferFullWatermark = 0.9        // fill level above which the least valuable messages are rejected
 
 	scanAllLimit     = 512 // up to this many waiting messages are all examined in each step ...
@@ -91,15 +91,15 @@
 	longAgo              = Micros(math.MinInt64 / 2)
 )
 
-// New makes a Sender. An error names the setting that makes no sense.
+// New creates a Sender. The error names the first invalid setting.
 func New(set Settings, seed uint64) (*Sender, error) {
 	if err := validate(&set); err != nil {
 		return nil, err
 	}
 	source := rand.NewPCG(seed, 0)
 	s := &Sender{set: set, source: source, rng: rand.New(source), now: math.MinInt64, askAt: never,
-		askGap: minSubscribeDelay, eps: map[EndpointID]*endpoint{}, dests: map[int64]*dest{}, msgs: map[string]*msg{},
-		keys: map[string]*keyLine{}, turned: map[int]float64{}, short: map[int]Micros{}}
+		askGap: minSubscribeDelay, eps: map[EndpointID]*endpoint{}, dests: map[int64]*dest{},
+		msgs: map[string]*msg{}, keys: map[string]*keyLine{}, turned: map[int]float64{}, short: map[int]Micros{}}
 	if set.ListOnRequest {
 		s.askAt = math.MinInt64
 	}
@@ -109,7 +109,7 @@
 	return s, nil
 }
 
-// Step takes what happened up to now and returns what to do.
+// Step processes the events that happened up to now and returns the actions to take.
 func (s *Sender) Step(now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
@@ -130,10 +130,12 @@
 
 // ---- Endpoint list -------------------------------------------------------------------
 
+// applyUpdate applies a change of the endpoint list, or schedules a new request after a failed one.
 func (s *Sender) applyUpdate(ev EndpointUpdate) {
 	if ev.Kind == UpdateFailed {
-		// Asked in vain or subscription broken: ask again, later each time, and not when all others do. News counts
-		// as told 6 s later, so what the request took counts too; the longest pause is one and a half gaps.
+		// The request failed or the subscription broke: retry with exponential backoff and jitter. A change
+		// counts as known 6 s after it was made, so the duration of the request counts as well. The jitter
+		// makes the longest pause one and a half times the delay, hence the factor 2/3.
 		delay := min(s.askGap, max(maxSubscribeInterval-ev.RequestTime, 0)*2/3)
 		s.askAt = s.now + Micros((0.5+s.rng.Float64())*float64(delay))
 		s.askGap = min(2*s.askGap, maxSubscribeDelay)
@@ -175,11 +177,13 @@
 			e.lane = &lane{}
 		}
 		s.eps[e.id] = e
-		// A machine that joins a destination in trouble is as cold as the others: what topples it is shared.
+		// An endpoint that joins a destination during an outage is as cold as its siblings: the overload that
+		// makes the destination fail again is shared.
 		for _, sibling := range d.eps {
 			if sibling.cold && e.lane == sibling.lane {
 				s.setStatus(e, e.state, sibling.ejected)
-				e.cold, e.backAt, e.trialAt, e.lastBad, e.outAt = true, sibling.backAt, sibling.trialAt, sibling.lastBad, sibling.outAt
+				e.cold, e.backAt, e.trialAt, e.lastBad, e.outAt = true, sibling.backAt, sibling.trialAt,
+					sibling.lastBad, sibling.outAt
 				e.downAt = sibling.downAt
 			}
 		}
@@ -197,7 +201,7 @@
 	}
 }
 
-// subscribe asks for the list where it comes only on request.
+// subscribe requests the endpoint list when a request is due.
 func (s *Sender) subscribe() {
 	if s.askAt == never {
 		return
@@ -212,7 +216,7 @@
 
 // ---- Queue ---------------------------------------------------------------------------
 
-// rate orders the queue: the worth that waiting a little longer would lose, for each second of a slot.
+// priority is the value that m would lose by waiting a little longer, per second that it would hold a slot.
 func (s *Sender) priority(m *msg) float64 {
 	latency := max(s.medianLatency(m), 10_000)
 	value := s.value(m, s.now+latency)
@@ -220,8 +224,9 @@
 	return m.share * (loss + 0.02*value) / (float64(latency) * float64(1+m.dest.lane.inflight))
 }
 
-// shareOf is the part of its worth that a new message keeps: less while its tenant sends past its quota here,
-// taking an even part of the quota for this sender.
+// quotaFactor counts a new message of a tenant and returns the fraction of its value that the message keeps.
+// It is below 1 while the tenant exceeds this sender's share of its quota, which is split evenly among all
+// senders.
 func (s *Sender) quotaFactor(tenant int) float64 {
 	if tenant < 0 || tenant >= len(s.set.Tenants) || s.set.Tenants[tenant].QuotaRPS <= 0 {
 		return 1
@@ -235,7 +240,7 @@
 	return 1
 }
 
-// usual is the median served latency of m's destination, else of its class; 0 if neither is known.
+// medianLatency is the median latency of m's destination, else of m's class; 0 if neither is known.
 func (s *Sender) medianLatency(m *msg) Micros { return s.medianLatencyOf(m.dest, m.ci) }
 
 func (s *Sender) medianLatencyOf(d *dest, class int) Micros {
@@ -248,7 +253,7 @@
 	return 0
 }
 
-// dispatch sends what the gate lets through, the most urgent first.
+// dispatch sends the waiting messages that may be sent, in order of priority.
 func (s *Sender) dispatch() {
 	s.trials = s.onTrial()
 	msgs := s.candidates()
@@ -266,13 +271,16 @@
 		if !s.mayDrop(m) {
 			continue
 		}
-		// What the pace cannot send in time ends now, if the hold has little room: paces and limits come back.
+		// End messages that cannot be sent in time at the current pace, but only if the buffer is filling up,
+		// since paces and limits recover.
 		pace := s.destPace(m.dest)
-		if pace > 0 && m.dest.rank/pace > seconds(m.deadline-s.now-s.medianLatency(m)) && s.crowd() > bufferHighWatermark {
+		if pace > 0 && m.dest.rank/pace > seconds(m.deadline-s.now-s.medianLatency(m)) &&
+			s.crowd() > bufferHighWatermark {
 			s.endMessage(m)
 			continue
 		}
-		// A nearly full hold gives up its least worthy rather than turning new messages away unseen.
+		// When the buffer is nearly full, end the message of least priority rather than reject new messages
+		// regardless of their value.
 		if s.crowd() > bufferFullWatermark && i >= len(msgs)-1 && !m.mayRun {
 			s.endMessage(m)
 		}
@@ -280,8 +288,8 @@
 	s.file(msgs, s.blockedByItself)
 }
 
-// holdsItself says whether m is held back by what says nothing of other messages for its destination, and
-// whether for a known time.
+// blockedByItself reports whether m is blocked for a reason that does not affect other messages for its
+// destination, and whether it is blocked until a known time.
 func (s *Sender) blockedByItself(m *msg) (blocked, timed bool) {
 	line, c := m.line, m.class
 	if line != nil && line.q[0] != m || m.mayRun && c.DedupPerZone {
@@ -292,20 +300,22 @@
 	return timed, timed
 }
 
-// free is the number of slots that may be taken: of all, and by trials.
+// freeSlots is the number of slots that any call may take, and the number that trials may take.
 func (s *Sender) freeSlots() [2]int {
 	return [2]int{anySlot: max(s.set.CallSlots-s.busy, 0), trialSlot: max(s.maxTrials()-s.trials, 0)}
 }
 
 func (s *Sender) maxTrials() int { return max(1, s.set.CallSlots*2/3) }
 
-// mayEnd says whether m may end for want of room: at the door, but once it is taken on and has surely not run
-// only when most of its time is gone. Paces come back, and a restart finds many that nothing was tried for.
+// mayDrop reports whether m may be ended for lack of room: on arrival, or when an attempt may have run. An
+// accepted message that never ran may be dropped only once most of its time has passed, since paces recover
+// and a restart finds many messages that were never tried.
 func (s *Sender) mayDrop(m *msg) bool {
 	return m.mayRun || m.fresh == s.step || float64(s.now-m.came) >= minTryShare*float64(m.deadline-m.came)
 }
 
-// send tries the endpoints of m's destination in rotation and reports whether one took it.
+// trySend picks the best endpoint of m's destination that may be used now, in rotation, and starts an attempt
+// there. It reports whether there was one.
 func (s *Sender) trySend(m *msg) bool {
 	d := m.dest
 	fastest := math.Inf(1)
@@ -326,16 +336,16 @@
 		}
 		penalty := 0
 		if !s.joins(e) {
-			penalty++ // a call that leaves anyway comes first
+			penalty++ // prefer a call that is sent anyway
 		}
 		if s.many && (s.now >= e.warm || e.inflight >= max(s.set.CallsPerConn, 1)) {
-			penalty++ // among many senders connections rarely last until the rotation comes round again
+			penalty++ // among many senders a connection rarely stays open until the rotation returns to it
 		}
 		if e == m.last {
-			penalty += 4 // a resend goes elsewhere where it can
+			penalty += 4 // resend to another endpoint if possible
 		}
 		if e.fulls > 1 {
-			penalty += 2 // refuses while others may not: draining, or a route at its limit
+			penalty += 2 // refuses calls that others may accept: it drains, or its route is at its limit
 		}
 		if e.slow > slowFactor*fastest && s.now < e.lastSent+slowRetryInterval {
 			penalty += 2
@@ -354,6 +364,7 @@
 	return true
 }
 
+// startAttempt sends m to e, in a call of this step to e if there is one with room.
 func (s *Sender) startAttempt(m *msg, e *endpoint) {
 	if !s.joins(e) {
 		e.open = &call{step: s.step}
@@ -370,30 +381,32 @@
 	a, timeout := s.fly(m, e), m.deadline-s.now
 	if stuck := 2 * s.stuckTime(e.dest, m); !s.set.MayCancel && (m.class.Idempotency == Idempotent ||
 		m.class.Idempotency == IdempotentByKey && s.now+stuck < m.firstMay+m.class.DedupWindow) {
-		timeout = min(timeout, stuck) // nothing can be called off here: let it time out, if it can be sent again then
+		timeout = min(timeout, stuck) // where attempts cannot be cancelled, time out while m can still be resent
 	}
 	s.do(Send{ID: a.m.id, Timeout: timeout, Endpoint: e.id})
-	s.at(s.now + s.stuckTime(e.dest, m) + 1) // looked at in time even if nothing else happens until then
+	s.at(s.now + s.stuckTime(e.dest, m) + 1) // check for a stuck call even if no event comes until then
 }
 
-// ---- Rules gate ----------------------------------------------------------------------
+// ---- Send checks ---------------------------------------------------------------------
 
-// gate says whether m may go to e now, and if not, when to look again. Every send of a message passes it.
+// checkSend reports whether m may be sent to e now, and if not, when to check again. Every send of a message
+// has to pass it.
 func (s *Sender) checkSend(m *msg, e *endpoint) (bool, Micros) {
 	switch {
-	case e.state != Ready || m.over || m.out != nil: // drain; one attempt at a time
+	case e.state != Ready || m.over || m.out != nil: // draining; one attempt at a time
 		return false, never
-	case s.now < max(e.lane.until, m.rest): // told wait
+	case s.now < max(e.lane.until, m.rest): // requested wait
 		return false, max(e.lane.until, m.rest)
 	case s.set.MaxAttempts > 0 && m.tries >= s.set.MaxAttempts:
 		return false, never
-	case m.deadline-s.now <= max(s.medianLatency(m), 2*s.set.Tick): // median gate
+	case m.deadline-s.now <= max(s.medianLatency(m), 2*s.set.Tick): // too little time left for a usual call
 		return false, never
 	}
-	if s.closeAt != 0 && s.now+s.expectedDuration(m, e) > s.closeAt { // it stays in the journal for the next start
+	if s.closeAt != 0 && s.now+s.expectedDuration(m, e) > s.closeAt {
+		// The message stays in the journal for the next start.
 		return false, never
 	}
-	if line := m.line; line != nil { // order of its key
+	if line := m.line; line != nil { // order of messages with the same key
 		if line.q[0] != m {
 			return false, never
 		}
@@ -401,7 +414,7 @@
 			return false, line.quiet
 		}
 	}
-	if m.mayRun { // effect
+	if m.mayRun { // duplicates
 		c := m.class
 		switch {
 		case c.Idempotency == NonIdempotent:
@@ -429,8 +442,9 @@
 	return true, 0
 }
 
-// lasts is the time that an attempt needs before this sender stops. One that is cut off by the stop is resent
-// if its class allows it, but an unsafe one is lost.
+// expectedDuration is the time that an attempt of m at e needs before this sender stops. An attempt that the
+// shutdown interrupts is resent later if its class allows it; an unsafe message would be lost, so it gets
+// longer.
 func (s *Sender) expectedDuration(m *msg, e *endpoint) Micros {
 	if h := &e.dest.hist; m.class.Idempotency != NonIdempotent && h.total >= minSamples {
 		return h.p95
@@ -438,7 +452,8 @@
 	return s.stuckTime(e.dest, m)
 }
 
-// health holds messages back from an endpoint that seems out: single trials only, unsafe messages last.
+// healthAllowsAt is the time from which m may be sent to e, judged by e's health. An endpoint that is out
+// gets single trials only, with unsafe messages last.
 func (s *Sender) healthAllowsAt(m *msg, e *endpoint) Micros {
 	if e.ejected {
 		switch {
@@ -449,10 +464,12 @@
 		}
 		return e.trialAt
 	}
-	if m.class.Idempotency == NonIdempotent && e.bad > nonIdempotentFailureRate && s.now < m.first+m.class.TargetLatency {
+	if m.class.Idempotency == NonIdempotent && e.bad > nonIdempotentFailureRate &&
+		s.now < m.first+m.class.TargetLatency {
 		return m.first + m.class.TargetLatency
 	}
-	// Outages mostly take all endpoints: after one has failed, the others are tried singly until they answer.
+	// Most outages affect all endpoints of a destination: after one has failed, the others get one call at a
+	// time until they answer.
 	if e.inflight > 0 && e.lane == e.dest.lane {
 		for _, sibling := range e.dest.eps {
 			if sibling.ejected && sibling.lastBad > e.lastOK && !s.maybeRemoved(sibling) {
@@ -463,28 +480,30 @@
 	return 0
 }
 
-// mayBeGone says whether x, which seems out, may just have gone: it has not answered yet, and the list is
-// still that of the start, which may be old. That says nothing of its siblings.
+// maybeRemoved reports whether e, which is out, may only have been removed: it has never answered, and the
+// list is still the cached one from the start, which may be out of date. Its failure then says nothing about
+// its siblings.
 func (s *Sender) maybeRemoved(e *endpoint) bool { return s.now < s.unsure && e.lastOK == longAgo }
 
-// slowStart keeps what goes to a destination after an outage under this sender's share of what topples it.
-// The endpoints of a lane that are cold share one budget: the lane falls over as a whole.
+// slowStartAllowsAt is the time from which a call may be sent to e without exceeding this sender's share of
+// the load under which a destination fails again after an outage. The cold endpoints of a lane share one
+// budget, because the lane fails as a whole.
 func (s *Sender) slowStartAllowsAt(e *endpoint) Micros {
 	if e.cold && !e.ejected && s.now >= e.backAt+s.set.WarmupTime {
 		e.cold = false
 	}
 	if e.ejected && s.now < e.downAt+minOutage {
-		return 0 // a trial so soon cannot meet the return from an outage
+		return 0 // an outage cannot have ended yet
 	}
 	if !e.cold && !slices.ContainsFunc(e.dest.eps, func(x *endpoint) bool {
-		// e was not seen to answer while x was out
+		// e is not known to have answered while x was out
 		return x.cold && x.lane == e.lane && x.outAt >= e.well && !s.maybeRemoved(x)
 	}) {
 		return 0
 	}
-	// What went there before the outage is no burden on what comes back: counted, it would hold up the first
-	// trial, and with it the return, for a whole window.
-	guessed := e.lane.limit == 0 && s.set.Senders > 1 // capacity goes by what this sender alone saw
+	// Calls sent before the outage are no load on the destination that recovers. Counting them would delay the
+	// first trial, and with it the recovery, by a whole window.
+	guessed := e.lane.limit == 0 && s.set.Senders > 1 // capacity estimated from what this sender alone observed
 	warm, cold, recent, window, countFrom := 1.0, 0, []Micros(nil), s.set.OverloadWindow, s.now
 	for _, x := range e.dest.eps {
 		if x.cold && x.lane == e.lane {
@@ -499,7 +518,7 @@
 				warm = min(warm, 0)
 			} else if x.cold {
 				t, w := seconds(s.now-x.backAt), seconds(window)
-				switch { // what counts is what x could do in the window, on average; a guess errs further
+				switch { // use the mean capacity of x over the window; a guessed capacity is less exact than that
 				case guessed:
 				case t < w:
 					t *= t / (2 * w)
@@ -514,13 +533,14 @@
 	allowed := s.set.OverloadMultiple * (s.set.ColdCapacity + (1-s.set.ColdCapacity)*warm) * seconds(window)
 	n := float64(s.set.Senders)
 	if guessed && !s.many {
-		n = 2 // the best second of one of a few is about twice its part of the traffic
+		n = 2 // among few senders, the peak second of one is about twice its share of the traffic
 	}
 	budget := allowed * capacity / n
 	slices.Sort(recent)
 	if budget < 1 {
-		// Many senders: our share is that of our messages among all since the outage began, which add up however
-		// many saw it; and one call goes in a longer span, at a time of our own.
+		// Many senders: this sender's share is that of its messages among all messages since the outage began.
+		// These shares add up correctly however many senders noticed the outage. A share below one call gives one
+		// call in a longer window, at a random time.
 		ownRate := outageResendFactor * float64(e.dest.came) / seconds(s.now-e.dest.downAt+assumedOutage)
 		if e.lane != e.dest.lane {
 			ownRate /= float64(len(e.dest.eps))
@@ -541,14 +561,15 @@
 	return 0
 }
 
-// serve notes a call that a lane has served: its best second is the least that it can do. Calls sent say
-// nothing of that: those that a cold lane turns away come again at once, and would widen its budget.
+// recordServed counts a call that a lane has served. The peak rate of served calls is a lower bound of the
+// lane's capacity. Calls sent are not: those that a cold lane refuses are resent at once and would raise its
+// budget.
 func (s *Sender) recordServed(l *lane) {
 	l.served = append(trim(l.served, s.now-Second), s.now)
 	l.peak = max(l.peak, float64(since(l.served, s.now-Second)))
 }
 
-// capacity is a low guess of the calls a second that an endpoint takes.
+// capacityEstimate is a low estimate of the calls per second that an endpoint can take.
 func (s *Sender) capacityEstimate(e *endpoint) float64 {
 	c := e.lane.limit
 	if c == 0 {
@@ -564,10 +585,11 @@
 
 // ---- Pace ----------------------------------------------------------------------------
 
-// paced says when the lane may take its next call. A limit that is told bounds the pace from the start; where
-// reports tell what is left of it, each of many senders takes its even share of the limit over the part in
-// use: were all to send so, it would be just used up. To wait for refusals is too late: they count, so that a
-// clump that many senders send at once has all of the next seconds refused.
+// paceAllowsAt refills the lane's tokens and returns the time from which it may take its next call. A known
+// limit bounds the pace from the start. Where reports give the unused fraction of the limit, each of many
+// senders takes its even share of the limit divided by the used fraction, so that all together just use it
+// up. Waiting for refusals would be too late: refused calls count against the limit, so that after a burst
+// from many senders all calls of the next seconds would be refused.
 func (s *Sender) paceAllowsAt(l *lane) Micros {
 	rate := l.pace
 	if l.limit > 0 {
@@ -585,7 +607,7 @@
 	if rate == 0 {
 		return 0
 	}
-	// What went while the lane was free is owed, but for no more than a second.
+	// Calls sent while the lane had no pace are a debt, but for at most one interval.
 	l.tokens = max(l.tokens+rate*seconds(s.now-l.filled), -rate*seconds(paceInterval))
 	l.tokens = min(l.tokens, max(1, rate*seconds(burstTime)))
 	l.filled = s.now
@@ -595,13 +617,14 @@
 	return s.now + Micros((1-l.tokens)/rate*float64(Second)) + 1
 }
 
-// refused slows a lane down: the pace starts at the last second's rate and is halved at most once a second.
+// slowDown lowers a lane's pace after a refusal: it starts at the rate of the last second and is halved at
+// most once per second.
 func (s *Sender) slowDown(l *lane) {
 	if s.now < l.halved+paceInterval && l.pace > 0 {
 		return
 	}
 	switch floor := s.paceFloor(l); {
-	case floor < minPace && s.many: // our part of the limit is known: no need to feel for it
+	case floor < minPace && s.many: // this sender's share of the limit is known: no need to probe for it
 		l.pace = max(floor, 1/seconds(maxMeanPause))
 	case l.pace == 0:
 		l.pace = max(floor, float64(since(l.sent, s.now-paceInterval)))
@@ -610,10 +633,12 @@
 	}
 	l.halved = s.now
 	s.paceAllowsAt(l)
-	// Others were refused too: the next call comes half a pace early or late, or up to one after a wait.
+	// Other senders were refused at the same time. Spread the next calls by up to half an interval early or
+	// late, or up to one interval after a requested wait.
 	l.tokens = min(l.tokens, s.rng.Float64()-0.5)
 	if s.many && l.limit == 0 && l.fulls == 0 && since(l.served, s.now-recentAnswer) == 0 {
-		// It may be shut: what comes back must not meet all that were refused once in its last seconds.
+		// The destination may be down. Spread the retries of senders that were refused once in its last seconds,
+		// so that they do not all meet it when it returns.
 		l.tokens = min(l.tokens, 1-l.pace*seconds(minFirstPause+Micros(s.rng.Float64()*float64(minFirstPause))))
 	}
 	if l.until > s.now {
@@ -621,8 +646,9 @@
 	}
 }
 
-// floor is one call a second, but no more than an even share of a limit that is told: at a destination that
-// counts refused calls, floors alone would use it up. Those of many senders leave room for that to end.
+// paceFloor is the lowest pace of a lane: one call per second, but no more than an even share of a known
+// limit. Where refused calls count against the limit, higher floors of all senders alone would use it up. The
+// floors of many senders leave headroom, so that such a state ends.
 func (s *Sender) paceFloor(l *lane) float64 {
 	if l.limit == 0 {
 		return minPace
@@ -634,6 +660,7 @@
 	return min(minPace, share)
 }
 
+// speedUp raises a lane's pace after a success, and drops a pace far above the actual rate.
 func (s *Sender) speedUp(l *lane) {
 	if l.pace == 0 {
 		return
@@ -655,6 +682,7 @@
 	return e
 }()
 
+// add counts an attempt that was answered after took, or that was cancelled or is late without an answer.
 func (h *hist) add(now, took Micros, cancelled bool) {
 	if h.w == nil {
 		h.w = new(weights)
@@ -674,7 +702,8 @@
 	h.recompute()
 }
 
-// update finds τ, the edge with the least mean time to an answer under unlimited restarts, and percentiles.
+// recompute finds the median, the 95th percentile and τ: the bin edge that gives the least mean time to an
+// answer if every attempt is restarted at it, without limit. τ stays 0 if restarts gain too little.
 func (h *hist) recompute() {
 	h.tau, h.median, h.p95 = 0, 0, 0
 	total := h.total + max(h.cuts, 0)
@@ -707,7 +736,7 @@
 	}
 }
 
-// stuckAfter is the time after which an unanswered call speaks for an outage.
+// stuckTime is the time after which an unanswered call suggests an outage.
 func (s *Sender) stuckTime(d *dest, m *msg) Micros {
 	h := &d.hist
 	if h.total < minSamples {
@@ -719,7 +748,7 @@
 	return max(Micros(stuckP95Factor*float64(h.p95)), 3*h.median, minStuckTime)
 }
 
-// cutLong calls off attempts at τ, and those that hang at an endpoint that answers nothing.
+// cancelSlow cancels attempts that have reached τ, and attempts stuck at an endpoint that answers nothing.
 func (s *Sender) cancelSlow() {
 	var oldest *attempt
 	s.visits += len(s.flying)
@@ -731,13 +760,13 @@
 		stuck := s.stuckTime(e.dest, a.m)
 		if !a.stuck && e.lastOK < a.at {
 			if a.stuck = age > stuck; a.stuck {
-				// No outcome yet, so nothing is known to have failed: hold back, but set no budget.
+				// Nothing is known to have failed yet: take the endpoint out of rotation, but set no budget.
 				s.eject(e, "silent")
 			}
 		}
 		if !a.late && age > stuckCancelFactor*stuck {
-			// Ours: a call still out past what is usual counts as lasting past τ until it answers. Else lost
-			// answers, with all others quick, never show in the histogram and hold slots to their deadline.
+			// Count an overdue call as one that exceeds τ until it is answered. Otherwise lost answers, while all
+			// others are fast, would never show in the histogram and would hold slots until their deadline.
 			a.late = true
 			e.dest.hist.add(s.now, age, true)
 			s.byClass[a.m.ci].add(s.now, age, true)
@@ -776,21 +805,23 @@
 			}
 		}
 	}
-	// What cannot be sent again may wait; but not with the last slot, while others could go.
-	if oldest != nil && s.busy >= s.set.CallSlots && s.set.CallSlots > 0 && s.wait.count > oldest.m.dest.waiting() {
+	// An attempt that cannot be repeated may take its time, but not in the last slot while others wait.
+	if oldest != nil && s.busy >= s.set.CallSlots && s.set.CallSlots > 0 &&
+		s.wait.count > oldest.m.dest.waiting() {
 		s.cancel(oldest)
 	}
 }
 
-// lastTry says whether a call that is out is the last that m may have: called off it fails, left it may be
-// answered.
+// isLastAttempt reports whether m cannot be resent after the attempt in flight: if that is cancelled the
+// message fails, if not it may still be answered.
 func (s *Sender) isLastAttempt(m *msg) bool {
 	c := m.class
-	return c.Idempotency == NonIdempotent || c.Idempotency == IdempotentByKey && s.now > m.firstMay+c.DedupWindow-min(resendMargin, c.DedupWindow/4)
+	return c.Idempotency == NonIdempotent || c.Idempotency == IdempotentByKey &&
+		s.now > m.firstMay+c.DedupWindow-min(resendMargin, c.DedupWindow/4)
 }
 
-// mayRestart: a restart must have attempts and time left, and must not add to the load of a destination that
-// refuses or recovers, unless the call holds one of the last slots.
+// mayRestart reports whether a may be cancelled at τ and sent again: attempts and time must be left, and it
+// must not add load to a destination that refuses calls or recovers, unless all slots are taken.
 func (s *Sender) mayRestart(a *attempt) bool {
 	m, e := a.m, a.ep
 	if m.cuts >= maxRestarts || s.set.MaxAttempts > 0 && m.tries >= s.set.MaxAttempts {
@@ -804,6 +835,7 @@
 
 // ---- Outcomes ------------------------------------------------------------------------
 
+// handleResult processes the outcome of an attempt, then ends the message or queues it again.
 func (s *Sender) handleResult(r AttemptResult) {
 	m := s.msgs[r.ID]
 	if m == nil || m.out == nil || m.out.n != r.Attempt {
@@ -829,7 +861,7 @@
 	if r.Outcome != Refused && r.Outcome != ConnRefused && r.Outcome != Skipped && r.Outcome != LocalFailure {
 		m.mayRun = true
 	}
-	if r.RetryAfter > 0 { // it binds with any outcome: the answer to a batch may tell one and have taken some on
+	if r.RetryAfter > 0 { // with any outcome: the answer to a batch may accept messages and still request a wait
 		e.lane.until = max(e.lane.until, s.now+r.RetryAfter)
 	}
 	if m.line != nil && (r.Outcome == TimedOut || r.Outcome == ConnLost || r.Outcome == Cancelled) {
@@ -848,7 +880,7 @@
 			e.slow = float64(r.Latency)
 		}
 		s.recordSuccess(e, a.at)
-		if lastOfCall { // the pace and the capacity count calls
+		if lastOfCall { // pace and capacity count calls, not messages
 			s.recordServed(e.lane)
 			s.speedUp(e.lane)
 		}
@@ -860,7 +892,7 @@
 			}
 			break
 		}
-		if lastOfCall { // a batch is one call: one refusal
+		if lastOfCall { // a batch is one call, so one refusal
 			s.recordRefusal(e, r.RetryAfter)
 		}
 	case Cancelled, TimedOut:
@@ -877,7 +909,7 @@
 	case Errored:
 		m.rest = s.now + errorBackoff<<min(m.tries, 5)
 	}
-	if lastOfCall { // a batch is one call: one sign
+	if lastOfCall { // a batch is one call, so one outcome
 		s.recordOutcome(e, r.Outcome)
 		if e.ejected && r.Outcome != Skipped && r.Outcome != LocalFailure {
 			s.recordWellSiblings(e, a.at)
@@ -898,14 +930,16 @@
 	}
 }
 
-// giveBack releases the connections that nothing needs now. Those of many senders, idle ones counted, fill
-// an endpoint: each keeps one, and who comes later is turned away. Where a kind turns calls away none stays;
-// else only those that we use rarely are given back, unless new ones are dear.
+// releaseIdleConns releases connections that are not needed now. If each of many senders keeps an idle
+// connection, they fill an endpoint, and senders without one are refused. Where a kind of destination refuses
+// calls, no idle connection is kept; elsewhere only rarely used ones are released, unless new ones are
+// expensive.
 func (s *Sender) releaseIdleConns() {
 	for _, e := range s.spare {
 		n := len(e.sent)
 		rare := s.set.ConnCost < expensiveConnCost && (n < 2 || s.now-e.sent[n-2] > connReuseInterval)
-		if e.inflight == 0 && (rare || s.turned[e.dest.kind] > maxIdleConnRefusalRate || s.now < s.short[e.dest.kind]) {
+		if e.inflight == 0 && (rare || s.turned[e.dest.kind] > maxIdleConnRefusalRate ||
+			s.now < s.short[e.dest.kind]) {
 			e.warm = s.now
 			s.do(ReleaseConns{e.id})
 		}
@@ -913,20 +947,20 @@
 	s.spare = s.spare[:0]
 }
 
-// sign notes what the end of a call at e says of an outage there.
+// recordOutcome records what the outcome of a call says about an outage of e.
 func (s *Sender) recordOutcome(e *endpoint, o Outcome) {
 	switch o {
-	case Unreadable: // from any endpoint alike, so it tells nothing of health unless nothing else comes
+	case Unreadable: // may come from any endpoint, so only a row of them says something about health
 		if e.spoilt++; e.spoilt >= outageUnreadable {
-			s.recordFailure(e, "spoilt answers")
+			s.recordFailure(e, "unreadable answers")
 		}
 	case ConnRefused:
 		if e.resets++; e.resets > 1 || e.lastOK < s.now-recentAnswer {
 			s.recordFailure(e, "refuses connections")
 		}
 	case ConnLost:
-		// A connection that breaks may be at fault itself: one that was kept too long, a box in between. An
-		// endpoint that is down breaks all, and takes no new ones.
+		// A single broken connection may have its own cause: kept open too long, or a device in between. An
+		// endpoint that is down breaks all connections and accepts no new ones.
 		if e.resets++; e.resets >= outageResets || e.ejected {
 			s.recordFailure(e, "resets")
 		}
@@ -935,14 +969,14 @@
 	}
 }
 
-// succeeded notes an answer to what was sent at a time. One sent before the last failure tells nothing of a
-// return: else a call that was under way when a destination shut would end the watch before it opens.
+// recordSuccess records an answer to a call sent at sentAt. A call sent before the last failure does not show
+// that the endpoint has recovered: it may have been in flight when the destination went down.
 func (s *Sender) recordSuccess(e *endpoint, sentAt Micros) {
 	if e.ejected && sentAt < e.lastBad {
 		return
 	}
-	if e.ejected { // one that was silent for long comes back as cold as one that was seen to fail
-		s.log("endpoint %d answers again", e.id)
+	if e.ejected { // after a long silence it is as cold as after failures that were seen
+		s.log("endpoint %d recovered", e.id)
 		s.setStatus(e, e.state, false)
 		e.backAt, e.trialGap = s.now, 0
 		e.cold = sentAt >= e.downAt+minOutage || e.cold && e.bad*(1-failureAlpha) > outageFailureRate
@@ -953,9 +987,9 @@
 	e.bad *= 1 - failureAlpha
 }
 
-// vouch notes which siblings of x are well by themselves: a call that was sent to x at a time has failed, and
-// they answered one that was sent since x was out and before that. An answer alone may come of the return of
-// all, with x not tried since.
+// recordWellSiblings marks the siblings that work while failed is out: they answered a call sent after failed
+// was ejected and before sentAt, when the call to failed was sent that has now failed as well. An answer
+// alone would not show that: the whole destination may have recovered, with failed not tried since.
 func (s *Sender) recordWellSiblings(failed *endpoint, sentAt Micros) {
 	for _, e := range failed.dest.eps {
 		if e != failed && e.lane == failed.lane && e.okSent > failed.outAt && e.okSent < sentAt {
@@ -964,7 +998,7 @@
 	}
 }
 
-// failed notes a sign of an outage at e: an error, a reset, no connection or no answer.
+// recordFailure records a sign of an outage of e: an error, a broken or refused connection, or no answer.
 func (s *Sender) recordFailure(e *endpoint, reason string) {
 	e.fails++
 	e.lastBad = s.now
@@ -974,8 +1008,9 @@
 	}
 }
 
-// full notes a refusal; refusals in a row over longer than a limit's window, or a long told wait, mean shut.
-// Many senders come too rarely to tell by four: those that were refused twice would topple what opens again.
+// recordRefusal records a refused call. Refusals in a row for longer than the window of a rate limit, or a
+// long requested wait, count as an outage. Each of many senders calls too rarely to wait for the usual
+// number: those that were refused twice would together overload the destination when it returns.
 func (s *Sender) recordRefusal(e *endpoint, retryAfter Micros) {
 	s.slowDown(e.lane)
 	e.fulls++
@@ -986,29 +1021,30 @@
 	if e.ejected || retryAfter > outageRetryAfter || (l.fulls >= outageRefusals || s.many && l.fulls > 1) &&
 		s.now-l.firstFull > outageRefusalSpan {
 		e.lastBad = s.now
-		s.ejectFailed(e, "refuses all")
+		s.ejectFailed(e, "refuses all calls")
 	}
 }
 
-// crowded says whether a call was turned away for want of a connection. Where answers carry reports such a
-// refusal has none: it comes before anything that knows of limits.
+// isConnShortage reports whether a call was refused because the endpoint had no connection free. Where
+// answers carry load reports, such a refusal has none: it is made before anything that knows the limits.
 func (s *Sender) isConnShortage(r AttemptResult) bool {
 	return r.Outcome == Refused && r.RetryAfter == 0 && len(r.Load) == 0 && s.hasLoadReports()
 }
 
-// reports says whether answers here carry reports.
+// hasLoadReports reports whether any destination has sent a load report with its limit.
 func (s *Sender) hasLoadReports() bool { return s.told > 0 }
 
-// noPlace notes a call for which e had no connection. It says nothing of a limit, and many in a row mean no
-// more than that others hold the places, unless nothing else has come from e for long.
+// recordConnShortage records a call for which e had no connection free. It says nothing about a rate limit,
+// and many in a row only mean that other senders hold the connections, unless e has answered nothing else for
+// long.
 func (s *Sender) recordConnShortage(e *endpoint) {
 	if e.fulls++; e.ejected || e.fulls >= outageConnShortages && s.now-e.lastOK > outageRefusalSpan {
 		e.lastBad = s.now
-		s.ejectFailed(e, "has no connection")
+		s.ejectFailed(e, "no free connections")
 	}
 }
 
-// ejectCold ejects an endpoint that has failed: after its return there is a budget.
+// ejectFailed ejects an endpoint that has failed, and limits the calls to it after its return (slow start).
 func (s *Sender) ejectFailed(e *endpoint, reason string) {
 	s.eject(e, reason)
 	if !e.cold {
@@ -1017,10 +1053,10 @@
 	}
 }
 
-// eject takes an endpoint out of rotation (outlier ejection): from now on single trials.
+// eject takes an endpoint out of rotation (outlier ejection). From then on it gets single trials only.
 func (s *Sender) eject(e *endpoint, reason string) {
 	if !e.ejected {
-		s.log("endpoint %d out: %s", e.id, reason)
+		s.log("endpoint %d ejected: %s", e.id, reason)
 		e.outAt = s.now
 		s.setStatus(e, e.state, true)
 		e.trialGap, e.trialAt = minTrialInterval, s.now+minTrialInterval
@@ -1030,14 +1066,16 @@
 	}
 }
 
+// delayNextTrial schedules the next trial of e with exponential backoff and jitter.
 func (s *Sender) delayNextTrial(e *endpoint) {
 	e.trialGap = min(2*max(e.trialGap, minTrialInterval), maxTrialInterval)
 	e.trialAt = s.now + e.trialGap*Micros(80+s.rng.IntN(40))/100
 }
 
-// ---- Endings -------------------------------------------------------------------------
+// ---- End of messages -----------------------------------------------------------------
 
-// end is the one place where a message ends by our word: refused if no attempt may have run, else failed.
+// endMessage is the only place where the Sender itself ends a message: it rejects the message if no attempt
+// can have run, else it reports a failure.
 func (s *Sender) endMessage(m *msg) {
 	if m.over {
 		return
@@ -1053,7 +1091,8 @@
 	s.close(m)
 }
 
-// advice tells a client when to come again: as late as it heeds, since what turned it away lasts.
+// retryAdvice tells a client when to retry: as late as clients accept, since the cause of a rejection lasts
+// for a while.
 func (s *Sender) retryAdvice() Micros {
 	if !s.set.RetryAfter {
 		return 0
@@ -1061,8 +1100,8 @@
 	return s.set.MaxRetryAfter
 }
 
-// resume takes up a message where a restart cut it off: its attempts count, and one without an outcome may
-// have run. What may not be sent again ends at once.
+// restoreHistory continues a message after a restart: its earlier attempts count, and one without an outcome
+// may have run. A message that may not be resent ends at once.
 func (s *Sender) restoreHistory(m *msg, history History) {
 	if history.Attempts == 0 {
 		return
@@ -1074,7 +1113,7 @@
 	s.endIfExhausted(m)
 }
 
-// endIfStuck ends a message that no further attempt can help.
+// endIfExhausted ends a message that may have no further attempt.
 func (s *Sender) endIfExhausted(m *msg) {
 	c := m.class
 	switch {
@@ -1086,7 +1125,8 @@
 	}
 }
 
-// endHopeless ends messages whose time is nearly up: unsent ones at a usual call's time before the deadline.
+// endExpired ends messages that are close to their deadline. A waiting message ends as soon as less time is
+// left than a usual call takes.
 func (s *Sender) endExpired() {
 	var expired []*msg
 	for i := range s.wait.expiries {
@@ -1118,8 +1158,8 @@
 	}
 }
 
-// need is the time that a message has to have left to be worth sending. Within its window it has to be sent,
-// not answered.
+// minTimeLeft is the time that a message must have left to be worth sending. By the end of its deduplication
+// window it only has to be sent, not answered.
 func (s *Sender) minTimeLeft(g *expiry) Micros {
 	if g.kind == byWindow {
 		return s.endMargin()
@@ -1127,12 +1167,13 @@
 	return max(s.endMargin(), s.medianLatencyOf(g.dest, g.class))
 }
 
-// lastMoment is the time before its deadline at which a message ends in any case.
+// endMargin is the time before its deadline at which a message ends in any case.
 func (s *Sender) endMargin() Micros { return 2 * max(s.set.Tick, 1000) }
 
-// ---- Timers and age ------------------------------------------------------------------
+// ---- Timers and idle state -----------------------------------------------------------
 
-// ageOut drops the state of a destination that was long idle, once a message for it comes.
+// resetIfIdle drops the latencies and the pace of a destination that was idle for long when a message for it
+// comes.
 func (s *Sender) resetIfIdle(d *dest) {
 	if s.now-d.used > idleDestinationTTL && d.lane.inflight == 0 {
 		d.hist, d.lane.pace = hist{}, 0
@@ -1141,7 +1182,7 @@
 	d.used = s.now
 }
 
-// arm sets a timer for the next thing to be done, unless one that goes off by then is out.
+// setTimer sets a timer for the next time at which something is due, unless an earlier one is still running.
 func (s *Sender) setTimer() {
 	if s.wake == never {
 		return
