--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -5,19 +5,19 @@
 // Found at two senders before a cold destination: each call that it turned away and that was sent again raised the
 // rate taken for its capacity, and with it the budget, up to twice in a second.
 func TestRefusedCallsDoNotRaiseCapacity(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(1))
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(1))
 	for i := range 12 { // six served, then six turned away, all within a second
 		at := 1 + 0.06*float64(i)
-		c := actionsOf[Send](r.step(at, r.message(0)))[0]
+		c := actionsOf[Send](h.step(at, h.message(0)))[0]
 		if i < 6 {
-			r.step(at+0.03, result(c.ID, 1, 0, Delivered))
+			h.step(at+0.03, result(c.ID, 1, 0, Delivered))
 			continue
 		}
-		r.step(at+0.03, result(c.ID, 1, 0, Refused), ClientGone{c.ID})
-		r.s.dests[9].lane.pace = 0 // the pace is not what is tested
+		h.step(at+0.03, result(c.ID, 1, 0, Refused), ClientGone{c.ID})
+		h.s.dests[9].lane.pace = 0 // the pace is not what is tested
 	}
-	if c := r.s.capacityEstimate(r.s.eps[1]); c != 6 {
+	if c := h.s.capacityEstimate(h.s.eps[1]); c != 6 {
 		t.Errorf("capacity %v after a second in which 6 calls of 12 were served", c)
 	}
 }
@@ -29,15 +29,15 @@
 		silent float64
 		cold   bool
 	}{{1.5, false}, {2.5, true}} {
-		r := newHarness(t, baseSettings())
-		r.step(0, fullList(1))
-		e := r.s.eps[1]
-		r.s.now = sec(1)
-		r.s.recordSuccess(e, sec(0.9))
-		r.s.now = sec(20)
-		r.s.eject(e, "silent")
-		r.s.now += sec(x.silent)
-		r.s.recordSuccess(e, r.s.now)
+		h := newHarness(t, baseSettings())
+		h.step(0, fullList(1))
+		e := h.s.eps[1]
+		h.s.now = sec(1)
+		h.s.recordSuccess(e, sec(0.9))
+		h.s.now = sec(20)
+		h.s.eject(e, "silent")
+		h.s.now += sec(x.silent)
+		h.s.recordSuccess(e, h.s.now)
 		if e.ejected || e.cold != x.cold {
 			t.Errorf("silent for %v s: out %v, cold %v", x.silent, e.ejected, e.cold)
 		}
@@ -46,23 +46,23 @@
 
 // A lane that runs free owes a second's calls at most once a refusal sets its pace.
 func TestUnpacedLaneDebtIsBounded(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(1))
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(1))
 	at := 0.0
 	for range 300 {
 		at += 0.1
-		c := actionsOf[Send](r.step(at, r.message(0)))[0]
-		r.step(at+0.05, result(c.ID, 1, 0, Delivered))
+		c := actionsOf[Send](h.step(at, h.message(0)))[0]
+		h.step(at+0.05, result(c.ID, 1, 0, Delivered))
 	}
 	at += 1 // a quiet second: the pace starts low
-	c := actionsOf[Send](r.step(at, r.message(0)))[0]
-	r.step(at+0.01, result(c.ID, 1, 0, Refused))
-	l := r.s.dests[9].lane
+	c := actionsOf[Send](h.step(at, h.message(0)))[0]
+	h.step(at+0.01, result(c.ID, 1, 0, Refused))
+	l := h.s.dests[9].lane
 	if l.pace == 0 {
 		t.Fatal("a refusal set no pace")
 	}
 	for wait := 0.02; wait < 9; wait += 0.02 {
-		if len(actionsOf[Send](r.step(at+wait, TimerFired{}))) > 0 {
+		if len(actionsOf[Send](h.step(at+wait, TimerFired{}))) > 0 {
 			if most := 1 + 1/l.pace + 0.05; wait > most {
 				t.Errorf("sent again after %.2f s at a pace of %v, want %.2f at most", wait, l.pace, most)
 			}
@@ -78,22 +78,22 @@
 	set := baseSettings()
 	set.Senders, set.CallSlots, set.MaxOpen, set.Weights = 1, 4000, 0, WeightsNominal
 	set.OverloadMultiple, set.OverloadWindow, set.ColdCapacity, set.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
-	r := newHarness(t, set)
+	h := newHarness(t, set)
 	news := fullList(1)
 	news.Entries[0].NominalRate = rate
 	evs := []Event{news}
-	r.step(0, evs...)
-	e := r.s.eps[1]
+	h.step(0, evs...)
+	e := h.s.eps[1]
 	e.cold, e.backAt = true, Second
 	for range 600 {
-		evs = append(evs, r.message(2))
+		evs = append(evs, h.message(2))
 	}
 	var sent []Micros
 	for at := 1.0; at < 10.5; at += 0.02 {
-		acts := r.step(at, evs...)
+		acts := h.step(at, evs...)
 		evs = []Event{TimerFired{}}
 		for _, c := range actionsOf[Send](acts) {
-			sent = append(sent, r.s.now)
+			sent = append(sent, h.s.now)
 			evs = append(evs, result(c.ID, 1, 0, Delivered))
 		}
 		most := 0.0
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -100,43 +100,43 @@
 func (p fleetPlan) play(t *testing.T) *fleet {
 	t.Helper()
 	f := &fleet{fleetPlan: p, rng: rand.New(rand.NewPCG(p.seed, 3))}
-	news := EndpointUpdate{Kind: UpdateFull}
-	whole := &server{capacity: p.rate * p.headroom}
+	list := EndpointUpdate{Kind: UpdateFull}
+	shared := &server{capacity: p.rate * p.headroom}
 	for i := range p.endpoints {
-		x := whole
+		srv := shared
 		if p.set.Kinds[0].SeparateRoutes {
-			x = &server{capacity: whole.capacity / float64(p.endpoints)}
+			srv = &server{capacity: shared.capacity / float64(p.endpoints)}
 		}
-		f.servers = append(f.servers, x)
-		news.Entries = append(news.Entries, EndpointEntry{Endpoint: EndpointID(i), Dest: 9, NominalRate: x.capacity * p.limitRatio})
+		f.servers = append(f.servers, srv)
+		list.Entries = append(list.Entries, EndpointEntry{Endpoint: EndpointID(i), Dest: 9, NominalRate: srv.capacity * p.limitRatio})
 	}
-	var parts []float64 // running sum
+	var cumulative []float64 // running sum
 	sum := 0.0
 	for i := range p.set.Senders {
 		s, err := New(p.set, p.seed<<10+uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &simSender{s: s, calls: map[string]*fleetCall{}}
-		f.senders = append(f.senders, m)
+		sender := &simSender{s: s, calls: map[string]*fleetCall{}}
+		f.senders = append(f.senders, sender)
 		sum += math.Exp(p.trafficSkew * f.rng.NormFloat64())
-		parts = append(parts, sum)
-		f.after(Micros(f.rng.IntN(50_000)), func() { f.step(m, news) })
+		cumulative = append(cumulative, sum)
+		f.after(Micros(f.rng.IntN(50_000)), func() { f.step(sender, list) })
 	}
-	clump, id, end := max(int(p.rate), 1), 0, outageEnd+p.set.WarmupTime
+	burst, id, end := max(int(p.rate), 1), 0, outageEnd+p.set.WarmupTime
 	for at := 100_000.0; Micros(at) < end; {
 		n := 1
-		if f.rng.Float64() < p.burstShare/float64(clump) {
-			n = clump
+		if f.rng.Float64() < p.burstShare/float64(burst) {
+			n = burst
 		}
 		at += float64(n) * f.rng.ExpFloat64() / p.rate * float64(Second)
-		i, _ := slices.BinarySearch(parts, f.rng.Float64()*sum)
-		m := f.senders[i]
+		i, _ := slices.BinarySearch(cumulative, f.rng.Float64()*sum)
+		sender := f.senders[i]
 		for range n {
 			id++
 			c := Message{ID: fmt.Sprint(id), Dest: 9, Tenant: -1, Class: 2 * f.rng.IntN(2)} // safe or unsafe
 			c.TimeLeft = p.set.Classes[c.Class].Deadline
-			f.after(Micros(at)+Micros(f.rng.IntN(10_000)*(n-1)/clump), func() { f.step(m, c) })
+			f.after(Micros(at)+Micros(f.rng.IntN(10_000)*(n-1)/burst), func() { f.step(sender, c) })
 		}
 	}
 	for len(f.queue) > 0 {
@@ -150,66 +150,66 @@
 }
 
 // step hands events to a sender and does what it says.
-func (f *fleet) step(m *simSender, evs ...Event) {
+func (f *fleet) step(sender *simSender, evs ...Event) {
 	opened := map[EndpointID]*fleetCall{}
-	for _, a := range m.s.Step(f.now, evs) {
+	for _, a := range sender.s.Step(f.now, evs) {
 		switch a := a.(type) {
 		case Send:
-			c := opened[a.Endpoint]
-			if c == nil || c.size == max(f.set.Kinds[0].MaxBatch, 1) {
-				c = &fleetCall{sender: m, endpoint: a.Endpoint, sent: f.now}
-				opened[a.Endpoint] = c
-				f.after(f.networkDelay(), func() { f.arrive(c) })
+			call := opened[a.Endpoint]
+			if call == nil || call.size == max(f.set.Kinds[0].MaxBatch, 1) {
+				call = &fleetCall{sender: sender, endpoint: a.Endpoint, sent: f.now}
+				opened[a.Endpoint] = call
+				f.after(f.networkDelay(), func() { f.arrive(call) })
 			}
-			c.size++
-			c.open = append(c.open, a.ID)
-			m.calls[a.ID] = c
-			f.after(a.Timeout, func() { f.deliver(c, TimedOut, nil, a.ID) })
+			call.size++
+			call.open = append(call.open, a.ID)
+			sender.calls[a.ID] = call
+			f.after(a.Timeout, func() { f.deliver(call, TimedOut, nil, a.ID) })
 		case Cancel:
-			if c := m.calls[a.ID]; c != nil {
-				f.after(0, func() { f.deliver(c, Cancelled, nil, a.ID) })
+			if call := sender.calls[a.ID]; call != nil {
+				f.after(0, func() { f.deliver(call, Cancelled, nil, a.ID) })
 			}
 		case SetTimer:
-			f.after(max(a.Wait, f.set.Tick), func() { f.step(m, TimerFired{a.Token}) })
+			f.after(max(a.Wait, f.set.Tick), func() { f.step(sender, TimerFired{a.Token}) })
 		case Probe:
 			if x := f.servers[a.Endpoint]; f.now >= outageEnd {
-				x.arrived, x.fromInformed = append(x.arrived, f.now), append(x.fromInformed, m.knowsOutage)
+				x.arrived, x.fromInformed = append(x.arrived, f.now), append(x.fromInformed, sender.knowsOutage)
 			}
-			f.after(2*f.networkDelay(), func() { f.step(m, ProbeResult{Endpoint: a.Endpoint}) })
+			f.after(2*f.networkDelay(), func() { f.step(sender, ProbeResult{Endpoint: a.Endpoint}) })
 		}
 	}
 }
 
 // arrive is a call that reaches the destination.
-func (f *fleet) arrive(c *fleetCall) {
-	x := f.servers[c.endpoint]
+func (f *fleet) arrive(call *fleetCall) {
+	srv := f.servers[call.endpoint]
 	if f.now >= outageStart && f.now < outageEnd {
-		if x.backlog = 0; f.failure != TimedOut {
-			f.after(f.networkDelay(), func() { f.deliver(c, f.failure, nil, c.open...) })
+		if srv.backlog = 0; f.failure != TimedOut {
+			f.after(f.networkDelay(), func() { f.deliver(call, f.failure, nil, call.open...) })
 		}
 		return
 	}
 	if f.now >= outageEnd {
-		x.arrived, x.fromInformed = append(x.arrived, f.now), append(x.fromInformed, c.sender.knowsOutage)
+		srv.arrived, srv.fromInformed = append(srv.arrived, f.now), append(srv.fromInformed, call.sender.knowsOutage)
 	}
-	able := x.capacity * f.capacityShare(f.now)
-	x.backlog, x.at = max(0, x.backlog-able*seconds(f.now-x.at)), f.now
-	full := x.backlog > able/2
+	capacity := srv.capacity * f.capacityShare(f.now)
+	srv.backlog, srv.at = max(0, srv.backlog-capacity*seconds(f.now-srv.at)), f.now
+	full := srv.backlog > capacity/2
 	var load []float64
 	if f.set.LoadLimitIndex >= 0 { // a limit over a second
-		limit := x.capacity * f.limitRatio
-		x.accepted = trim(x.accepted, f.now-Second)
-		n := float64(since(x.accepted, f.now-Second) + 1)
+		limit := srv.capacity * f.limitRatio
+		srv.accepted = trim(srv.accepted, f.now-Second)
+		n := float64(since(srv.accepted, f.now-Second) + 1)
 		full = full || n > limit
 		load = []float64{max(0, 1-n/limit), limit * (0.9 + 0.2*f.rng.Float64())}
 	}
 	if full {
-		f.after(f.networkDelay(), func() { f.deliver(c, Refused, load, c.open...) })
+		f.after(f.networkDelay(), func() { f.deliver(call, Refused, load, call.open...) })
 		return
 	}
-	x.accepted = append(x.accepted, f.now)
-	x.backlog += 1 + itemCost*float64(c.size-1)
-	wait := Micros(x.backlog/able*float64(Second)) + Micros(130_000*math.Exp(0.6*f.rng.NormFloat64()))
+	srv.accepted = append(srv.accepted, f.now)
+	srv.backlog += 1 + itemCost*float64(call.size-1)
+	wait := Micros(srv.backlog/capacity*float64(Second)) + Micros(130_000*math.Exp(0.6*f.rng.NormFloat64()))
 	o := Delivered
 	if f.now < outageStart && f.now+wait >= outageStart { // it fails with the call on hand
 		switch f.failure {
@@ -219,26 +219,26 @@
 			wait, o = outageStart-f.now, ConnLost
 		}
 	}
-	f.after(wait+f.networkDelay(), func() { f.deliver(c, o, load, c.open...) })
+	f.after(wait+f.networkDelay(), func() { f.deliver(call, o, load, call.open...) })
 }
 
 // land hands a sender the outcome of messages of a call, those that have one already apart.
-func (f *fleet) deliver(c *fleetCall, o Outcome, load []float64, ids ...string) {
+func (f *fleet) deliver(call *fleetCall, o Outcome, load []float64, ids ...string) {
 	var evs []Event
 	for _, id := range slices.Clone(ids) {
-		if c.sender.calls[id] != c {
+		if call.sender.calls[id] != call {
 			continue
 		}
-		delete(c.sender.calls, id)
-		c.open = slices.DeleteFunc(c.open, func(x string) bool { return x == id })
-		evs = append(evs, AttemptResult{ID: id, Endpoint: c.endpoint, Attempt: c.sender.s.msgs[id].out.n, Outcome: o, Latency: f.now - c.sent,
+		delete(call.sender.calls, id)
+		call.open = slices.DeleteFunc(call.open, func(x string) bool { return x == id })
+		evs = append(evs, AttemptResult{ID: id, Endpoint: call.endpoint, Attempt: call.sender.s.msgs[id].out.n, Outcome: o, Latency: f.now - call.sent,
 			Load: load, Final: o == Delivered})
 	}
 	if len(evs) > 0 {
-		if o != Delivered && f.now >= outageStart && c.sent < outageEnd && f.now < outageEnd+Second {
-			c.sender.knowsOutage = true
+		if o != Delivered && f.now >= outageStart && call.sent < outageEnd && f.now < outageEnd+Second {
+			call.sender.knowsOutage = true
 		}
-		f.step(c.sender, evs...)
+		f.step(call.sender, evs...)
 	}
 }
 
@@ -255,13 +255,13 @@
 // 2√N + 2 for chance, N being FallMultiple times what the destination could do in that span.
 func (f *fleet) worstLoad() (worst float64) {
 	w := f.set.OverloadWindow
-	for _, x := range slices.Compact(slices.Clone(f.servers)) {
-		for i, at := range x.arrived {
+	for _, srv := range slices.Compact(slices.Clone(f.servers)) {
+		for i, at := range srv.arrived {
 			from := at - w
 			ramp := max(from, outageEnd) // until then it has ColdFrom
 			mean := (f.set.ColdCapacity*seconds(ramp-from) + (f.capacityShare(ramp)+f.capacityShare(at))/2*seconds(at-ramp)) / seconds(w)
-			n := f.set.OverloadMultiple * mean * x.capacity * seconds(w)
-			worst = max(worst, float64(since(x.arrived[:i+1], from))/(n+2*math.Sqrt(n)+2))
+			n := f.set.OverloadMultiple * mean * srv.capacity * seconds(w)
+			worst = max(worst, float64(since(srv.arrived[:i+1], from))/(n+2*math.Sqrt(n)+2))
 		}
 	}
 	return worst
@@ -292,16 +292,16 @@
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
 			t.Parallel()
 			worst, seed := 0.0, uint64(senders)<<10
-			for _, x := range cases {
+			for _, c := range cases {
 				for _, failure := range []Outcome{ConnRefused, Refused, Errored, TimedOut} {
 					seed++
 					p := fleetPlan{set: baseSettings(), seed: seed, rate: 27, headroom: 1.5, endpoints: 1, failure: failure, trafficSkew: 0.4}
 					p.set.Senders, p.set.CallSlots, p.set.MaxOpen = senders, 64, 300
 					p.set.OverloadMultiple, p.set.OverloadWindow, p.set.ColdCapacity, p.set.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
-					x.vary(&p)
+					c.vary(&p)
 					got := p.play(t).worstLoad()
 					if worst = max(worst, got); got > 1 {
-						t.Errorf("%s, outcome %d, seed %d: %.2f times what is allowed", x.name, failure, seed, got)
+						t.Errorf("%s, outcome %d, seed %d: %.2f times what is allowed", c.name, failure, seed, got)
 					}
 				}
 			}
@@ -327,15 +327,15 @@
 // loads are those of all windows that end with a call.
 func (f *fleet) windowLoads() (all []windowLoad) {
 	w := f.set.OverloadWindow
-	for _, x := range slices.Compact(slices.Clone(f.servers)) {
-		for i, at := range x.arrived {
+	for _, srv := range slices.Compact(slices.Clone(f.servers)) {
+		for i, at := range srv.arrived {
 			from := at - w
 			ramp := max(from, outageEnd)
 			mean := (f.set.ColdCapacity*seconds(ramp-from) + (f.capacityShare(ramp)+f.capacityShare(at))/2*seconds(at-ramp)) / seconds(w)
-			n := f.set.OverloadMultiple * mean * x.capacity * seconds(w)
-			calls := since(x.arrived[:i+1], from)
+			n := f.set.OverloadMultiple * mean * srv.capacity * seconds(w)
+			calls := since(srv.arrived[:i+1], from)
 			told := 0
-			for _, known := range x.fromInformed[i+1-calls : i+1] {
+			for _, known := range srv.fromInformed[i+1-calls : i+1] {
 				if known {
 					told++
 				}
@@ -352,7 +352,7 @@
 	for _, senders := range []int{2, 5, 16, 17, 60, 120, 300, 580, 900} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
 			t.Parallel()
-			worst, whole := 0.0, 0.0
+			worst, overall := 0.0, 0.0
 			seeds := 16
 			if senders > 200 {
 				seeds = 4
@@ -363,20 +363,20 @@
 						p := fleetPlan{set: baseSettings(), seed: 7000 + seed, rate: rate, headroom: 1.5, endpoints: 2, failure: failure, trafficSkew: 0.4}
 						p.set.Senders, p.set.CallSlots, p.set.MaxOpen = senders, 64, 300
 						p.set.OverloadMultiple, p.set.OverloadWindow, p.set.ColdCapacity, p.set.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
-						broken := 0.0
+						informed := 0.0
 						for _, load := range p.play(t).windowLoads() {
-							whole = max(whole, load.ratio)
+							overall = max(overall, load.ratio)
 							if load.informed > 2.0/3 {
-								broken = max(broken, load.ratio)
+								informed = max(informed, load.ratio)
 							}
 						}
-						if worst = max(worst, broken); broken > 1 {
-							t.Errorf("rate %v, outcome %d, seed %d: %.2f times what is allowed", rate, failure, p.seed, broken)
+						if worst = max(worst, informed); informed > 1 {
+							t.Errorf("rate %v, outcome %d, seed %d: %.2f times what is allowed", rate, failure, p.seed, informed)
 						}
 					}
 				}
 			}
-			t.Logf("worst of senders that were told: %.2f; of all: %.2f", worst, whole)
+			t.Logf("worst of senders that were told: %.2f; of all: %.2f", worst, overall)
 		})
 	}
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -55,7 +55,7 @@
 
 	removedEndpointTTL = 60 * Second         // a removed endpoint is kept this long: it may be listed again
 	idleDestinationTTL = 4 * latencyHalfLife // state of a destination without traffic is dropped after this time
-	slowFactor         = 3.0                 // an endpoint slower by this factor than its best sibling is avoided ...
+	slowFactor         = 3.0                 // an endpoint slower than its best sibling by this is avoided ...
 	slowRetryInterval  = 4 * Second          // ... until it has had no call for this time
 
 	connReuseInterval      = 5 * Second  // connections to an endpoint called less often than this are released
--- a/logic/mechanism_test.go
+++ b/logic/mechanism_test.go
@@ -58,10 +58,10 @@
 }
 
 // warm serves n calls of class 0 at each of the rig's endpoints, so that latencies are known.
-func (r *harness) deliverMany(at float64, n int) float64 {
+func (h *harness) deliverMany(at float64, n int) float64 {
 	for range n {
-		for _, c := range actionsOf[Send](r.step(at, r.message(0))) {
-			r.step(at+0.1, result(c.ID, c.Endpoint, 0, Delivered))
+		for _, c := range actionsOf[Send](h.step(at, h.message(0))) {
+			h.step(at+0.1, result(c.ID, c.Endpoint, 0, Delivered))
 		}
 		at += 0.4
 	}
@@ -69,13 +69,13 @@
 }
 
 func TestFirstSendsRotate(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(3))
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(3))
 	seen := map[EndpointID]int{}
 	for i := range 9 {
-		for _, c := range actionsOf[Send](r.step(float64(i), r.message(0))) {
+		for _, c := range actionsOf[Send](h.step(float64(i), h.message(0))) {
 			seen[c.Endpoint]++
-			r.step(float64(i)+0.1, result(c.ID, c.Endpoint, 0, Delivered))
+			h.step(float64(i)+0.1, result(c.ID, c.Endpoint, 0, Delivered))
 		}
 	}
 	if seen[1] != 3 || seen[2] != 3 || seen[3] != 3 {
@@ -87,87 +87,87 @@
 	for class, again := range []bool{true, true, false} {
 		set := baseSettings()
 		set.Weights = WeightsNominal
-		r := newHarness(t, set)
+		h := newHarness(t, set)
 		ev := fullList(2)
 		ev.Entries[0].NominalRate, ev.Entries[1].NominalRate = 40, 40
-		r.step(0, ev)
-		at := r.deliverMany(1, 20)
-		d := r.s.dests[9]
+		h.step(0, ev)
+		at := h.deliverMany(1, 20)
+		d := h.s.dests[9]
 		addSamples(&d.hist, 2, 5) // a slow few: restarting pays
-		d.hist.add(r.s.now, sec(5), false)
+		d.hist.add(h.s.now, sec(5), false)
 		if d.hist.tau == 0 {
 			t.Fatal("no tau")
 		}
 		d.hist.p95 = d.hist.tau
-		m := r.message(class)
-		first := actionsOf[Send](r.step(at, m))[0]
-		limit := seconds(max(d.hist.tau, r.s.stuckTime(d, r.s.msgs[m.ID])))
-		if c := actionsOf[Cancel](r.step(at+limit-0.05, TimerFired{})); len(c) > 0 {
+		m := h.message(class)
+		first := actionsOf[Send](h.step(at, m))[0]
+		limit := seconds(max(d.hist.tau, h.s.stuckTime(d, h.s.msgs[m.ID])))
+		if c := actionsOf[Cancel](h.step(at+limit-0.05, TimerFired{})); len(c) > 0 {
 			t.Errorf("class %d: cut before the limit", class)
 		}
-		cut := actionsOf[Cancel](r.step(at+limit+0.01, TimerFired{}))
+		cut := actionsOf[Cancel](h.step(at+limit+0.01, TimerFired{}))
 		if got := len(cut) == 1; got != again {
 			t.Fatalf("class %d: cut %v at tau", class, got)
 		}
 		if !again {
 			continue
 		}
-		next := actionsOf[Send](r.step(at+limit+0.05, result(m.ID, first.Endpoint, 0, Cancelled)))
+		next := actionsOf[Send](h.step(at+limit+0.05, result(m.ID, first.Endpoint, 0, Cancelled)))
 		if len(next) != 1 || next[0].Endpoint == first.Endpoint {
 			t.Errorf("class %d: resent %v after a cut at endpoint %d", class, next, first.Endpoint)
 		}
 		// A long job is not cut again at the same limit.
-		if c := actionsOf[Cancel](r.step(at+2*limit+0.1, TimerFired{})); len(c) > 0 {
+		if c := actionsOf[Cancel](h.step(at+2*limit+0.1, TimerFired{})); len(c) > 0 {
 			t.Errorf("class %d: the second attempt was cut at the first one's limit", class)
 		}
 	}
 }
 
 func TestMedianLatencyCheck(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(1))
-	at := r.deliverMany(1, 10)
-	c := r.message(0)
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(1))
+	at := h.deliverMany(1, 10)
+	c := h.message(0)
 	c.TimeLeft = sec(0.05) // less than the median of 0.1 s
-	acts := r.step(at, c)
+	acts := h.step(at, c)
 	if len(actionsOf[Reject](acts)) != 1 || len(actionsOf[Send](acts)) != 0 {
 		t.Errorf("a message with less time than a usual call: %v", acts)
 	}
 }
 
 func TestPaceHalvesOncePerSecondToFloor(t *testing.T) {
-	r := newHarness(t, baseSettings())
+	h := newHarness(t, baseSettings())
 	l := &lane{}
-	r.s.now = sec(1)
+	h.s.now = sec(1)
 	for range 6 {
-		l.sent = append(l.sent, r.s.now)
+		l.sent = append(l.sent, h.s.now)
 	}
-	r.s.slowDown(l)
+	h.s.slowDown(l)
 	if l.pace != 6 {
 		t.Fatalf("first refusal set the pace to %v, want the last second's 6", l.pace)
 	}
-	r.s.slowDown(l)
+	h.s.slowDown(l)
 	if l.pace != 6 {
 		t.Errorf("pace %v, want no second cut within a second", l.pace)
 	}
 	for i, want := range []float64{3, 1.5, 1, 1} {
-		r.s.now = sec(2 + float64(i))
-		r.s.slowDown(l)
+		h.s.now = sec(2 + float64(i))
+		h.s.slowDown(l)
 		if l.pace != want {
 			t.Errorf("refusal %d: pace %v, want %v", i+2, l.pace, want)
 		}
 	}
-	r.s.speedUp(l)
+	h.s.speedUp(l)
 	if l.pace != 1.1 {
 		t.Errorf("after a success the pace is %v, want 1.1", l.pace)
 	}
 	// A told limit: the floor is no more than an even share, and the pace creeps by a share of it.
 	l = &lane{limit: 20, pace: 1}
-	r.s.speedUp(l)
+	h.s.speedUp(l)
 	if l.pace != 2 {
 		t.Errorf("pace %v under a limit of 20 for two senders, want 2", l.pace)
 	}
-	if f := r.s.paceFloor(&lane{limit: 1}); f != 0.5 {
+	if f := h.s.paceFloor(&lane{limit: 1}); f != 0.5 {
 		t.Errorf("floor %v under a limit of 1 for two senders", f)
 	}
 }
@@ -175,17 +175,17 @@
 func TestBurstLargerThanPace(t *testing.T) {
 	set := baseSettings()
 	set.Weights, set.CallSlots = WeightsNominal, 40
-	r := newHarness(t, set)
+	h := newHarness(t, set)
 	ev := fullList(1)
 	ev.Entries[0].NominalRate = 4
-	r.step(0, ev)
+	h.step(0, ev)
 	var calls []Event
 	for range 12 {
-		calls = append(calls, r.message(0))
+		calls = append(calls, h.message(0))
 	}
-	r.s.dests[9].lane.filled = 0
-	r.step(5)
-	if n := len(actionsOf[Send](r.step(5, calls...))); n != 2 {
+	h.s.dests[9].lane.filled = 0
+	h.step(5)
+	if n := len(actionsOf[Send](h.step(5, calls...))); n != 2 {
 		t.Errorf("%d sends of a clump at once under a limit of 4 a second, want half a second of it", n)
 	}
 }
@@ -194,12 +194,12 @@
 	for _, apart := range []bool{false, true} {
 		set := baseSettings()
 		set.Kinds[0].SeparateRoutes = apart
-		r := newHarness(t, set)
-		r.step(0, fullList(2))
-		c := actionsOf[Send](r.step(1, r.message(0)))[0]
+		h := newHarness(t, set)
+		h.step(0, fullList(2))
+		c := actionsOf[Send](h.step(1, h.message(0)))[0]
 		full := result(c.ID, c.Endpoint, 0, Refused)
 		full.RetryAfter = sec(1.5)
-		acts := r.step(1.1, full, r.message(0), r.message(1), r.message(2))
+		acts := h.step(1.1, full, h.message(0), h.message(1), h.message(2))
 		for _, x := range actionsOf[Send](acts) {
 			if !apart || x.Endpoint == c.Endpoint {
 				t.Errorf("apart %v: sent to %d during a wait told by %d", apart, x.Endpoint, c.Endpoint)
@@ -208,7 +208,7 @@
 		if apart && len(actionsOf[Send](acts)) == 0 {
 			t.Error("a wait of one route held the other")
 		}
-		later := r.step(3.7, TimerFired{})
+		later := h.step(3.7, TimerFired{})
 		if !apart && len(actionsOf[Send](later)) == 0 {
 			t.Error("nothing sent after the wait")
 		}
@@ -217,21 +217,21 @@
 
 func TestUnknownResultFailsNeverRejects(t *testing.T) {
 	for _, o := range []Outcome{Errored, ConnLost, TimedOut, Cancelled} {
-		r := newHarness(t, baseSettings())
-		r.step(0, fullList(2))
-		c := actionsOf[Send](r.step(1, r.message(2)))[0]
-		acts := r.step(1.1, result(c.ID, c.Endpoint, 0, o))
+		h := newHarness(t, baseSettings())
+		h.step(0, fullList(2))
+		c := actionsOf[Send](h.step(1, h.message(2)))[0]
+		acts := h.step(1.1, result(c.ID, c.Endpoint, 0, o))
 		if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Send](acts))+len(actionsOf[Reject](acts)) > 0 {
 			t.Errorf("outcome %d of an unsafe message: %v", o, acts)
 		}
 	}
 	for _, o := range []Outcome{ConnRefused, Skipped} {
-		r := newHarness(t, baseSettings())
-		r.step(0, fullList(2))
-		c := actionsOf[Send](r.step(1, r.message(2)))[0]
-		acts := r.step(1.1, result(c.ID, c.Endpoint, 0, o))
-		acts = append(acts, r.step(4, TimerFired{})...)
-		acts = append(acts, r.step(9.5, TimerFired{})...)
+		h := newHarness(t, baseSettings())
+		h.step(0, fullList(2))
+		c := actionsOf[Send](h.step(1, h.message(2)))[0]
+		acts := h.step(1.1, result(c.ID, c.Endpoint, 0, o))
+		acts = append(acts, h.step(4, TimerFired{})...)
+		acts = append(acts, h.step(9.5, TimerFired{})...)
 		if len(actionsOf[Fail](acts)) != 0 || len(actionsOf[Send](acts)) == 0 {
 			t.Errorf("outcome %d never ran, yet: %v", o, acts)
 		}
@@ -240,12 +240,12 @@
 
 func TestSilentDestinationsEndByDeadline(t *testing.T) {
 	for name, ev := range map[string]EndpointUpdate{"no list": {}, "silent": fullList(2), "unknown destination": {Entries: []EndpointEntry{{Endpoint: 5, Dest: 4}}}} {
-		r := newHarness(t, baseSettings())
-		r.step(0, ev)
-		r.step(1, r.message(0), r.message(1), r.message(2))
+		h := newHarness(t, baseSettings())
+		h.step(0, ev)
+		h.step(1, h.message(0), h.message(1), h.message(2))
 		ended := map[string]bool{}
 		for at := 1.0; at < 16; at += 0.005 {
-			for _, a := range r.step(at, TimerFired{}) {
+			for _, a := range h.step(at, TimerFired{}) {
 				switch a := a.(type) {
 				case Reject:
 					ended[a.ID] = true
@@ -253,7 +253,7 @@
 					ended[a.ID] = true
 				}
 			}
-			for i, c := range r.s.set.Classes {
+			for i, c := range h.s.set.Classes {
 				if id := []string{"m1", "m2", "m3"}[i]; sec(at) >= sec(1)+c.Deadline && !ended[id] {
 					t.Fatalf("%s: %s has no answer at its deadline", name, id)
 				}
@@ -284,28 +284,28 @@
 func TestListUpdates(t *testing.T) {
 	set := baseSettings()
 	set.ListOnRequest = true
-	r := newHarness(t, set)
-	if n := len(actionsOf[Subscribe](r.step(0, EndpointUpdate{Kind: UpdateCached, Entries: fullList(2).Entries}))); n != 1 {
+	h := newHarness(t, set)
+	if n := len(actionsOf[Subscribe](h.step(0, EndpointUpdate{Kind: UpdateCached, Entries: fullList(2).Entries}))); n != 1 {
 		t.Fatal("did not subscribe at once")
 	}
-	r.step(1, EndpointUpdate{Kind: UpdateFailed})
-	if len(actionsOf[Subscribe](r.step(1.4, TimerFired{}))) != 0 || len(actionsOf[Subscribe](r.step(2.6, TimerFired{}))) != 1 {
+	h.step(1, EndpointUpdate{Kind: UpdateFailed})
+	if len(actionsOf[Subscribe](h.step(1.4, TimerFired{}))) != 0 || len(actionsOf[Subscribe](h.step(2.6, TimerFired{}))) != 1 {
 		t.Error("did not ask again after a second, give or take half")
 	}
-	r.step(2.7, EndpointUpdate{Kind: UpdateFailed})
-	if len(actionsOf[Subscribe](r.step(3.6, TimerFired{}))) != 0 || len(actionsOf[Subscribe](r.step(5.8, TimerFired{}))) != 1 {
+	h.step(2.7, EndpointUpdate{Kind: UpdateFailed})
+	if len(actionsOf[Subscribe](h.step(3.6, TimerFired{}))) != 0 || len(actionsOf[Subscribe](h.step(5.8, TimerFired{}))) != 1 {
 		t.Error("did not back off")
 	}
 	// A whole list replaces the old one; a draining endpoint gets nothing new.
 	row := EndpointEntry{Endpoint: 3, Dest: 9, State: Draining}
-	r.step(5.9, EndpointUpdate{Kind: UpdateFull, Entries: append(fullList(1).Entries, row)})
+	h.step(5.9, EndpointUpdate{Kind: UpdateFull, Entries: append(fullList(1).Entries, row)})
 	for i := range 4 {
 		at := 6 + float64(i)
-		for _, c := range actionsOf[Send](r.step(at, r.message(0))) {
+		for _, c := range actionsOf[Send](h.step(at, h.message(0))) {
 			if c.Endpoint != 1 {
 				t.Errorf("sent to endpoint %d", c.Endpoint)
 			}
-			r.step(at+0.1, result(c.ID, c.Endpoint, 0, Delivered))
+			h.step(at+0.1, result(c.ID, c.Endpoint, 0, Delivered))
 		}
 	}
 }
@@ -313,49 +313,49 @@
 // Found on a drawn day: a call that was under way when a route shut counted as its return, and the warm-up had
 // run out before it opened.
 func TestOldAnswerIsNoRecovery(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(1))
-	a := actionsOf[Send](r.step(1, r.message(0)))[0]
-	b := actionsOf[Send](r.step(1.1, r.message(0)))[0]
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(1))
+	a := actionsOf[Send](h.step(1, h.message(0)))[0]
+	b := actionsOf[Send](h.step(1.1, h.message(0)))[0]
 	shut := result(b.ID, b.Endpoint, 0, Refused)
 	shut.RetryAfter = sec(8)
-	r.step(1.2, shut)
-	r.step(1.3, result(a.ID, a.Endpoint, 0, Delivered))
-	if e := r.s.eps[1]; !e.ejected || !e.cold {
+	h.step(1.2, shut)
+	h.step(1.3, result(a.ID, a.Endpoint, 0, Delivered))
+	if e := h.s.eps[1]; !e.ejected || !e.cold {
 		t.Error("an answer to an older call ended the watch on a shut endpoint")
 	}
 }
 
 // Found on a standard day: machines that joined a destination still cold were sent to without a budget.
 func TestNewEndpointIsAsColdAsSiblings(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(1))
-	c := actionsOf[Send](r.step(1, r.message(0)))[0]
-	r.step(1.1, result(c.ID, c.Endpoint, 0, ConnRefused))
-	r.step(2, EndpointUpdate{Kind: UpdateDelta, Entries: []EndpointEntry{{Endpoint: 2, Dest: 9}}})
-	if e := r.s.eps[2]; !e.cold || !e.ejected {
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(1))
+	c := actionsOf[Send](h.step(1, h.message(0)))[0]
+	h.step(1.1, result(c.ID, c.Endpoint, 0, ConnRefused))
+	h.step(2, EndpointUpdate{Kind: UpdateDelta, Entries: []EndpointEntry{{Endpoint: 2, Dest: 9}}})
+	if e := h.s.eps[2]; !e.cold || !e.ejected {
 		t.Error("the new endpoint has no budget")
 	}
 }
 
 // Found on an incident: with limits that others use up, every refusal looked like a shut destination.
 func TestRefusalsBetweenAnswersAreNoOutage(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(2))
-	e := r.s.eps[1]
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(2))
+	e := h.s.eps[1]
 	for i := range 8 {
-		r.s.now = sec(1 + 0.5*float64(i))
-		r.s.recordRefusal(e, 0)
+		h.s.now = sec(1 + 0.5*float64(i))
+		h.s.recordRefusal(e, 0)
 		if i%3 == 2 {
-			r.s.recordSuccess(r.s.eps[2], r.s.now)
+			h.s.recordSuccess(h.s.eps[2], h.s.now)
 		}
 	}
 	if e.ejected {
 		t.Error("refusals between answers took the endpoint out")
 	}
 	for i := range 5 {
-		r.s.now = sec(10 + 0.5*float64(i))
-		r.s.recordRefusal(e, 0)
+		h.s.now = sec(10 + 0.5*float64(i))
+		h.s.recordRefusal(e, 0)
 	}
 	if !e.ejected {
 		t.Error("a destination that refuses everything without a wait was not noticed")
@@ -367,65 +367,65 @@
 	for _, c := range []struct{ hold, ends int }{{200, 0}, {30, 1}} {
 		set := baseSettings()
 		set.MaxOpen = c.hold
-		r := newHarness(t, set)
-		r.step(0, fullList(1))
-		r.s.dests[9].lane.pace = 1
-		r.s.dests[9].lane.until = sec(2)
+		h := newHarness(t, set)
+		h.step(0, fullList(1))
+		h.s.dests[9].lane.pace = 1
+		h.s.dests[9].lane.until = sec(2)
 		var calls []Event
 		for range 25 {
-			calls = append(calls, r.message(0))
+			calls = append(calls, h.message(0))
 		}
-		if n := len(actionsOf[Reject](r.step(1, calls...))); min(n, 1) != c.ends {
+		if n := len(actionsOf[Reject](h.step(1, calls...))); min(n, 1) != c.ends {
 			t.Errorf("hold of %d: %d refused", c.hold, n)
 		}
 	}
 }
 
 func TestOneDestinationCannotHoldEverySlot(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(2), EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 7, Dest: 8}}})
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(2), EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 7, Dest: 8}}})
 	var calls []Event
 	for range 20 {
-		calls = append(calls, r.message(2))
+		calls = append(calls, h.message(2))
 	}
-	if n := len(actionsOf[Send](r.step(1, calls...))); n != 4 {
+	if n := len(actionsOf[Send](h.step(1, calls...))); n != 4 {
 		t.Errorf("one destination took %d of 8 slots", n)
 	}
-	other := r.message(0)
+	other := h.message(0)
 	other.Dest = 8
-	if n := len(actionsOf[Send](r.step(2, other))); n != 1 {
+	if n := len(actionsOf[Send](h.step(2, other))); n != 1 {
 		t.Error("no slot was left for another destination")
 	}
 }
 
 func TestIdleDestinationStateIsReset(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(1))
-	at := r.deliverMany(1, 10)
-	r.s.dests[9].lane.pace = 1
-	r.step(at+seconds(idleDestinationTTL)+1, r.message(0))
-	if d := r.s.dests[9]; d.hist.total != 0 || d.lane.pace != 0 {
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(1))
+	at := h.deliverMany(1, 10)
+	h.s.dests[9].lane.pace = 1
+	h.step(at+seconds(idleDestinationTTL)+1, h.message(0))
+	if d := h.s.dests[9]; d.hist.total != 0 || d.lane.pace != 0 {
 		t.Error("an idle destination kept its histogram or pace")
 	}
 }
 
 func TestUnusualEvents(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(5, fullList(1))
-	acts := r.step(5, AttemptResult{ID: "nobody", Endpoint: 99}, ClientGone{"nobody"}, TimerFired{99}, ProbeResult{Endpoint: 99},
+	h := newHarness(t, baseSettings())
+	h.step(5, fullList(1))
+	acts := h.step(5, AttemptResult{ID: "nobody", Endpoint: 99}, ClientGone{"nobody"}, TimerFired{99}, ProbeResult{Endpoint: 99},
 		StreamStarted{ID: "nobody"}, EndpointUpdate{Kind: UpdateDelta, Entries: []EndpointEntry{{Endpoint: 77, State: Removed}}})
 	if len(acts) != 0 {
 		t.Errorf("unknown ids caused %v", acts)
 	}
-	c := actionsOf[Send](r.step(6, r.message(0)))[0]
-	r.step(6.1, ClientGone{c.ID})
-	acts = r.step(6.2, result(c.ID, c.Endpoint, 0, Errored), result(c.ID, c.Endpoint, 0, Errored))
-	if len(acts) != 0 || r.s.busy != 0 {
-		t.Errorf("a late outcome of a withdrawn message caused %v; %d slots busy", acts, r.s.busy)
+	c := actionsOf[Send](h.step(6, h.message(0)))[0]
+	h.step(6.1, ClientGone{c.ID})
+	acts = h.step(6.2, result(c.ID, c.Endpoint, 0, Errored), result(c.ID, c.Endpoint, 0, Errored))
+	if len(acts) != 0 || h.s.busy != 0 {
+		t.Errorf("a late outcome of a withdrawn message caused %v; %d slots busy", acts, h.s.busy)
 	}
-	before := r.s.now
-	r.step(1, r.message(0)) // a clock that steps back does no harm
-	if r.s.now != before {
+	before := h.s.now
+	h.step(1, h.message(0)) // a clock that steps back does no harm
+	if h.s.now != before {
 		t.Error("time went back")
 	}
 }
@@ -434,42 +434,42 @@
 	set := baseSettings()
 	set.Kinds[0].MaxBatch = 10
 	set.CallSlots = 1
-	r := newHarness(t, set)
-	r.step(0, fullList(1))
+	h := newHarness(t, set)
+	h.step(0, fullList(1))
 	var calls []Event
 	for range 15 {
-		calls = append(calls, r.message(0))
+		calls = append(calls, h.message(0))
 	}
-	out := actionsOf[Send](r.step(1, calls...))
-	if len(out) != 10 || r.s.busy != 1 {
-		t.Fatalf("%d sends in %d slots, want 10 in one", len(out), r.s.busy)
+	out := actionsOf[Send](h.step(1, calls...))
+	if len(out) != 10 || h.s.busy != 1 {
+		t.Fatalf("%d sends in %d slots, want 10 in one", len(out), h.s.busy)
 	}
 	for _, c := range out {
-		r.step(1.2, result(c.ID, c.Endpoint, 0, Delivered))
+		h.step(1.2, result(c.ID, c.Endpoint, 0, Delivered))
 	}
-	if len(r.s.flying) != 5 {
-		t.Errorf("%d calls out after the first batch, want the other five", len(r.s.flying))
+	if len(h.s.flying) != 5 {
+		t.Errorf("%d calls out after the first batch, want the other five", len(h.s.flying))
 	}
 }
 
 // Found on an incident: a share of all answers was lost while the rest came quickly. The lost calls never showed in
 // the histogram and held slots to their deadline.
 func TestLostAnswersCountInHistogram(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(2))
-	at := r.deliverMany(1, 20)
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(2))
+	at := h.deliverMany(1, 20)
 	lost := []Send{}
 	for range 3 {
-		lost = append(lost, actionsOf[Send](r.step(at, r.message(0)))...)
-		at = r.deliverMany(at+0.1, 4)
+		lost = append(lost, actionsOf[Send](h.step(at, h.message(0)))...)
+		at = h.deliverMany(at+0.1, 4)
 	}
-	at = r.deliverMany(at, 8)
-	r.step(at, TimerFired{})
-	if h := &r.s.dests[9].hist; h.cuts < 0.8 || h.tau == 0 {
+	at = h.deliverMany(at, 8)
+	h.step(at, TimerFired{})
+	if h := &h.s.dests[9].hist; h.cuts < 0.8 || h.tau == 0 {
 		t.Errorf("lost answers: %v counted while out, tau %d", h.cuts, h.tau)
 	}
 	cut := 0
-	for _, a := range r.s.flying {
+	for _, a := range h.s.flying {
 		if a.cancelled {
 			cut++
 		}
@@ -478,9 +478,9 @@
 		t.Errorf("%d of %d lost calls were called off", cut, len(lost))
 	}
 	// One that answers after all is no longer counted.
-	before := r.s.dests[9].hist.cuts
-	r.step(at, result(lost[0].ID, lost[0].Endpoint, 0, Delivered))
-	if got := r.s.dests[9].hist.cuts; got > before-0.9 {
+	before := h.s.dests[9].hist.cuts
+	h.step(at, result(lost[0].ID, lost[0].Endpoint, 0, Delivered))
+	if got := h.s.dests[9].hist.cuts; got > before-0.9 {
 		t.Errorf("a late answer left %v of %v counted as lost", got, before)
 	}
 }
@@ -488,21 +488,21 @@
 func TestNonIdempotentCallFreesLastSlot(t *testing.T) {
 	set := baseSettings()
 	set.CallSlots = 2
-	r := newHarness(t, set)
-	r.step(0, fullList(1), EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 7, Dest: 8}}, Kind: UpdateDelta})
-	out := actionsOf[Send](r.step(1, r.message(2)))
-	other := r.message(2)
+	h := newHarness(t, set)
+	h.step(0, fullList(1), EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 7, Dest: 8}}, Kind: UpdateDelta})
+	out := actionsOf[Send](h.step(1, h.message(2)))
+	other := h.message(2)
 	other.Dest = 8
-	out = append(out, actionsOf[Send](r.step(1.1, other))...)
+	out = append(out, actionsOf[Send](h.step(1.1, other))...)
 	if len(out) != 2 {
 		t.Fatalf("%d calls out, want both slots taken", len(out))
 	}
-	if c := actionsOf[Cancel](r.step(12, TimerFired{})); len(c) != 0 {
+	if c := actionsOf[Cancel](h.step(12, TimerFired{})); len(c) != 0 {
 		t.Error("an unsafe call was given up although nobody waited")
 	}
-	third := r.message(0)
+	third := h.message(0)
 	third.Dest = 8
-	acts := append(r.step(12.1, third), r.step(12.2, TimerFired{})...)
+	acts := append(h.step(12.1, third), h.step(12.2, TimerFired{})...)
 	if len(actionsOf[Cancel](acts)) == 0 {
 		t.Error("a silent unsafe call kept the last slot from others")
 	}
@@ -512,16 +512,16 @@
 func TestUntriedSiblingSharesBudget(t *testing.T) {
 	set := baseSettings()
 	set.Weights = WeightsNominal
-	r := newHarness(t, set)
+	h := newHarness(t, set)
 	ev := fullList(2)
 	ev.Entries[0].NominalRate, ev.Entries[1].NominalRate = 4, 4
-	r.step(0, ev)
-	c := actionsOf[Send](r.step(1, r.message(0)))[0]
-	r.step(1.1, result(c.ID, c.Endpoint, 0, ConnRefused))
+	h.step(0, ev)
+	c := actionsOf[Send](h.step(1, h.message(0)))[0]
+	h.step(1.1, result(c.ID, c.Endpoint, 0, ConnRefused))
 	sent := 0
 	for i := range 20 {
-		for _, x := range actionsOf[Send](r.step(1.2+0.1*float64(i), r.message(0))) {
-			r.s.eps[x.Endpoint].inflight = 0 // only the budget holds
+		for _, x := range actionsOf[Send](h.step(1.2+0.1*float64(i), h.message(0))) {
+			h.s.eps[x.Endpoint].inflight = 0 // only the budget holds
 			sent++
 		}
 	}
@@ -533,15 +533,15 @@
 // Found by the hunt: answers to calls that were under way at the siblings when a destination shut made them look
 // well, and they were sent to without a budget when it opened.
 func TestOldAnswerDoesNotShowSiblingWell(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(2))
-	a := actionsOf[Send](r.step(1, r.message(0)))[0]
-	b := actionsOf[Send](r.step(1.1, r.message(0)))[0]
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(2))
+	a := actionsOf[Send](h.step(1, h.message(0)))[0]
+	b := actionsOf[Send](h.step(1.1, h.message(0)))[0]
 	shut := result(b.ID, b.Endpoint, 0, Refused)
 	shut.RetryAfter = sec(8)
-	r.step(1.2, shut)
-	r.step(1.3, result(a.ID, a.Endpoint, 0, Delivered))
-	if x, e := r.s.eps[b.Endpoint], r.s.eps[a.Endpoint]; e.well >= x.lastBad {
+	h.step(1.2, shut)
+	h.step(1.3, result(a.ID, a.Endpoint, 0, Delivered))
+	if x, e := h.s.eps[b.Endpoint], h.s.eps[a.Endpoint]; e.well >= x.lastBad {
 		t.Error("an answer to an older call shows a sibling to be well")
 	}
 }
@@ -549,12 +549,12 @@
 func TestTenantOverQuotaHasLessValue(t *testing.T) {
 	set := baseSettings()
 	set.Tenants, set.OverQuotaValue = []Tenant{{"x", 2}, {"y", 2}}, 0.2
-	r := newHarness(t, set)
+	h := newHarness(t, set)
 	for i := range 40 {
-		r.s.now = sec(0.1 * float64(i))
-		r.s.quotaFactor(0)
+		h.s.now = sec(0.1 * float64(i))
+		h.s.quotaFactor(0)
 	}
-	if a, b := r.s.quotaFactor(0), r.s.quotaFactor(1); a != 0.2 || b != 1 {
+	if a, b := h.s.quotaFactor(0), h.s.quotaFactor(1); a != 0.2 || b != 1 {
 		t.Errorf("ten a second of a quota of two keeps %v, a quiet tenant %v", a, b)
 	}
 }
@@ -564,10 +564,10 @@
 	for _, senders := range []int{2, manySenders + 1} {
 		set := baseSettings()
 		set.Senders = senders
-		r := newHarness(t, set)
-		r.step(0, fullList(2))
-		c := actionsOf[Send](r.step(0.1, r.message(0)))[0]
-		got := actionsOf[ReleaseConns](r.step(0.2, result(c.ID, c.Endpoint, 0, Delivered)))
+		h := newHarness(t, set)
+		h.step(0, fullList(2))
+		c := actionsOf[Send](h.step(0.1, h.message(0)))[0]
+		got := actionsOf[ReleaseConns](h.step(0.2, result(c.ID, c.Endpoint, 0, Delivered)))
 		if (len(got) > 0) != (senders > manySenders) {
 			t.Errorf("%d senders: released %v", senders, got)
 		}
@@ -584,14 +584,14 @@
 	}{{2, Refused, 0}, {manySenders + 1, Delivered, 0}, {manySenders + 1, Refused, 1}} {
 		set := baseSettings()
 		set.Senders, set.ConnCost = x.senders, expensiveConnCost
-		r := newHarness(t, set)
-		a, b := r.message(0), r.message(0)
-		out := actionsOf[Send](r.step(0, fullList(2), a, b))
+		h := newHarness(t, set)
+		a, b := h.message(0), h.message(0)
+		out := actionsOf[Send](h.step(0, fullList(2), a, b))
 		if len(out) != 2 {
 			t.Fatalf("%d senders: %d calls", x.senders, len(out))
 		}
-		r.step(0.1, result(out[0].ID, out[0].Endpoint, 0, x.first))
-		got := actionsOf[ReleaseConns](r.step(0.2, result(out[1].ID, out[1].Endpoint, 0, Delivered)))
+		h.step(0.1, result(out[0].ID, out[0].Endpoint, 0, x.first))
+		got := actionsOf[ReleaseConns](h.step(0.2, result(out[1].ID, out[1].Endpoint, 0, Delivered)))
 		if len(got) != x.back || x.back == 1 && got[0].Endpoint != out[1].Endpoint {
 			t.Errorf("%d senders, %v elsewhere: gave back %v", x.senders, x.first, got)
 		}
@@ -603,20 +603,20 @@
 func TestScarceConnectionsReleasedForAMinute(t *testing.T) {
 	set := baseSettings()
 	set.Senders, set.ConnCost, set.LoadRemainingIndex, set.LoadLimitIndex = 80, 2*expensiveConnCost, 0, 1
-	r := newHarness(t, set)
-	r.step(0, fullList(1))
+	h := newHarness(t, set)
+	h.step(0, fullList(1))
 	deliver := func(at float64) (back int) {
-		c := actionsOf[Send](r.step(at, r.message(0)))[0]
+		c := actionsOf[Send](h.step(at, h.message(0)))[0]
 		ok := result(c.ID, 1, 0, Delivered)
 		ok.Load = []float64{1, 200}
-		return len(actionsOf[ReleaseConns](r.step(at+0.1, ok)))
+		return len(actionsOf[ReleaseConns](h.step(at+0.1, ok)))
 	}
 	if deliver(0.5) > 0 {
 		t.Error("given back though no call lacked one")
 	}
-	c := actionsOf[Send](r.step(1, r.message(0)))[0]
-	r.step(1.1, result(c.ID, 1, 0, Refused))
-	r.step(1.2, ClientGone{c.ID})
+	c := actionsOf[Send](h.step(1, h.message(0)))[0]
+	h.step(1.1, result(c.ID, 1, 0, Refused))
+	h.step(1.2, ClientGone{c.ID})
 	for i := range 50 {
 		if deliver(2+float64(i)) == 0 {
 			t.Fatalf("kept again after %d calls", i)
@@ -636,11 +636,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &harness{t: t, s: s}
+	h := &harness{t: t, s: s}
 	ev := fullList(1)
 	ev.Entries[0].NominalRate = rate
-	r.step(0, ev)
-	return r
+	h.step(0, ev)
+	return h
 }
 
 // Found on big-1: three hundred senders, each with one call in four windows, topple what comes back. Their budgets
@@ -649,14 +649,14 @@
 	const senders, rate = 300, 10.0
 	calls := make([]int, 30) // by second after the outage was seen
 	for i := range senders {
-		r := newHarnessAmongMany(t, senders, rate, uint64(i))
+		h := newHarnessAmongMany(t, senders, rate, uint64(i))
 		seen := 1 + 5*float64(i)/senders // they see the outage one after the other
-		c := actionsOf[Send](r.step(seen, r.message(0)))[0]
-		r.step(seen+0.01, result(c.ID, 1, 0, ConnRefused), r.message(1))
+		c := actionsOf[Send](h.step(seen, h.message(0)))[0]
+		h.step(seen+0.01, result(c.ID, 1, 0, ConnRefused), h.message(1))
 		for at := seen + 0.1; at < 30; at += 0.1 {
-			for _, x := range actionsOf[Send](r.step(at, TimerFired{})) {
+			for _, x := range actionsOf[Send](h.step(at, TimerFired{})) {
 				calls[int(at)]++
-				r.step(at+0.01, result(x.ID, 1, r.s.msgs[x.ID].tries-1, ConnRefused))
+				h.step(at+0.01, result(x.ID, 1, h.s.msgs[x.ID].tries-1, ConnRefused))
 			}
 		}
 	}
@@ -681,11 +681,11 @@
 func TestRefusedMessagesPauseAmongManySenders(t *testing.T) {
 	soonest, latest := 60.0, 0.0
 	for i := range 40 {
-		r := newHarnessAmongMany(t, 100, 5, uint64(i))
-		c := actionsOf[Send](r.step(1, r.message(1)))[0]
-		r.step(1.1, result(c.ID, 1, 0, Refused))
+		h := newHarnessAmongMany(t, 100, 5, uint64(i))
+		c := actionsOf[Send](h.step(1, h.message(1)))[0]
+		h.step(1.1, result(c.ID, 1, 0, Refused))
 		for at := 1.2; at < 13; at += 0.05 {
-			if len(actionsOf[Send](r.step(at, TimerFired{}))) > 0 {
+			if len(actionsOf[Send](h.step(at, TimerFired{}))) > 0 {
 				soonest, latest = min(soonest, at), max(latest, at)
 				break
 			}
@@ -712,17 +712,17 @@
 	} {
 		set := baseSettings()
 		set.Senders, set.LoadRemainingIndex, set.LoadLimitIndex, set.MaxOpen, set.CallSlots = x.senders, 0, 1, 0, 4000
-		r := newHarness(t, set)
-		c := actionsOf[Send](r.step(0, fullList(1), r.message(0)))[0]
+		h := newHarness(t, set)
+		c := actionsOf[Send](h.step(0, fullList(1), h.message(0)))[0]
 		told := result(c.ID, 1, 0, Delivered)
 		told.Load = []float64{x.left, limit}
 		evs := []Event{told}
 		for range 3000 {
-			evs = append(evs, r.message(0))
+			evs = append(evs, h.message(0))
 		}
 		n := 0
 		for at := 1.0; at < 1+span; at += 0.02 {
-			acts := r.step(at, evs...)
+			acts := h.step(at, evs...)
 			evs = []Event{TimerFired{}}
 			for _, c := range actionsOf[Send](acts) {
 				n++
@@ -741,12 +741,12 @@
 func TestPacesAfterRefusalLeaveHeadroom(t *testing.T) {
 	set := baseSettings()
 	set.Senders, set.LoadRemainingIndex, set.LoadLimitIndex = 80, 0, 1
-	r := newHarness(t, set)
-	c := actionsOf[Send](r.step(0, fullList(1), r.message(0)))[0]
+	h := newHarness(t, set)
+	c := actionsOf[Send](h.step(0, fullList(1), h.message(0)))[0]
 	no := result(c.ID, 1, 0, Refused)
 	no.Load = []float64{0, 40}
-	acts := r.step(1, no)
-	if all := r.s.dests[9].lane.pace * 80; all < 20 || all > 0.8*40 {
+	acts := h.step(1, no)
+	if all := h.s.dests[9].lane.pace * 80; all < 20 || all > 0.8*40 {
 		t.Errorf("paces add up to %v calls a second of 40", all)
 	}
 	if len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
@@ -759,12 +759,12 @@
 	for _, senders := range []int{2, manySenders + 1} {
 		set := baseSettings()
 		set.Senders, set.ConnIdleTimeout, set.CallsPerConn, set.ConnCost = senders, 10*Second, 1, 2*expensiveConnCost
-		r := newHarness(t, set)
-		r.step(0, fullList(3))
+		h := newHarness(t, set)
+		h.step(0, fullList(3))
 		used := map[EndpointID]bool{}
 		for i := range 6 {
-			c := actionsOf[Send](r.step(float64(i)+1, r.message(0)))[0]
-			acts := r.step(float64(i)+1.1, result(c.ID, c.Endpoint, 0, Delivered))
+			c := actionsOf[Send](h.step(float64(i)+1, h.message(0)))[0]
+			acts := h.step(float64(i)+1.1, result(c.ID, c.Endpoint, 0, Delivered))
 			if len(actionsOf[ReleaseConns](acts)) > 0 {
 				t.Error("a connection was given back though new ones are dear")
 			}
@@ -780,17 +780,17 @@
 // to a destination that was shut. Among many senders two refusals in a row are enough.
 func TestTwoRefusalsAreOutageAmongManySenders(t *testing.T) {
 	for _, senders := range []int{2, 100} {
-		r := newHarnessAmongMany(t, senders, 10, 1)
-		acts := r.step(1, r.message(2))
+		h := newHarnessAmongMany(t, senders, 10, 1)
+		acts := h.step(1, h.message(2))
 		for n, at := 0, 1.0; n < 2; at += 0.1 {
 			for _, c := range actionsOf[Send](acts) {
 				n++
-				r.step(at+0.01, result(c.ID, 1, r.s.msgs[c.ID].tries-1, Refused))
+				h.step(at+0.01, result(c.ID, 1, h.s.msgs[c.ID].tries-1, Refused))
 			}
-			acts = r.step(at+0.1, TimerFired{})
-			r.s.eps[1].lane.firstFull -= sec(0.1) // the rests differ: the span is not what is tested
+			acts = h.step(at+0.1, TimerFired{})
+			h.s.eps[1].lane.firstFull -= sec(0.1) // the rests differ: the span is not what is tested
 		}
-		if cold := r.s.eps[1].cold; cold != (senders > manySenders) {
+		if cold := h.s.eps[1].cold; cold != (senders > manySenders) {
 			t.Errorf("%d senders: cold %v after two refusals", senders, cold)
 		}
 	}
@@ -801,11 +801,11 @@
 func TestPaceGrowsPerCall(t *testing.T) {
 	set := baseSettings()
 	set.Kinds[0].MaxBatch = 10
-	r := newHarness(t, set)
-	r.step(0, fullList(1))
-	l := r.s.dests[9].lane
+	h := newHarness(t, set)
+	h.step(0, fullList(1))
+	l := h.s.dests[9].lane
 	l.pace, l.filled = 10, sec(0.5)
-	batch := actionsOf[Send](r.step(1, r.message(0), r.message(0), r.message(0), r.message(0), r.message(0)))
+	batch := actionsOf[Send](h.step(1, h.message(0), h.message(0), h.message(0), h.message(0), h.message(0)))
 	if len(batch) != 5 {
 		t.Fatalf("%d sends", len(batch))
 	}
@@ -814,7 +814,7 @@
 	for _, c := range batch {
 		ends = append(ends, result(c.ID, c.Endpoint, 0, Delivered))
 	}
-	r.step(1.1, ends...)
+	h.step(1.1, ends...)
 	if want := 10 * (1 + paceGrowth); l.pace != want {
 		t.Errorf("pace %v after one call, want %v", l.pace, want)
 	}
@@ -829,34 +829,34 @@
 	}{{nil, false}, {[]float64{0, 200}, true}} {
 		set := baseSettings()
 		set.Senders, set.LoadRemainingIndex, set.LoadLimitIndex, set.MaxAttempts = 80, 0, 1, 60
-		r := newHarness(t, set)
-		c := actionsOf[Send](r.step(0, fullList(1), r.message(0)))[0]
+		h := newHarness(t, set)
+		c := actionsOf[Send](h.step(0, fullList(1), h.message(0)))[0]
 		ok := result(c.ID, 1, 0, Delivered)
 		ok.Load = []float64{1, 200}
-		c = actionsOf[Send](r.step(0.5, ok, r.message(2)))[0]
+		c = actionsOf[Send](h.step(0.5, ok, h.message(2)))[0]
 		no := result(c.ID, 1, 0, Refused)
 		no.Load = x.load
-		r.step(1, no)
-		if l := r.s.dests[9].lane; (l.pace > 0) != x.slow {
+		h.step(1, no)
+		if l := h.s.dests[9].lane; (l.pace > 0) != x.slow {
 			t.Errorf("load %v: pace %v", x.load, l.pace)
 		}
 		if x.slow {
 			continue
 		}
-		out := actionsOf[Send](r.step(1.1, TimerFired{}))
+		out := actionsOf[Send](h.step(1.1, TimerFired{}))
 		if len(out) == 0 {
 			t.Error("not sent again within 100 ms")
 		}
 		for at := 1.2; at < 10; at += 0.05 {
 			for _, c := range out {
-				r.step(at, result(c.ID, 1, r.s.msgs[c.ID].tries-1, Refused))
+				h.step(at, result(c.ID, 1, h.s.msgs[c.ID].tries-1, Refused))
 			}
-			out = actionsOf[Send](r.step(at+0.01, TimerFired{}))
-			if at < 1.9 && r.s.eps[1].ejected {
+			out = actionsOf[Send](h.step(at+0.01, TimerFired{}))
+			if at < 1.9 && h.s.eps[1].ejected {
 				t.Fatalf("out at %.2f s, soon after an answer", at)
 			}
 		}
-		if !r.s.eps[1].ejected {
+		if !h.s.eps[1].ejected {
 			t.Error("not out after seconds of nothing but refusals")
 		}
 	}
@@ -868,21 +868,21 @@
 	set := baseSettings()
 	set.MaxAttempts = 2
 	for class := range set.Classes {
-		r := newHarness(t, set)
-		r.step(0, fullList(1))
-		acts := r.step(1, r.message(class))
+		h := newHarness(t, set)
+		h.step(0, fullList(1))
+		acts := h.step(1, h.message(class))
 		for i := range 10 {
 			calls := actionsOf[Send](acts)
 			if len(calls) != 1 || len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) > 0 {
 				t.Fatalf("class %d, time %d: %v", class, i, acts)
 			}
-			acts = r.step(1.2+0.2*float64(i), result(calls[0].ID, calls[0].Endpoint, 0, LocalFailure))
+			acts = h.step(1.2+0.2*float64(i), result(calls[0].ID, calls[0].Endpoint, 0, LocalFailure))
 		}
-		if r.s.OutOfRotation() != 0 {
+		if h.s.OutOfRotation() != 0 {
 			t.Errorf("class %d: the endpoint was ejected", class)
 		}
 		id := actionsOf[Send](acts)[0].ID
-		acts = r.step(4, result(id, 1, 0, Errored))
+		acts = h.step(4, result(id, 1, 0, Errored))
 		if class == 2 && len(actionsOf[Fail](acts)) != 1 {
 			t.Errorf("an unsafe message that may have run did not fail: %v", acts)
 		}
--- a/logic/outage_test.go
+++ b/logic/outage_test.go
@@ -7,40 +7,40 @@
 func TestCallsBeforeOutageDoNotDelayTrials(t *testing.T) {
 	set := baseSettings()
 	set.OverloadMultiple, set.OverloadWindow = 2.5, 3*Second
-	r := newHarness(t, set)
-	r.step(0, fullList(1))
+	h := newHarness(t, set)
+	h.step(0, fullList(1))
 	at := 0.0
 	for range 60 {
 		at += 0.1
-		c := actionsOf[Send](r.step(at, r.message(0)))[0]
-		r.step(at+0.05, result(c.ID, c.Endpoint, 0, Delivered))
+		c := actionsOf[Send](h.step(at, h.message(0)))[0]
+		h.step(at+0.05, result(c.ID, c.Endpoint, 0, Delivered))
 	}
-	c := actionsOf[Send](r.step(at+0.1, r.message(0)))[0]
-	c = actionsOf[Send](r.step(at+0.11, result(c.ID, c.Endpoint, 0, ConnRefused)))[0]
-	if acts := r.step(at+0.12, result(c.ID, c.Endpoint, 1, ConnRefused)); len(actionsOf[Send](acts)) > 0 {
+	c := actionsOf[Send](h.step(at+0.1, h.message(0)))[0]
+	c = actionsOf[Send](h.step(at+0.11, result(c.ID, c.Endpoint, 0, ConnRefused)))[0]
+	if acts := h.step(at+0.12, result(c.ID, c.Endpoint, 1, ConnRefused)); len(actionsOf[Send](acts)) > 0 {
 		t.Fatal("no pause before the first trial")
 	}
-	if !r.s.eps[1].cold {
+	if !h.s.eps[1].cold {
 		t.Fatal("two refused connections in a row are no outage")
 	}
 	back := at + 0.12 + seconds(minTrialInterval) + 0.01
-	trial := actionsOf[Send](r.step(back, TimerFired{}))
+	trial := actionsOf[Send](h.step(back, TimerFired{}))
 	if len(trial) != 1 {
 		t.Fatalf("%d calls at the time of the first trial, want 1", len(trial))
 	}
 	// After an outage that lasts, what goes there is counted: an own peak of 11 a second, shared by two, cold.
-	r.step(back+0.01, result(trial[0].ID, 1, 2, ConnRefused))
+	h.step(back+0.01, result(trial[0].ID, 1, 2, ConnRefused))
 	back += 3
-	trial = actionsOf[Send](r.step(back, TimerFired{}))
+	trial = actionsOf[Send](h.step(back, TimerFired{}))
 	if len(trial) != 1 {
 		t.Fatalf("%d calls at the time of a later trial, want 1", len(trial))
 	}
-	r.step(back+0.05, result(trial[0].ID, 1, 3, Delivered))
+	h.step(back+0.05, result(trial[0].ID, 1, 3, Delivered))
 	sent := len(trial)
 	for i := range 50 {
-		for _, c := range actionsOf[Send](r.step(back+0.06+0.04*float64(i), r.message(0))) {
+		for _, c := range actionsOf[Send](h.step(back+0.06+0.04*float64(i), h.message(0))) {
 			sent++
-			r.step(back+0.061+0.04*float64(i), result(c.ID, c.Endpoint, 0, Delivered))
+			h.step(back+0.061+0.04*float64(i), result(c.ID, c.Endpoint, 0, Delivered))
 		}
 	}
 	if most := 11 * set.OverloadMultiple * 3 * 0.4 / 2; float64(sent) > most {
@@ -61,20 +61,20 @@
 		{"back after an outage", 2, 2.5, true},
 		{"most calls fail", 4, 1.9, true},
 	} {
-		r := newHarness(t, baseSettings())
-		r.step(0, fullList(1))
-		e := r.s.eps[1]
-		r.s.now = sec(1)
-		r.s.recordSuccess(e, r.s.now)
+		h := newHarness(t, baseSettings())
+		h.step(0, fullList(1))
+		e := h.s.eps[1]
+		h.s.now = sec(1)
+		h.s.recordSuccess(e, h.s.now)
 		for i := range x.failures {
-			r.s.now = sec(1.1 + 0.1*float64(i))
-			r.s.recordOutcome(e, ConnRefused)
+			h.s.now = sec(1.1 + 0.1*float64(i))
+			h.s.recordOutcome(e, ConnRefused)
 		}
 		if !e.ejected || !e.cold {
 			t.Fatalf("%s: not out after %d failures", x.name, x.failures)
 		}
-		r.s.now = sec(1 + x.back)
-		r.s.recordSuccess(e, r.s.now)
+		h.s.now = sec(1 + x.back)
+		h.s.recordSuccess(e, h.s.now)
 		if e.ejected || e.cold != x.cold {
 			t.Errorf("%s: out %v, cold %v", x.name, e.ejected, e.cold)
 		}
@@ -87,11 +87,11 @@
 	for _, o := range []Outcome{Unreadable, Errored, ConnLost, ConnRefused} {
 		set := baseSettings()
 		set.Kinds[0].MaxBatch = 10
-		r := newHarness(t, set)
-		r.step(0, fullList(1))
-		c := actionsOf[Send](r.step(1, r.message(0)))[0]
-		r.step(1.1, result(c.ID, c.Endpoint, 0, Delivered))
-		batch := actionsOf[Send](r.step(1.2, r.message(0), r.message(0), r.message(0), r.message(0), r.message(0)))
+		h := newHarness(t, set)
+		h.step(0, fullList(1))
+		c := actionsOf[Send](h.step(1, h.message(0)))[0]
+		h.step(1.1, result(c.ID, c.Endpoint, 0, Delivered))
+		batch := actionsOf[Send](h.step(1.2, h.message(0), h.message(0), h.message(0), h.message(0), h.message(0)))
 		if len(batch) != 5 {
 			t.Fatalf("%d sends", len(batch))
 		}
@@ -99,8 +99,8 @@
 		for _, c := range batch {
 			ends = append(ends, result(c.ID, c.Endpoint, 0, o))
 		}
-		r.step(1.3, ends...)
-		if r.s.eps[1].ejected {
+		h.step(1.3, ends...)
+		if h.s.eps[1].ejected {
 			t.Errorf("outcome %d of one batch took the endpoint out", o)
 		}
 	}
@@ -108,15 +108,15 @@
 
 // The answer to a batch may take messages on and tell a wait all the same.
 func TestRetryAfterOnDelivery(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(2))
-	c := actionsOf[Send](r.step(1, r.message(0)))[0]
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(2))
+	c := actionsOf[Send](h.step(1, h.message(0)))[0]
 	done := result(c.ID, c.Endpoint, 0, Delivered)
 	done.RetryAfter = sec(1.5)
-	if n := len(actionsOf[Send](r.step(1.1, done, r.message(0)))); n != 0 {
+	if n := len(actionsOf[Send](h.step(1.1, done, h.message(0)))); n != 0 {
 		t.Errorf("%d calls during a wait", n)
 	}
-	if n := len(actionsOf[Send](r.step(2.7, TimerFired{}))); n != 1 {
+	if n := len(actionsOf[Send](h.step(2.7, TimerFired{}))); n != 1 {
 		t.Errorf("%d calls after the wait, want 1", n)
 	}
 }
@@ -125,17 +125,17 @@
 // that refused a connection was taken for an outage of its destination, and held up the siblings for seconds.
 func TestCachedListAndOutage(t *testing.T) {
 	for _, news := range []bool{false, true} {
-		r := newHarness(t, baseSettings())
+		h := newHarness(t, baseSettings())
 		first := fullList(2)
 		first.Kind = UpdateCached
-		r.step(0, first)
+		h.step(0, first)
 		if news {
-			r.step(0.05, EndpointUpdate{Kind: UpdateDelta})
+			h.step(0.05, EndpointUpdate{Kind: UpdateDelta})
 		}
-		c := actionsOf[Send](r.step(0.1, r.message(0)))[0]
-		r.step(0.2, result(c.ID, c.Endpoint, 0, ConnRefused))
+		c := actionsOf[Send](h.step(0.1, h.message(0)))[0]
+		h.step(0.2, result(c.ID, c.Endpoint, 0, ConnRefused))
 		n := 0
-		for _, x := range actionsOf[Send](r.step(0.3, r.message(0), r.message(0))) {
+		for _, x := range actionsOf[Send](h.step(0.3, h.message(0), h.message(0))) {
 			if x.Endpoint == c.Endpoint {
 				t.Error("sent to the endpoint that refused")
 			}
--- a/logic/restart_test.go
+++ b/logic/restart_test.go
@@ -5,10 +5,10 @@
 // resumed hands a message of a class in as after a restart and returns what is done in that step.
 func stepRestored(t *testing.T, class int, past History) []Action {
 	t.Helper()
-	r := newHarness(t, baseSettings())
-	c := r.message(class)
+	h := newHarness(t, baseSettings())
+	c := h.message(class)
 	c.History = past
-	return r.step(100, fullList(2), c)
+	return h.step(100, fullList(2), c)
 }
 
 // A try that may have run before a restart binds the class as one after it would.
@@ -46,12 +46,12 @@
 func TestHistoryKeepsZone(t *testing.T) {
 	set := baseSettings()
 	set.Zones, set.Classes[1].DedupPerZone = 2, true
-	r := newHarness(t, set)
+	h := newHarness(t, set)
 	eps := fullList(2)
 	eps.Entries[0].Zone, eps.Entries[1].Zone = 0, 1
-	c := r.message(1)
+	c := h.message(1)
 	c.History = History{Attempts: 1, MayHaveRun: true, Zone: 1}
-	out := actionsOf[Send](r.step(100, eps, c))
+	out := actionsOf[Send](h.step(100, eps, c))
 	if len(out) != 1 || out[0].Endpoint != 2 {
 		t.Errorf("sent %v, want one to endpoint 2", out)
 	}
@@ -59,11 +59,11 @@
 
 // Attempts go on counting where the last process left off: replies name them.
 func TestHistoryAttemptNumber(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	c := r.message(0)
+	h := newHarness(t, baseSettings())
+	c := h.message(0)
 	c.History = History{Attempts: 5, MayHaveRun: true}
-	r.step(100, fullList(1), c)
-	acts := r.step(100.1, result(c.ID, 1, 5, Errored))
+	h.step(100, fullList(1), c)
+	acts := h.step(100.1, result(c.ID, 1, 5, Errored))
 	if len(actionsOf[Fail](acts)) != 1 {
 		t.Errorf("after the sixth attempt: %v", acts)
 	}
@@ -71,20 +71,20 @@
 
 // A stop must not cut off calls that were begun in view of it: an unsafe one would be lost.
 func TestShutdown(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(1))
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(1))
 	for i := range 8 { // the usual call takes 0.1 s
-		c := r.message(2)
-		r.step(float64(i), c)
-		r.step(float64(i)+0.1, result(c.ID, 1, 0, Delivered))
+		c := h.message(2)
+		h.step(float64(i), c)
+		h.step(float64(i)+0.1, result(c.ID, 1, 0, Delivered))
 	}
-	r.step(10, Shutdown{TimeLeft: 3 * Second})
-	early, late := r.message(2), r.message(2)
-	if n := len(actionsOf[Send](r.step(10.1, early))); n != 1 {
+	h.step(10, Shutdown{TimeLeft: 3 * Second})
+	early, late := h.message(2), h.message(2)
+	if n := len(actionsOf[Send](h.step(10.1, early))); n != 1 {
 		t.Errorf("%d sends with time enough", n)
 	}
-	r.step(10.2, result(early.ID, 1, 0, Delivered))
-	acts := r.step(12.7, late)
+	h.step(10.2, result(early.ID, 1, 0, Delivered))
+	acts := h.step(12.7, late)
 	if len(acts) > 0 && len(actionsOf[Send](acts))+len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) != 0 {
 		t.Errorf("shortly before the stop: %v", acts)
 	}
@@ -92,9 +92,9 @@
 
 // With nothing else going on, a call that hangs is looked at all the same.
 func TestSingleCallIsTimed(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(2))
-	acts := r.step(1, r.message(0))
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(2))
+	acts := h.step(1, h.message(0))
 	at, end := 1.0, 0.0
 	for i := 0; i < 20 && len(actionsOf[Cancel](acts)) == 0; i++ {
 		timers := actionsOf[SetTimer](acts)
@@ -102,7 +102,7 @@
 			t.Fatal("no timer set")
 		}
 		at += seconds(timers[0].Wait)
-		acts = r.step(at, TimerFired{Token: timers[0].Token})
+		acts = h.step(at, TimerFired{Token: timers[0].Token})
 		end = at
 	}
 	if end == 0 || end > 6 {
@@ -116,14 +116,14 @@
 	for _, taken := range []bool{true, false} { // before a restart, or a moment ago
 		set := baseSettings()
 		set.Senders, set.MaxOpen, set.LoadRemainingIndex, set.LoadLimitIndex = 40, 20, 0, 1
-		r := newHarness(t, set)
+		h := newHarness(t, set)
 		evs := []Event{fullList(2)}
 		for range 19 {
-			c := r.message(0)
+			c := h.message(0)
 			c.History.Accepted = taken
 			evs = append(evs, c)
 		}
-		acts := actionsOf[Send](r.step(100, evs...))
+		acts := actionsOf[Send](h.step(100, evs...))
 		var replies []Event
 		for _, c := range acts {
 			x := result(c.ID, c.Endpoint, 0, Refused)
@@ -133,18 +133,18 @@
 		if len(replies) == 0 {
 			t.Fatal("nothing is tried")
 		}
-		given := actionsOf[Reject](r.step(100.1, replies...))
+		given := actionsOf[Reject](h.step(100.1, replies...))
 		for at := 100.2; at < 106.9; at += 0.1 {
-			given = append(given, actionsOf[Reject](r.step(at))...)
+			given = append(given, actionsOf[Reject](h.step(at))...)
 		}
 		if n := len(given); n != 0 {
 			t.Errorf("taken %v: %d given up before seven tenths of their time", taken, n)
 		}
-		late := r.message(0)
-		if x := actionsOf[Reject](r.step(106.9, late)); len(x) != 1 || x[0].ID != late.ID {
+		late := h.message(0)
+		if x := actionsOf[Reject](h.step(106.9, late)); len(x) != 1 || x[0].ID != late.ID {
 			t.Errorf("taken %v: at the door: %v, want %s turned away", taken, x, late.ID)
 		}
-		if n := len(actionsOf[Reject](r.step(107.1))); n < 4 {
+		if n := len(actionsOf[Reject](h.step(107.1))); n < 4 {
 			t.Errorf("taken %v: %d given up once most of their time is gone", taken, n)
 		}
 	}
@@ -155,12 +155,12 @@
 func TestSubscribeRetriedInTime(t *testing.T) {
 	set := baseSettings()
 	set.ListOnRequest = true
-	r := newHarness(t, set)
-	r.step(100, fullList(2))
+	h := newHarness(t, set)
+	h.step(100, fullList(2))
 	at := 100.0
 	for i := range 20 {
 		next := at
-		for r.step(next, EndpointUpdate{Kind: UpdateFailed}); len(actionsOf[Subscribe](r.step(next))) == 0; next += 0.05 {
+		for h.step(next, EndpointUpdate{Kind: UpdateFailed}); len(actionsOf[Subscribe](h.step(next))) == 0; next += 0.05 {
 			if next > at+5 {
 				t.Fatalf("failure %d: not asked again within 5 s", i)
 			}
--- a/logic/rig_test.go
+++ b/logic/rig_test.go
@@ -7,22 +7,28 @@
 	"testing"
 )
 
-// base is a plain deployment: two senders, one safe, one keyed and one unsafe class, one kind of destination.
+// baseSettings is a plain deployment: two senders, one safe, one keyed and one unsafe class, one kind of destination.
 func baseSettings() Settings {
-	return Settings{Senders: 2, Zones: 1, CallSlots: 8, MaxOpen: 60, MaxAttempts: 6, Tick: 5000, MayCancel: true, RetryAfter: true,
+	return Settings{
+		Senders: 2, Zones: 1, CallSlots: 8, MaxOpen: 60, MaxAttempts: 6, Tick: 5000, MayCancel: true, RetryAfter: true,
 		Classes: []Class{
 			{Name: "a", TargetLatency: Second, Deadline: 10 * Second, Value: 1, LateValue: 0.5},
-			{Name: "b", TargetLatency: 2 * Second, Deadline: 12 * Second, Value: 2, LateValue: 0.4, Idempotency: IdempotentByKey, DedupWindow: 8 * Second},
-			{Name: "c", TargetLatency: 2 * Second, Deadline: 14 * Second, Value: 4, LateValue: 0.3, Idempotency: NonIdempotent}},
-		Kinds: []DestinationKind{{Name: "k", MaxBatch: 1}}, MaxRetryAfter: 2 * Second, DrainGrace: Second, OverloadMultiple: 2,
-		OverloadWindow: 2 * Second, ColdCapacity: 0.2, WarmupTime: 14 * Second, LoadRemainingIndex: -1, LoadLimitIndex: -1}
+			{Name: "b", TargetLatency: 2 * Second, Deadline: 12 * Second, Value: 2, LateValue: 0.4,
+				Idempotency: IdempotentByKey, DedupWindow: 8 * Second},
+			{Name: "c", TargetLatency: 2 * Second, Deadline: 14 * Second, Value: 4, LateValue: 0.3,
+				Idempotency: NonIdempotent},
+		},
+		Kinds:         []DestinationKind{{Name: "k", MaxBatch: 1}},
+		MaxRetryAfter: 2 * Second, DrainGrace: Second, OverloadMultiple: 2, OverloadWindow: 2 * Second,
+		ColdCapacity: 0.2, WarmupTime: 14 * Second, LoadRemainingIndex: -1, LoadLimitIndex: -1,
+	}
 }
 
-// rig drives one Sender by hand.
+// harness drives one Sender step by step.
 type harness struct {
 	t        *testing.T
 	s        *Sender
-	messages int
+	messages int // created so far
 }
 
 func newHarness(t *testing.T, set Settings) *harness {
@@ -36,12 +42,12 @@
 
 func sec(x float64) Micros { return Micros(x * float64(Second)) }
 
-func (r *harness) step(at float64, evs ...Event) []Action {
-	r.t.Helper()
-	return r.s.Step(sec(at), evs)
+func (h *harness) step(at float64, evs ...Event) []Action {
+	h.t.Helper()
+	return h.s.Step(sec(at), evs)
 }
 
-// list makes a whole list of n endpoints, from 1 on, of destination 9.
+// fullList is a full list of n endpoints, numbered from 1, of destination 9.
 func fullList(n int) EndpointUpdate {
 	ev := EndpointUpdate{Kind: UpdateFull}
 	for i := 1; i <= n; i++ {
@@ -50,15 +56,19 @@
 	return ev
 }
 
-func (r *harness) message(class int) Message {
-	r.messages++
-	return Message{ID: fmt.Sprintf("m%d", r.messages), TimeLeft: r.s.set.Classes[class].Deadline, Dest: 9, Tenant: -1, Class: class}
+// message is a new message of a class for destination 9.
+func (h *harness) message(class int) Message {
+	h.messages++
+	return Message{ID: fmt.Sprintf("m%d", h.messages), TimeLeft: h.s.set.Classes[class].Deadline, Dest: 9, Tenant: -1,
+		Class: class}
 }
 
+// result is the result of an attempt that took 0.1 s.
 func result(id string, ep EndpointID, attempt int, o Outcome) AttemptResult {
 	return AttemptResult{ID: id, Endpoint: ep, Attempt: attempt, Outcome: o, Latency: sec(0.1), Final: o == Delivered}
 }
 
+// actionsOf returns the actions of type T.
 func actionsOf[T Action](acts []Action) (out []T) {
 	for _, a := range acts {
 		if x, ok := a.(T); ok {
@@ -68,7 +78,7 @@
 	return out
 }
 
-// world plays random legal outcomes against a Sender and asserts the six rules. It models no server.
+// simulation feeds a Sender random valid events and checks the rules for sending. It models no server.
 type simulation struct {
 	t                *testing.T
 	set              Settings
@@ -89,14 +99,14 @@
 	slotsUsed        int
 	outage           [2]Micros // all of destination 1 refuses connections
 	sawOutage        bool
-	twin             *Sender // must act as s does
-	beforeStep       func()  // before each step
+	twin             *Sender // second Sender that must return the same actions as s
+	beforeStep       func()
 	afterStep        func(evs []Event, acts []Action)
-	burst            int // messages that come at once now and then
+	burst            int // messages of an occasional burst
 	sentAfterOutage  []Micros
 	sentBeforeOutage []Micros
 	peak             float64
-	maxOutOfRotation int // of rotation at one time
+	maxOutOfRotation int // most endpoints out of rotation at one time
 	trace            []string
 }
 
@@ -115,7 +125,7 @@
 
 type simEndpoint struct {
 	entry    EndpointEntry
-	closedAt Micros // when it was told to drain or go
+	closedAt Micros // when it began to drain or was removed
 	closed   bool
 }
 
@@ -128,16 +138,17 @@
 
 type simCall struct{ open int }
 
-func (w *simulation) laneKey(e *simEndpoint) string {
-	if w.set.Kinds[e.entry.Kind].SeparateRoutes {
+// laneKey names the route or destination whose limits an endpoint shares.
+func (sim *simulation) laneKey(e *simEndpoint) string {
+	if sim.set.Kinds[e.entry.Kind].SeparateRoutes {
 		return fmt.Sprint("route", e.entry.Endpoint)
 	}
 	return fmt.Sprint("dest", e.entry.Dest)
 }
 
-func (w *simulation) fatalf(format string, args ...any) {
-	w.t.Helper()
-	w.t.Fatalf("at %d: "+format, append([]any{w.now}, args...)...)
+func (sim *simulation) fatalf(format string, args ...any) {
+	sim.t.Helper()
+	sim.t.Fatalf("at %d: "+format, append([]any{sim.now}, args...)...)
 }
 
 func newSimulation(t *testing.T, set Settings, seed uint64) *simulation {
@@ -151,114 +162,116 @@
 		outage: [2]Micros{12 * Second, 20 * Second}, burst: 15}
 }
 
-// play runs 40 seconds of random traffic.
-func (w *simulation) play() {
+// play runs 40 seconds of random traffic and 20 seconds without new messages.
+func (sim *simulation) play() {
 	var first EndpointUpdate
 	first.Kind = UpdateCached
 	for i := 0; i < 8; i++ {
-		row := EndpointEntry{Endpoint: EndpointID(100 + i), Dest: int64(1 + i/2), Kind: (i / 2) % len(w.set.Kinds),
-			Zone: i % max(w.set.Zones, 1), NominalRate: 6}
-		w.endpoints[row.Endpoint] = &simEndpoint{entry: row}
-		w.order = append(w.order, row.Endpoint)
-		first.Entries = append(first.Entries, row)
+		entry := EndpointEntry{Endpoint: EndpointID(100 + i), Dest: int64(1 + i/2), Kind: (i / 2) % len(sim.set.Kinds),
+			Zone: i % max(sim.set.Zones, 1), NominalRate: 6}
+		sim.endpoints[entry.Endpoint] = &simEndpoint{entry: entry}
+		sim.order = append(sim.order, entry.Endpoint)
+		first.Entries = append(first.Entries, entry)
 	}
-	w.run(first)
+	sim.run(first)
 	next := Micros(0)
-	for w.now < 60*Second {
-		w.now += w.set.Tick
+	for sim.now < 60*Second {
+		sim.now += sim.set.Tick
 		var evs []Event
-		evs = append(evs, w.dueEvents()...)
-		if w.now < 40*Second && w.now >= next {
-			next = w.now + Micros(w.rng.IntN(150_000))
-			evs = append(evs, w.arrival())
-			if w.rng.IntN(40) == 0 { // a clump
-				for range w.burst {
-					evs = append(evs, w.arrival())
+		evs = append(evs, sim.dueEvents()...)
+		if sim.now < 40*Second && sim.now >= next {
+			next = sim.now + Micros(sim.rng.IntN(150_000))
+			evs = append(evs, sim.arrival())
+			if sim.rng.IntN(40) == 0 { // a burst
+				for range sim.burst {
+					evs = append(evs, sim.arrival())
 				}
 			}
 		}
-		if w.rng.IntN(1500) == 0 {
-			evs = append(evs, w.change())
+		if sim.rng.IntN(1500) == 0 {
+			evs = append(evs, sim.change())
 		}
-		if w.rng.IntN(900) == 0 && len(w.ids) > 0 {
-			m := w.msgs[w.ids[w.rng.IntN(len(w.ids))]]
+		if sim.rng.IntN(900) == 0 && len(sim.ids) > 0 {
+			m := sim.msgs[sim.ids[sim.rng.IntN(len(sim.ids))]]
 			m.ended = true // withdrawn, or ended long ago
 			evs = append(evs, ClientGone{m.id}, ClientGone{"nobody"}, TimerFired{3})
 		}
 		if len(evs) > 0 {
-			w.run(evs...)
+			sim.run(evs...)
 		}
-		w.live = slices.DeleteFunc(w.live, func(m *simMessage) bool { return m.ended })
-		for _, m := range w.live {
-			if w.now > m.deadline {
-				w.fatalf("message %s of class %s has no answer at its deadline", m.id, m.class.Name)
+		sim.live = slices.DeleteFunc(sim.live, func(m *simMessage) bool { return m.ended })
+		for _, m := range sim.live {
+			if sim.now > m.deadline {
+				sim.fatalf("message %s of class %s has no answer at its deadline", m.id, m.class.Name)
 			}
 		}
 	}
 }
 
-func (w *simulation) arrival() Event {
-	ci := w.rng.IntN(len(w.set.Classes))
-	c := w.set.Classes[ci]
-	m := &simMessage{id: fmt.Sprint("r", len(w.ids)), class: c, dest: int64(1 + w.rng.IntN(5))}
+// arrival is a new random message.
+func (sim *simulation) arrival() Event {
+	ci := sim.rng.IntN(len(sim.set.Classes))
+	c := sim.set.Classes[ci]
+	m := &simMessage{id: fmt.Sprint("r", len(sim.ids)), class: c, dest: int64(1 + sim.rng.IntN(5))}
 	left := c.Deadline
-	if w.rng.IntN(5) == 0 {
+	if sim.rng.IntN(5) == 0 {
 		left = c.Deadline / 3
 	}
 	if c.KeepOrder {
-		m.key = fmt.Sprint("k", w.rng.IntN(4))
-		w.keys[m.key] = append(w.keys[m.key], m)
+		m.key = fmt.Sprint("k", sim.rng.IntN(4))
+		sim.keys[m.key] = append(sim.keys[m.key], m)
 	}
-	m.deadline = w.now + left
-	w.msgs[m.id] = m
-	w.ids = append(w.ids, m.id)
-	w.live = append(w.live, m)
+	m.deadline = sim.now + left
+	sim.msgs[m.id] = m
+	sim.ids = append(sim.ids, m.id)
+	sim.live = append(sim.live, m)
 	tenant := -1
-	if n := len(w.set.Tenants); n > 0 {
-		tenant = w.rng.IntN(n)
+	if n := len(sim.set.Tenants); n > 0 {
+		tenant = sim.rng.IntN(n)
 	}
 	return Message{ID: m.id, TimeLeft: left, OrderKey: m.key, Dest: m.dest, Tenant: tenant, Class: ci}
 }
 
 // change drains, removes or adds an endpoint.
-func (w *simulation) change() Event {
-	id := w.order[w.rng.IntN(len(w.order))]
-	e := w.endpoints[id]
-	row := e.entry
-	switch w.rng.IntN(3) {
+func (sim *simulation) change() Event {
+	id := sim.order[sim.rng.IntN(len(sim.order))]
+	e := sim.endpoints[id]
+	entry := e.entry
+	switch sim.rng.IntN(3) {
 	case 0:
-		row.State = Draining
+		entry.State = Draining
 	case 1:
-		row.State = Removed
+		entry.State = Removed
 	}
-	if row.State == Ready {
+	if entry.State == Ready {
 		e.closed = false
 	} else if !e.closed {
-		e.closed, e.closedAt = true, w.now
+		e.closed, e.closedAt = true, sim.now
 	}
-	return EndpointUpdate{Kind: UpdateDelta, Entries: []EndpointEntry{row}}
+	return EndpointUpdate{Kind: UpdateDelta, Entries: []EndpointEntry{entry}}
 }
 
-func (w *simulation) dueEvents() (evs []Event) {
-	var rest []simEvent
-	for _, q := range w.queue {
-		if q.at > w.now {
-			rest = append(rest, q)
+// dueEvents takes the events that are due out of the queue.
+func (sim *simulation) dueEvents() (evs []Event) {
+	var later []simEvent
+	for _, event := range sim.queue {
+		if event.at > sim.now {
+			later = append(later, event)
 			continue
 		}
-		if r, ok := q.ev.(AttemptResult); ok {
-			q.ev = w.applyResult(r, q.msg, q.call)
+		if r, ok := event.ev.(AttemptResult); ok {
+			event.ev = sim.applyResult(r, event.msg, event.call)
 		}
-		evs = append(evs, q.ev)
+		evs = append(evs, event.ev)
 	}
-	w.queue = rest
+	sim.queue = later
 	return evs
 }
 
-// land applies the outcome of an attempt to what the rules know.
-func (w *simulation) applyResult(r AttemptResult, m *simMessage, c *simCall) AttemptResult {
+// applyResult updates the state that the checks use by the result of an attempt.
+func (sim *simulation) applyResult(r AttemptResult, m *simMessage, c *simCall) AttemptResult {
 	if c.open--; c.open == 0 {
-		w.slotsUsed--
+		sim.slotsUsed--
 	}
 	m.inFlight = false
 	if r.Outcome != Refused && r.Outcome != ConnRefused && r.Outcome != Skipped {
@@ -269,24 +282,25 @@
 	}
 	r.Final = m.ended
 	if m.key != "" && (r.Outcome == TimedOut || r.Outcome == ConnLost || r.Outcome == Cancelled) {
-		w.pausedUntil[m.key], w.pausedBy[m.key] = w.now+w.set.KeyCooldown, m
+		sim.pausedUntil[m.key], sim.pausedBy[m.key] = sim.now+sim.set.KeyCooldown, m
 	}
-	e := w.endpoints[r.Endpoint]
+	e := sim.endpoints[r.Endpoint]
 	if r.RetryAfter > 0 {
-		w.waitUntil[w.laneKey(e)] = max(w.waitUntil[w.laneKey(e)], w.now+r.RetryAfter)
+		sim.waitUntil[sim.laneKey(e)] = max(sim.waitUntil[sim.laneKey(e)], sim.now+r.RetryAfter)
 	}
-	if e.entry.Dest == 1 && w.now > w.outage[0] && w.now < w.outage[1] && r.Outcome == ConnRefused {
-		w.sawOutage = true
+	if e.entry.Dest == 1 && sim.now > sim.outage[0] && sim.now < sim.outage[1] && r.Outcome == ConnRefused {
+		sim.sawOutage = true
 	}
 	return r
 }
 
-func (w *simulation) outcome(e *simEndpoint) (Outcome, Micros, Micros) {
-	if e.entry.Dest == 1 && w.now > w.outage[0] && w.now < w.outage[1] {
+// outcome draws the outcome, the latency and the requested wait of a call to e.
+func (sim *simulation) outcome(e *simEndpoint) (Outcome, Micros, Micros) {
+	if e.entry.Dest == 1 && sim.now > sim.outage[0] && sim.now < sim.outage[1] {
 		return ConnRefused, 20_000, 0
 	}
-	took := Micros(20_000 + w.rng.IntN(300_000))
-	switch x := w.rng.IntN(100); {
+	took := Micros(20_000 + sim.rng.IntN(300_000))
+	switch x := sim.rng.IntN(100); {
 	case x < 70:
 		return Delivered, took, 0
 	case x < 76:
@@ -297,98 +311,99 @@
 		return ConnRefused, took, 0
 	case x < 94:
 		wait := Micros(0)
-		if w.rng.IntN(2) == 0 {
-			wait = Micros(w.rng.IntN(3_000_000))
+		if sim.rng.IntN(2) == 0 {
+			wait = Micros(sim.rng.IntN(3_000_000))
 		}
 		return Refused, 20_000, wait
 	}
-	return TimedOut, never, 0 // silent: ends when given up or called off
+	return TimedOut, never, 0 // no answer: ends with the timeout or when cancelled
 }
 
-// run makes one step and checks all its actions.
-func (w *simulation) run(evs ...Event) {
+// run performs one step and checks all its actions.
+func (sim *simulation) run(evs ...Event) {
 	opened := map[EndpointID]*simCall{}
 	count := map[EndpointID]int{}
-	if w.beforeStep != nil {
-		w.beforeStep()
+	if sim.beforeStep != nil {
+		sim.beforeStep()
 	}
-	acts := w.s.Step(w.now, evs)
-	w.checkOutOfRotation(w.s)
-	if w.twin != nil {
-		w.compareActions(acts, w.twin.Step(w.now, evs))
-		w.checkOutOfRotation(w.twin)
+	acts := sim.s.Step(sim.now, evs)
+	sim.checkOutOfRotation(sim.s)
+	if sim.twin != nil {
+		sim.compareActions(acts, sim.twin.Step(sim.now, evs))
+		sim.checkOutOfRotation(sim.twin)
 	}
-	if w.afterStep != nil {
-		w.afterStep(evs, acts)
+	if sim.afterStep != nil {
+		sim.afterStep(evs, acts)
 	}
 	for _, a := range acts {
-		w.trace = append(w.trace, fmt.Sprintf("%d %#v", w.now, a))
+		sim.trace = append(sim.trace, fmt.Sprintf("%d %#v", sim.now, a))
 		switch a := a.(type) {
 		case Send:
-			m, e := w.msgs[a.ID], w.endpoints[a.Endpoint]
-			w.checkSend(m, e)
+			m, e := sim.msgs[a.ID], sim.endpoints[a.Endpoint]
+			sim.checkSend(m, e)
 			c := opened[a.Endpoint]
-			if c == nil || count[a.Endpoint]%max(w.set.Kinds[e.entry.Kind].MaxBatch, 1) == 0 {
+			if c == nil || count[a.Endpoint]%max(sim.set.Kinds[e.entry.Kind].MaxBatch, 1) == 0 {
 				c = &simCall{}
 				opened[a.Endpoint] = c
-				if w.slotsUsed++; w.slotsUsed > w.set.CallSlots {
-					w.fatalf("more calls out than slots")
+				if sim.slotsUsed++; sim.slotsUsed > sim.set.CallSlots {
+					sim.fatalf("more concurrent calls than slots")
 				}
-				w.checkCold(e)
+				sim.checkCold(e)
 			}
 			count[a.Endpoint]++
 			c.open++
-			o, took, wait := w.outcome(e)
+			o, took, wait := sim.outcome(e)
 			if took >= a.Timeout {
 				o, took, wait = TimedOut, a.Timeout, 0
 			}
-			w.queue = append(w.queue, simEvent{w.now + took, AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.attempts,
-				Outcome: o, Latency: took, RetryAfter: wait, Load: w.load()}, m, c})
+			sim.queue = append(sim.queue, simEvent{sim.now + took, AttemptResult{ID: a.ID, Endpoint: a.Endpoint,
+				Attempt: m.attempts, Outcome: o, Latency: took, RetryAfter: wait, Load: sim.load()}, m, c})
 			m.attempts++
 		case Cancel:
-			if !w.set.MayCancel {
-				w.fatalf("cancel where none is allowed")
+			if !sim.set.MayCancel {
+				sim.fatalf("cancelled although MayCancel is not set")
 			}
-			for i, q := range w.queue {
+			for i, q := range sim.queue {
 				if r, ok := q.ev.(AttemptResult); ok && r.ID == a.ID && r.Attempt == a.Attempt {
 					r.Outcome, r.RetryAfter = Cancelled, 0
-					w.queue[i].ev, w.queue[i].at = r, w.now+w.set.Tick
+					sim.queue[i].ev, sim.queue[i].at = r, sim.now+sim.set.Tick
 				}
 			}
 		case Reject:
-			m := w.msgs[a.ID]
-			if m.ended && m.deadline > w.now && !m.class.KeepOrder && m.inFlight {
-				w.fatalf("refused a message with an attempt out")
+			m := sim.msgs[a.ID]
+			if m.ended && m.deadline > sim.now && !m.class.KeepOrder && m.inFlight {
+				sim.fatalf("rejected a message with an attempt in flight")
 			}
-			if m.mayHaveRun && m.class.Idempotency == NonIdempotent || m.mayHaveRun && m.class.DedupPerZone || m.inFlight {
-				w.fatalf("refused %s, which may have run", a.ID)
+			if m.mayHaveRun && m.class.Idempotency == NonIdempotent || m.mayHaveRun && m.class.DedupPerZone ||
+				m.inFlight {
+				sim.fatalf("rejected %s, which may have run", a.ID)
 			}
-			if a.RetryAfter > w.set.MaxRetryAfter || a.RetryAfter > 0 && !w.set.RetryAfter {
-				w.fatalf("advice of %d", a.RetryAfter)
+			if a.RetryAfter > sim.set.MaxRetryAfter || a.RetryAfter > 0 && !sim.set.RetryAfter {
+				sim.fatalf("rejected with a retry advice of %d", a.RetryAfter)
 			}
-			w.endMessage(m)
+			sim.endMessage(m)
 		case Fail:
-			w.endMessage(w.msgs[a.ID])
+			sim.endMessage(sim.msgs[a.ID])
 		case SetTimer:
-			w.queue = append(w.queue, simEvent{w.now + max(a.Wait, 1), TimerFired{a.Token}, nil, nil})
+			sim.queue = append(sim.queue, simEvent{sim.now + max(a.Wait, 1), TimerFired{a.Token}, nil, nil})
 		case Probe:
-			if !w.set.Probing {
-				w.fatalf("probe where none is allowed")
+			if !sim.set.Probing {
+				sim.fatalf("probe although Probing is not set")
 			}
-			e := w.endpoints[a.Endpoint]
-			w.checkEndpoint(e)
-			w.checkCold(e)
-			o, took, _ := w.outcome(e)
+			e := sim.endpoints[a.Endpoint]
+			sim.checkEndpoint(e)
+			sim.checkCold(e)
+			o, took, _ := sim.outcome(e)
 			if o == TimedOut {
 				took = Second
 			}
-			w.queue = append(w.queue, simEvent{w.now + took, ProbeResult{a.Endpoint, o, nil}, nil, nil})
+			sim.queue = append(sim.queue, simEvent{sim.now + took, ProbeResult{a.Endpoint, o, nil}, nil, nil})
 		}
 	}
 }
 
-// checkOutOfRotation compares what the Sender keeps count of with what a walk over its list finds.
-func (w *simulation) checkOutOfRotation(s *Sender) {
+// checkOutOfRotation compares the count that the Sender keeps with the state of its endpoints.
+func (sim *simulation) checkOutOfRotation(s *Sender) {
 	n := 0
 	for _, d := range s.order {
 		for _, e := range d.eps {
@@ -397,93 +412,94 @@
 			}
 		}
 	}
-	w.maxOutOfRotation = max(w.maxOutOfRotation, n)
+	sim.maxOutOfRotation = max(sim.maxOutOfRotation, n)
 	if s.OutOfRotation() != n {
-		w.fatalf("%d endpoints out of rotation, want %d", s.OutOfRotation(), n)
+		sim.fatalf("%d endpoints out of rotation, want %d", s.OutOfRotation(), n)
 	}
 }
 
-func (w *simulation) endMessage(m *simMessage) {
-	if m.ended && !m.mayHaveRun && w.now <= m.deadline {
-		w.fatalf("%s ended twice", m.id)
+func (sim *simulation) endMessage(m *simMessage) {
+	if m.ended && !m.mayHaveRun && sim.now <= m.deadline {
+		sim.fatalf("%s ended twice", m.id)
 	}
 	m.ended = true
 }
 
-func (w *simulation) load() []float64 {
-	if w.set.LoadLimitIndex < 0 {
+func (sim *simulation) load() []float64 {
+	if sim.set.LoadLimitIndex < 0 {
 		return nil
 	}
-	return []float64{w.rng.Float64(), 4 + 4*w.rng.Float64()}
+	return []float64{sim.rng.Float64(), 4 + 4*sim.rng.Float64()}
 }
 
-func (w *simulation) checkEndpoint(e *simEndpoint) {
-	if e.closed && w.now > e.closedAt+w.set.DrainGrace {
-		w.fatalf("sent to an endpoint that drains or is gone")
+func (sim *simulation) checkEndpoint(e *simEndpoint) {
+	if e.closed && sim.now > e.closedAt+sim.set.DrainGrace {
+		sim.fatalf("sent to an endpoint that drains or was removed")
 	}
-	if w.now < w.waitUntil[w.laneKey(e)] {
-		w.fatalf("sent before a told wait was over")
+	if sim.now < sim.waitUntil[sim.laneKey(e)] {
+		sim.fatalf("sent before a requested wait was over")
 	}
 }
 
-func (w *simulation) checkSend(m *simMessage, e *simEndpoint) {
-	w.checkEndpoint(e)
+func (sim *simulation) checkSend(m *simMessage, e *simEndpoint) {
+	sim.checkEndpoint(e)
 	c := m.class
 	switch {
 	case m.ended:
-		w.fatalf("sent %s after its end", m.id)
+		sim.fatalf("sent %s after it had ended", m.id)
 	case m.inFlight:
-		w.fatalf("two attempts of %s at once", m.id)
+		sim.fatalf("two attempts of %s at once", m.id)
 	case e.entry.Dest != m.dest:
-		w.fatalf("sent %s elsewhere", m.id)
+		sim.fatalf("sent %s to another destination", m.id)
 	case m.mayHaveRun && c.Idempotency == NonIdempotent:
-		w.fatalf("unsafe %s sent again", m.id)
-	case m.mayHaveRun && c.Idempotency == IdempotentByKey && (w.now > m.firstMayHaveRun+c.DedupWindow || c.DedupPerZone && e.entry.Zone != m.zone):
-		w.fatalf("keyed %s sent outside its group or window", m.id)
-	case w.set.MaxAttempts > 0 && m.attempts >= w.set.MaxAttempts:
-		w.fatalf("too many attempts of %s", m.id)
+		sim.fatalf("resent %s, which is not idempotent", m.id)
+	case m.mayHaveRun && c.Idempotency == IdempotentByKey &&
+		(sim.now > m.firstMayHaveRun+c.DedupWindow || c.DedupPerZone && e.entry.Zone != m.zone):
+		sim.fatalf("resent keyed %s outside its zone or deduplication window", m.id)
+	case sim.set.MaxAttempts > 0 && m.attempts >= sim.set.MaxAttempts:
+		sim.fatalf("too many attempts of %s", m.id)
 	}
 	if m.key != "" {
-		for _, x := range w.keys[m.key] {
-			if x == m {
+		for _, earlier := range sim.keys[m.key] {
+			if earlier == m {
 				break
 			}
-			if !x.ended || x.inFlight {
-				w.fatalf("%s sent before %s of its key was over", m.id, x.id)
+			if !earlier.ended || earlier.inFlight {
+				sim.fatalf("sent %s before %s of the same key had ended", m.id, earlier.id)
 			}
 		}
-		if w.now < w.pausedUntil[m.key] && w.pausedBy[m.key] != m {
-			w.fatalf("%s sent while its key rests", m.id)
+		if sim.now < sim.pausedUntil[m.key] && sim.pausedBy[m.key] != m {
+			sim.fatalf("sent %s during the cooldown of its key", m.id)
 		}
 	}
 	m.inFlight = true
 	if !m.mayHaveRun {
-		m.firstMayHaveRun, m.zone = w.now, e.entry.Zone
+		m.firstMayHaveRun, m.zone = sim.now, e.entry.Zone
 	}
 }
 
-// checkCold holds what goes to destination 1 after its outage against the figures of the rule, for one sender
-// that takes no more than its share, plus six calls for chance and for an endpoint not tried during the outage.
-func (w *simulation) checkCold(e *simEndpoint) {
-	if e.entry.Dest == 1 && w.now < w.outage[0] {
-		w.sentBeforeOutage = append(w.sentBeforeOutage, w.now)
-		w.peak = max(w.peak, float64(since(w.sentBeforeOutage, w.now-Second)))
-	}
-	if e.entry.Dest != 1 || !w.sawOutage || w.now < w.outage[1] || w.now > w.outage[1]+w.set.WarmupTime {
+// checkCold checks the calls to destination 1 after its outage against this sender's share of the load that the
+// settings allow, plus six calls for chance and for an endpoint that was not tried during the outage.
+func (sim *simulation) checkCold(e *simEndpoint) {
+	if e.entry.Dest == 1 && sim.now < sim.outage[0] {
+		sim.sentBeforeOutage = append(sim.sentBeforeOutage, sim.now)
+		sim.peak = max(sim.peak, float64(since(sim.sentBeforeOutage, sim.now-Second)))
+	}
+	if e.entry.Dest != 1 || !sim.sawOutage || sim.now < sim.outage[1] || sim.now > sim.outage[1]+sim.set.WarmupTime {
 		return
 	}
-	up := w.set.ColdCapacity + (1-w.set.ColdCapacity)*seconds(w.now-w.outage[1])/seconds(w.set.WarmupTime)
+	share := sim.set.ColdCapacity + (1-sim.set.ColdCapacity)*seconds(sim.now-sim.outage[1])/seconds(sim.set.WarmupTime)
 	routes := 1.0
-	if w.set.Kinds[e.entry.Kind].SeparateRoutes {
+	if sim.set.Kinds[e.entry.Kind].SeparateRoutes {
 		routes = 2
 	}
-	limit := 8.0 // the most that a report tells; where none is told, the sender's best second stands for it
-	if w.set.Weights == WeightsOff && w.set.LoadLimitIndex < 0 {
-		limit = max(limit, w.peak)
+	limit := 8.0 // highest reported limit; without reports the sender's peak rate stands for it
+	if sim.set.Weights == WeightsOff && sim.set.LoadLimitIndex < 0 {
+		limit = max(limit, sim.peak)
 	}
-	most := w.set.OverloadMultiple*up*limit*routes*seconds(w.set.OverloadWindow)/float64(w.set.Senders) + 6*routes
-	w.sentAfterOutage = append(w.sentAfterOutage, w.now)
-	if n := since(w.sentAfterOutage, w.now-w.set.OverloadWindow); float64(n) > most {
-		w.fatalf("%d calls in a fall window to a cold destination, want at most %.1f", n, most)
+	allowed := sim.set.OverloadMultiple*share*limit*routes*seconds(sim.set.OverloadWindow)/float64(sim.set.Senders) + 6*routes
+	sim.sentAfterOutage = append(sim.sentAfterOutage, sim.now)
+	if n := since(sim.sentAfterOutage, sim.now-sim.set.OverloadWindow); float64(n) > allowed {
+		sim.fatalf("%d calls in an overload window to a cold destination, want at most %.1f", n, allowed)
 	}
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -6,31 +6,32 @@
 	"testing"
 )
 
-// variants are deployments unlike each other; each must keep the six rules under random outcomes.
+// deploymentVariants are different deployments; each must keep the rules for sending under random outcomes. The names
+// "ordered" and "batches" are part of file names in testdata.
 func deploymentVariants() map[string]Settings {
-	make := func(f func(*Settings)) Settings { s := baseSettings(); f(&s); return s }
+	vary := func(f func(*Settings)) Settings { s := baseSettings(); f(&s); return s }
 	return map[string]Settings{
 		"plain":     baseSettings(),
-		"one class": make(func(s *Settings) { s.Classes = s.Classes[2:] }),
-		"tenants":   make(func(s *Settings) { s.Tenants = []Tenant{{"x", 2}, {"y", 1}, {"z", 0}}; s.OverQuotaValue = 0.2 }),
-		"zones":     make(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].DedupPerZone = true }),
-		"ordered":   make(func(s *Settings) { s.KeyCooldown = Second; s.Classes[0].KeepOrder, s.Classes[2].KeepOrder = true, true }),
-		"batches":   make(func(s *Settings) { s.Kinds[0].MaxBatch = 10 }),
-		"apart": make(func(s *Settings) {
+		"one class": vary(func(s *Settings) { s.Classes = s.Classes[2:] }),
+		"tenants":   vary(func(s *Settings) { s.Tenants = []Tenant{{"x", 2}, {"y", 1}, {"z", 0}}; s.OverQuotaValue = 0.2 }),
+		"zones":     vary(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].DedupPerZone = true }),
+		"ordered":   vary(func(s *Settings) { s.KeyCooldown = Second; s.Classes[0].KeepOrder, s.Classes[2].KeepOrder = true, true }),
+		"batches":   vary(func(s *Settings) { s.Kinds[0].MaxBatch = 10 }),
+		"separate routes": vary(func(s *Settings) {
 			s.Kinds = []DestinationKind{{Name: "k", SeparateRoutes: true, MaxBatch: 1}, {Name: "l", MaxBatch: 3}}
 		}),
-		"weights":    make(func(s *Settings) { s.Weights = WeightsNominal }),
-		"rough":      make(func(s *Settings) { s.Weights = WeightsApproximate }),
-		"probing":    make(func(s *Settings) { s.Probing, s.ExponentialDecay = true, true }),
-		"on request": make(func(s *Settings) { s.ListOnRequest = true }),
-		"one slot":   make(func(s *Settings) { s.CallSlots = 1 }),
-		"tiny hold":  make(func(s *Settings) { s.MaxOpen = 3 }),
-		"no advice":  make(func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = false, 0 }),
-		"no cancel":  make(func(s *Settings) { s.MayCancel = false }),
-		"reports":    make(func(s *Settings) { s.LoadRemainingIndex, s.LoadLimitIndex = 0, 1; s.Senders = 9 }),
-		"many":       make(func(s *Settings) { s.LoadRemainingIndex, s.LoadLimitIndex = 0, 1; s.Senders = 80 }),
-		"no limits":  make(func(s *Settings) { s.MaxOpen, s.MaxAttempts, s.CallSlots = 0, 0, 40 }),
-		"short tick": make(func(s *Settings) { s.Tick = 1000; s.DrainGrace = 0 }),
+		"weights":             vary(func(s *Settings) { s.Weights = WeightsNominal }),
+		"approximate weights": vary(func(s *Settings) { s.Weights = WeightsApproximate }),
+		"probing":             vary(func(s *Settings) { s.Probing, s.ExponentialDecay = true, true }),
+		"list on request":     vary(func(s *Settings) { s.ListOnRequest = true }),
+		"one slot":            vary(func(s *Settings) { s.CallSlots = 1 }),
+		"small buffer":        vary(func(s *Settings) { s.MaxOpen = 3 }),
+		"no retry advice":     vary(func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = false, 0 }),
+		"no cancel":           vary(func(s *Settings) { s.MayCancel = false }),
+		"load reports":        vary(func(s *Settings) { s.LoadRemainingIndex, s.LoadLimitIndex = 0, 1; s.Senders = 9 }),
+		"many senders":        vary(func(s *Settings) { s.LoadRemainingIndex, s.LoadLimitIndex = 0, 1; s.Senders = 80 }),
+		"no limits":           vary(func(s *Settings) { s.MaxOpen, s.MaxAttempts, s.CallSlots = 0, 0, 40 }),
+		"short tick":          vary(func(s *Settings) { s.Tick = 1000; s.DrainGrace = 0 }),
 	}
 }
 
@@ -45,12 +46,12 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	for _, name := range []string{"apart", "zones", "reports"} {
+	for _, name := range []string{"separate routes", "zones", "load reports"} {
 		a, b := newSimulation(t, deploymentVariants()[name], 3), newSimulation(t, deploymentVariants()[name], 3)
 		a.play()
 		b.play()
 		if !slices.Equal(a.trace, b.trace) {
-			t.Errorf("%s: the same events gave other actions", name)
+			t.Errorf("%s: the same events produced different actions", name)
 		}
 		if len(a.trace) < 100 {
 			t.Errorf("%s: only %d actions", name, len(a.trace))
--- a/logic/window_test.go
+++ b/logic/window_test.go
@@ -20,24 +20,24 @@
 // it is over the message has failed, at once.
 func TestResendWithinShortWindow(t *testing.T) {
 	for _, again := range []float64{0.3, 0.7, 0.95} { // after the first send
-		r := newHarness(t, shortWindowSettings())
-		r.step(0, fullList(1))
-		addSamples(&r.s.dest(9).hist, 20, 0.8) // usual
-		m := r.message(1)
-		if n := len(actionsOf[Send](r.step(10, m))); n != 1 {
+		h := newHarness(t, shortWindowSettings())
+		h.step(0, fullList(1))
+		addSamples(&h.s.dest(9).hist, 20, 0.8) // usual
+		m := h.message(1)
+		if n := len(actionsOf[Send](h.step(10, m))); n != 1 {
 			t.Fatalf("%d sends", n)
 		}
-		acts := r.step(10+again-0.2, result(m.ID, 1, 0, Errored)) // and rests for 0.2 s
-		acts = append(acts, r.step(10+again+0.01)...)
+		acts := h.step(10+again-0.2, result(m.ID, 1, 0, Errored)) // and rests for 0.2 s
+		acts = append(acts, h.step(10+again+0.01)...)
 		if n := len(actionsOf[Send](acts)); n != 1 || len(actionsOf[Fail](acts)) != 0 {
 			t.Errorf("%.2f s after the first send: %d sends, %v", again, n, acts)
 		}
 	}
-	r := newHarness(t, shortWindowSettings())
-	r.step(0, fullList(1))
-	m := r.message(1)
-	r.step(10, m)
-	if acts := r.step(11.01, result(m.ID, 1, 0, Errored)); len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Send](acts)) != 0 {
+	h := newHarness(t, shortWindowSettings())
+	h.step(0, fullList(1))
+	m := h.message(1)
+	h.step(10, m)
+	if acts := h.step(11.01, result(m.ID, 1, 0, Errored)); len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Send](acts)) != 0 {
 		t.Errorf("out of its window: %v", acts)
 	}
 }
@@ -55,10 +55,10 @@
 		{"may have run, window over", History{Accepted: true, Attempts: 1, MayHaveRun: true, Age: sec(1.001), Zone: 1}, 0, 1},
 		{"may have run in a zone without endpoints", History{Accepted: true, Attempts: 1, MayHaveRun: true, Zone: 5}, 0, 0},
 	} {
-		r := newHarness(t, shortWindowSettings())
-		c := r.message(1)
+		h := newHarness(t, shortWindowSettings())
+		c := h.message(1)
 		c.History = x.past
-		acts := r.step(100, listInTwoZones(), c)
+		acts := h.step(100, listInTwoZones(), c)
 		out := actionsOf[Send](acts)
 		if len(out) != x.send || len(actionsOf[Fail](acts)) != x.fail {
 			t.Errorf("%s: %v", x.name, acts)
@@ -68,14 +68,14 @@
 		}
 	}
 	// A message that waits for its zone ends with its window, and not before.
-	r := newHarness(t, shortWindowSettings())
-	c := r.message(1)
+	h := newHarness(t, shortWindowSettings())
+	c := h.message(1)
 	c.History = History{Accepted: true, Attempts: 1, MayHaveRun: true, Age: sec(0.5), Zone: 5}
-	r.step(100, listInTwoZones(), c)
-	if acts := r.step(100.4); len(actionsOf[Fail](acts)) != 0 {
+	h.step(100, listInTwoZones(), c)
+	if acts := h.step(100.4); len(actionsOf[Fail](acts)) != 0 {
 		t.Errorf("given up in its window: %v", acts)
 	}
-	if acts := r.step(100.5); len(actionsOf[Fail](acts)) != 1 {
+	if acts := h.step(100.5); len(actionsOf[Fail](acts)) != 1 {
 		t.Errorf("at the end of its window: %v", acts)
 	}
 }
@@ -85,19 +85,19 @@
 	for window, cut := range map[Micros]bool{Second: true, sec(0.4): false} {
 		set := shortWindowSettings()
 		set.Classes[1].DedupWindow = window
-		r := newHarness(t, set)
-		r.step(0, fullList(1))
-		d := r.s.dest(9)
+		h := newHarness(t, set)
+		h.step(0, fullList(1))
+		d := h.s.dest(9)
 		addSamples(&d.hist, 20, 0.02)
 		addSamples(&d.hist, 2, 5) // a slow few: restarting pays
 		if d.hist.tau == 0 {
 			t.Fatal("no tau")
 		}
-		m, beside := r.message(1), r.message(0)
-		r.step(10, m, beside)
-		r.step(10.1, result(beside.ID, 1, 0, Delivered)) // the endpoint answers: the call alone is slow
+		m, beside := h.message(1), h.message(0)
+		h.step(10, m, beside)
+		h.step(10.1, result(beside.ID, 1, 0, Delivered)) // the endpoint answers: the call alone is slow
 		d.hist.p95, d.hist.median = d.hist.tau, sec(0.02)
-		acts := r.step(10.51, TimerFired{}) // past the least time for a cut
+		acts := h.step(10.51, TimerFired{}) // past the least time for a cut
 		if n := len(actionsOf[Cancel](acts)); (n == 1) != cut {
 			t.Errorf("window %d: %d called off", window, n)
 		}
@@ -108,20 +108,20 @@
 // unsafe one is. A safe one is called off and goes elsewhere.
 func TestLastAttemptIsNotCancelled(t *testing.T) {
 	for class, off := range []bool{true, false, false} {
-		r := newHarness(t, shortWindowSettings())
-		r.step(0, fullList(2))
-		m := r.message(class)
-		acts := r.step(10, m)
+		h := newHarness(t, shortWindowSettings())
+		h.step(0, fullList(2))
+		m := h.message(class)
+		acts := h.step(10, m)
 		at := 10.0
 		for range 12 { // to 5.4 s, well past what makes a call stuck where no latency is known
 			at += 0.45
-			acts = append(acts, r.step(at, TimerFired{})...)
+			acts = append(acts, h.step(at, TimerFired{})...)
 		}
 		if n := len(actionsOf[Cancel](acts)); (n == 1) != off {
 			t.Errorf("class %d: %d called off", class, n)
 		}
 		if !off {
-			if acts := r.step(at, result(m.ID, actionsOf[Send](acts)[0].Endpoint, 0, Delivered)); len(actionsOf[Fail](acts)) != 0 {
+			if acts := h.step(at, result(m.ID, actionsOf[Send](acts)[0].Endpoint, 0, Delivered)); len(actionsOf[Fail](acts)) != 0 {
 				t.Errorf("class %d: %v", class, acts)
 			}
 		}
@@ -137,10 +137,10 @@
 	}{{0, Second, true}, {1, 8 * Second, true}, {1, Second, false}, {2, Second, false}} {
 		set := shortWindowSettings()
 		set.MayCancel, set.Classes[1].DedupWindow = false, x.window
-		r := newHarness(t, set)
-		r.step(0, fullList(1))
-		m := r.message(x.class)
-		out := actionsOf[Send](r.step(10, m))
+		h := newHarness(t, set)
+		h.step(0, fullList(1))
+		m := h.message(x.class)
+		out := actionsOf[Send](h.step(10, m))
 		if len(out) != 1 || (out[0].Timeout < m.TimeLeft) != x.early {
 			t.Errorf("class %d, window %d: %v, with %d left", x.class, x.window, out, m.TimeLeft)
 		}
