--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Found at two senders before a cold destination: each call that it turned away and that was sent again raised the
-// rate taken for its capacity, and with it the budget, up to twice in a second.
+// With two senders and a cold destination, each refused call that was resent used to raise the estimate of the
+// destination's capacity, and with it the budget, up to twice per second.
 func TestRefusedCallsDoNotRaiseCapacity(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(1))
@@ -15,15 +15,15 @@
 			continue
 		}
 		h.step(at+0.03, result(c.ID, 1, 0, Refused), ClientGone{c.ID})
-		h.s.dests[9].lane.pace = 0 // the pace is not what is tested
+		h.s.dests[9].lane.pace = 0 // the pace is not under test
 	}
 	if c := h.s.capacityEstimate(h.s.eps[1]); c != 6 {
 		t.Errorf("capacity %v after a second in which 6 calls of 12 were served", c)
 	}
 }
 
-// Found at twenty senders before a destination that fell silent: a sender all of whose calls there were cut at τ knew
-// of no failure, and sent all that it held once the first trial was answered.
+// When a destination stopped answering, a sender whose calls there were all cancelled at τ saw no failure, and sent
+// all that it held once the first trial was answered. Seen with twenty senders.
 func TestLongSilenceMakesEndpointCold(t *testing.T) {
 	for _, x := range []struct {
 		silent float64
@@ -39,12 +39,12 @@
 		h.s.now += sec(x.silent)
 		h.s.recordSuccess(e, h.s.now)
 		if e.ejected || e.cold != x.cold {
-			t.Errorf("silent for %v s: out %v, cold %v", x.silent, e.ejected, e.cold)
+			t.Errorf("silent for %v s: ejected %v, cold %v", x.silent, e.ejected, e.cold)
 		}
 	}
 }
 
-// A lane that runs free owes a second's calls at most once a refusal sets its pace.
+// Calls sent while a lane had no pace count as a debt of at most one second once a refusal sets its pace.
 func TestUnpacedLaneDebtIsBounded(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(1))
@@ -54,17 +54,17 @@
 		c := actionsOf[Send](h.step(at, h.message(0)))[0]
 		h.step(at+0.05, result(c.ID, 1, 0, Delivered))
 	}
-	at += 1 // a quiet second: the pace starts low
+	at += 1 // a second without calls, so that the pace starts low
 	c := actionsOf[Send](h.step(at, h.message(0)))[0]
 	h.step(at+0.01, result(c.ID, 1, 0, Refused))
 	l := h.s.dests[9].lane
 	if l.pace == 0 {
-		t.Fatal("a refusal set no pace")
+		t.Fatal("the refusal set no pace")
 	}
 	for wait := 0.02; wait < 9; wait += 0.02 {
 		if len(actionsOf[Send](h.step(at+wait, TimerFired{}))) > 0 {
 			if most := 1 + 1/l.pace + 0.05; wait > most {
-				t.Errorf("sent again after %.2f s at a pace of %v, want %.2f at most", wait, l.pace, most)
+				t.Errorf("sent again after %.2f s at a pace of %v, want at most %.2f", wait, l.pace, most)
 			}
 			return
 		}
@@ -72,7 +72,7 @@
 	t.Errorf("not sent again within 9 s at a pace of %v", l.pace)
 }
 
-// What a window may hold is what the destination could do in it, which is less than what it can do at its end.
+// The budget of a window follows the mean capacity over the window, which is less than the capacity at its end.
 func TestBudgetUsesMeanCapacityOfWindow(t *testing.T) {
 	const rate = 40.0
 	set := baseSettings()
@@ -101,10 +101,10 @@
 			most += 0.01 * set.OverloadMultiple * rate * (0.15 + 0.85*max(x-1, 0)/9.5)
 		}
 		if n := since(sent, sec(at-3)); float64(n) > most+1 {
-			t.Fatalf("%.2f s after the return: %d calls in a window, want %.0f at most", at-1, n, most)
+			t.Fatalf("%.2f s after the recovery: %d calls in a window, want at most %.0f", at-1, n, most)
 		}
 	}
 	if len(sent) < 200 {
-		t.Errorf("only %d calls in all", len(sent))
+		t.Errorf("only %d calls in total", len(sent))
 	}
 }
--- a/logic/churn_test.go
+++ b/logic/churn_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A long life: endpoints, destinations and keys are ever new. What nothing refers to is forgotten, or the
-// process would grow for as long as it runs; what has a call out is not.
+// Endpoints, destinations and keys keep changing over the life of a process. State that nothing refers to must be
+// removed, or memory use would grow without bound. An endpoint with a call in flight is kept.
 func TestUnreferencedStateIsRemoved(t *testing.T) {
 	set := Settings{Senders: 1, CallSlots: 4, MaxAttempts: 6, Tick: 5000, MayCancel: true,
 		Classes: []Class{{Name: "c", TargetLatency: Second, Deadline: 10 * Second, Value: 1, KeepOrder: true}}}
@@ -30,14 +30,14 @@
 			}
 		}
 		if !sent {
-			t.Fatalf("message %d is not sent", i)
+			t.Fatalf("message %d was not sent", i)
 		}
 		now += Second
 		s.Step(now, []Event{AttemptResult{ID: name, Final: true, Endpoint: id, Outcome: Delivered, Latency: Second / 10}})
 		now += Second
 		if len(s.eps) > 60 || len(s.gone) > 60 || len(s.dests) > 20 || len(s.order) != len(s.dests) ||
 			len(s.keys) > 10 || len(s.msgs) > 0 {
-			t.Fatalf("after %d: %d endpoints, %d gone, %d destinations, %d keys, %d messages", i, len(s.eps),
+			t.Fatalf("after %d rounds: %d endpoints, %d removed, %d destinations, %d keys, %d messages", i, len(s.eps),
 				len(s.gone), len(s.dests), len(s.keys), len(s.msgs))
 		}
 	}
@@ -45,16 +45,16 @@
 	s.Step(now, []Event{EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 2000, Dest: 200, State: Removed}}}})
 	s.Step(now+2*removedEndpointTTL, nil)
 	if s.eps[2000] == nil {
-		t.Error("an endpoint with a call out is forgotten")
+		t.Error("an endpoint with a call in flight was deleted")
 	}
 	s.Step(now+2*removedEndpointTTL, []Event{AttemptResult{ID: "out", Final: true, Endpoint: 2000, Outcome: Delivered}})
 	s.Step(now+3*removedEndpointTTL, nil)
 	if s.eps[2000] != nil {
-		t.Error("an endpoint off the list without a call is kept")
+		t.Error("a removed endpoint without calls was kept")
 	}
 }
 
-// Spoilt answers come from any endpoint alike: a few are no outage, a row of them is.
+// Any endpoint may send an unreadable answer now and then: only several in a row are an outage.
 func TestUnreadableAnswersAndOutage(t *testing.T) {
 	set := Settings{Senders: 1, CallSlots: 4, MaxAttempts: 100, Tick: 5000, MayCancel: true,
 		Classes: []Class{{Name: "c", TargetLatency: Second, Deadline: 10 * Second, Value: 1}}}
@@ -66,17 +66,17 @@
 		Message{ID: "a", TimeLeft: 10 * Second, Dest: 1, Tenant: -1}})
 	for i := range outageUnreadable {
 		if s.eps[1].ejected {
-			t.Fatalf("out after %d spoilt answers", i)
+			t.Fatalf("ejected after %d unreadable answers", i)
 		}
 		s.Step(Micros(i+1)*100_000, []Event{AttemptResult{ID: "a", Attempt: i, Endpoint: 1, Outcome: Unreadable}})
 	}
 	if !s.eps[1].ejected {
-		t.Errorf("not out after %d spoilt answers in a row", outageUnreadable)
+		t.Errorf("not ejected after %d unreadable answers in a row", outageUnreadable)
 	}
 }
 
-// Connections break now and then without an outage: with answers between, an endpoint stays in use; a row of
-// breaks, or one and then no new connection, is an outage.
+// Connections break now and then without an outage: with answers in between, an endpoint stays in use. Several broken
+// connections in a row, or one followed by a refused connection, are an outage.
 func TestResetsAndOutage(t *testing.T) {
 	set := Settings{Senders: 1, CallSlots: 4, MaxAttempts: 100, Tick: 5000, MayCancel: true,
 		Classes: []Class{{Name: "c", TargetLatency: Second, Deadline: 100 * Second, Value: 1}}}
@@ -87,9 +87,9 @@
 	}{
 		{"now and then", []Outcome{ConnLost, ConnLost, Refused, ConnLost, ConnLost, Refused, ConnLost}, false},
 		{"three in a row", []Outcome{ConnLost, ConnLost, ConnLost}, true},
-		{"break and no connection", []Outcome{ConnLost, ConnRefused}, true},
-		{"no connection from the start", []Outcome{ConnRefused}, true},
-		{"no connection once, just after an answer", []Outcome{Delivered, ConnRefused}, false},
+		{"one broken, then refused", []Outcome{ConnLost, ConnRefused}, true},
+		{"refused from the start", []Outcome{ConnRefused}, true},
+		{"refused once, just after an answer", []Outcome{Delivered, ConnRefused}, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			s, err := New(set, 1)
@@ -109,7 +109,7 @@
 				}
 			}
 			if e.ejected != x.out {
-				t.Errorf("out: %v, want %v", e.ejected, x.out)
+				t.Errorf("ejected: %v, want %v", e.ejected, x.out)
 			}
 		})
 	}
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -6,7 +6,7 @@
 	"rundeal/logic"
 )
 
-// A message from arrival through a refusal with a wait to delivery.
+// A message is refused once with a requested wait, then sent again and delivered.
 func Example() {
 	const second = logic.Second
 	sender, err := logic.New(logic.Settings{
@@ -29,7 +29,7 @@
 	show(0, logic.EndpointUpdate{Kind: logic.UpdateFull, Entries: []logic.EndpointEntry{{Endpoint: 7, Dest: 3}}})
 	show(1*second, logic.Message{ID: "n1", TimeLeft: 20 * second, Dest: 3, Tenant: -1})
 	show(1100000, logic.AttemptResult{ID: "n1", Endpoint: 7, Attempt: 0, Outcome: logic.Refused, RetryAfter: second / 2})
-	show(1500000, logic.TimerFired{}) // the wait is not over: nothing is sent
+	show(1500000, logic.TimerFired{}) // nothing is sent before the wait is over
 	show(2200000, logic.TimerFired{})
 	show(2400000, logic.AttemptResult{ID: "n1", Endpoint: 7, Attempt: 1, Outcome: logic.Delivered, Final: true})
 	fmt.Println("delivered")
--- a/logic/limits_test.go
+++ b/logic/limits_test.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// TestModuleLimits keeps the module as short and narrow as its readers were promised.
+// TestModuleLimits bounds the length and the line width of the package's files, to keep them easy to read.
 func TestModuleLimits(t *testing.T) {
 	for _, name := range []string{"logic.go", "types.go", "state.go", "queue.go", "settings.go"} {
 		text, err := os.ReadFile(name)
--- a/logic/outage_test.go
+++ b/logic/outage_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Found on a recorded day: what went to an endpoint before it failed filled the budget of its trials, so that one
-// that was back at once stayed out for a whole window.
+// Calls sent to an endpoint before it failed used to count against the budget of its trials, so that an endpoint that
+// recovered at once stayed out for a whole window.
 func TestCallsBeforeOutageDoNotDelayTrials(t *testing.T) {
 	set := baseSettings()
 	set.OverloadMultiple, set.OverloadWindow = 2.5, 3*Second
@@ -21,19 +21,19 @@
 		t.Fatal("no pause before the first trial")
 	}
 	if !h.s.eps[1].cold {
-		t.Fatal("two refused connections in a row are no outage")
+		t.Fatal("not cold after two refused connections in a row")
 	}
 	back := at + 0.12 + seconds(minTrialInterval) + 0.01
 	trial := actionsOf[Send](h.step(back, TimerFired{}))
 	if len(trial) != 1 {
-		t.Fatalf("%d calls at the time of the first trial, want 1", len(trial))
+		t.Fatalf("%d calls when the first trial is due, want 1", len(trial))
 	}
-	// After an outage that lasts, what goes there is counted: an own peak of 11 a second, shared by two, cold.
+	// After a longer outage the calls are limited: a peak of 11 per second, shared by two senders, at cold capacity.
 	h.step(back+0.01, result(trial[0].ID, 1, 2, ConnRefused))
 	back += 3
 	trial = actionsOf[Send](h.step(back, TimerFired{}))
 	if len(trial) != 1 {
-		t.Fatalf("%d calls at the time of a later trial, want 1", len(trial))
+		t.Fatalf("%d calls when a later trial is due, want 1", len(trial))
 	}
 	h.step(back+0.05, result(trial[0].ID, 1, 3, Delivered))
 	sent := len(trial)
@@ -44,12 +44,12 @@
 		}
 	}
 	if most := 11 * set.OverloadMultiple * 3 * 0.4 / 2; float64(sent) > most {
-		t.Errorf("%d calls within 2 s of the return, want %v at most", sent, most)
+		t.Errorf("%d calls within 2 s of the recovery, want at most %v", sent, most)
 	}
 }
 
-// Found on a recorded day: one refused connection at an endpoint that answered the calls beside it left it cold, and
-// held to a part of its traffic for as long as after an outage.
+// One refused connection at an endpoint that answered its other calls used to make it cold: its traffic was limited
+// for as long as after an outage.
 func TestShortFailureDoesNotMakeEndpointCold(t *testing.T) {
 	for _, x := range []struct {
 		name     string
@@ -71,18 +71,17 @@
 			h.s.recordOutcome(e, ConnRefused)
 		}
 		if !e.ejected || !e.cold {
-			t.Fatalf("%s: not out after %d failures", x.name, x.failures)
+			t.Fatalf("%s: not ejected and cold after %d failures", x.name, x.failures)
 		}
 		h.s.now = sec(1 + x.back)
 		h.s.recordSuccess(e, h.s.now)
 		if e.ejected || e.cold != x.cold {
-			t.Errorf("%s: out %v, cold %v", x.name, e.ejected, e.cold)
+			t.Errorf("%s: ejected %v, cold %v", x.name, e.ejected, e.cold)
 		}
 	}
 }
 
-// Found on a recorded day: one batch that failed counted as a failure for each message in it, and took an endpoint
-// out that answered all else.
+// A failed batch used to count as one failure per message, which ejected an endpoint that answered everything else.
 func TestFailedBatchCountsOnce(t *testing.T) {
 	for _, o := range []Outcome{Unreadable, Errored, ConnLost, ConnRefused} {
 		set := baseSettings()
@@ -93,7 +92,7 @@
 		h.step(1.1, result(c.ID, c.Endpoint, 0, Delivered))
 		batch := actionsOf[Send](h.step(1.2, h.message(0), h.message(0), h.message(0), h.message(0), h.message(0)))
 		if len(batch) != 5 {
-			t.Fatalf("%d sends", len(batch))
+			t.Fatalf("%d sends, want 5", len(batch))
 		}
 		var ends []Event
 		for _, c := range batch {
@@ -101,12 +100,12 @@
 		}
 		h.step(1.3, ends...)
 		if h.s.eps[1].ejected {
-			t.Errorf("outcome %d of one batch took the endpoint out", o)
+			t.Errorf("outcome %d of one batch ejected the endpoint", o)
 		}
 	}
 }
 
-// The answer to a batch may take messages on and tell a wait all the same.
+// An answer may accept messages and request a wait at the same time.
 func TestRetryAfterOnDelivery(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(2))
@@ -121,8 +120,8 @@
 	}
 }
 
-// Found on the day of a large herd: after a restart half of the endpoints on the list kept from before were gone. Each
-// that refused a connection was taken for an outage of its destination, and held up the siblings for seconds.
+// The cached list that a sender starts with may contain endpoints that no longer exist. A refused connection at one of
+// them used to count as an outage of its destination and held up its siblings for seconds.
 func TestCachedListAndOutage(t *testing.T) {
 	for _, news := range []bool{false, true} {
 		h := newHarness(t, baseSettings())
@@ -137,12 +136,12 @@
 		n := 0
 		for _, x := range actionsOf[Send](h.step(0.3, h.message(0), h.message(0))) {
 			if x.Endpoint == c.Endpoint {
-				t.Error("sent to the endpoint that refused")
+				t.Error("sent to the endpoint that refused the connection")
 			}
 			n++
 		}
 		if !news && n != 2 || news && n != 0 {
-			t.Errorf("news %v: %d sent beside the first", news, n)
+			t.Errorf("list updated %v: %d further sends", news, n)
 		}
 	}
 }
--- a/logic/window_test.go
+++ b/logic/window_test.go
@@ -2,32 +2,32 @@
 
 import "testing"
 
-// shortWindow has a window for repeats of one second, and of zones that do not know each other's repeats.
+// shortWindowSettings have a deduplication window of one second, and two zones that deduplicate separately.
 func shortWindowSettings() Settings {
 	set := baseSettings()
 	set.Zones, set.Classes[1].DedupPerZone, set.Classes[1].DedupWindow = 2, true, Second
 	return set
 }
 
-// zoned is a list of an endpoint in each of two zones.
+// listInTwoZones is a list with one endpoint in each of two zones.
 func listInTwoZones() EndpointUpdate {
 	eps := fullList(2)
 	eps.Entries[1].Zone = 1
 	return eps
 }
 
-// The window is one for the send: a message whose window is open goes again in it, however long an answer takes. Once
-// it is over the message has failed, at once.
+// The deduplication window limits the send, not the answer: a message is resent within it, however long an answer
+// takes. Once the window is over the message fails at once.
 func TestResendWithinShortWindow(t *testing.T) {
 	for _, again := range []float64{0.3, 0.7, 0.95} { // after the first send
 		h := newHarness(t, shortWindowSettings())
 		h.step(0, fullList(1))
-		addSamples(&h.s.dest(9).hist, 20, 0.8) // usual
+		addSamples(&h.s.dest(9).hist, 20, 0.8) // usual latency
 		m := h.message(1)
 		if n := len(actionsOf[Send](h.step(10, m))); n != 1 {
 			t.Fatalf("%d sends", n)
 		}
-		acts := h.step(10+again-0.2, result(m.ID, 1, 0, Errored)) // and rests for 0.2 s
+		acts := h.step(10+again-0.2, result(m.ID, 1, 0, Errored)) // followed by a pause of 0.2 s
 		acts = append(acts, h.step(10+again+0.01)...)
 		if n := len(actionsOf[Send](acts)); n != 1 || len(actionsOf[Fail](acts)) != 0 {
 			t.Errorf("%.2f s after the first send: %d sends, %v", again, n, acts)
@@ -38,11 +38,11 @@
 	m := h.message(1)
 	h.step(10, m)
 	if acts := h.step(11.01, result(m.ID, 1, 0, Errored)); len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Send](acts)) != 0 {
-		t.Errorf("out of its window: %v", acts)
+		t.Errorf("after the window: %v", acts)
 	}
 }
 
-// What a restart finds in a short window: the time since the first send counts, and the zone that it went to.
+// After a restart the window still runs from the first send, in the zone of that send.
 func TestRestartWithShortWindow(t *testing.T) {
 	for _, x := range []struct {
 		name       string
@@ -64,23 +64,23 @@
 			t.Errorf("%s: %v", x.name, acts)
 		}
 		if x.past.MayHaveRun && len(out) == 1 && out[0].Endpoint != 2 {
-			t.Errorf("%s: sent to %v, of another group", x.name, out)
+			t.Errorf("%s: sent to %v, in another zone", x.name, out)
 		}
 	}
-	// A message that waits for its zone ends with its window, and not before.
+	// A message that waits for an endpoint of its zone ends with its window, not before.
 	h := newHarness(t, shortWindowSettings())
 	c := h.message(1)
 	c.History = History{Accepted: true, Attempts: 1, MayHaveRun: true, Age: sec(0.5), Zone: 5}
 	h.step(100, listInTwoZones(), c)
 	if acts := h.step(100.4); len(actionsOf[Fail](acts)) != 0 {
-		t.Errorf("given up in its window: %v", acts)
+		t.Errorf("ended within its window: %v", acts)
 	}
 	if acts := h.step(100.5); len(actionsOf[Fail](acts)) != 1 {
 		t.Errorf("at the end of its window: %v", acts)
 	}
 }
 
-// A call that is cut off at τ needs time to be sent again. Of a short window that must not be all.
+// A call that is cancelled at τ needs time to be resent. That must not take up the whole of a short window.
 func TestRestartTimeWithShortWindow(t *testing.T) {
 	for window, cut := range map[Micros]bool{Second: true, sec(0.4): false} {
 		set := shortWindowSettings()
@@ -89,23 +89,23 @@
 		h.step(0, fullList(1))
 		d := h.s.dest(9)
 		addSamples(&d.hist, 20, 0.02)
-		addSamples(&d.hist, 2, 5) // a slow few: restarting pays
+		addSamples(&d.hist, 2, 5) // a few slow ones: restarting pays off
 		if d.hist.tau == 0 {
-			t.Fatal("no tau")
+			t.Fatal("no restart time")
 		}
 		m, beside := h.message(1), h.message(0)
 		h.step(10, m, beside)
-		h.step(10.1, result(beside.ID, 1, 0, Delivered)) // the endpoint answers: the call alone is slow
+		h.step(10.1, result(beside.ID, 1, 0, Delivered)) // the endpoint answers: only the first call is slow
 		d.hist.p95, d.hist.median = d.hist.tau, sec(0.02)
-		acts := h.step(10.51, TimerFired{}) // past the least time for a cut
+		acts := h.step(10.51, TimerFired{}) // past the earliest time for a restart
 		if n := len(actionsOf[Cancel](acts)); (n == 1) != cut {
-			t.Errorf("window %d: %d called off", window, n)
+			t.Errorf("window %d: %d cancelled", window, n)
 		}
 	}
 }
 
-// A keyed call whose window is over can't be sent again: called off it would fail, so it is left to be answered, as an
-// unsafe one is. A safe one is called off and goes elsewhere.
+// A keyed call whose window is over can't be resent. Cancelling it would fail the message, so it is left to be
+// answered, like an unsafe one. A safe one is cancelled and sent to another endpoint.
 func TestLastAttemptIsNotCancelled(t *testing.T) {
 	for class, off := range []bool{true, false, false} {
 		h := newHarness(t, shortWindowSettings())
@@ -113,12 +113,12 @@
 		m := h.message(class)
 		acts := h.step(10, m)
 		at := 10.0
-		for range 12 { // to 5.4 s, well past what makes a call stuck where no latency is known
+		for range 12 { // to 5.4 s, well past the stuck time while no latency is known
 			at += 0.45
 			acts = append(acts, h.step(at, TimerFired{})...)
 		}
 		if n := len(actionsOf[Cancel](acts)); (n == 1) != off {
-			t.Errorf("class %d: %d called off", class, n)
+			t.Errorf("class %d: %d cancelled", class, n)
 		}
 		if !off {
 			if acts := h.step(at, result(m.ID, actionsOf[Send](acts)[0].Endpoint, 0, Delivered)); len(actionsOf[Fail](acts)) != 0 {
@@ -128,7 +128,7 @@
 	}
 }
 
-// Where nothing can be called off a call times out early, to be sent again; one that could not be has all its time.
+// Where calls cannot be cancelled, a call gets a short timeout if it can be resent, else all the time that is left.
 func TestLastAttemptGetsFullTimeout(t *testing.T) {
 	for _, x := range []struct {
 		class  int
@@ -142,7 +142,7 @@
 		m := h.message(x.class)
 		out := actionsOf[Send](h.step(10, m))
 		if len(out) != 1 || (out[0].Timeout < m.TimeLeft) != x.early {
-			t.Errorf("class %d, window %d: %v, with %d left", x.class, x.window, out, m.TimeLeft)
+			t.Errorf("class %d, window %d: %v, with %d to the deadline", x.class, x.window, out, m.TimeLeft)
 		}
 	}
 }
