--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -63,8 +63,8 @@
 	}
 	for wait := 0.02; wait < 9; wait += 0.02 {
 		if len(actionsOf[Send](h.step(at+wait, TimerFired{}))) > 0 {
-			if most := 1 + 1/l.pace + 0.05; wait > most {
-				t.Errorf("sent again after %.2f s at a pace of %v, want at most %.2f", wait, l.pace, most)
+			if longest := 1 + 1/l.pace + 0.05; wait > longest {
+				t.Errorf("sent again after %.2f s at a pace of %v, want at most %.2f", wait, l.pace, longest)
 			}
 			return
 		}
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -10,28 +10,28 @@
 	"testing"
 )
 
-// fleetPlan is a run of several Senders, each with its own seed, on one virtual clock against one destination.
-// The destination fails from fleetDown to fleetBack, comes back with ColdFrom of its capacity and has all of it
-// WarmAfter later. It has a queue of half a second, and turns away what that has no room for.
+// fleetPlan is a simulation of several Senders, each with its own seed, on one virtual clock with one destination.
+// The destination fails from outageStart to outageEnd, returns with ColdCapacity of its capacity and has all of it
+// after WarmupTime. It queues calls for half a second and refuses calls beyond that.
 type fleetPlan struct {
 	set         Settings
 	seed        uint64
-	rate        float64 // messages a second, all senders together
-	headroom    float64 // capacity over rate
+	rate        float64 // messages per second, all senders together
+	headroom    float64 // ratio of capacity to rate
 	endpoints   int
-	failure     Outcome // of the calls that meet the outage; Overdue stands for no answer
-	trafficSkew float64 // of the senders' parts of the traffic; 0: all get as much
-	burstShare  float64 // part of the messages that come a second's worth at a time, at one sender
-	limitRatio  float64 // limit told, or weight listed, over the capacity
+	failure     Outcome // of calls during the outage; TimedOut stands for no answer
+	trafficSkew float64 // spread of the senders' shares of the traffic; 0 for equal shares
+	burstShare  float64 // share of the messages that come in bursts of a second's worth at one sender
+	limitRatio  float64 // ratio of the reported limit or listed weight to the capacity
 }
 
 const (
 	outageStart = 12 * Second
 	outageEnd   = 24 * Second
-	itemCost    = 0.2 // work of each further message of a call
+	itemCost    = 0.2 // cost of each further message of a call, relative to the first
 )
 
-// fleet is a fleetPlan under way.
+// fleet is a running fleetPlan.
 type fleet struct {
 	fleetPlan
 	rng        *rand.Rand
@@ -42,23 +42,24 @@
 	servers    []*server // by endpoint
 }
 
+// simSender is one of the senders of a fleet.
 type simSender struct {
 	s           *Sender
 	calls       map[string]*fleetCall // by message
-	knowsOutage bool                  // of the outage, by a call that failed or was refused in it
+	knowsOutage bool                  // a call of it failed or was refused during the outage
 }
 
-// server is what the endpoints of a destination share; those of routes apart have one each.
+// server is the capacity that the endpoints of a destination share. Separate routes have one each.
 type server struct {
 	capacity     float64
-	backlog      float64 // calls, as of at
+	backlog      float64 // queued calls at time at
 	at           Micros
 	accepted     []Micros
-	arrived      []Micros // calls and probes since fleetBack
-	fromInformed []bool   // of these, whether they came from a sender that knew of the outage
+	arrived      []Micros // calls and probes since outageEnd
+	fromInformed []bool   // for each of them, whether its sender knew of the outage
 }
 
-// fleetCall is a call under way.
+// fleetCall is a call in flight.
 type fleetCall struct {
 	sender   *simSender
 	endpoint EndpointID
@@ -88,15 +89,16 @@
 	return x
 }
 
+// after schedules do.
 func (f *fleet) after(wait Micros, do func()) {
 	f.eventCount++
 	heap.Push(&f.queue, fleetEvent{f.now + max(wait, 0), f.eventCount, do})
 }
 
-// net is the time that a message takes one way.
+// networkDelay is the one-way delay of the network.
 func (f *fleet) networkDelay() Micros { return Micros(5_000 + f.rng.IntN(10_000)) }
 
-// play runs the plan to the end of the ramp.
+// play runs the plan until the destination has its full capacity again.
 func (p fleetPlan) play(t *testing.T) *fleet {
 	t.Helper()
 	f := &fleet{fleetPlan: p, rng: rand.New(rand.NewPCG(p.seed, 3))}
@@ -108,9 +110,10 @@
 			srv = &server{capacity: shared.capacity / float64(p.endpoints)}
 		}
 		f.servers = append(f.servers, srv)
-		list.Entries = append(list.Entries, EndpointEntry{Endpoint: EndpointID(i), Dest: 9, NominalRate: srv.capacity * p.limitRatio})
+		list.Entries = append(list.Entries,
+			EndpointEntry{Endpoint: EndpointID(i), Dest: 9, NominalRate: srv.capacity * p.limitRatio})
 	}
-	var cumulative []float64 // running sum
+	var cumulative []float64 // running sum of the shares
 	sum := 0.0
 	for i := range p.set.Senders {
 		s, err := New(p.set, p.seed<<10+uint64(i))
@@ -134,7 +137,7 @@
 		sender := f.senders[i]
 		for range n {
 			id++
-			c := Message{ID: fmt.Sprint(id), Dest: 9, Tenant: -1, Class: 2 * f.rng.IntN(2)} // safe or unsafe
+			c := Message{ID: fmt.Sprint(id), Dest: 9, Tenant: -1, Class: 2 * f.rng.IntN(2)} // idempotent or not
 			c.TimeLeft = p.set.Classes[c.Class].Deadline
 			f.after(Micros(at)+Micros(f.rng.IntN(10_000)*(n-1)/burst), func() { f.step(sender, c) })
 		}
@@ -149,7 +152,7 @@
 	return f
 }
 
-// step hands events to a sender and does what it says.
+// step passes events to a sender and carries out its actions.
 func (f *fleet) step(sender *simSender, evs ...Event) {
 	opened := map[EndpointID]*fleetCall{}
 	for _, a := range sender.s.Step(f.now, evs) {
@@ -180,7 +183,7 @@
 	}
 }
 
-// arrive is a call that reaches the destination.
+// arrive handles a call that reaches the destination.
 func (f *fleet) arrive(call *fleetCall) {
 	srv := f.servers[call.endpoint]
 	if f.now >= outageStart && f.now < outageEnd {
@@ -196,7 +199,7 @@
 	srv.backlog, srv.at = max(0, srv.backlog-capacity*seconds(f.now-srv.at)), f.now
 	full := srv.backlog > capacity/2
 	var load []float64
-	if f.set.LoadLimitIndex >= 0 { // a limit over a second
+	if f.set.LoadLimitIndex >= 0 { // rate limit over one second
 		limit := srv.capacity * f.limitRatio
 		srv.accepted = trim(srv.accepted, f.now-Second)
 		n := float64(since(srv.accepted, f.now-Second) + 1)
@@ -211,7 +214,7 @@
 	srv.backlog += 1 + itemCost*float64(call.size-1)
 	wait := Micros(srv.backlog/capacity*float64(Second)) + Micros(130_000*math.Exp(0.6*f.rng.NormFloat64()))
 	o := Delivered
-	if f.now < outageStart && f.now+wait >= outageStart { // it fails with the call on hand
+	if f.now < outageStart && f.now+wait >= outageStart { // the destination fails while it handles the call
 		switch f.failure {
 		case TimedOut:
 			return
@@ -222,7 +225,7 @@
 	f.after(wait+f.networkDelay(), func() { f.deliver(call, o, load, call.open...) })
 }
 
-// land hands a sender the outcome of messages of a call, those that have one already apart.
+// deliver passes a sender the outcome of messages of a call, except those that have one already.
 func (f *fleet) deliver(call *fleetCall, o Outcome, load []float64, ids ...string) {
 	var evs []Event
 	for _, id := range slices.Clone(ids) {
@@ -231,8 +234,8 @@
 		}
 		delete(call.sender.calls, id)
 		call.open = slices.DeleteFunc(call.open, func(x string) bool { return x == id })
-		evs = append(evs, AttemptResult{ID: id, Endpoint: call.endpoint, Attempt: call.sender.s.msgs[id].out.n, Outcome: o, Latency: f.now - call.sent,
-			Load: load, Final: o == Delivered})
+		evs = append(evs, AttemptResult{ID: id, Endpoint: call.endpoint, Attempt: call.sender.s.msgs[id].out.n,
+			Outcome: o, Latency: f.now - call.sent, Load: load, Final: o == Delivered})
 	}
 	if len(evs) > 0 {
 		if o != Delivered && f.now >= outageStart && call.sent < outageEnd && f.now < outageEnd+Second {
@@ -242,7 +245,7 @@
 	}
 }
 
-// share is the part of its capacity that the destination has.
+// capacityShare is the fraction of its capacity that the destination has at a time.
 func (f *fleet) capacityShare(at Micros) float64 {
 	if at < outageStart {
 		return 1
@@ -251,15 +254,16 @@
 	return f.set.ColdCapacity + (1-f.set.ColdCapacity)*min(up, 1)
 }
 
-// worst is the most that arrived after the return in any span of FallWindow, over what is allowed in it: N and
-// 2√N + 2 for chance, N being FallMultiple times what the destination could do in that span.
+// worstLoad is the largest ratio, over all spans of OverloadWindow after the outage, of the calls that arrived to the
+// calls allowed: N plus 2√N + 2 for chance, with N being OverloadMultiple times the destination's capacity in that span.
 func (f *fleet) worstLoad() (worst float64) {
 	w := f.set.OverloadWindow
 	for _, srv := range slices.Compact(slices.Clone(f.servers)) {
 		for i, at := range srv.arrived {
 			from := at - w
-			ramp := max(from, outageEnd) // until then it has ColdFrom
-			mean := (f.set.ColdCapacity*seconds(ramp-from) + (f.capacityShare(ramp)+f.capacityShare(at))/2*seconds(at-ramp)) / seconds(w)
+			ramp := max(from, outageEnd) // until then it has ColdCapacity
+			mean := (f.set.ColdCapacity*seconds(ramp-from) +
+				(f.capacityShare(ramp)+f.capacityShare(at))/2*seconds(at-ramp)) / seconds(w)
 			n := f.set.OverloadMultiple * mean * srv.capacity * seconds(w)
 			worst = max(worst, float64(since(srv.arrived[:i+1], from))/(n+2*math.Sqrt(n)+2))
 		}
@@ -267,8 +271,8 @@
 	return worst
 }
 
-// A destination that comes back cold falls under the sum of what all senders send, so the ramp has to hold for the
-// fleet, however it fails and whatever is known of its capacity. Found at two senders: 5 times what is allowed.
+// A cold destination fails under the sum of what all senders send, so the slow start must hold for the whole fleet,
+// however the destination fails and whatever is known of its capacity. Two senders once sent 5 times what is allowed.
 func TestFleetKeepsRampLimit(t *testing.T) {
 	cases := []struct {
 		name string
@@ -276,17 +280,19 @@
 	}{
 		{"plain", func(p *fleetPlan) {}},
 		{"two endpoints", func(p *fleetPlan) { p.endpoints = 2 }},
-		{"routes apart", func(p *fleetPlan) { p.endpoints, p.set.Kinds[0].SeparateRoutes = 2, true }},
+		{"separate routes", func(p *fleetPlan) { p.endpoints, p.set.Kinds[0].SeparateRoutes = 2, true }},
 		{"batches", func(p *fleetPlan) { p.set.Kinds[0].MaxBatch = 10 }},
-		{"skewed", func(p *fleetPlan) { p.trafficSkew = 1.2 }},
-		{"clumps", func(p *fleetPlan) { p.burstShare = 0.2 }},
-		{"told limit", func(p *fleetPlan) { p.limitRatio, p.set.LoadRemainingIndex, p.set.LoadLimitIndex = 1/1.15, 0, 1 }},
+		{"uneven traffic", func(p *fleetPlan) { p.trafficSkew = 1.2 }},
+		{"bursts", func(p *fleetPlan) { p.burstShare = 0.2 }},
+		{"reported limit", func(p *fleetPlan) {
+			p.limitRatio, p.set.LoadRemainingIndex, p.set.LoadLimitIndex = 1/1.15, 0, 1
+		}},
 		{"weights", func(p *fleetPlan) { p.limitRatio, p.set.Weights = 1, WeightsNominal }},
-		{"rough weights", func(p *fleetPlan) { p.limitRatio, p.set.Weights = 1.5, WeightsApproximate }},
-		{"told limit, much traffic", func(p *fleetPlan) {
+		{"approximate weights", func(p *fleetPlan) { p.limitRatio, p.set.Weights = 1.5, WeightsApproximate }},
+		{"reported limit, high traffic", func(p *fleetPlan) {
 			p.rate, p.limitRatio, p.set.LoadRemainingIndex, p.set.LoadLimitIndex = 80, 1/1.15, 0, 1
 		}},
-		{"much traffic", func(p *fleetPlan) { p.rate = 80 }},
+		{"high traffic", func(p *fleetPlan) { p.rate = 80 }},
 	}
 	for _, senders := range []int{2, 20, 30} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
@@ -295,7 +301,8 @@
 			for _, c := range cases {
 				for _, failure := range []Outcome{ConnRefused, Refused, Errored, TimedOut} {
 					seed++
-					p := fleetPlan{set: baseSettings(), seed: seed, rate: 27, headroom: 1.5, endpoints: 1, failure: failure, trafficSkew: 0.4}
+					p := fleetPlan{set: baseSettings(), seed: seed, rate: 27, headroom: 1.5, endpoints: 1,
+						failure: failure, trafficSkew: 0.4}
 					p.set.Senders, p.set.CallSlots, p.set.MaxOpen = senders, 64, 300
 					p.set.OverloadMultiple, p.set.OverloadWindow, p.set.ColdCapacity, p.set.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
 					c.vary(&p)
@@ -310,7 +317,7 @@
 	}
 }
 
-// fallBound is how many calls a cold destination bears in a window in which the settings allow it n.
+// overloadBound is the number of calls that a cold destination can take in a window in which the settings allow n.
 func overloadBound(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -318,36 +325,38 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// windowLoad is how much came to a cold destination in one window.
+// windowLoad is the load of a cold destination in one window.
 type windowLoad struct {
-	ratio    float64 // over what it bears
-	informed float64 // part that came from senders that knew of the outage
+	ratio    float64 // of the calls to overloadBound
+	informed float64 // share of the calls whose sender knew of the outage
 }
 
-// loads are those of all windows that end with a call.
+// windowLoads are the loads of all windows that end with a call.
 func (f *fleet) windowLoads() (all []windowLoad) {
 	w := f.set.OverloadWindow
 	for _, srv := range slices.Compact(slices.Clone(f.servers)) {
 		for i, at := range srv.arrived {
 			from := at - w
 			ramp := max(from, outageEnd)
-			mean := (f.set.ColdCapacity*seconds(ramp-from) + (f.capacityShare(ramp)+f.capacityShare(at))/2*seconds(at-ramp)) / seconds(w)
+			mean := (f.set.ColdCapacity*seconds(ramp-from) +
+				(f.capacityShare(ramp)+f.capacityShare(at))/2*seconds(at-ramp)) / seconds(w)
 			n := f.set.OverloadMultiple * mean * srv.capacity * seconds(w)
 			calls := since(srv.arrived[:i+1], from)
-			told := 0
+			informed := 0
 			for _, known := range srv.fromInformed[i+1-calls : i+1] {
 				if known {
-					told++
+					informed++
 				}
 			}
-			all = append(all, windowLoad{float64(calls) / overloadBound(n), float64(told) / float64(calls)})
+			all = append(all, windowLoad{float64(calls) / overloadBound(n), float64(informed) / float64(calls)})
 		}
 	}
 	return all
 }
 
-// The sizes at which too much was seen to come: few messages for each sender, refusals above the capacity, no reports.
-// A fall counts where over two thirds of it came from senders that had been told of the outage: the others know nothing.
+// The fleet sizes at which overload was seen: few messages per sender, refusals above the capacity, no load reports.
+// Only windows in which over two thirds of the calls came from senders that knew of the outage count: the others can't
+// limit their calls.
 func TestFleetKeepsRampLimitAtAnySize(t *testing.T) {
 	for _, senders := range []int{2, 5, 16, 17, 60, 120, 300, 580, 900} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
@@ -360,7 +369,8 @@
 			for seed := range uint64(seeds) {
 				for _, rate := range []float64{6, 27} {
 					for _, failure := range []Outcome{ConnRefused, Refused, Errored, TimedOut} {
-						p := fleetPlan{set: baseSettings(), seed: 7000 + seed, rate: rate, headroom: 1.5, endpoints: 2, failure: failure, trafficSkew: 0.4}
+						p := fleetPlan{set: baseSettings(), seed: 7000 + seed, rate: rate, headroom: 1.5, endpoints: 2,
+							failure: failure, trafficSkew: 0.4}
 						p.set.Senders, p.set.CallSlots, p.set.MaxOpen = senders, 64, 300
 						p.set.OverloadMultiple, p.set.OverloadWindow, p.set.ColdCapacity, p.set.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
 						informed := 0.0
@@ -376,7 +386,7 @@
 					}
 				}
 			}
-			t.Logf("worst of senders that were told: %.2f; of all: %.2f", worst, overall)
+			t.Logf("worst of senders that knew of the outage: %.2f; of all: %.2f", worst, overall)
 		})
 	}
 }
--- a/logic/mechanism_test.go
+++ b/logic/mechanism_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// feed fills a histogram with n samples each of the given latencies.
+// addSamples adds n samples of each of the given latencies, in seconds, to a histogram.
 func addSamples(h *hist, n int, took ...float64) {
 	for range n {
 		for _, x := range took {
@@ -22,9 +22,9 @@
 		restart bool
 	}{
 		{"one speed: waiting is best", func(h *hist) { addSamples(h, 20, 0.1) }, false},
-		{"a few very slow: restart early", func(h *hist) { addSamples(h, 20, 0.1); addSamples(h, 4, 8) }, true},
+		{"a few very slow: restart pays off", func(h *hist) { addSamples(h, 20, 0.1); addSamples(h, 4, 8) }, true},
 		{"too few samples", func(h *hist) { addSamples(h, 4, 0.1); addSamples(h, 1, 8) }, false},
-		{"cut attempts lower M0", func(h *hist) {
+		{"restarted attempts count as slow", func(h *hist) {
 			addSamples(h, 20, 0.1)
 			for range 5 {
 				h.add(0, sec(0.4), true)
@@ -37,7 +37,7 @@
 			t.Errorf("%s: tau %d", c.name, h.tau)
 		}
 		if h.tau > 0 && (h.tau < sec(0.1) || h.tau > sec(0.2)) {
-			t.Errorf("%s: tau %d is not at the edge past the quick ones", c.name, h.tau)
+			t.Errorf("%s: tau %d is not at the bin edge above the fast ones", c.name, h.tau)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-// warm serves n calls of class 0 at each of the rig's endpoints, so that latencies are known.
+// deliverMany has n calls of class 0 delivered, so that latencies are known, and returns the time after them.
 func (h *harness) deliverMany(at float64, n int) float64 {
 	for range n {
 		for _, c := range actionsOf[Send](h.step(at, h.message(0))) {
@@ -79,7 +79,7 @@
 		}
 	}
 	if seen[1] != 3 || seen[2] != 3 || seen[3] != 3 {
-		t.Errorf("nine sends went %v", seen)
+		t.Errorf("nine sends by endpoint: %v", seen)
 	}
 }
 
@@ -93,32 +93,32 @@
 		h.step(0, ev)
 		at := h.deliverMany(1, 20)
 		d := h.s.dests[9]
-		addSamples(&d.hist, 2, 5) // a slow few: restarting pays
+		addSamples(&d.hist, 2, 5) // a few slow ones: restarting pays off
 		d.hist.add(h.s.now, sec(5), false)
 		if d.hist.tau == 0 {
-			t.Fatal("no tau")
+			t.Fatal("no restart time")
 		}
 		d.hist.p95 = d.hist.tau
 		m := h.message(class)
 		first := actionsOf[Send](h.step(at, m))[0]
 		limit := seconds(max(d.hist.tau, h.s.stuckTime(d, h.s.msgs[m.ID])))
 		if c := actionsOf[Cancel](h.step(at+limit-0.05, TimerFired{})); len(c) > 0 {
-			t.Errorf("class %d: cut before the limit", class)
+			t.Errorf("class %d: cancelled before the limit", class)
 		}
-		cut := actionsOf[Cancel](h.step(at+limit+0.01, TimerFired{}))
-		if got := len(cut) == 1; got != again {
-			t.Fatalf("class %d: cut %v at tau", class, got)
+		cancelled := actionsOf[Cancel](h.step(at+limit+0.01, TimerFired{}))
+		if got := len(cancelled) == 1; got != again {
+			t.Fatalf("class %d: cancelled at tau: %v", class, got)
 		}
 		if !again {
 			continue
 		}
 		next := actionsOf[Send](h.step(at+limit+0.05, result(m.ID, first.Endpoint, 0, Cancelled)))
 		if len(next) != 1 || next[0].Endpoint == first.Endpoint {
-			t.Errorf("class %d: resent %v after a cut at endpoint %d", class, next, first.Endpoint)
+			t.Errorf("class %d: resent %v after it was cancelled at endpoint %d", class, next, first.Endpoint)
 		}
-		// A long job is not cut again at the same limit.
+		// A message that takes long is not cancelled again at the same limit.
 		if c := actionsOf[Cancel](h.step(at+2*limit+0.1, TimerFired{})); len(c) > 0 {
-			t.Errorf("class %d: the second attempt was cut at the first one's limit", class)
+			t.Errorf("class %d: the second attempt was cancelled at the first one's limit", class)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	c.TimeLeft = sec(0.05) // less than the median of 0.1 s
 	acts := h.step(at, c)
 	if len(actionsOf[Reject](acts)) != 1 || len(actionsOf[Send](acts)) != 0 {
-		t.Errorf("a message with less time than a usual call: %v", acts)
+		t.Errorf("a message with less time left than a usual call takes: %v", acts)
 	}
 }
 
@@ -144,11 +144,11 @@
 	}
 	h.s.slowDown(l)
 	if l.pace != 6 {
-		t.Fatalf("first refusal set the pace to %v, want the last second's 6", l.pace)
+		t.Fatalf("first refusal set the pace to %v, want the last second's rate of 6", l.pace)
 	}
 	h.s.slowDown(l)
 	if l.pace != 6 {
-		t.Errorf("pace %v, want no second cut within a second", l.pace)
+		t.Errorf("pace %v, want 6: no second reduction within a second", l.pace)
 	}
 	for i, want := range []float64{3, 1.5, 1, 1} {
 		h.s.now = sec(2 + float64(i))
@@ -161,7 +161,7 @@
 	if l.pace != 1.1 {
 		t.Errorf("after a success the pace is %v, want 1.1", l.pace)
 	}
-	// A told limit: the floor is no more than an even share, and the pace creeps by a share of it.
+	// With a known limit the floor is at most an even share of it, and the pace grows by such a share.
 	l = &lane{limit: 20, pace: 1}
 	h.s.speedUp(l)
 	if l.pace != 2 {
@@ -186,7 +186,7 @@
 	h.s.dests[9].lane.filled = 0
 	h.step(5)
 	if n := len(actionsOf[Send](h.step(5, calls...))); n != 2 {
-		t.Errorf("%d sends of a clump at once under a limit of 4 a second, want half a second of it", n)
+		t.Errorf("%d sends of a burst at once under a limit of 4 per second, want 2: half a second of it", n)
 	}
 }
 
@@ -202,11 +202,11 @@
 		acts := h.step(1.1, full, h.message(0), h.message(1), h.message(2))
 		for _, x := range actionsOf[Send](acts) {
 			if !apart || x.Endpoint == c.Endpoint {
-				t.Errorf("apart %v: sent to %d during a wait told by %d", apart, x.Endpoint, c.Endpoint)
+				t.Errorf("separate routes %v: sent to %d during a wait requested by %d", apart, x.Endpoint, c.Endpoint)
 			}
 		}
 		if apart && len(actionsOf[Send](acts)) == 0 {
-			t.Error("a wait of one route held the other")
+			t.Error("a wait of one route held up the other")
 		}
 		later := h.step(3.7, TimerFired{})
 		if !apart && len(actionsOf[Send](later)) == 0 {
@@ -222,7 +222,7 @@
 		c := actionsOf[Send](h.step(1, h.message(2)))[0]
 		acts := h.step(1.1, result(c.ID, c.Endpoint, 0, o))
 		if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Send](acts))+len(actionsOf[Reject](acts)) > 0 {
-			t.Errorf("outcome %d of an unsafe message: %v", o, acts)
+			t.Errorf("outcome %d of a message that is not idempotent: %v", o, acts)
 		}
 	}
 	for _, o := range []Outcome{ConnRefused, Skipped} {
@@ -233,13 +233,17 @@
 		acts = append(acts, h.step(4, TimerFired{})...)
 		acts = append(acts, h.step(9.5, TimerFired{})...)
 		if len(actionsOf[Fail](acts)) != 0 || len(actionsOf[Send](acts)) == 0 {
-			t.Errorf("outcome %d never ran, yet: %v", o, acts)
+			t.Errorf("outcome %d proves that the attempt never ran, but: %v", o, acts)
 		}
 	}
 }
 
 func TestSilentDestinationsEndByDeadline(t *testing.T) {
-	for name, ev := range map[string]EndpointUpdate{"no list": {}, "silent": fullList(2), "unknown destination": {Entries: []EndpointEntry{{Endpoint: 5, Dest: 4}}}} {
+	for name, ev := range map[string]EndpointUpdate{
+		"no list":             {},
+		"silent":              fullList(2),
+		"unknown destination": {Entries: []EndpointEntry{{Endpoint: 5, Dest: 4}}},
+	} {
 		h := newHarness(t, baseSettings())
 		h.step(0, ev)
 		h.step(1, h.message(0), h.message(1), h.message(2))
@@ -265,7 +269,7 @@
 	}
 }
 
-// Discovery turns many senders away at one moment: they must not all ask again at one moment.
+// When discovery fails for many senders at the same time, they must not all retry at the same time.
 func TestSubscribeRetryJitter(t *testing.T) {
 	at := map[Micros]bool{}
 	for seed := range uint64(20) {
@@ -277,7 +281,7 @@
 		at[s.askAt/50_000] = true
 	}
 	if len(at) < 8 {
-		t.Errorf("20 senders ask again at %d different times", len(at))
+		t.Errorf("20 senders retry at %d different times, want 8 or more", len(at))
 	}
 }
 
@@ -290,13 +294,13 @@
 	}
 	h.step(1, EndpointUpdate{Kind: UpdateFailed})
 	if len(actionsOf[Subscribe](h.step(1.4, TimerFired{}))) != 0 || len(actionsOf[Subscribe](h.step(2.6, TimerFired{}))) != 1 {
-		t.Error("did not ask again after a second, give or take half")
+		t.Error("did not retry after 0.5 to 1.5 s")
 	}
 	h.step(2.7, EndpointUpdate{Kind: UpdateFailed})
 	if len(actionsOf[Subscribe](h.step(3.6, TimerFired{}))) != 0 || len(actionsOf[Subscribe](h.step(5.8, TimerFired{}))) != 1 {
 		t.Error("did not back off")
 	}
-	// A whole list replaces the old one; a draining endpoint gets nothing new.
+	// A full list replaces the old one; a draining endpoint gets no new calls.
 	row := EndpointEntry{Endpoint: 3, Dest: 9, State: Draining}
 	h.step(5.9, EndpointUpdate{Kind: UpdateFull, Entries: append(fullList(1).Entries, row)})
 	for i := range 4 {
@@ -310,23 +314,23 @@
 	}
 }
 
-// Found on a drawn day: a call that was under way when a route shut counted as its return, and the warm-up had
-// run out before it opened.
+// The answer to a call that was in flight when a route went down used to count as its recovery, so that the warm-up
+// was over before the route returned.
 func TestOldAnswerIsNoRecovery(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(1))
 	a := actionsOf[Send](h.step(1, h.message(0)))[0]
 	b := actionsOf[Send](h.step(1.1, h.message(0)))[0]
-	shut := result(b.ID, b.Endpoint, 0, Refused)
-	shut.RetryAfter = sec(8)
-	h.step(1.2, shut)
+	refused := result(b.ID, b.Endpoint, 0, Refused)
+	refused.RetryAfter = sec(8)
+	h.step(1.2, refused)
 	h.step(1.3, result(a.ID, a.Endpoint, 0, Delivered))
 	if e := h.s.eps[1]; !e.ejected || !e.cold {
-		t.Error("an answer to an older call ended the watch on a shut endpoint")
+		t.Error("an answer to an older call counted as the recovery of an endpoint that is down")
 	}
 }
 
-// Found on a standard day: machines that joined a destination still cold were sent to without a budget.
+// Endpoints that joined a destination while it was cold used to get calls without a budget.
 func TestNewEndpointIsAsColdAsSiblings(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(1))
@@ -338,7 +342,7 @@
 	}
 }
 
-// Found on an incident: with limits that others use up, every refusal looked like a shut destination.
+// With rate limits that other senders use up, every row of refusals used to look like an outage.
 func TestRefusalsBetweenAnswersAreNoOutage(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(2))
@@ -351,22 +355,22 @@
 		}
 	}
 	if e.ejected {
-		t.Error("refusals between answers took the endpoint out")
+		t.Error("refusals between answers ejected the endpoint")
 	}
 	for i := range 5 {
 		h.s.now = sec(10 + 0.5*float64(i))
 		h.s.recordRefusal(e, 0)
 	}
 	if !e.ejected {
-		t.Error("a destination that refuses everything without a wait was not noticed")
+		t.Error("a destination that refuses everything without a requested wait was not ejected")
 	}
 }
 
-// Found on an incident: messages were refused by a low pace although the hold was nearly empty.
+// Messages used to be rejected because of a low pace although the buffer was nearly empty.
 func TestLowPaceKeepsMessagesWhileBufferHasRoom(t *testing.T) {
-	for _, c := range []struct{ hold, ends int }{{200, 0}, {30, 1}} {
+	for _, c := range []struct{ buffer, ends int }{{200, 0}, {30, 1}} {
 		set := baseSettings()
-		set.MaxOpen = c.hold
+		set.MaxOpen = c.buffer
 		h := newHarness(t, set)
 		h.step(0, fullList(1))
 		h.s.dests[9].lane.pace = 1
@@ -376,7 +380,7 @@
 			calls = append(calls, h.message(0))
 		}
 		if n := len(actionsOf[Reject](h.step(1, calls...))); min(n, 1) != c.ends {
-			t.Errorf("hold of %d: %d refused", c.hold, n)
+			t.Errorf("buffer of %d: %d rejected", c.buffer, n)
 		}
 	}
 }
@@ -412,8 +416,8 @@
 func TestUnusualEvents(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(5, fullList(1))
-	acts := h.step(5, AttemptResult{ID: "nobody", Endpoint: 99}, ClientGone{"nobody"}, TimerFired{99}, ProbeResult{Endpoint: 99},
-		StreamStarted{ID: "nobody"}, EndpointUpdate{Kind: UpdateDelta, Entries: []EndpointEntry{{Endpoint: 77, State: Removed}}})
+	acts := h.step(5, AttemptResult{ID: "nobody", Endpoint: 99}, ClientGone{"nobody"}, TimerFired{99},
+		ProbeResult{Endpoint: 99}, StreamStarted{ID: "nobody"}, EndpointUpdate{Kind: UpdateDelta, Entries: []EndpointEntry{{Endpoint: 77, State: Removed}}})
 	if len(acts) != 0 {
 		t.Errorf("unknown ids caused %v", acts)
 	}
@@ -421,10 +425,10 @@
 	h.step(6.1, ClientGone{c.ID})
 	acts = h.step(6.2, result(c.ID, c.Endpoint, 0, Errored), result(c.ID, c.Endpoint, 0, Errored))
 	if len(acts) != 0 || h.s.busy != 0 {
-		t.Errorf("a late outcome of a withdrawn message caused %v; %d slots busy", acts, h.s.busy)
+		t.Errorf("a late result of a withdrawn message caused %v; %d slots busy", acts, h.s.busy)
 	}
 	before := h.s.now
-	h.step(1, h.message(0)) // a clock that steps back does no harm
+	h.step(1, h.message(0)) // a clock that steps back is ignored
 	if h.s.now != before {
 		t.Error("time went back")
 	}
@@ -448,12 +452,12 @@
 		h.step(1.2, result(c.ID, c.Endpoint, 0, Delivered))
 	}
 	if len(h.s.flying) != 5 {
-		t.Errorf("%d calls out after the first batch, want the other five", len(h.s.flying))
+		t.Errorf("%d messages in flight after the first batch, want the other five", len(h.s.flying))
 	}
 }
 
-// Found on an incident: a share of all answers was lost while the rest came quickly. The lost calls never showed in
-// the histogram and held slots to their deadline.
+// When part of the answers was lost while the rest came fast, the lost calls never showed in the histogram and held
+// their slots until their deadline.
 func TestLostAnswersCountInHistogram(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(2))
@@ -465,23 +469,23 @@
 	}
 	at = h.deliverMany(at, 8)
 	h.step(at, TimerFired{})
-	if h := &h.s.dests[9].hist; h.cuts < 0.8 || h.tau == 0 {
-		t.Errorf("lost answers: %v counted while out, tau %d", h.cuts, h.tau)
+	if latencies := &h.s.dests[9].hist; latencies.cuts < 0.8 || latencies.tau == 0 {
+		t.Errorf("lost answers: %v counted while in flight, tau %d", latencies.cuts, latencies.tau)
 	}
-	cut := 0
+	cancelled := 0
 	for _, a := range h.s.flying {
 		if a.cancelled {
-			cut++
+			cancelled++
 		}
 	}
-	if cut != len(lost) {
-		t.Errorf("%d of %d lost calls were called off", cut, len(lost))
+	if cancelled != len(lost) {
+		t.Errorf("%d of %d lost calls were cancelled", cancelled, len(lost))
 	}
-	// One that answers after all is no longer counted.
+	// A call that is answered after all no longer counts as lost.
 	before := h.s.dests[9].hist.cuts
 	h.step(at, result(lost[0].ID, lost[0].Endpoint, 0, Delivered))
 	if got := h.s.dests[9].hist.cuts; got > before-0.9 {
-		t.Errorf("a late answer left %v of %v counted as lost", got, before)
+		t.Errorf("after a late answer %v of %v still count as lost", got, before)
 	}
 }
 
@@ -495,20 +499,20 @@
 	other.Dest = 8
 	out = append(out, actionsOf[Send](h.step(1.1, other))...)
 	if len(out) != 2 {
-		t.Fatalf("%d calls out, want both slots taken", len(out))
+		t.Fatalf("%d calls in flight, want both slots taken", len(out))
 	}
 	if c := actionsOf[Cancel](h.step(12, TimerFired{})); len(c) != 0 {
-		t.Error("an unsafe call was given up although nobody waited")
+		t.Error("an unsafe call was cancelled although no message waited")
 	}
 	third := h.message(0)
 	third.Dest = 8
 	acts := append(h.step(12.1, third), h.step(12.2, TimerFired{})...)
 	if len(actionsOf[Cancel](acts)) == 0 {
-		t.Error("a silent unsafe call kept the last slot from others")
+		t.Error("an unsafe call without an answer kept the last slot from others")
 	}
 }
 
-// Found by the property test: an endpoint that was not tried while its siblings were out had no budget.
+// An endpoint that was not tried while its siblings were out used to have no budget.
 func TestUntriedSiblingSharesBudget(t *testing.T) {
 	set := baseSettings()
 	set.Weights = WeightsNominal
@@ -521,28 +525,28 @@
 	sent := 0
 	for i := range 20 {
 		for _, x := range actionsOf[Send](h.step(1.2+0.1*float64(i), h.message(0))) {
-			h.s.eps[x.Endpoint].inflight = 0 // only the budget holds
+			h.s.eps[x.Endpoint].inflight = 0 // so that only the budget limits calls
 			sent++
 		}
 	}
 	if sent > 2 {
-		t.Errorf("%d calls in two seconds to the untried sibling of an endpoint that is out", sent)
+		t.Errorf("%d calls in two seconds to the untried sibling of an ejected endpoint", sent)
 	}
 }
 
-// Found by the hunt: answers to calls that were under way at the siblings when a destination shut made them look
-// well, and they were sent to without a budget when it opened.
+// Answers to calls that were in flight at the siblings when a destination went down used to mark them as working, so
+// that they got calls without a budget when it returned.
 func TestOldAnswerDoesNotShowSiblingWell(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(2))
 	a := actionsOf[Send](h.step(1, h.message(0)))[0]
 	b := actionsOf[Send](h.step(1.1, h.message(0)))[0]
-	shut := result(b.ID, b.Endpoint, 0, Refused)
-	shut.RetryAfter = sec(8)
-	h.step(1.2, shut)
+	refused := result(b.ID, b.Endpoint, 0, Refused)
+	refused.RetryAfter = sec(8)
+	h.step(1.2, refused)
 	h.step(1.3, result(a.ID, a.Endpoint, 0, Delivered))
 	if x, e := h.s.eps[b.Endpoint], h.s.eps[a.Endpoint]; e.well >= x.lastBad {
-		t.Error("an answer to an older call shows a sibling to be well")
+		t.Error("an answer to an older call marks a sibling as working")
 	}
 }
 
@@ -555,11 +559,11 @@
 		h.s.quotaFactor(0)
 	}
 	if a, b := h.s.quotaFactor(0), h.s.quotaFactor(1); a != 0.2 || b != 1 {
-		t.Errorf("ten a second of a quota of two keeps %v, a quiet tenant %v", a, b)
+		t.Errorf("a tenant at five times its quota keeps %v, a quiet tenant %v", a, b)
 	}
 }
 
-// Found on quiet days of many senders: endpoints were full of idle connections.
+// With many senders and little traffic, endpoints used to be full of idle connections.
 func TestRareConnectionsReleasedAmongManySenders(t *testing.T) {
 	for _, senders := range []int{2, manySenders + 1} {
 		set := baseSettings()
@@ -574,8 +578,8 @@
 	}
 }
 
-// Found on the day of the herd: 36 senders kept a connection each to endpoints that take 6 to 16, and who had none was
-// turned away. Where that happens none is kept, however dear new ones are; where it does not, they are.
+// When 36 senders each kept a connection to endpoints that take 6 to 16, senders without one were refused. Where calls
+// are refused no idle connection is kept, however expensive new ones are; elsewhere expensive ones are kept.
 func TestNoIdleConnectionsWhereCallsAreRefused(t *testing.T) {
 	for _, x := range []struct {
 		senders int
@@ -593,26 +597,26 @@
 		h.step(0.1, result(out[0].ID, out[0].Endpoint, 0, x.first))
 		got := actionsOf[ReleaseConns](h.step(0.2, result(out[1].ID, out[1].Endpoint, 0, Delivered)))
 		if len(got) != x.back || x.back == 1 && got[0].Endpoint != out[1].Endpoint {
-			t.Errorf("%d senders, %v elsewhere: gave back %v", x.senders, x.first, got)
+			t.Errorf("%d senders, outcome %v before: released %v", x.senders, x.first, got)
 		}
 	}
 }
 
-// Found on the days of a large fleet: 32 calls after a refusal for want of a connection a sender kept idle ones again,
-// and who holds one is never refused, so small destinations stood half idle behind places that nobody used.
+// In a large fleet, senders used to keep idle connections again 32 calls after a connection shortage. A sender that holds
+// a connection is never refused, so small destinations were half idle while unused connections kept others out.
 func TestScarceConnectionsReleasedForAMinute(t *testing.T) {
 	set := baseSettings()
 	set.Senders, set.ConnCost, set.LoadRemainingIndex, set.LoadLimitIndex = 80, 2*expensiveConnCost, 0, 1
 	h := newHarness(t, set)
 	h.step(0, fullList(1))
-	deliver := func(at float64) (back int) {
+	deliver := func(at float64) (released int) {
 		c := actionsOf[Send](h.step(at, h.message(0)))[0]
 		ok := result(c.ID, 1, 0, Delivered)
 		ok.Load = []float64{1, 200}
 		return len(actionsOf[ReleaseConns](h.step(at+0.1, ok)))
 	}
 	if deliver(0.5) > 0 {
-		t.Error("given back though no call lacked one")
+		t.Error("released although there was no shortage")
 	}
 	c := actionsOf[Send](h.step(1, h.message(0)))[0]
 	h.step(1.1, result(c.ID, 1, 0, Refused))
@@ -623,11 +627,11 @@
 		}
 	}
 	if deliver(62) > 0 {
-		t.Error("given back more than a minute after")
+		t.Error("released more than a minute after the shortage")
 	}
 }
 
-// crowdOf makes a sender among many at one destination with a told rate.
+// newHarnessAmongMany is a harness for one of several senders at one destination with a known rate.
 func newHarnessAmongMany(t *testing.T, senders int, rate float64, seed uint64) *harness {
 	t.Helper()
 	set := baseSettings()
@@ -643,14 +647,14 @@
 	return h
 }
 
-// Found on big-1: three hundred senders, each with one call in four windows, topple what comes back. Their budgets
-// must add up to what it bears, and not fall together.
+// Three hundred senders with one call in four windows each can overload a destination that recovers. Their budgets must
+// add up to what it can take, and their calls must not coincide.
 func TestBudgetsOfManySendersAddUp(t *testing.T) {
 	const senders, rate = 300, 10.0
-	calls := make([]int, 30) // by second after the outage was seen
+	calls := make([]int, 30) // by second
 	for i := range senders {
 		h := newHarnessAmongMany(t, senders, rate, uint64(i))
-		seen := 1 + 5*float64(i)/senders // they see the outage one after the other
+		seen := 1 + 5*float64(i)/senders // they notice the outage one after the other
 		c := actionsOf[Send](h.step(seen, h.message(0)))[0]
 		h.step(seen+0.01, result(c.ID, 1, 0, ConnRefused), h.message(1))
 		for at := seen + 0.1; at < 30; at += 0.1 {
@@ -667,17 +671,17 @@
 		for _, n := range calls[at : at+window] {
 			sum += n
 		}
-		// Sixty senders a second see it, six times the rate: what adds up is held to that.
+		// Sixty senders per second notice it, six times the rate: the sum may go up to that.
 		if most := set.OverloadMultiple * set.ColdCapacity * 60 * 1.5 * float64(window); float64(sum) > most {
-			t.Errorf("second %d: %d calls in a fall window, want at most %.0f", at, sum, most)
+			t.Errorf("second %d: %d calls in an overload window, want at most %.0f", at, sum, most)
 		}
 		if sum > 0 && slices.Max(calls[at:at+window]) == sum && sum > 20 {
-			t.Errorf("second %d: all %d calls at one time", at, sum)
+			t.Errorf("second %d: all %d calls of a window in the same second", at, sum)
 		}
 	}
 }
 
-// Found on the later gas scheduling: at a limit that counts refusals, calls tried again at once kept it used up.
+// At a limit that counts refused calls, immediate retries used to keep it used up.
 func TestRefusedMessagesPauseAmongManySenders(t *testing.T) {
 	soonest, latest := 60.0, 0.0
 	for i := range 40 {
@@ -692,31 +696,31 @@
 		}
 	}
 	if soonest < 1.5 || latest-soonest < 2 {
-		t.Errorf("tried again between %.2f and %.2f s; want rests that spread", soonest, latest)
+		t.Errorf("tried again between %.2f and %.2f s, want pauses of at least 0.4 s that spread over 2 s", soonest, latest)
 	}
 }
 
-// Found on the days of a large fleet: a clump that many senders sent at once used a limit up with refused calls for
-// seconds, and the next clump again. What all send together must stay under it whatever they hold.
+// A burst from many senders at once used up a limit with refused calls for seconds, and the next burst did so again.
+// What all senders send together must stay near the unused part of the limit, however many messages they hold.
 func TestManySendersShareALimit(t *testing.T) {
 	const limit, span = 200.0, 10
 	for _, x := range []struct {
 		senders  int
 		left     float64
-		from, to float64 // calls a second of all senders
+		from, to float64 // calls per second of all senders
 	}{
 		{80, 0, 0.9 * limit, 1.3 * limit},
-		{80, 0.5, 1.8 * limit, 2.3 * limit}, // half of it is in use
+		{80, 0.5, 1.8 * limit, 2.3 * limit}, // half of the limit is in use
 		{80, 1, 3 * limit, 4 * limit},
-		{2, 0, 1.5 * limit, 3 * limit}, // a few see enough to go by their own refusals
+		{2, 0, 1.5 * limit, 3 * limit}, // a few senders see enough refusals of their own
 	} {
 		set := baseSettings()
 		set.Senders, set.LoadRemainingIndex, set.LoadLimitIndex, set.MaxOpen, set.CallSlots = x.senders, 0, 1, 0, 4000
 		h := newHarness(t, set)
 		c := actionsOf[Send](h.step(0, fullList(1), h.message(0)))[0]
-		told := result(c.ID, 1, 0, Delivered)
-		told.Load = []float64{x.left, limit}
-		evs := []Event{told}
+		reported := result(c.ID, 1, 0, Delivered)
+		reported.Load = []float64{x.left, limit}
+		evs := []Event{reported}
 		for range 3000 {
 			evs = append(evs, h.message(0))
 		}
@@ -727,34 +731,35 @@
 			for _, c := range actionsOf[Send](acts) {
 				n++
 				ok := result(c.ID, 1, 0, Delivered)
-				ok.Load = told.Load
+				ok.Load = reported.Load
 				evs = append(evs, ok)
 			}
 		}
 		if all := float64(n*x.senders) / span; all < x.from || all > x.to {
-			t.Errorf("%d senders, %v left: %.0f calls a second in all, want %.0f to %.0f", x.senders, x.left, all, x.from, x.to)
+			t.Errorf("%d senders, %v of the limit left: %.0f calls per second in total, want %.0f to %.0f",
+				x.senders, x.left, all, x.from, x.to)
 		}
 	}
 }
 
-// A refusal above the limit: the paces that follow leave room for the refusals to end, and nothing is given up for it.
+// After a refusal above the limit the paces leave headroom, so that the refusals end, and no message is ended.
 func TestPacesAfterRefusalLeaveHeadroom(t *testing.T) {
 	set := baseSettings()
 	set.Senders, set.LoadRemainingIndex, set.LoadLimitIndex = 80, 0, 1
 	h := newHarness(t, set)
 	c := actionsOf[Send](h.step(0, fullList(1), h.message(0)))[0]
-	no := result(c.ID, 1, 0, Refused)
-	no.Load = []float64{0, 40}
-	acts := h.step(1, no)
+	refused := result(c.ID, 1, 0, Refused)
+	refused.Load = []float64{0, 40}
+	acts := h.step(1, refused)
 	if all := h.s.dests[9].lane.pace * 80; all < 20 || all > 0.8*40 {
-		t.Errorf("paces add up to %v calls a second of 40", all)
+		t.Errorf("the paces of all senders add up to %v calls per second, with a limit of 40", all)
 	}
 	if len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
-		t.Errorf("given up: %v", acts)
+		t.Errorf("ended: %v", acts)
 	}
 }
 
-// New connections cost time and points: among many senders the endpoint that still has one comes first.
+// New connections cost time and points: among many senders an endpoint with an open connection is preferred.
 func TestOpenConnectionPreferredAmongManySenders(t *testing.T) {
 	for _, senders := range []int{2, manySenders + 1} {
 		set := baseSettings()
@@ -766,7 +771,7 @@
 			c := actionsOf[Send](h.step(float64(i)+1, h.message(0)))[0]
 			acts := h.step(float64(i)+1.1, result(c.ID, c.Endpoint, 0, Delivered))
 			if len(actionsOf[ReleaseConns](acts)) > 0 {
-				t.Error("a connection was given back though new ones are dear")
+				t.Error("a connection was released although new ones are expensive")
 			}
 			used[c.Endpoint] = true
 		}
@@ -776,8 +781,8 @@
 	}
 }
 
-// Found on a drawn day (fast errors, head office): senders that rested after each refusal came back too early, in total,
-// to a destination that was shut. Among many senders two refusals in a row are enough.
+// Many senders that paused after each refusal together used to retry too early at a destination that was down. Among
+// many senders two refusals in a row count as an outage.
 func TestTwoRefusalsAreOutageAmongManySenders(t *testing.T) {
 	for _, senders := range []int{2, 100} {
 		h := newHarnessAmongMany(t, senders, 10, 1)
@@ -788,7 +793,7 @@
 				h.step(at+0.01, result(c.ID, 1, h.s.msgs[c.ID].tries-1, Refused))
 			}
 			acts = h.step(at+0.1, TimerFired{})
-			h.s.eps[1].lane.firstFull -= sec(0.1) // the rests differ: the span is not what is tested
+			h.s.eps[1].lane.firstFull -= sec(0.1) // the pauses differ: the span is not under test
 		}
 		if cold := h.s.eps[1].cold; cold != (senders > manySenders) {
 			t.Errorf("%d senders: cold %v after two refusals", senders, cold)
@@ -796,8 +801,7 @@
 	}
 }
 
-// Found on a standard day: the pace counts calls, but crept by each message of a batch, and so doubled with each
-// call that a destination took.
+// The pace counts calls, but used to grow with each message of a batch, and so doubled with each delivered call.
 func TestPaceGrowsPerCall(t *testing.T) {
 	set := baseSettings()
 	set.Kinds[0].MaxBatch = 10
@@ -809,7 +813,7 @@
 	if len(batch) != 5 {
 		t.Fatalf("%d sends", len(batch))
 	}
-	l.sent = append(l.sent, sec(0.9), sec(0.9), sec(0.9)) // enough for the pace to stand
+	l.sent = append(l.sent, sec(0.9), sec(0.9), sec(0.9)) // enough calls for the pace to be kept
 	var ends []Event
 	for _, c := range batch {
 		ends = append(ends, result(c.ID, c.Endpoint, 0, Delivered))
@@ -820,8 +824,8 @@
 	}
 }
 
-// Found on the days of a large fleet: most refusals of the first seconds were for want of a connection, and told by the
-// missing report. Taken for the limit they slowed the destination down for seconds and made it look shut.
+// In a large fleet most refusals of the first seconds are connection shortages, which carry no load report. Treated as
+// rate limiting they used to lower the pace for seconds and to look like an outage.
 func TestConnShortageIsNoRateLimit(t *testing.T) {
 	for _, x := range []struct {
 		load []float64
@@ -834,9 +838,9 @@
 		ok := result(c.ID, 1, 0, Delivered)
 		ok.Load = []float64{1, 200}
 		c = actionsOf[Send](h.step(0.5, ok, h.message(2)))[0]
-		no := result(c.ID, 1, 0, Refused)
-		no.Load = x.load
-		h.step(1, no)
+		refused := result(c.ID, 1, 0, Refused)
+		refused.Load = x.load
+		h.step(1, refused)
 		if l := h.s.dests[9].lane; (l.pace > 0) != x.slow {
 			t.Errorf("load %v: pace %v", x.load, l.pace)
 		}
@@ -853,17 +857,16 @@
 			}
 			out = actionsOf[Send](h.step(at+0.01, TimerFired{}))
 			if at < 1.9 && h.s.eps[1].ejected {
-				t.Fatalf("out at %.2f s, soon after an answer", at)
+				t.Fatalf("ejected at %.2f s, soon after an answer", at)
 			}
 		}
 		if !h.s.eps[1].ejected {
-			t.Error("not out after seconds of nothing but refusals")
+			t.Error("not ejected after seconds of nothing but refusals")
 		}
 	}
 }
 
-// What never left this process may come back any number of times: it uses up no attempt, and says nothing of the
-// endpoint.
+// A local failure may occur any number of times: it uses up no attempt and says nothing about the endpoint.
 func TestLocalFailureCountsAsNoAttempt(t *testing.T) {
 	set := baseSettings()
 	set.MaxAttempts = 2
@@ -874,7 +877,7 @@
 		for i := range 10 {
 			calls := actionsOf[Send](acts)
 			if len(calls) != 1 || len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) > 0 {
-				t.Fatalf("class %d, time %d: %v", class, i, acts)
+				t.Fatalf("class %d, failure %d: %v", class, i, acts)
 			}
 			acts = h.step(1.2+0.2*float64(i), result(calls[0].ID, calls[0].Endpoint, 0, LocalFailure))
 		}
--- a/logic/restart_test.go
+++ b/logic/restart_test.go
@@ -189,7 +189,8 @@
 			at[s.askAt/50_000] = true
 		}
 		if want := max(5_400_000-took, 0) / 300_000; Micros(len(at)) < want {
-			t.Errorf("after requests of %v s, 200 senders request the list at %d different times, want %d", seconds(took), len(at), want)
+			t.Errorf("after requests of %v s, 200 senders request the list at %d different times, want %d",
+				seconds(took), len(at), want)
 		}
 	}
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -13,10 +13,16 @@
 	return map[string]Settings{
 		"plain":     baseSettings(),
 		"one class": vary(func(s *Settings) { s.Classes = s.Classes[2:] }),
-		"tenants":   vary(func(s *Settings) { s.Tenants = []Tenant{{"x", 2}, {"y", 1}, {"z", 0}}; s.OverQuotaValue = 0.2 }),
-		"zones":     vary(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].DedupPerZone = true }),
-		"ordered":   vary(func(s *Settings) { s.KeyCooldown = Second; s.Classes[0].KeepOrder, s.Classes[2].KeepOrder = true, true }),
-		"batches":   vary(func(s *Settings) { s.Kinds[0].MaxBatch = 10 }),
+		"tenants": vary(func(s *Settings) {
+			s.Tenants = []Tenant{{"x", 2}, {"y", 1}, {"z", 0}}
+			s.OverQuotaValue = 0.2
+		}),
+		"zones": vary(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].DedupPerZone = true }),
+		"ordered": vary(func(s *Settings) {
+			s.KeyCooldown = Second
+			s.Classes[0].KeepOrder, s.Classes[2].KeepOrder = true, true
+		}),
+		"batches": vary(func(s *Settings) { s.Kinds[0].MaxBatch = 10 }),
 		"separate routes": vary(func(s *Settings) {
 			s.Kinds = []DestinationKind{{Name: "k", SeparateRoutes: true, MaxBatch: 1}, {Name: "l", MaxBatch: 3}}
 		}),
--- a/logic/window_test.go
+++ b/logic/window_test.go
@@ -82,7 +82,7 @@
 
 // A call that is cancelled at τ needs time to be resent. That must not take up the whole of a short window.
 func TestRestartTimeWithShortWindow(t *testing.T) {
-	for window, cut := range map[Micros]bool{Second: true, sec(0.4): false} {
+	for window, cancelled := range map[Micros]bool{Second: true, sec(0.4): false} {
 		set := shortWindowSettings()
 		set.Classes[1].DedupWindow = window
 		h := newHarness(t, set)
@@ -98,7 +98,7 @@
 		h.step(10.1, result(beside.ID, 1, 0, Delivered)) // the endpoint answers: only the first call is slow
 		d.hist.p95, d.hist.median = d.hist.tau, sec(0.02)
 		acts := h.step(10.51, TimerFired{}) // past the earliest time for a restart
-		if n := len(actionsOf[Cancel](acts)); (n == 1) != cut {
+		if n := len(actionsOf[Cancel](acts)); (n == 1) != cancelled {
 			t.Errorf("window %d: %d cancelled", window, n)
 		}
 	}
