--- a/logic/logic.go
+++ b/logic/logic.go
@@ -29,7 +29,7 @@
 	defaultStuckTime  = 2 * Second  // stuck time while no latency is known
 
 	// Pace of calls to a lane.
-	minPace        = 1.0        // calls per second
+	minPace        = 1.0        // lowest pace, calls per second
 	paceInterval   = Second     // interval that sets the first pace, and least time between two halvings
 	burstTime      = Second / 2 // an idle lane saves up calls for this time; more would hit limits in bursts
 	paceGrowth     = 0.1        // relative growth of the pace with each success
@@ -69,12 +69,12 @@
 	errorBackoff           = 100_000     // pause of a message after an error; doubles with each attempt
 	connShortageTime       = 60 * Second // many senders keep no idle connections for this time after a shortage
 	connShortageBackoff    = 50_000      // mean pause after a connection shortage; doubles with each attempt
-	outageConnShortages    = 8           // shortages in a row, without an answer for outageRefusalSpan
+	outageConnShortages    = 8           // shortages in a row, no answer for outageRefusalSpan: an outage
 
 	// Priorities, buffer, scans and list subscription.
 	quotaHalfLife       = 5 * Second // half-life of the count that gives a tenant's rate
 	valueLossHorizon    = Second     // messages are ordered by the value they lose within this time
-	minTryShare         = 0.7        // the protocol has an accepted message tried for this fraction of its time
+	minTryShare         = 0.7        // by protocol, an accepted message is tried for this fraction of its time
 	bufferHighWatermark = 0.7        // fill level above which messages that cannot be sent in time are ended
 	bufferFullWatermark = 0.9        // fill level above which the least valuable messages are rejected
 
--- a/logic/outage_test.go
+++ b/logic/outage_test.go
@@ -71,7 +71,7 @@
 			h.s.recordOutcome(e, ConnRefused)
 		}
 		if !e.ejected || !e.cold {
-			t.Fatalf("%s: not ejected and cold after %d failures", x.name, x.failures)
+			t.Fatalf("%s: want ejected and cold after %d failures", x.name, x.failures)
 		}
 		h.s.now = sec(1 + x.back)
 		h.s.recordSuccess(e, h.s.now)
