--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -7,7 +7,7 @@
 func TestRefusedCallsDoNotRaiseCapacity(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(1))
-	for i := range 12 { // six served, then six turned away, all within a second
+	for i := range 12 { // six served, then six refused, all within a second
 		at := 1 + 0.06*float64(i)
 		c := actionsOf[Send](h.step(at, h.message(0)))[0]
 		if i < 6 {
