--- a/cmd/cometrack/main.go
+++ b/cmd/cometrack/main.go
@@ -47,7 +47,7 @@
 	if c := cfg.Limits.Cores; c > 0 {
 		runtime.GOMAXPROCS(max(int(math.Ceil(c)), 1))
 	}
-	cfg.Limits.BindMemory()
+	cfg.Limits.ApplyMemoryLimit()
 	n, err := node.New(cfg, log)
 	if err != nil {
 		return err
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -31,10 +31,10 @@
 	wg      sync.WaitGroup
 }
 
-func newAdmin(log *slog.Logger, clients *clients, figures *figures) *admin {
+func newAdmin(log *slog.Logger, clients *clientServer, figures *figures) *admin {
 	turn := func(p phase) func() string {
 		return func() string {
-			if got := clients.operate(p); got != p {
+			if got := clients.setPhaseByOperator(p); got != p {
 				return "-ERR " + got.String()
 			}
 			log.Info("operator", "state", p.String())
@@ -43,7 +43,7 @@
 	}
 	return &admin{log: log, calls: map[string]func() string{
 		"ready": func() string {
-			if p := clients.now(); p != serving && p != waiting {
+			if p := clients.currentPhase(); p != serving && p != waiting {
 				return "-ERR " + p.String()
 			}
 			return "+OK"
@@ -73,7 +73,7 @@
 		}
 		failing.note(err)
 		if err != nil {
-			pause(ctx, acceptPause)
+			sleepContext(ctx, acceptRetryDelay)
 			continue
 		}
 		a.admit(conn)
@@ -134,7 +134,7 @@
 		t.CloseWrite()
 	}
 	conn.SetDeadline(time.Now().Add(adminLinger))
-	io.Copy(io.Discard, io.LimitReader(r, lingerBytes))
+	io.Copy(io.Discard, io.LimitReader(r, maxLingerBytes))
 }
 
 func (a *admin) answer(call string) string {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -27,11 +27,11 @@
 // ask makes a call and returns the whole answer.
 func ask(t *testing.T, addr, call string) string {
 	t.Helper()
-	c := dial(t, addr)
+	c := dialClient(t, addr)
 	if _, err := io.WriteString(c.conn, call); err != nil {
 		t.Fatal(err)
 	}
-	return c.ended()
+	return c.readToEnd()
 }
 
 // figure reads one of the figures; it must be there once.
@@ -46,7 +46,7 @@
 }
 
 func TestAdminCalls(t *testing.T) {
-	n, _, _, _ := world(t, 1)
+	n, _, _, _ := startNodeWithEndpoints(t, 1)
 	addr := operators(t, n.Node)
 	for call, want := range map[string]string{
 		"ready\r\n":                        "+OK\n",
@@ -62,22 +62,22 @@
 			t.Errorf("%.20q: %q", call, got)
 		}
 	}
-	c := dial(t, addr)
+	c := dialClient(t, addr)
 	for _, b := range []byte("ready\r\n") { // in pieces
 		if _, err := c.conn.Write([]byte{b}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := c.ended(); got != "+OK\n" {
+	if got := c.readToEnd(); got != "+OK\n" {
 		t.Errorf("in pieces: %q", got)
 	}
-	c = dial(t, addr)
+	c = dialClient(t, addr)
 	io.WriteString(c.conn, "rea")
 	c.conn.(*net.TCPConn).CloseWrite()
-	if got := c.ended(); !strings.HasPrefix(got, "-ERR ") {
+	if got := c.readToEnd(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("half a call: %q", got)
 	}
-	if got := n.clients.now(); got != serving {
+	if got := n.clients.currentPhase(); got != serving {
 		t.Errorf("a call that is none left the sender %v", got)
 	}
 }
@@ -87,11 +87,11 @@
 func TestAdminBesideHalfCalls(t *testing.T) {
 	n := newNode(t, configText(newPlatform(t), List{}))
 	defer n.journal.Close()
-	n.clients.turn(serving)
+	n.clients.setPhase(serving)
 	addr := operators(t, n)
-	var half []*client
+	var half []*testClient
 	for range 2 * adminPlaces {
-		c := dial(t, addr)
+		c := dialClient(t, addr)
 		io.WriteString(c.conn, "show-")
 		half = append(half, c)
 	}
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, c := range half {
-		if got := c.line(); got != "" && !strings.HasPrefix(got, "-ERR ") {
+		if got := c.readLine(); got != "" && !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("half a call: %q", got)
 		}
 	}
@@ -109,7 +109,7 @@
 
 // Each message counts once, where it ends, and every figure is there from the start.
 func TestFigures(t *testing.T) {
-	n, c, p, e := world(t, 2)
+	n, c, p, e := startNodeWithEndpoints(t, 2)
 	addr := operators(t, n.Node)
 	names := func(text string) (out []string) {
 		for _, line := range strings.Split(text, "\n") {
@@ -127,7 +127,7 @@
 	}
 	want = append(want, "edge_balancer.relayed", "edge_balancer.open_requests", "edge_balancer.registry_entries",
 		"edge_balancer.out_of_rotation", "edge_balancer.violations")
-	for _, v := range violations {
+	for _, v := range allViolations {
 		want = append(want, "edge_balancer.violation."+string(v))
 	}
 	for _, reason := range refusals {
@@ -143,7 +143,7 @@
 	if got := names(start); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("names %q, want %q", got, want)
 	}
-	calls := make(chan *inCall, 8)
+	calls := make(chan *receivedCall, 8)
 	for _, x := range e {
 		go func() {
 			for in := range x.calls {
@@ -152,24 +152,24 @@
 		}()
 	}
 	c.put("a", "safe", "+OK")
-	await(t, calls, "call").reply(503) // refused, then delivered: two calls, one end
-	c2 := await(t, calls, "second call")
+	receive(t, calls, "call").reply(503) // refused, then delivered: two calls, one end
+	c2 := receive(t, calls, "second call")
 	open := figure(t, ask(t, addr, "show-stat\n"), "edge_balancer.open_requests")
 	if open != 1 {
 		t.Errorf("%d open, want 1", open)
 	}
 	c2.reply(200)
-	c.putFor("late", "safe", 1, "-BUSY 2000") // refused at the door
+	c.putWithLifetime("late", "safe", 1, "-BUSY 2000") // refused at the door
 	c.put("b", "unsafe", "+OK")
-	await(t, calls, "call").reply(500)
-	await(t, p.notices, "notice") // failed
-	if got := c.do("MSG.PUT", "0", "x", "c=keyed,k=1,d=9000,dest=7", "x"); got+"\r\n" != answerUnknown {
+	receive(t, calls, "call").reply(500)
+	receive(t, p.notices, "notice") // failed
+	if got := c.do("MSG.PUT", "0", "x", "c=keyed,k=1,d=9000,dest=7", "x"); got+"\r\n" != replyUnknownDestination {
 		if got != "-BUSY 1000" { // discovery has not told yet
 			t.Errorf("got %q", got)
 		}
 	}
 	var text string
-	for stop := time.Now().Add(patience); ; { // until the last outcome is in
+	for stop := time.Now().Add(testTimeout); ; { // until the last outcome is in
 		text = ask(t, addr, "show-stat\n")
 		if figure(t, text, "edge_balancer.operations.safe.fulfilled") == 1 || time.Now().After(stop) {
 			break
@@ -186,24 +186,24 @@
 	if keyed != 1 {
 		t.Errorf("%d ends of the class keyed, want 1", keyed)
 	}
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // A drain says no at once and serves those that still come; kept connections end between requests, never in one,
 // and what is owed is delivered. The end of the drain says yes at once.
 func TestDrainAndResume(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	addr := operators(t, n.Node)
-	half := dial(t, n.addr)
+	half := dialClient(t, n.addr)
 	io.WriteString(half.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nhalf\r\n")
 	c.put("a", "unsafe", "+OK")
-	in := await(t, e[0].calls, "call")
+	in := receive(t, e[0].calls, "call")
 	for range 2 { // it may be said again
 		if got := ask(t, addr, "drain\n"); got != "+OK\n" {
 			t.Fatalf("drain: %q", got)
 		}
 	}
-	late := dial(t, n.addr)
+	late := dialClient(t, n.addr)
 	if got := late.do("PING"); !strings.HasPrefix(got, "-ERR") {
 		t.Errorf("PING while draining: %q", got)
 	}
@@ -211,35 +211,35 @@
 		t.Errorf("ready while draining: %q", got)
 	}
 	late.put("b", "safe", "+OK")
-	inB := await(t, e[0].calls, "call")
-	if got := c.ended() + late.ended(); got != "" {
+	inB := receive(t, e[0].calls, "call")
+	if got := c.readToEnd() + late.readToEnd(); got != "" {
 		t.Errorf("kept connections end with %q", got)
 	}
 	io.WriteString(half.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n")
-	if got := half.ended(); got != "+OK\r\n" {
+	if got := half.readToEnd(); got != "+OK\r\n" {
 		t.Errorf("the request that was on its way got %q", got)
 	}
 	in.reply(200)
 	inB.reply(200)
-	await(t, e[0].calls, "call").reply(200)
-	later := dial(t, n.addr)
+	receive(t, e[0].calls, "call").reply(200)
+	later := dialClient(t, n.addr)
 	later.put("d", "safe", "+OK") // still served, should one come
-	await(t, e[0].calls, "call").reply(200)
-	later.ended()
+	receive(t, e[0].calls, "call").reply(200)
+	later.readToEnd()
 	for range 2 {
 		if got := ask(t, addr, "resume\n"); got != "+OK\n" {
 			t.Fatalf("resume: %q", got)
 		}
 	}
-	back := dial(t, n.addr)
+	back := dialClient(t, n.addr)
 	if got := back.do("PING"); got != "+PONG" {
 		t.Errorf("PING after the drain: %q", got)
 	}
 	back.put("c", "safe", "+OK")
-	await(t, e[0].calls, "call").reply(200)
+	receive(t, e[0].calls, "call").reply(200)
 	back.put("e", "safe", "+OK") // the connection is kept again
-	await(t, e[0].calls, "call").reply(200)
-	stopClean(t, n)
+	receive(t, e[0].calls, "call").reply(200)
+	stopAndCheckEmpty(t, n)
 	if got := ask(t, addr, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("resume of a sender that stops: %q", got)
 	}
--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -193,7 +193,7 @@
 	if err != nil || ms < 0 {
 		return 0
 	}
-	return time.Duration(min(ms, maxHold.Milliseconds())) * time.Millisecond
+	return time.Duration(min(ms, maxLifetime.Milliseconds())) * time.Millisecond
 }
 
 // loadOf reads a load report: the values in the order of names. One that can't be read is none.
--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -47,14 +47,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e, c := newEndpoint(t), testCaller()
-			got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
-			in := await(t, e.calls, "call")
+			got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", testTimeout))
+			in := receive(t, e.calls, "call")
 			io.WriteString(in.conn, text)
-			if r := await(t, got, "result"); r.outcome != logic.Spoilt || r.over {
+			if r := receive(t, got, "result"); r.outcome != logic.Spoilt || r.over {
 				t.Errorf("got %+v, want Spoilt", r)
 			}
 			in.awaitEnd(t)
-			in.done <- false
+			in.keepReading <- false
 			if c.open != 0 {
 				t.Errorf("%d connections on the books", c.open)
 			}
@@ -70,14 +70,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e, c := newEndpoint(t), testCaller()
-			got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
-			in := await(t, e.calls, "call")
+			got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", testTimeout))
+			in := receive(t, e.calls, "call")
 			go io.WriteString(in.conn, "HTTP/1.1 200 OK\r\n"+rest)
-			if r := await(t, got, "result"); r.outcome != logic.Completed {
+			if r := receive(t, got, "result"); r.outcome != logic.Completed {
 				t.Errorf("got %+v, want Completed", r)
 			}
 			in.awaitEnd(t)
-			in.done <- false
+			in.keepReading <- false
 		})
 	}
 }
@@ -87,9 +87,9 @@
 func TestFirstLineStopsShort(t *testing.T) {
 	for _, line := range []string{"HTTP/1.1 200 OK\r", "HTTP/1.1 200 O", "HTTP/1.1 200 ", "HTTP/1.1 200", "HTTP/1.1 503 x\r",
 		"HTTP/1.1 200 " + strings.Repeat("x", 8192), "HTTP/1.1 200 " + strings.Repeat("x", 8192) + "\n"} {
-		for name, end := range map[string]func(*inCall){
-			"silent": func(*inCall) {},
-			"closed": func(in *inCall) { in.conn.CloseWrite() },
+		for name, end := range map[string]func(*receivedCall){
+			"silent": func(*receivedCall) {},
+			"closed": func(in *receivedCall) { in.conn.CloseWrite() },
 		} {
 			want := map[string]logic.Outcome{"silent": logic.Spoilt, "closed": logic.Severed}[name]
 			if strings.HasSuffix(line, "\n") {
@@ -98,15 +98,15 @@
 			t.Run(fmt.Sprintf("%s, %d bytes %.16q", name, len(line), line), func(t *testing.T) {
 				t.Parallel()
 				e, c := newEndpoint(t), testCaller()
-				got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
-				in := await(t, e.calls, "call")
+				got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", testTimeout))
+				in := receive(t, e.calls, "call")
 				io.WriteString(in.conn, line)
 				end(in)
-				if r := await(t, got, "result"); r.outcome != want {
+				if r := receive(t, got, "result"); r.outcome != want {
 					t.Errorf("got %v, want %v", r.outcome, want)
 				}
 				in.awaitEnd(t)
-				in.done <- false
+				in.keepReading <- false
 			})
 		}
 	}
@@ -118,30 +118,30 @@
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			n, c, p, e := world(t, 1)
+			n, c, p, e := startNodeWithEndpoints(t, 1)
 			c.put("a", class, "+OK")
-			in := await(t, e[0].calls, "call")
+			in := receive(t, e[0].calls, "call")
 			key := in.req.Header.Get("Idempotency-Key")
 			io.WriteString(in.conn, "noise\r\n\r\n")
 			in.awaitEnd(t)
-			in.done <- false
+			in.keepReading <- false
 			if class == "unsafe" {
-				if x := await(t, p.notices, "notice"); x != (Notice{ID: "a", State: "failed"}) {
+				if x := receive(t, p.notices, "notice"); x != (Notice{ID: "a", State: "failed"}) {
 					t.Errorf("notice %+v", x)
 				}
 			} else {
-				in = await(t, e[0].calls, "call again")
+				in = receive(t, e[0].calls, "call again")
 				if in.id() != "a" || in.req.Header.Get("Idempotency-Key") != key {
 					t.Errorf("sent again as %v", in.req.Header)
 				}
 				in.reply(200)
 			}
 			c.put("b", class, "+OK")
-			in = await(t, e[0].calls, "call")
+			in = receive(t, e[0].calls, "call")
 			io.WriteString(in.conn, "HTTP/1.1 200 OK\r\n\x01\r\n\r\n")
 			in.awaitEnd(t)
-			in.done <- false
-			stopClean(t, n)
+			in.keepReading <- false
+			stopAndCheckEmpty(t, n)
 			if len(p.notices) != 0 {
 				t.Errorf("notice %+v", <-p.notices)
 			}
@@ -154,21 +154,21 @@
 func TestSurplusAnswer(t *testing.T) {
 	e, c := newEndpoint(t), testCaller()
 	c.settle = time.Hour
-	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
-	first := await(t, e.calls, "call")
+	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", testTimeout))
+	first := receive(t, e.calls, "call")
 	first.reply(200)
-	await(t, got, "result")
-	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
-	second := await(t, e.calls, "call")
+	receive(t, got, "result")
+	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", testTimeout))
+	second := receive(t, e.calls, "call")
 	if second.conn == first.conn {
 		t.Fatal("the next call came before what is behind the answer could show")
 	}
 	io.WriteString(first.conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	second.reply(500)
-	if r := await(t, got, "result"); r.outcome != logic.Errored {
+	if r := receive(t, got, "result"); r.outcome != logic.Errored {
 		t.Errorf("got %+v, want Errored", r)
 	}
-	for stop := time.Now().Add(patience); ; { // until the surplus has come
+	for stop := time.Now().Add(testTimeout); ; { // until the surplus has come
 		c.mu.Lock()
 		good := c.good(c.idle[1][0])
 		c.mu.Unlock()
@@ -180,13 +180,13 @@
 		}
 	}
 	c.settle = 0
-	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
-	third := await(t, e.calls, "call")
+	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", testTimeout))
+	third := receive(t, e.calls, "call")
 	if third.conn == first.conn {
 		t.Error("a call on a connection with an answer on it")
 	}
 	third.reply(429)
-	if r := await(t, got, "result"); r.outcome != logic.Full {
+	if r := receive(t, got, "result"); r.outcome != logic.Full {
 		t.Errorf("got %+v, want Full", r)
 	}
 }
@@ -196,15 +196,15 @@
 	for _, x := range []struct {
 		name string
 		time time.Duration
-		end  func(cancel func(), in *inCall)
+		end  func(cancel func(), in *receivedCall)
 		want logic.Outcome
 	}{
-		{"late", patience, func(_ func(), in *inCall) {
+		{"late", testTimeout, func(_ func(), in *receivedCall) {
 			time.Sleep(headTime + headTime/4) // the time that the rest of a head has
 			in.reply(200)
 		}, logic.Completed},
-		{"cancelled", patience, func(cancel func(), in *inCall) { cancel(); in.awaitEnd(t); in.reset() }, logic.Recalled},
-		{"silent", 100 * time.Millisecond, func(_ func(), in *inCall) { in.awaitEnd(t); in.reset() }, logic.Overdue},
+		{"cancelled", testTimeout, func(cancel func(), in *receivedCall) { cancel(); in.awaitEnd(t); in.reset() }, logic.Recalled},
+		{"silent", 100 * time.Millisecond, func(_ func(), in *receivedCall) { in.awaitEnd(t); in.reset() }, logic.Overdue},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
@@ -212,10 +212,10 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			got := goDo(ctx, c, newCall(t, e.addr(), "hello", x.time))
-			in := await(t, e.calls, "call")
+			in := receive(t, e.calls, "call")
 			io.WriteString(in.conn, "HTTP/1.1 102 Processing\r\nA: b\r\n\r\n")
 			x.end(cancel, in)
-			if r := await(t, got, "result"); r.outcome != x.want {
+			if r := receive(t, got, "result"); r.outcome != x.want {
 				t.Errorf("got %+v, want %v", r, x.want)
 			}
 		})
@@ -225,23 +225,23 @@
 // A call for which this process has no descriptor was never sent, and says nothing of the endpoint; an idle
 // connection makes room.
 func TestNoDescriptors(t *testing.T) {
-	e, c := newEndpoint(t), newCaller(time.Second, time.Hour, 4, shares{calls: 1, idle: 1}, new(atomic.Int64))
-	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
-	in := await(t, e.calls, "call")
-	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.Unsent || !r.local {
+	e, c := newEndpoint(t), newCaller(time.Second, time.Hour, 4, socketBudget{calls: 1, idle: 1}, new(atomic.Int64))
+	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", testTimeout))
+	in := receive(t, e.calls, "call")
+	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.Unsent || !r.local {
 		t.Errorf("got %+v, want Unsent for a local cause", r)
 	}
 	in.reply(200)
-	await(t, got, "result")
+	receive(t, got, "result")
 	other := newEndpoint(t)
-	call := newCall(t, other.addr(), "hello", patience)
+	call := newCall(t, other.addr(), "hello", testTimeout)
 	call.ep = 2
 	got = goDo(t.Context(), c, call)
-	await(t, other.calls, "call where an idle connection made room").reply(200)
-	await(t, got, "result")
+	receive(t, other.calls, "call where an idle connection made room").reply(200)
+	receive(t, got, "result")
 	c.release(2)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return syscall.EMFILE }
-	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.Unsent || !r.local {
+	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.Unsent || !r.local {
 		t.Errorf("got %+v, want Unsent for a local cause", r)
 	}
 	if c.open != 0 || c.count != 0 {
@@ -319,14 +319,14 @@
 			}
 			l.Instances = append(l.Instances, in)
 		}
-		n.dir.Take(l, time.Now())
+		n.directory.Take(l, time.Now())
 		st, err := n.handoverState()
 		if err != nil {
 			t.Fatal(err)
 		}
 		later := NewDirectory(n.cfg)
 		later.restore(st, n.clock)
-		for who, d := range map[string]*Directory{"this process": n.dir, "the next": later} {
+		for who, d := range map[string]*Directory{"this process": n.directory, "the next": later} {
 			if d.listed() != len(on) {
 				t.Fatalf("list %d: %s has %d endpoints, want %d", i, who, d.listed(), len(on))
 			}
@@ -351,7 +351,7 @@
 		conn, peer := net.Pipe()
 		defer conn.Close()
 		defer peer.Close()
-		r, keep := readAnswer(newReader(in), &cutoff{conn: conn, by: time.Now().Add(patience)})
+		r, keep := readAnswer(newReader(in), &cutoff{conn: conn, by: time.Now().Add(testTimeout)})
 		if r.outcome == logic.Completed && !(strings.Contains(in, "HTTP/1.") && strings.Contains(in, " 200")) {
 			t.Errorf("%q is read as a delivery", in)
 		}
@@ -363,11 +363,11 @@
 
 // Connections to an endpoint that is taken off the list are given back, and a new one at its address starts afresh.
 func TestRemovedEndpoint(t *testing.T) {
-	n, c, p, e := world(t, 1)
+	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "safe", "+OK")
-	first := await(t, e[0].calls, "call")
+	first := receive(t, e[0].calls, "call")
 	first.reply(200)
-	for stop := time.Now().Add(patience); ; { // until the connection is idle
+	for stop := time.Now().Add(testTimeout); ; { // until the connection is idle
 		n.caller.mu.Lock()
 		idle := n.caller.count
 		n.caller.mu.Unlock()
@@ -380,10 +380,10 @@
 	}
 	again := instances(e[0])
 	again[0].ID = "new at the old address"
-	p.set(func() { p.list = List{Generation: 2, Reset: true, Instances: again} })
-	taken(t, p, 2)
+	p.update(func() { p.list = List{Generation: 2, Reset: true, Instances: again} })
+	awaitListGeneration(t, p, 2)
 	c.put("b", "safe", "+OK")
-	second := await(t, e[0].calls, "call")
+	second := receive(t, e[0].calls, "call")
 	if second.conn == first.conn {
 		t.Error("the new endpoint is called over a connection of the old one")
 	}
@@ -393,28 +393,28 @@
 		t.Errorf("%d connections to the old endpoint are kept", len(n.caller.idle[1]))
 	}
 	n.caller.mu.Unlock()
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // While kept connections break under calls, a call that a reset would end for good goes over a new one.
 func TestFragileKeepsOffBreakingConnections(t *testing.T) {
 	e, c := newEndpoint(t), testCaller()
 	c.settle = 0
-	call := func(fragile bool, end func(*inCall)) (*inCall, result) {
+	call := func(fragile bool, end func(*receivedCall)) (*receivedCall, result) {
 		t.Helper()
-		in := newCall(t, e.addr(), "hello", patience)
+		in := newCall(t, e.addr(), "hello", testTimeout)
 		in.fragile = fragile
 		got := goDo(t.Context(), c, in)
-		out := await(t, e.calls, "call")
+		out := receive(t, e.calls, "call")
 		end(out)
-		return out, await(t, got, "result")
+		return out, receive(t, got, "result")
 	}
-	answered := func(in *inCall) { in.reply(200) }
+	answered := func(in *receivedCall) { in.reply(200) }
 	first, _ := call(true, answered)
 	if second, _ := call(true, answered); second.conn != first.conn {
 		t.Error("kept connections are not used while none breaks")
 	}
-	if _, r := call(false, (*inCall).reset); r.outcome != logic.Severed {
+	if _, r := call(false, (*receivedCall).reset); r.outcome != logic.Severed {
 		t.Errorf("got %+v, want Severed", r)
 	}
 	third, _ := call(false, answered)
@@ -428,10 +428,10 @@
 	for _, status := range []int{200, 503, 500} {
 		n, e := bulkStep(t, map[string]string{"a": "x"})
 		n.cfg.Deploy.Reports = []string{"x0", "x1"}
-		n.launch(t.Context())
-		await(t, e.calls, "call").reply(status, "Endpoint-Load-Metrics: x0=0.4,x1=25")
-		n.reply(await(t, n.events, "outcome").(replyEvent))
-		if got := n.next[0].(logic.Reply).Load; !slices.Equal(got, []float64{0.4, 25}) {
+		n.sendPendingCalls(t.Context())
+		receive(t, e.calls, "call").reply(status, "Endpoint-Load-Metrics: x0=0.4,x1=25")
+		n.handleAttemptResult(receive(t, n.events, "outcome").(attemptResultEvent))
+		if got := n.pendingEvents[0].(logic.Reply).Load; !slices.Equal(got, []float64{0.4, 25}) {
 			t.Errorf("%d: load %v", status, got)
 		}
 	}
--- a/internal/node/trail.go
+++ b/internal/node/attempt_log.go
@@ -14,23 +14,23 @@
 
 // trail is the course of a message: each attempt as the time of its send, its endpoint, its outcome and the
 // time of that, in milliseconds from when the message came.
-type trail struct {
-	came time.Time
-	text []byte
+type attemptLog struct {
+	receivedAt time.Time
+	text       []byte
 }
 
-func (t *trail) ms() int64 { return time.Since(t.came).Milliseconds() }
+func (t *attemptLog) elapsedMS() int64 { return time.Since(t.receivedAt).Milliseconds() }
 
-func (t *trail) sent(ep logic.EndpointID) {
+func (t *attemptLog) addSend(ep logic.EndpointID) {
 	if len(t.text) > 0 {
 		t.text = append(t.text, ' ')
 	}
-	t.text = fmt.Appendf(t.text, "%d>%d", t.ms(), ep)
+	t.text = fmt.Appendf(t.text, "%d>%d", t.elapsedMS(), ep)
 }
 
 // heard notes an outcome, with the time for which a kept connection had been idle.
-func (t *trail) heard(r result) {
-	t.text = fmt.Appendf(t.text, ":%s@%d", outcomeNames[r.outcome], t.ms())
+func (t *attemptLog) addOutcome(r result) {
+	t.text = fmt.Appendf(t.text, ":%s@%d", outcomeNames[r.outcome], t.elapsedMS())
 	if r.idle > 0 {
 		t.text = fmt.Appendf(t.text, "(idle %d)", r.idle.Milliseconds())
 	}
--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -151,7 +151,7 @@
 	conn, err := c.connect(ctx, &first, deadline)
 	var sent []*call
 	for _, o := range group {
-		if o.write() {
+		if o.claimWrite() {
 			sent = append(sent, o.call)
 		} else {
 			b.settle(o.call, result{outcome: logic.Moot})
@@ -161,7 +161,7 @@
 		r := result{outcome: logic.RefusedConn}
 		if ownFault(err) {
 			r = result{outcome: logic.Unsent, local: true}
-			pause(ctx, jitter(retryPause)) // descriptors, say: room may come
+			sleepContext(ctx, jitter(attemptRetryDelay)) // descriptors, say: room may come
 		}
 		b.settleAll(sent, r)
 		return
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -16,7 +16,7 @@
 
 // bulkStep is a sender that is not running and has decided to send each message to an endpoint of a kind that
 // takes batches.
-func bulkStep(t *testing.T, bodies map[string]string) (*Node, *endpoint) {
+func bulkStep(t *testing.T, bodies map[string]string) (*Node, *testEndpoint) {
 	t.Helper()
 	e, p := newEndpoint(t), newPlatform(t)
 	cfg, err := ParseConfig(configText(p, List{}))
@@ -30,21 +30,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { n.journal.Close() })
-	rows := n.dir.Take(List{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
+	rows := n.directory.Take(List{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
 	for _, id := range slices.Sorted(maps.Keys(bodies)) {
 		m := Message{ID: id, Class: "safe", Dest: 1, Body: []byte(bodies[id])}
-		n.held[id] = takenOn(t, n, m)
-		n.callOut(t.Context(), logic.CallOut{ID: id, GiveUp: micros(patience), Endpoint: rows[0].Endpoint}, true)
+		n.active[id] = takenOn(t, n, m)
+		n.startAttempt(t.Context(), logic.CallOut{ID: id, GiveUp: toMicros(testTimeout), Endpoint: rows[0].Endpoint}, true)
 	}
 	return n, e
 }
 
 // takenOn puts a message on the books, with time left.
-func takenOn(t *testing.T, n *Node, m Message) *held {
+func takenOn(t *testing.T, n *Node, m Message) *activeMessage {
 	t.Helper()
-	m.Deadline = n.clock.Now() + (2 * patience).Microseconds()
+	m.Deadline = n.clock.Now() + (2 * testTimeout).Microseconds()
 	mustAppend(t, n.journal, record{Op: opAccept, Entry: &Entry{Message: m}})
-	return &held{msg: &n.journal.Entry(m.ID).Message, trail: trail{came: time.Now()}}
+	return &activeMessage{msg: &n.journal.Entry(m.ID).Message, log: attemptLog{receivedAt: time.Now()}}
 }
 
 // ends collects the outcomes of so many calls.
@@ -52,24 +52,24 @@
 	t.Helper()
 	out := map[string]logic.Outcome{}
 	for range count {
-		ev := await(t, n.events, "outcome").(replyEvent)
+		ev := receive(t, n.events, "outcome").(attemptResultEvent)
 		out[ev.call.id] = ev.result.outcome
 	}
 	return out
 }
 
 // bulkBody answers 200 with a body.
-func bulkBody(c *inCall, body string) {
+func bulkBody(c *receivedCall, body string) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	c.done <- true
+	c.keepReading <- true
 }
 
 // What one step sends to one endpoint is one call: so the module counts slots, pace and budget.
 func TestBulkIsOneCall(t *testing.T) {
 	bodies := map[string]string{"a": "body of a", "b": "\x00\xff", "c": ""}
 	n, e := bulkStep(t, bodies)
-	n.launch(t.Context())
-	in := await(t, e.calls, "call")
+	n.sendPendingCalls(t.Context())
+	in := receive(t, e.calls, "call")
 	if in.req.URL.Path != "/inbox/bulk" || in.req.Header.Get("X-Expires-In-Ms") != "20000" {
 		t.Fatalf("call to %s with %v", in.req.URL.Path, in.req.Header)
 	}
@@ -89,7 +89,7 @@
 	if got := ends(t, n, 3); !maps.Equal(got, want) {
 		t.Errorf("outcomes %v, want %v", got, want)
 	}
-	e.none(t)
+	e.expectNoCall(t)
 	if len(e.conns) != 1 {
 		t.Errorf("%d connections", len(e.conns))
 	}
@@ -99,10 +99,10 @@
 func TestBulkLastDeadlineFirst(t *testing.T) {
 	n, e := bulkStep(t, map[string]string{"a": "x", "b": "y", "c": "z"})
 	for id, deadline := range map[string]int64{"a": 2, "b": 1, "c": 3} {
-		n.held[id].msg.Deadline = deadline
+		n.active[id].msg.Deadline = deadline
 	}
-	n.launch(t.Context())
-	in := await(t, e.calls, "call")
+	n.sendPendingCalls(t.Context())
+	in := receive(t, e.calls, "call")
 	var items []bulkItem
 	if err := json.Unmarshal([]byte(in.body), &items); err != nil {
 		t.Fatal(err)
@@ -136,13 +136,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, e := bulkStep(t, map[string]string{"a": "x", "b": "y"})
-			n.launch(t.Context())
-			in := await(t, e.calls, "call")
+			n.sendPendingCalls(t.Context())
+			in := receive(t, e.calls, "call")
 			io.WriteString(in.conn, x.answer)
 			if name == "cut short" {
 				in.conn.Close()
 			}
-			in.done <- false
+			in.keepReading <- false
 			if got := ends(t, n, 2); got["a"] != x.a || got["b"] != x.b {
 				t.Errorf("outcomes %v", got)
 			}
@@ -156,9 +156,9 @@
 	for _, copies := range []bool{true, false} {
 		n, e := bulkStep(t, map[string]string{"a": "x", "b": "y", "c": "z"})
 		n.caller.copies = copies
-		n.launch(t.Context())
-		in := await(t, e.calls, "call")
-		n.held["a"].stop()
+		n.sendPendingCalls(t.Context())
+		in := receive(t, e.calls, "call")
+		n.active["a"].cancel()
 		if copies {
 			if got := ends(t, n, 1); got["a"] != logic.Recalled {
 				t.Fatalf("outcomes %v", got)
@@ -178,29 +178,29 @@
 // Once all are called off, the endpoint is told by the end of the connection.
 func TestBulkCancelAll(t *testing.T) {
 	n, e := bulkStep(t, map[string]string{"a": "x", "b": "y"})
-	n.launch(t.Context())
-	in := await(t, e.calls, "call")
-	n.held["a"].stop()
-	n.held["b"].stop()
+	n.sendPendingCalls(t.Context())
+	in := receive(t, e.calls, "call")
+	n.active["a"].cancel()
+	n.active["b"].cancel()
 	if got := ends(t, n, 2); got["a"] != logic.Recalled || got["b"] != logic.Recalled {
 		t.Errorf("outcomes %v", got)
 	}
 	in.awaitEnd(t)
 	in.conn.Close()
-	in.done <- false
+	in.keepReading <- false
 }
 
 // A body holds 64 KiB: messages that would not fit go in a call of their own.
 func TestBulkBody(t *testing.T) {
 	n, e := bulkStep(t, map[string]string{"a": strings.Repeat("x", 40<<10), "b": strings.Repeat("y", 40<<10), "c": "z"})
-	n.launch(t.Context())
+	n.sendPendingCalls(t.Context())
 	for range 2 {
-		in := await(t, e.calls, "call")
+		in := receive(t, e.calls, "call")
 		if len(in.body) > 64<<10 {
 			t.Errorf("a body of %d bytes", len(in.body))
 		}
 		in.reply(503)
 	}
 	ends(t, n, 3)
-	e.none(t)
+	e.expectNoCall(t)
 }
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -83,7 +83,7 @@
 	idleTime    time.Duration
 	perEndpoint int
 	copies      bool // a message may be sent again while a call with it is out
-	most        shares
+	most        socketBudget
 	relayed     *atomic.Int64 // messages written whole
 	mu          sync.Mutex
 	idle        map[logic.EndpointID][]*idleConn
@@ -92,7 +92,7 @@
 	brokeAt     time.Time // when a kept connection last broke under a call
 }
 
-func newCaller(connectTime, idleTime time.Duration, perEndpoint int, most shares, relayed *atomic.Int64) *caller {
+func newCaller(connectTime, idleTime time.Duration, perEndpoint int, most socketBudget, relayed *atomic.Int64) *caller {
 	return &caller{dialer: net.Dialer{Timeout: connectTime}, linger: lingerTime, settle: settleTime, idleTime: idleTime,
 		perEndpoint: max(perEndpoint, 1), most: most, relayed: relayed, idle: map[logic.EndpointID][]*idleConn{}}
 }
@@ -101,7 +101,7 @@
 func (c *caller) do(ctx context.Context, in *call) result {
 	deadline := time.Now().Add(in.giveUp)
 	conn, err := c.connect(ctx, in, deadline)
-	if !in.write() {
+	if !in.claimWrite() {
 		if err == nil && !c.put(in.ep, conn) {
 			c.drop(conn)
 		}
@@ -345,7 +345,7 @@
 	if time.Since(conn.since) > c.idleTime-min(idleMargin, c.idleTime/4) {
 		return false
 	}
-	alive, data := peek(conn.Conn)
+	alive, data := peekConn(conn.Conn)
 	return alive && !data
 }
 
@@ -382,7 +382,7 @@
 }
 
 // setMost bounds the connections anew; the oldest kept ones above the bound go.
-func (c *caller) setMost(most shares) {
+func (c *caller) setMost(most socketBudget) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.most = most
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -24,7 +24,7 @@
 }
 
 func testCaller() *caller {
-	return newCaller(time.Second, 10*time.Second, 4, shares{calls: 16, idle: 16}, new(atomic.Int64))
+	return newCaller(time.Second, 10*time.Second, 4, socketBudget{calls: 16, idle: 16}, new(atomic.Int64))
 }
 
 // goDo makes a call in the background.
@@ -54,14 +54,14 @@
 		{504, nil, result{outcome: logic.Moot}},
 		{410, nil, result{outcome: logic.Moot, over: true}},
 	} {
-		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
-		in := await(t, e.calls, "call")
+		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", testTimeout))
+		in := receive(t, e.calls, "call")
 		if in.body != "hello" || in.id() != "m1" || in.req.Header.Get("Idempotency-Key") != "k1" ||
 			in.req.Header.Get("X-Expires-In-Ms") != "20000" || in.req.URL.Path != "/inbox" {
 			t.Fatalf("request went out changed: %+v %q", in.req, in.body)
 		}
 		in.reply(x.status, x.headers...)
-		r := await(t, got, "result")
+		r := receive(t, got, "result")
 		r.idle = 0 // for the log alone
 		if r != x.want {
 			t.Errorf("%d %v: got %+v, want %+v", x.status, x.headers, r, x.want)
@@ -89,7 +89,7 @@
 	c := testCaller()
 	c.dialer.Control = small
 	// Far more than both buffers hold, so that the last byte cannot have been written.
-	got := goDo(t.Context(), c, newCall(t, ln.Addr().String(), strings.Repeat("x", 8<<20), patience))
+	got := goDo(t.Context(), c, newCall(t, ln.Addr().String(), strings.Repeat("x", 8<<20), testTimeout))
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 	}
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
-	if r := await(t, got, "result"); r.outcome != logic.RefusedConn {
+	if r := receive(t, got, "result"); r.outcome != logic.RefusedConn {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 }
@@ -107,17 +107,17 @@
 // After the last byte it may have run, however the connection ends.
 func TestBreakAfterLastByte(t *testing.T) {
 	e, c := newEndpoint(t), testCaller()
-	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
-	await(t, e.calls, "call").reset()
-	if r := await(t, got, "result"); r.outcome != logic.Severed {
+	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", testTimeout))
+	receive(t, e.calls, "call").reset()
+	if r := receive(t, got, "result"); r.outcome != logic.Severed {
 		t.Errorf("reset: got %+v, want Severed", r)
 	}
-	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
-	in := await(t, e.calls, "call")
+	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", testTimeout))
+	in := receive(t, e.calls, "call")
 	io.WriteString(in.conn, "HTTP/1.1 2")
 	in.conn.Close()
-	in.done <- false
-	if r := await(t, got, "result"); r.outcome != logic.Severed {
+	in.keepReading <- false
+	if r := receive(t, got, "result"); r.outcome != logic.Severed {
 		t.Errorf("half an answer: got %+v, want Severed", r)
 	}
 }
@@ -126,7 +126,7 @@
 func TestConnectionRefused(t *testing.T) {
 	e, c := newEndpoint(t), testCaller()
 	e.ln.Close()
-	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.RefusedConn {
+	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.RefusedConn {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 }
@@ -134,18 +134,18 @@
 // A connection that the endpoint has closed, or that is about to be closed for its age, would turn the next call
 // into a reset, which an unsafe message does not survive.
 func TestStaleConnection(t *testing.T) {
-	e, c := newEndpoint(t), newCaller(time.Second, time.Hour, 4, shares{calls: 16, idle: 16}, new(atomic.Int64))
+	e, c := newEndpoint(t), newCaller(time.Second, time.Hour, 4, socketBudget{calls: 16, idle: 16}, new(atomic.Int64))
 	c.settle = 0
-	call := func(end func(*inCall)) {
+	call := func(end func(*receivedCall)) {
 		t.Helper()
-		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
-		end(await(t, e.calls, "call"))
-		if r := await(t, got, "result"); r.outcome != logic.Completed {
+		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", testTimeout))
+		end(receive(t, e.calls, "call"))
+		if r := receive(t, got, "result"); r.outcome != logic.Completed {
 			t.Fatalf("got %+v, want Completed", r)
 		}
 	}
-	call(func(in *inCall) { in.replyAndClose(200) })
-	for stop := time.Now().Add(patience); ; { // until the end of the connection has come
+	call(func(in *receivedCall) { in.replyAndClose(200) })
+	for stop := time.Now().Add(testTimeout); ; { // until the end of the connection has come
 		c.mu.Lock()
 		gone := len(c.idle[1]) == 0 || !c.good(c.idle[1][0])
 		c.mu.Unlock()
@@ -156,14 +156,14 @@
 			t.Fatal("the closed connection stays good")
 		}
 	}
-	call(func(in *inCall) { in.reply(200) })
+	call(func(in *receivedCall) { in.reply(200) })
 	if n := len(e.conns); n != 2 {
 		t.Fatalf("%d connections, want a second after the first was closed", n)
 	}
 	c.mu.Lock()
 	c.idle[1][0].since = time.Now().Add(200*time.Millisecond - time.Hour)
 	c.mu.Unlock()
-	call(func(in *inCall) { in.reply(200) })
+	call(func(in *receivedCall) { in.reply(200) })
 	if n := len(e.conns); n != 3 {
 		t.Fatalf("%d connections, want a third after the second grew old", n)
 	}
@@ -183,50 +183,50 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 30 {
-		got := goDo(t.Context(), c, newCall(t, e.addr(), "first", patience)) // leaves a kept connection
-		await(t, e.calls, "call").reply(200)
-		await(t, got, "result")
-		if r := c.do(ctx, newCall(t, e.addr(), "over", patience)); r.outcome != logic.RefusedConn {
+		got := goDo(t.Context(), c, newCall(t, e.addr(), "first", testTimeout)) // leaves a kept connection
+		receive(t, e.calls, "call").reply(200)
+		receive(t, got, "result")
+		if r := c.do(ctx, newCall(t, e.addr(), "over", testTimeout)); r.outcome != logic.RefusedConn {
 			t.Fatalf("got %+v, want RefusedConn", r)
 		}
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // A call that is given up must be over for the endpoint too before its outcome is told: the next attempt would be
 // a second copy.
 func TestGiveUp(t *testing.T) {
 	e, c := newEndpoint(t), testCaller()
-	c.linger = 2 * patience // only the endpoint's own end of the call can cut it short
+	c.linger = 2 * testTimeout // only the endpoint's own end of the call can cut it short
 	ctx, cancel := context.WithCancel(t.Context())
-	got := goDo(ctx, c, newCall(t, e.addr(), "hello", patience))
-	in := await(t, e.calls, "call")
+	got := goDo(ctx, c, newCall(t, e.addr(), "hello", testTimeout))
+	in := receive(t, e.calls, "call")
 	cancel()
 	in.awaitEnd(t)
 	in.reset()
-	if r := await(t, got, "result"); r.outcome != logic.Recalled {
+	if r := receive(t, got, "result"); r.outcome != logic.Recalled {
 		t.Errorf("cancelled: got %+v, want Recalled", r)
 	}
 	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", 30*time.Millisecond))
-	in = await(t, e.calls, "call")
+	in = receive(t, e.calls, "call")
 	in.awaitEnd(t)
 	in.reset()
-	if r := await(t, got, "result"); r.outcome != logic.Overdue {
+	if r := receive(t, got, "result"); r.outcome != logic.Overdue {
 		t.Errorf("timed out: got %+v, want Overdue", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
-	got = goDo(ctx, c, newCall(t, e.addr(), "hello", patience))
-	in = await(t, e.calls, "call")
+	got = goDo(ctx, c, newCall(t, e.addr(), "hello", testTimeout))
+	in = receive(t, e.calls, "call")
 	cancel()
 	in.awaitEnd(t)
 	in.reply(200)
-	if r := await(t, got, "result"); r.outcome != logic.Completed {
+	if r := receive(t, got, "result"); r.outcome != logic.Completed {
 		t.Errorf("answered while it was given up: got %+v, want Completed", r)
 	}
 	c.linger = time.Millisecond // an endpoint that does not react
 	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", 30*time.Millisecond))
-	in = await(t, e.calls, "call")
-	if r := await(t, got, "result"); r.outcome != logic.Overdue {
+	in = receive(t, e.calls, "call")
+	if r := receive(t, got, "result"); r.outcome != logic.Overdue {
 		t.Errorf("silent: got %+v, want Overdue", r)
 	}
 	in.awaitEnd(t)
@@ -240,16 +240,16 @@
 	e, c := newEndpoint(t), testCaller()
 	ctx, cancel := context.WithCancel(t.Context())
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
-	if r := c.do(ctx, newCall(t, e.addr(), "hello", patience)); r.outcome != logic.RefusedConn {
+	if r := c.do(ctx, newCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.RefusedConn {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // A wait or a drain that becomes known while a call connects binds it: it must not be written afterwards.
 func TestHeldWhileConnecting(t *testing.T) {
 	e, c := newEndpoint(t), testCaller()
-	in := newCall(t, e.addr(), "hello", patience)
+	in := newCall(t, e.addr(), "hello", testTimeout)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 		in.state.CompareAndSwap(callConnecting, callHeld)
 		return nil
@@ -257,28 +257,28 @@
 	if r := c.do(t.Context(), in); r.outcome != logic.Moot {
 		t.Errorf("got %+v, want Moot", r)
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // Connecting takes time: a repeat that would be written after the destination has forgotten its key is not made.
 func TestWriteBy(t *testing.T) {
 	e, c := newEndpoint(t), testCaller()
-	in := newCall(t, e.addr(), "hello", patience)
+	in := newCall(t, e.addr(), "hello", testTimeout)
 	in.writeBy = time.Now().Add(-time.Millisecond)
 	if r := c.do(t.Context(), in); r.outcome != logic.Moot {
 		t.Errorf("got %+v, want Moot", r)
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // An interim answer is not the outcome.
 func TestInterimAnswer(t *testing.T) {
 	e, c := newEndpoint(t), testCaller()
-	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
-	in := await(t, e.calls, "call")
+	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", testTimeout))
+	in := receive(t, e.calls, "call")
 	io.WriteString(in.conn, "HTTP/1.1 102 Processing\r\n\r\n")
 	in.reply(200)
-	if r := await(t, got, "result"); r.outcome != logic.Completed {
+	if r := receive(t, got, "result"); r.outcome != logic.Completed {
 		t.Errorf("got %+v, want Completed", r)
 	}
 }
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -12,56 +12,56 @@
 )
 
 const (
-	acceptPause   = 5 * time.Millisecond
-	maxPipelined  = 16 // requests of one connection that wait for their answers
-	smallRequest  = 4 << 10
-	largeRequest  = maxBulk + smallRequest
-	largeShare    = 8 // the part of the memory that large requests may take until they are answered
-	defaultMemory = 192
+	acceptRetryDelay   = 5 * time.Millisecond
+	maxPipelined       = 16 // requests of one connection that wait for their answers
+	smallRequestBytes  = 4 << 10
+	maxRequestBytes    = maxBulkBytes + smallRequestBytes
+	largeMemoryDivisor = 8 // the part of the memory that large requests may take until they are answered
+	defaultMemoryMB    = 192
 )
 
 // putEvent is a message that a client hands in. The loop sends its one answer.
 type putEvent struct {
-	msg    Message
-	answer chan<- string
+	msg   Message
+	reply chan<- string
 }
 
 // clients serves the RESP2 side: it accepts connections within the process's means
 // and closes the idlest to make room for new ones.
-type clients struct {
-	cfg      *Config
-	log      *slog.Logger
-	events   chan<- any
-	clock    *clock.Lasting // set before clients are served
-	figures  *figures
-	most     int           // connections
-	large    chan struct{} // a place for each large request that is not answered
-	mu       sync.Mutex
-	sessions map[*session]struct{}
-	phase    phase
-	parting  bool          // a connection ends when no request is open on it
-	part     *time.Timer   // starts that
-	readBy   time.Time     // no request is taken after this; zero for no such time
-	accepted chan struct{} // closed when no more are accepted
-	wg       sync.WaitGroup
+type clientServer struct {
+	cfg            *Config
+	log            *slog.Logger
+	events         chan<- any
+	clock          *clock.Lasting // set before clients are served
+	metrics        *figures
+	maxConns       int           // connections
+	largeSlots     chan struct{} // a place for each large request that is not answered
+	mu             sync.Mutex
+	sessions       map[*session]struct{}
+	phase          phase
+	closingIdle    bool          // a connection ends when no request is open on it
+	closeIdleTimer *time.Timer   // starts that
+	readCutoff     time.Time     // no request is taken after this; zero for no such time
+	acceptDone     chan struct{} // closed when no more are accepted
+	wg             sync.WaitGroup
 }
 
-func newClients(cfg *Config, log *slog.Logger, events chan<- any, figures *figures) *clients {
+func newClientServer(cfg *Config, log *slog.Logger, events chan<- any, figures *figures) *clientServer {
 	memory := cfg.Limits.MemoryMB
 	if memory <= 0 {
-		memory = defaultMemory
+		memory = defaultMemoryMB
 	}
-	c := &clients{cfg: cfg, log: log, events: events, most: shareOut(cfg).clients, sessions: map[*session]struct{}{},
-		clock: clock.New(), figures: figures, accepted: make(chan struct{}),
-		large: make(chan struct{}, max(int(memory*(1<<20)/largeShare/largeRequest), 8))}
-	c.part = time.AfterFunc(time.Hour, c.startParting)
-	c.part.Stop()
+	c := &clientServer{cfg: cfg, log: log, events: events, maxConns: newSocketBudget(cfg).clients, sessions: map[*session]struct{}{},
+		clock: clock.New(), metrics: figures, acceptDone: make(chan struct{}),
+		largeSlots: make(chan struct{}, max(int(memory*(1<<20)/largeMemoryDivisor/maxRequestBytes), 8))}
+	c.closeIdleTimer = time.AfterFunc(time.Hour, c.startClosingIdle)
+	c.closeIdleTimer.Stop()
 	return c
 }
 
 // serve accepts connections until the listener is closed.
-func (c *clients) serve(ln net.Listener) {
-	defer close(c.accepted)
+func (c *clientServer) serve(ln net.Listener) {
+	defer close(c.acceptDone)
 	failing := failures{log: c.log, what: "accept"}
 	for {
 		conn, err := ln.Accept()
@@ -71,13 +71,13 @@
 		failing.note(err)
 		if err != nil {
 			// Only where this process is out of descriptors does one that closes make room.
-			if !errors.Is(err, syscall.EMFILE) || !c.evict() {
-				time.Sleep(acceptPause)
+			if !errors.Is(err, syscall.EMFILE) || !c.evictIdlest() {
+				time.Sleep(acceptRetryDelay)
 			}
 			continue
 		}
-		s := &session{c: c, conn: conn, opened: time.Now(), fresh: true}
-		s.since = s.opened
+		s := &session{server: c, conn: conn, openedAt: time.Now(), noRequestYet: true}
+		s.idleSince = s.openedAt
 		if !c.admit(s) {
 			conn.Close()
 			continue
@@ -93,59 +93,59 @@
 
 // admit takes a connection on. When all places are taken, the idlest one without a
 // request under way goes; if there is none, the new one does.
-func (c *clients) admit(s *session) bool {
+func (c *clientServer) admit(s *session) bool {
 	for {
 		c.mu.Lock()
-		if c.phase == stopping && c.parting {
+		if c.phase == stopping && c.closingIdle {
 			c.mu.Unlock()
 			return false
 		}
-		if len(c.sessions) < c.most {
+		if len(c.sessions) < c.maxConns {
 			c.sessions[s] = struct{}{}
 			c.wg.Add(1)
 			c.mu.Unlock()
 			return true
 		}
 		c.mu.Unlock()
-		if !c.evict() {
+		if !c.evictIdlest() {
 			return false
 		}
 	}
 }
 
 // setMost bounds the connections anew; the idlest above the bound go.
-func (c *clients) setMost(most int) {
+func (c *clientServer) setMaxConns(most int) {
 	c.mu.Lock()
-	c.most = most
+	c.maxConns = most
 	over := len(c.sessions) - most
 	c.mu.Unlock()
-	for ; over > 0 && c.evict(); over-- {
+	for ; over > 0 && c.evictIdlest(); over-- {
 	}
 }
 
 // evict closes the idlest connection; false if a request is under way on each.
-func (c *clients) evict() bool {
+func (c *clientServer) evictIdlest() bool {
 	c.mu.Lock()
 	var idlest *session
 	for s := range c.sessions {
-		if s.open == 0 && (idlest == nil || s.since.Before(idlest.since)) {
+		if s.openRequests == 0 && (idlest == nil || s.idleSince.Before(idlest.idleSince)) {
 			idlest = s
 		}
 	}
 	if idlest != nil {
-		idlest.gone = true
+		idlest.evicted = true
 		delete(c.sessions, idlest)
 	}
 	c.mu.Unlock()
 	if idlest == nil {
 		return false
 	}
-	c.figures.closed.add(string(closedEvicted))
+	c.metrics.closed.add(string(closedEvicted))
 	idlest.conn.Close()
 	return true
 }
 
-func (c *clients) remove(s *session) {
+func (c *clientServer) remove(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.sessions, s)
@@ -183,7 +183,7 @@
 
 // peek looks at a connection without reading or waiting: whether the peer has it
 // open still, and whether something has come.
-func peek(conn net.Conn) (alive, data bool) {
+func peekConn(conn net.Conn) (alive, data bool) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return false, false
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -10,7 +10,7 @@
 )
 
 // ended reads until the sender closes the connection.
-func (c *client) ended() string {
+func (c *testClient) readToEnd() string {
 	c.t.Helper()
 	b, err := io.ReadAll(c.r)
 	if isTimeout(err) {
@@ -21,13 +21,13 @@
 
 // A client that says nothing, or half a request, would keep its place for good.
 func TestSilentClients(t *testing.T) {
-	n, _, _, _ := world(t, 1)
+	n, _, _, _ := startNodeWithEndpoints(t, 1)
 	for name, said := range map[string]string{"nothing": "", "half a length": "*5", "half a request": "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			at, c := time.Now(), dial(t, n.addr)
+			at, c := time.Now(), dialClient(t, n.addr)
 			io.WriteString(c.conn, said)
-			got := c.ended()
+			got := c.readToEnd()
 			if d := time.Since(at); d < 2*time.Second || d > 3*time.Second {
 				t.Errorf("closed after %v", d)
 			}
@@ -40,20 +40,20 @@
 
 // Connections that asked once and stay must not keep new clients out: the idlest makes room. One with a request
 // under way never does.
-func TestFullOfClients(t *testing.T) {
-	n, first, _, e := world(t, 1, func(n *Node) { n.clients.most = 3 })
+func TestConnectionLimitEvictsIdlest(t *testing.T) {
+	n, first, _, e := startNodeWithEndpoints(t, 1, func(n *Node) { n.clients.maxConns = 3 })
 	first.put("a", "safe", "+OK")
-	await(t, e[0].calls, "call").reply(200)
-	second := dial(t, n.addr)
+	receive(t, e[0].calls, "call").reply(200)
+	second := dialClient(t, n.addr)
 	second.put("b", "safe", "+OK")
-	await(t, e[0].calls, "call").reply(200)
-	half := dial(t, n.addr)
+	receive(t, e[0].calls, "call").reply(200)
+	half := dialClient(t, n.addr)
 	io.WriteString(half.conn, "*1\r\n$4\r\nPI")
-	for stop := time.Now().Add(patience); ; { // until the sender has it
+	for stop := time.Now().Add(testTimeout); ; { // until the sender has it
 		n.clients.mu.Lock()
 		begun := 0
 		for s := range n.clients.sessions {
-			begun += s.open
+			begun += s.openRequests
 		}
 		n.clients.mu.Unlock()
 		if begun == 1 {
@@ -63,26 +63,26 @@
 			t.Fatal("the request does not come")
 		}
 	}
-	fourth := dial(t, n.addr)
+	fourth := dialClient(t, n.addr)
 	if got := fourth.do("PING"); got != "+PONG" {
 		t.Errorf("a new client gets %q", got)
 	}
-	if got := first.ended(); got != "" {
+	if got := first.readToEnd(); got != "" {
 		t.Errorf("the idlest got %q", got)
 	}
 	if got := second.do("PING"); got != "+PONG" {
 		t.Errorf("one that is less idle gets %q", got)
 	}
 	io.WriteString(half.conn, "NG\r\n")
-	if got := half.line(); got != "+PONG" {
+	if got := half.readLine(); got != "+PONG" {
 		t.Errorf("a request under way gets %q", got)
 	}
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // Hundreds of requests at once are answered each, in order, and not at one a tick.
 func TestPipelined(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	go func() {
 		for in := range e[0].calls {
 			in.reply(200)
@@ -101,31 +101,31 @@
 	}
 	go io.WriteString(c.conn, b.String())
 	for i := range many {
-		if got := c.line(); i%100 == 0 {
+		if got := c.readLine(); i%100 == 0 {
 			if got != "+OK" {
 				t.Errorf("answer %d: %q", i, got)
 			}
-		} else if body := c.line(); got != "$3" || body != fmt.Sprintf("%03d", i) {
+		} else if body := c.readLine(); got != "$3" || body != fmt.Sprintf("%03d", i) {
 			t.Fatalf("answer %d: %q %q", i, got, body)
 		}
 	}
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // A client that sends at full speed what can't be read gets its error line all the same: a close with unread input
 // would destroy it.
-func TestErrorLineOutlivesClose(t *testing.T) {
-	n, _, _, _ := world(t, 1)
-	c := dial(t, n.addr)
+func TestErrorReplySurvivesClose(t *testing.T) {
+	n, _, _, _ := startNodeWithEndpoints(t, 1)
+	c := dialClient(t, n.addr)
 	io.WriteString(c.conn, "*5\r\n$7\r\nMSG.PUT\r\n$60000000\r\n"+strings.Repeat("x", 500<<10))
-	if got := c.ended(); !strings.HasPrefix(got, "-ERR ") {
+	if got := c.readToEnd(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("got %q", got)
 	}
 }
 
 // The same again and again is turned away for good.
-func TestErrorsInARow(t *testing.T) {
-	n, c, _, _ := world(t, 1)
+func TestConsecutiveErrorsCloseConnection(t *testing.T) {
+	n, c, _, _ := startNodeWithEndpoints(t, 1)
 	go func() {
 		for {
 			if _, err := io.WriteString(c.conn, "*1\r\n$3\r\nBAD\r\n"); err != nil {
@@ -133,36 +133,36 @@
 			}
 		}
 	}()
-	got := c.ended()
-	if k := strings.Count(got, "-ERR unknown command"); k < maxErrors || k > maxErrors+maxPipelined {
+	got := c.readToEnd()
+	if k := strings.Count(got, "-ERR unknown command"); k < maxConsecutiveErrors || k > maxConsecutiveErrors+maxPipelined {
 		t.Errorf("%d errors before the close", k)
 	}
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // What large requests hold is bounded over all connections.
 func TestLargeRequestsBounded(t *testing.T) {
-	n, c, _, _ := world(t, 1)
-	for range cap(n.clients.large) {
-		n.clients.large <- struct{}{}
+	n, c, _, _ := startNodeWithEndpoints(t, 1)
+	for range cap(n.clients.largeSlots) {
+		n.clients.largeSlots <- struct{}{}
 	}
-	if got := c.do("PING", strings.Repeat("x", 2*smallRequest)); !strings.HasPrefix(got, "-BUSY") {
+	if got := c.do("PING", strings.Repeat("x", 2*smallRequestBytes)); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("got %q", got)
 	}
-	for range cap(n.clients.large) {
-		<-n.clients.large
+	for range cap(n.clients.largeSlots) {
+		<-n.clients.largeSlots
 	}
-	d := dial(t, n.addr)
-	for range 2 * cap(n.clients.large) { // each gives its place back
-		if got := d.do("MSG.PUT", "0", "id", "c=safe,d=9000,dest=99", strings.Repeat("x", maxBulk)); !strings.HasPrefix(got, "-") {
+	d := dialClient(t, n.addr)
+	for range 2 * cap(n.clients.largeSlots) { // each gives its place back
+		if got := d.do("MSG.PUT", "0", "id", "c=safe,d=9000,dest=99", strings.Repeat("x", maxBulkBytes)); !strings.HasPrefix(got, "-") {
 			t.Fatalf("got %q", got)
 		}
 		d.conn.Close()
-		d = dial(t, n.addr)
+		d = dialClient(t, n.addr)
 	}
-	for stop := time.Now().Add(patience); len(n.clients.large) > 0; {
+	for stop := time.Now().Add(testTimeout); len(n.clients.largeSlots) > 0; {
 		if time.Now().After(stop) {
-			t.Fatalf("%d places are not given back", len(n.clients.large))
+			t.Fatalf("%d places are not given back", len(n.clients.largeSlots))
 		}
 	}
 }
@@ -171,33 +171,33 @@
 // told, an unknown destination is an error.
 func TestUnknownDestination(t *testing.T) {
 	p, e := newPlatform(t), newEndpoint(t)
-	p.silent = true
+	p.holdLists = true
 	n := startNode(t, p, t.TempDir(), List{})
-	c := dial(t, n.addr)
+	c := dialClient(t, n.addr)
 	c.put("a", "safe", "-BUSY 1000")
-	p.set(func() { p.silent, p.list = false, List{Generation: 1, Reset: true, Instances: instances(e)} })
-	taken(t, p, 1)
+	p.update(func() { p.holdLists, p.list = false, List{Generation: 1, Reset: true, Instances: instances(e)} })
+	awaitListGeneration(t, p, 1)
 	c.put("b", "safe", "+OK")
-	await(t, e.calls, "call").reply(200)
-	if got := c.do("MSG.PUT", "0", "c", "c=safe,d=9000,dest=2", "x"); got+"\r\n" != answerUnknown {
+	receive(t, e.calls, "call").reply(200)
+	if got := c.do("MSG.PUT", "0", "c", "c=safe,d=9000,dest=2", "x"); got+"\r\n" != replyUnknownDestination {
 		t.Errorf("got %q", got)
 	}
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // Clients' connections and calls together stay within the descriptors; a call without one left says nothing of the
 // endpoint, and an idle connection makes room.
-func TestShares(t *testing.T) {
+func TestSocketBudget(t *testing.T) {
 	for sockets := 128; sockets <= 4096; sockets *= 2 {
 		for _, slots := range []int{0, 6, 60, 300} {
 			cfg := &Config{Limits: Limits{Sockets: sockets}}
 			cfg.Deploy.Settings.Slots = slots
-			s := shareOut(cfg)
-			if s.clients+s.calls+otherSockets > sockets || s.idle > s.calls || s.clients*3 < sockets-otherSockets {
+			s := newSocketBudget(cfg)
+			if s.clients+s.calls+reservedSockets > sockets || s.idle > s.calls || s.clients*3 < sockets-reservedSockets {
 				t.Errorf("%d sockets, %d slots: %+v", sockets, slots, s)
 			}
-			cfg.Limits = cfg.Limits.among(2)
-			if s := shareOut(cfg); sockets >= 256 && 2*(s.clients+s.calls+otherSockets) > sockets {
+			cfg.Limits = cfg.Limits.dividedBy(2)
+			if s := newSocketBudget(cfg); sockets >= 256 && 2*(s.clients+s.calls+reservedSockets) > sockets {
 				t.Errorf("two processes with %d sockets, %d slots: %+v each", sockets, slots, s)
 			}
 		}
@@ -208,15 +208,15 @@
 	f.Add("*1\r\n$4\r\nPING\r\n")
 	f.Add("*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$1\r\na\r\n$20\r\nc=safe,d=9000,dest=1\r\n$3\r\n\r\n\x00\r\n")
 	f.Fuzz(func(t *testing.T, in string) {
-		args, err := readCommand(newReader(in), func() error { return errNoPlace })
+		args, err := readCommand(newReader(in), func() error { return errLargeRequestLimit })
 		sum := 0
 		for _, a := range args {
 			sum += len(a)
 		}
-		if sum > smallRequest || err == nil && len(args) == 0 {
+		if sum > smallRequestBytes || err == nil && len(args) == 0 {
 			t.Errorf("%q: %d arguments, %d bytes", in, len(args), sum)
 		}
-		if err != nil && !errors.Is(err, errProtocol) && !errors.Is(err, errNoPlace) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		if err != nil && !errors.Is(err, errProtocol) && !errors.Is(err, errLargeRequestLimit) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%q: %v", in, err)
 		}
 	})
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -301,7 +301,7 @@
 }
 
 func (w *watch) run(ctx context.Context) {
-	pause(ctx, time.Duration(w.d.draw(int64(w.spread)+1)))
+	sleepContext(ctx, time.Duration(w.d.draw(int64(w.spread)+1)))
 	well, said := false, false // the last answer was a list; a failure was logged
 	for ctx.Err() == nil {
 		url, limit := w.base, listTime
@@ -334,7 +334,7 @@
 		well, said = true, false
 		w.d.events <- listEvent{list: list, epoch: w.epoch}
 		if len(list.Instances) == 0 && time.Since(at) < emptyPause {
-			pause(ctx, jitter(emptyPause))
+			sleepContext(ctx, jitter(emptyPause))
 		}
 	}
 }
@@ -355,7 +355,7 @@
 	if w.spare < 0 && (away || !w.d.pushed) {
 		rest = max(min(w.d.firstSpread(), left*2/3), movePause) // a half more by chance
 	}
-	pause(ctx, rest/2+time.Duration(w.d.draw(int64(rest))))
+	sleepContext(ctx, rest/2+time.Duration(w.d.draw(int64(rest))))
 }
 
 func (d *discovery) get(ctx context.Context, url string, limit time.Duration) (List, error) {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -38,11 +38,11 @@
 			d.rest = 50 * time.Millisecond
 		}
 		at := time.Now()
-		list, err := d.get(t.Context(), srv.URL, patience)
+		list, err := d.get(t.Context(), srv.URL, testTimeout)
 		if whole && (err != nil || list.Generation != 3) {
 			t.Errorf("%+v, %v", list, err)
 		}
-		if took := time.Since(at); !whole && (err == nil || took > patience/2) {
+		if took := time.Since(at); !whole && (err == nil || took > testTimeout/2) {
 			t.Errorf("after %v: %+v, %v", took, list, err)
 		}
 		srv.Close()
@@ -111,17 +111,17 @@
 				defer stop()
 				d.watch(ctx)
 				for _, want := range []List{one, two} {
-					ev := await(t, events, "news").(listEvent)
+					ev := receive(t, events, "news").(listEvent)
 					if ev.err != nil || ev.list.Generation != want.Generation || len(ev.list.Instances) != len(want.Instances) {
 						t.Fatalf("got %+v, want %+v", ev, want)
 					}
 				}
 				for i, want := range []string{"", "from=1&hold_ms=10", "from=1&hold_ms=10"} {
-					if q := await(t, asked, "call"); q != want {
+					if q := receive(t, asked, "call"); q != want {
 						t.Errorf("call %d: %q, want %q", i, q, want)
 					}
 				}
-				if ev := await(t, events, "what follows").(listEvent); (ev.err == nil) != pushed {
+				if ev := receive(t, events, "what follows").(listEvent); (ev.err == nil) != pushed {
 					t.Errorf("turned away: %+v", ev)
 				}
 			})
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	acceptOn  = 500 * time.Millisecond // after the first no, clients are served as before for so long
-	freshTime = time.Second            // then, for the first request on a new connection to begin
+	closeIdleDelay = 500 * time.Millisecond // after the first no, clients are served as before for so long
+	newConnTimeout = time.Second            // then, for the first request on a new connection to begin
 )
 
 // phase is what a sender does about its clients. PING, the operators' ready, the
@@ -27,7 +27,7 @@
 	return [...]string{"starting", "waiting", "serving", "draining", "stopping", "replaced"}[p]
 }
 
-func (c *clients) now() phase {
+func (c *clientServer) currentPhase() phase {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase
@@ -35,27 +35,27 @@
 
 // operate goes over to p at an operator's word, and says what holds from here on: only a
 // sender that serves can be drained, and brought back.
-func (c *clients) operate(p phase) phase {
+func (c *clientServer) setPhaseByOperator(p phase) phase {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase == serving || c.phase == draining {
-		c.turnTo(p)
+		c.setPhaseLocked(p)
 	}
 	return c.phase
 }
 
 // turn goes over to p. What stops is not brought back.
-func (c *clients) turn(p phase) {
+func (c *clientServer) setPhase(p phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != stopping && c.phase != replaced {
-		c.turnTo(p)
+		c.setPhaseLocked(p)
 	}
 }
 
 // turnTo is turn, under the lock. Clients are sent away by degrees: PING says no from now on, and
 // connections part once those that the front still sends have come.
-func (c *clients) turnTo(p phase) {
+func (c *clientServer) setPhaseLocked(p phase) {
 	was := c.phase
 	c.phase = p
 	if was != p {
@@ -63,66 +63,68 @@
 	}
 	switch {
 	case p == serving:
-		c.parting = false
-		c.part.Stop()
+		c.closingIdle = false
+		c.closeIdleTimer.Stop()
 	case p == replaced:
-		c.partNow()
+		c.closeIdleLocked()
 	case (p == draining || p == stopping) && was != draining: // else the time of grace began before
-		c.part.Reset(acceptOn)
+		c.closeIdleTimer.Reset(closeIdleDelay)
 	}
 }
 
 // startParting wakes the readers: from here on a connection ends when no request is open on it.
-func (c *clients) startParting() {
+func (c *clientServer) startClosingIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != serving { // not resumed in the meantime
-		c.partNow()
+		c.closeIdleLocked()
 	}
 }
 
-func (c *clients) partNow() {
-	c.parting = true
+func (c *clientServer) closeIdleLocked() {
+	c.closingIdle = true
 	for s := range c.sessions {
-		if !s.reading { // what has come in part is read to its end
-			s.conn.SetReadDeadline(s.idleBy(time.Now()))
+		if !s.readingRequest { // what has come in part is read to its end
+			s.conn.SetReadDeadline(s.idleDeadline(time.Now()))
 		}
 	}
 }
 
 // idleBy is until when a connection may stay without a request, under the lock of clients.
-func (s *session) idleBy(now time.Time) time.Time {
-	wait := idleClient
-	if s.fresh {
-		wait = firstRequest
+func (s *session) idleDeadline(now time.Time) time.Time {
+	wait := clientIdleTimeout
+	if s.noRequestYet {
+		wait = firstRequestTimeout
 	}
-	if s.c.parting {
-		if !s.fresh {
+	if s.server.closingIdle {
+		if !s.noRequestYet {
 			return now
 		}
-		wait = freshTime
+		wait = newConnTimeout
 	}
-	if s.fresh {
-		return s.opened.Add(wait)
+	if s.noRequestYet {
+		return s.openedAt.Add(wait)
 	}
 	return now.Add(wait)
 }
 
 // stopReading sets the time after which no request is taken: what is answered by the loop must not come later than that
 // can answer, and clients go on sending on a connection as long as it is open.
-func (c *clients) stopReading(at time.Time) {
+func (c *clientServer) stopReadingAt(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readBy = at
+	c.readCutoff = at
 }
 
 // tooLate says whether it is after that time, under the lock.
-func (c *clients) tooLate() bool { return !c.readBy.IsZero() && !time.Now().Before(c.readBy) }
+func (c *clientServer) pastReadCutoff() bool {
+	return !c.readCutoff.IsZero() && !time.Now().Before(c.readCutoff)
+}
 
 // gone waits until no client is left or ctx is over. The listener must be closed.
-func (c *clients) gone(ctx context.Context) {
+func (c *clientServer) awaitClosed(ctx context.Context) {
 	done := make(chan struct{})
-	go func() { <-c.accepted; c.wg.Wait(); close(done) }()
+	go func() { <-c.acceptDone; c.wg.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-ctx.Done():
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -28,7 +28,7 @@
 })
 
 // startFaulty starts the program with a plan and waits until operators can ask it, if it gets that far.
-func startFaulty(t *testing.T, p *platform, dir string, text []byte, plan faultinject.Plan) *process {
+func startFaulty(t *testing.T, p *testPlatform, dir string, text []byte, plan faultinject.Plan) *process {
 	t.Helper()
 	path, err := faultyProgram()
 	if err != nil {
@@ -61,22 +61,22 @@
 }
 
 // takeOn has a sender take on messages that it holds back, since its only endpoint has told it to wait.
-func takeOn(t *testing.T, x *process, e *endpoint, ms, many int) (ids map[string]bool) {
+func takeOn(t *testing.T, x *process, e *testEndpoint, ms, many int) (ids map[string]bool) {
 	t.Helper()
-	c := dial(t, x.addr)
-	c.putFor("first", "safe", ms, "+OK")
-	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
+	c := dialClient(t, x.addr)
+	c.putWithLifetime("first", "safe", ms, "+OK")
+	receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	ids = map[string]bool{"first": true}
 	for i := range many {
 		id := fmt.Sprint("held-", i)
-		c.putFor(id, []string{"safe", "unsafe"}[i%2], ms, "+OK")
+		c.putWithLifetime(id, []string{"safe", "unsafe"}[i%2], ms, "+OK")
 		ids[id] = true
 	}
 	return ids
 }
 
 // delivers checks that calls with all of ids come, and nothing else does.
-func delivers(t *testing.T, p *platform, e *endpoint, ids map[string]bool) {
+func delivers(t *testing.T, p *testPlatform, e *testEndpoint, ids map[string]bool) {
 	t.Helper()
 	for left := len(ids); left > 0; left-- {
 		select {
@@ -87,7 +87,7 @@
 			in.reply(200)
 		case n := <-p.notices:
 			t.Fatalf("%d messages are left, and %s is %s", left, n.ID, n.State)
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("%d messages are neither sent nor ended", left)
 		}
 	}
@@ -99,35 +99,35 @@
 	for _, offset := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(offset.String(), func(t *testing.T) {
 			t.Parallel()
-			p, e, dir, known := oneEndpoint(t)
+			p, e, dir, known := newSingleEndpoint(t)
 			x := startProcess(t, p, dir, known)
 			ids := takeOn(t, x, e, 16000, 6)
 			x.kill()
 			step := faultinject.Plan{Steps: []faultinject.Step{{At: planTime(), Offset: offset}}}
 			x = startFaulty(t, p, dir, configText(p, known), step)
-			x.addr = await(t, x.ready, "ready program")
+			x.addr = receive(t, x.ready, "ready program")
 			delivers(t, p, e, ids)
 			x.kill()
-			e.none(t)
+			e.expectNoCall(t)
 			// What has no endpoint ends in its time.
 			step.Steps[0].Offset = -offset
 			at := time.Now()
-			p.set(func() {
+			p.update(func() {
 				p.list = List{Generation: 2, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1", Zone: "a",
 					Kind: "std", Dest: 2, Lifecycle: "draining"})}
 			})
 			x = startFaulty(t, p, dir, configText(p, p.list), step)
-			x.addr = await(t, x.ready, "ready program")
-			if got := dial(t, x.addr).do("MSG.PUT", "0", "short", "c=unsafe,d=2500,dest=2", "x"); got != "+OK" {
+			x.addr = receive(t, x.ready, "ready program")
+			if got := dialClient(t, x.addr).do("MSG.PUT", "0", "short", "c=unsafe,d=2500,dest=2", "x"); got != "+OK" {
 				t.Fatalf("got %q", got)
 			}
 			x.kill()
 			step.Steps[0].Offset = 0
 			x = startFaulty(t, p, dir, configText(p, p.list), step)
-			await(t, x.ready, "ready program")
-			n := await(t, p.notices, "notice")
+			receive(t, x.ready, "ready program")
+			n := receive(t, p.notices, "notice")
 			for n.ID != "short" { // a kill just behind an answer leaves open whether what may not be repeated has run
-				n = await(t, p.notices, "notice")
+				n = receive(t, p.notices, "notice")
 			}
 			if took := time.Since(at); took > 4*time.Second {
 				t.Errorf("ended after %v", took)
@@ -139,15 +139,15 @@
 
 // A read that fails for a moment is no torn end: what stands behind it is owed all the same.
 func TestReadErrorAtAStartLosesNothing(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	x := startProcess(t, p, dir, known)
 	ids := takeOn(t, x, e, 16000, 6)
 	x.kill()
 	x = startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: faultsFor(1200*time.Millisecond, syscall.EIO, "read", "pread")})
-	x.addr = await(t, x.ready, "ready program")
+	x.addr = receive(t, x.ready, "ready program")
 	delivers(t, p, e, ids)
 	x.kill()
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // What fails for a moment at a start keeps it from being ready for so long, and does not end the process.
@@ -164,7 +164,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, e, dir, known := oneEndpoint(t)
+			p, e, dir, known := newSingleEndpoint(t)
 			x := startProcess(t, p, dir, known)
 			ids := takeOn(t, x, e, 16000, 2)
 			x.kill()
@@ -194,7 +194,7 @@
 
 // A write that fails says nothing of the next one: appends go on as soon as they work, though files can't be made yet.
 func TestAppendsGoOnAfterAFailure(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	now := planTime()
 	later := now + faultsBegin
 	var faults []faultinject.Fault
@@ -203,8 +203,8 @@
 	}
 	faults = append(faults, faultinject.Fault{Call: "pwrite", On: faultinject.StateFiles, Errno: syscall.ENOSPC, From: later, To: later + time.Second, Chance: 1})
 	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: faults})
-	x.addr = await(t, x.ready, "ready program")
-	c := dial(t, x.addr)
+	x.addr = receive(t, x.ready, "ready program")
+	c := dialClient(t, x.addr)
 	go func() {
 		for in := range e.calls {
 			in.reply(200)
@@ -230,13 +230,13 @@
 	now := planTime()
 	x := startFaulty(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "open",
 		Errno: syscall.ENFILE, From: now + 800*time.Millisecond, To: now + 1800*time.Millisecond, Chance: 1}}})
-	await(t, x.ready, "ready program")
+	receive(t, x.ready, "ready program")
 	for faultinject.Now() < now+time.Second {
 		time.Sleep(10 * time.Millisecond)
 	}
 	x.hup(configText(fresh, known))
 	select {
-	case <-fresh.asked:
+	case <-fresh.listRequests:
 	case <-time.After(3 * time.Second):
 		t.Error("discovery has not moved")
 	}
@@ -246,26 +246,26 @@
 // What is returned may be handed in again, so no later process may send it: the journal has its end before the platform
 // is told, or its time is up.
 func TestReturnedIsNeverSentByTheNextProcess(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	now := planTime()
 	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", On: faultinject.StateFiles,
 		Errno: syscall.EIO, From: now + faultsBegin, To: now + time.Minute, Chance: 1}}})
-	x.addr = await(t, x.ready, "ready program")
-	c := dial(t, x.addr)
+	x.addr = receive(t, x.ready, "ready program")
+	c := dialClient(t, x.addr)
 	const usual = time.Second // what a call takes: with less than that left a message is returned
 	for i := range 5 {
 		c.put(fmt.Sprint("usual-", i), "safe", "+OK")
 	}
 	for range 5 {
-		in := await(t, e.calls, "call")
+		in := receive(t, e.calls, "call")
 		time.AfterFunc(usual-time.Since(in.at), func() { in.reply(200) })
 	}
 	time.Sleep(usual + 50*time.Millisecond)
 	c.put("told-to-wait", "safe", "+OK")
-	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
+	receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	const span = faultsBegin + time.Second // it is returned after they have begun
 	taken := time.Now()
-	c.putFor("held", "safe", int(span.Milliseconds()), "+OK")
+	c.putWithLifetime("held", "safe", int(span.Milliseconds()), "+OK")
 	returned := false
 	select {
 	case n := <-p.notices:
@@ -291,15 +291,15 @@
 
 // A wait that a signal interrupts says nothing of the connection: it stays, and what comes on it is answered.
 func TestInterruptedWaitsCloseNothing(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	now := planTime()
 	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "receive",
 		Errno: syscall.EINTR, From: now, To: now + time.Minute, Chance: 0.5}}})
-	x.addr = await(t, x.ready, "ready program")
-	c := dial(t, x.addr)
+	x.addr = receive(t, x.ready, "ready program")
+	c := dialClient(t, x.addr)
 	for i := range 40 {
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
-		await(t, e.calls, "call").reply(200)
+		receive(t, e.calls, "call").reply(200)
 	}
 	x.kill()
 }
@@ -309,23 +309,23 @@
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EHOSTUNREACH, syscall.ECONNABORTED} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			p, e, dir, known := oneEndpoint(t)
+			p, e, dir, known := newSingleEndpoint(t)
 			now := planTime()
 			x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "accept",
 				Errno: errno, From: now + 700*time.Millisecond, To: now + 1700*time.Millisecond, Chance: 0.9}}})
-			x.addr = await(t, x.ready, "ready program")
-			resting := dial(t, x.addr)
+			x.addr = receive(t, x.ready, "ready program")
+			resting := dialClient(t, x.addr)
 			resting.put("before", "safe", "+OK")
-			await(t, e.calls, "call").reply(200)
+			receive(t, e.calls, "call").reply(200)
 			for faultinject.Now() < now+700*time.Millisecond {
 				time.Sleep(10 * time.Millisecond)
 			}
 			for i := range 3 {
-				dial(t, x.addr).put(fmt.Sprint("new-", i), "safe", "+OK")
-				await(t, e.calls, "call").reply(200)
+				dialClient(t, x.addr).put(fmt.Sprint("new-", i), "safe", "+OK")
+				receive(t, e.calls, "call").reply(200)
 			}
 			resting.put("after", "safe", "+OK")
-			await(t, e.calls, "call").reply(200)
+			receive(t, e.calls, "call").reply(200)
 			x.kill()
 		})
 	}
@@ -336,7 +336,7 @@
 	for name, closed := range map[string]bool{"reader stalls": false, "reader is gone": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, _, dir, known := oneEndpoint(t)
+			p, _, dir, known := newSingleEndpoint(t)
 			path, err := program()
 			if err != nil {
 				t.Fatal(err)
@@ -367,7 +367,7 @@
 			if closed {
 				r.Close()
 			}
-			for stop := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+			for stop := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 				if conn, err := net.Dial("tcp", addr); err == nil {
 					conn.Close()
 					break
@@ -376,8 +376,8 @@
 					t.Fatal("does not serve")
 				}
 			}
-			c := dial(t, addr)
-			c.conn.SetDeadline(time.Now().Add(patience))
+			c := dialClient(t, addr)
+			c.conn.SetDeadline(time.Now().Add(testTimeout))
 			for i := range 900 { // too late to be sent: a line for each, more than a pipe holds
 				if got := c.do("MSG.PUT", "0", fmt.Sprint("m-", i), "c=safe,d=1,dest=1", "x"); !strings.HasPrefix(got, "-BUSY") {
 					t.Fatalf("put %d: got %q", i, got)
@@ -398,7 +398,7 @@
 }
 
 func refuseHalfWritten(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	now := planTime()
 	state := func(call string, errno syscall.Errno, most int, chance float64) faultinject.Fault {
 		return faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: errno, Most: most, Chance: chance,
@@ -406,14 +406,14 @@
 	}
 	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{
 		state("pwrite", 0, 400, 1), state("pwrite", syscall.ENOSPC, 0, 0.5), state("open", syscall.EIO, 0, 1)}})
-	x.addr = await(t, x.ready, "ready program")
-	c := dial(t, x.addr)
-	c.putFor("first", "safe", 16000, "+OK")
-	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
+	x.addr = receive(t, x.ready, "ready program")
+	c := dialClient(t, x.addr)
+	c.putWithLifetime("first", "safe", 16000, "+OK")
+	receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	for faultinject.Now() < now+faultsBegin+100*time.Millisecond {
 		time.Sleep(10 * time.Millisecond)
 	}
-	c = dial(t, x.addr) // the first one may have been idle for too long
+	c = dialClient(t, x.addr) // the first one may have been idle for too long
 	refused := map[string]bool{}
 	var batch strings.Builder // sent at once: several records in one write
 	const many = 6
@@ -424,7 +424,7 @@
 	}
 	io.WriteString(c.conn, batch.String())
 	for i := range many {
-		refused[fmt.Sprint("m-", i)] = strings.HasPrefix(c.line(), "-BUSY")
+		refused[fmt.Sprint("m-", i)] = strings.HasPrefix(c.readLine(), "-BUSY")
 	}
 	x.kill()
 	j := openJournal(t, dir, 3e6)
@@ -444,8 +444,8 @@
 	p.list = old
 	text := []byte(strings.Replace(string(configText(p, old)), `"on_request"`, `"pushed"`, 1))
 	x := execProcess(t, p, dir, text)
-	x.admin, x.addr = await(t, x.asked, "operators' address"), await(t, x.ready, "ready program")
-	p.set(func() {
+	x.admin, x.addr = receive(t, x.asked, "operators' address"), receive(t, x.ready, "ready program")
+	p.update(func() {
 		news := instances(stays, drains)
 		news[1].Lifecycle = "draining"
 		p.list = List{Generation: 2, Instances: news[1:]}
@@ -454,10 +454,10 @@
 	ids := takeOn(t, x, stays, 16000, 6)
 	next := execProcess(t, p, dir, text)
 	next.says("stands by")
-	p.set(func() { p.silent = true })
+	p.update(func() { p.holdLists = true })
 	x.kill()
-	time.AfterFunc(200*time.Millisecond, func() { p.set(func() { p.silent = false }) })
-	await(t, next.ready, "ready program")
+	time.AfterFunc(200*time.Millisecond, func() { p.update(func() { p.holdLists = false }) })
+	receive(t, next.ready, "ready program")
 	for left := len(ids); left > 0; {
 		select {
 		case in := <-stays.calls:
@@ -465,7 +465,7 @@
 			left--
 		case in := <-drains.calls:
 			t.Fatalf("%s sent to an endpoint that drains", in.id())
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("%d messages are not sent", left)
 		}
 	}
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -93,7 +93,7 @@
 	for o := logic.Completed; int(o) < len(outcomeNames); o++ {
 		outcomes = append(outcomes, outcomeNames[o])
 	}
-	f := &figures{ends: map[string]*tally{}, violations: newCounters(violations), refused: newCounters(refusals),
+	f := &figures{ends: map[string]*tally{}, violations: newCounters(allViolations), refused: newCounters(refusals),
 		closed: newCounters(closings), attempts: newCounters(outcomes)}
 	for _, c := range cfg.Deploy.Settings.Classes {
 		f.classes = append(f.classes, c.Name)
@@ -109,7 +109,7 @@
 // told counts a message that ends with an answer or a notice of ours.
 func (f *figures) told(class, said string) {
 	switch {
-	case said == answerFailed, said == answerUnknown, said == noticeFailed:
+	case said == replyFailed, said == replyUnknownDestination, said == noticeFailed:
 		f.faulted(class)
 	case strings.HasPrefix(said, "-BUSY"), said == noticeReturned:
 		f.throttled(class)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -17,15 +17,15 @@
 // successor that it has understood, the owner that it is the successor's now. From then on the old process sends what
 // comes to it, and the new one what that calls for. One of the fields is set.
 type packet struct {
-	State      *handover    `json:",omitempty"`
-	Understood bool         `json:",omitempty"`
-	Refused    string       `json:",omitempty"` // why the state is not understood
-	Yours      bool         `json:",omitempty"`
-	Put        *relayedPut  `json:",omitempty"` // old to new: a message that a client has handed in
-	Answer     *relayedPut  `json:",omitempty"` // new to old: what to tell that client
-	Reply      *remoteReply `json:",omitempty"` // old to new: how a call ended
-	Health     *healthEvent `json:",omitempty"` // old to new: and a probe
-	Cancel     *remoteCall  `json:",omitempty"` // new to old: give a call up
+	State      *handover         `json:",omitempty"`
+	Understood bool              `json:",omitempty"`
+	Refused    string            `json:",omitempty"` // why the state is not understood
+	Yours      bool              `json:",omitempty"`
+	Put        *relayedPut       `json:",omitempty"` // old to new: a message that a client has handed in
+	Answer     *relayedPut       `json:",omitempty"` // new to old: what to tell that client
+	Reply      *remoteReply      `json:",omitempty"` // old to new: how a call ended
+	Health     *probeResultEvent `json:",omitempty"` // old to new: and a probe
+	Cancel     *remoteCall       `json:",omitempty"` // new to old: give a call up
 }
 
 // handover is what the owner of the journal knows beyond it.
@@ -113,12 +113,12 @@
 			return nil, err
 		}
 		if lock != nil {
-			n.lock = lock
+			n.stateLock = lock
 			n.shareWith(1)
-			n.clients.turn(starting)
+			n.clients.setPhase(starting)
 			return nil, nil
 		}
-		n.stoodBy = n.stoodBy || err == nil
+		n.wasStandby = n.wasStandby || err == nil
 		var st *handover
 		if err == nil {
 			if st, err = n.standBy(ctx); err == nil {
@@ -129,8 +129,8 @@
 			return nil, ctx.Err()
 		}
 		failing.note(err)
-		n.clients.turn(starting)
-		pause(ctx, standbyPause)
+		n.clients.setPhase(starting)
+		sleepContext(ctx, standbyPause)
 	}
 }
 
@@ -146,12 +146,12 @@
 		l.close()
 		return nil, err
 	}
-	if n.ln != nil { // from an owner before this one
-		n.ln.Close()
+	if n.listener != nil { // from an owner before this one
+		n.listener.Close()
 	}
-	n.ln = ln
+	n.listener = ln
 	n.shareWith(2)
-	n.clients.turn(waiting)
+	n.clients.setPhase(waiting)
 	n.log.Info("stands by", "addr", ln.Addr().String())
 	var p packet
 	if err := l.read(&p, time.Time{}); err != nil {
@@ -179,8 +179,8 @@
 		return nil, errors.Join(errors.New("the owner did not let go"), err)
 	}
 	// From here on the old process writes nothing more; it lets go of the lock as soon as it has closed the journal.
-	for by := time.Now().Add(linkTime); ; pause(ctx, time.Millisecond) {
-		if n.lock, err = tryLock(n.cfg.StateDir); n.lock != nil {
+	for by := time.Now().Add(linkTime); ; sleepContext(ctx, time.Millisecond) {
+		if n.stateLock, err = tryLock(n.cfg.StateDir); n.stateLock != nil {
 			break
 		}
 		if err != nil && !momentary(err) || time.Now().After(by) {
@@ -188,18 +188,18 @@
 			return nil, errors.Join(errors.New("the lock is still taken"), err)
 		}
 	}
-	n.sender, n.before = sender, &predecessor{link: l, out: map[string]*call{}}
+	n.sender, n.predecessor = sender, &predecessor{link: l, out: map[string]*call{}}
 	return st, nil
 }
 
 // adopt goes on with what the old process has told. The journal is the measure: where the two do not fit, nothing is
 // changed and the error says so.
 func (n *Node) adopt(st *handover) error {
-	all := map[string]*held{}
+	all := map[string]*activeMessage{}
 	open := 0
 	for i := range st.Held {
 		x := &st.Held[i]
-		h := &held{msg: &x.Message, tries: x.Tries, over: x.Over, trail: trail{n.clock.At(x.Came), []byte(x.Trail)}}
+		h := &activeMessage{msg: &x.Message, attempts: x.Tries, ended: x.Over, log: attemptLog{n.clock.At(x.Came), []byte(x.Trail)}}
 		if !x.Over {
 			e := n.journal.Entry(x.Message.ID)
 			if e == nil || e.End != nil {
@@ -215,30 +215,30 @@
 		all[x.Message.ID] = h
 	}
 	for _, e := range n.journal.Entries() {
-		if h := all[e.ID]; e.End == nil && (h == nil || h.over) {
+		if h := all[e.ID]; e.End == nil && (h == nil || h.ended) {
 			return fmt.Errorf("message %s was not handed over", e.ID)
 		}
 	}
 	for _, h := range all {
 		if h.call != nil {
-			n.before.out[h.call.id] = h.call
-			n.goesOut(h, h.call, n.before.stop(h.call))
+			n.predecessor.out[h.call.id] = h.call
+			n.attemptStarted(h, h.call, n.predecessor.stop(h.call))
 		}
 	}
-	n.held, n.open = all, open
-	maps.Copy(n.recent, st.Recent)
-	n.dir.restore(st, n.clock)
-	n.start = n.clock.At(st.Wall).Add(-span(st.Now))
+	n.active, n.openCount = all, open
+	maps.Copy(n.recentIDs, st.Recent)
+	n.directory.restore(st, n.clock)
+	n.moduleEpoch = n.clock.At(st.Wall).Add(-toDuration(st.Now))
 	for _, e := range n.journal.Entries() {
 		if e.End != nil {
 			n.notices.add(*e.End)
 		}
 	}
-	n.disc.heard, n.follow = st.Heard, st.Watching
-	if st.Discovery == n.disc.addr { // generations of another address need not follow on
-		n.disc.gen, n.disc.started = st.Gen, st.Started
+	n.discovery.heard, n.watchFromStart = st.Heard, st.Watching
+	if st.Discovery == n.discovery.addr { // generations of another address need not follow on
+		n.discovery.gen, n.discovery.started = st.Gen, st.Started
 	}
-	n.log.Info("handed over", "held", open, "calls", len(n.before.out))
+	n.log.Info("handed over", "held", open, "calls", len(n.predecessor.out))
 	return nil
 }
 
@@ -292,19 +292,19 @@
 }
 
 // replies are the outcomes that come with what the old process tells, its end too: what it took with it may have run.
-func (p *predecessor) replies(ev remoteEvent) (out []replyEvent) {
+func (p *predecessor) replies(ev remoteEvent) (out []attemptResultEvent) {
 	if r := ev.Reply; r != nil {
 		c := p.out[r.Call.ID]
 		if c == nil || c.attempt != r.Call.Attempt {
 			return nil
 		}
 		delete(p.out, c.id)
-		return []replyEvent{{c, result{outcome: r.Outcome, wait: r.Wait, over: r.Over, load: r.Load, idle: r.Idle}, r.Took}}
+		return []attemptResultEvent{{c, result{outcome: r.Outcome, wait: r.Wait, over: r.Over, load: r.Load, idle: r.Idle}, r.Took}}
 	}
 	if ev.gone {
 		for id, c := range p.out {
 			delete(p.out, id)
-			out = append(out, replyEvent{c, result{outcome: logic.Severed}, 0})
+			out = append(out, attemptResultEvent{c, result{outcome: logic.Severed}, 0})
 		}
 	}
 	return out
@@ -314,14 +314,14 @@
 func (n *Node) remote(ev remoteEvent) {
 	if ev.gone {
 		n.log.Info("the process before is gone", "calls", len(ev.from.out))
-		n.before = nil
+		n.predecessor = nil
 		n.shareWith(1)
 	}
 	for _, r := range ev.from.replies(ev) {
-		n.reply(r)
+		n.handleAttemptResult(r)
 	}
 	if ev.Health != nil {
-		n.next = append(n.next, logic.HealthResult{Endpoint: ev.Health.Endpoint, Outcome: ev.Health.Outcome})
+		n.pendingEvents = append(n.pendingEvents, logic.HealthResult{Endpoint: ev.Health.Endpoint, Outcome: ev.Health.Outcome})
 	}
 }
 
@@ -349,7 +349,7 @@
 // which clients are taken. One at a time stands by.
 func (n *Node) awaitSuccessors(ctx context.Context, ln unixListener, clients *net.TCPListener) {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
-	rest := acceptPause
+	rest := acceptRetryDelay
 	accepting := failures{log: n.log, what: "handover: accept"} // where such sockets are refused it does not end
 	greeting := failures{log: n.log, what: "handover: greeting"}
 	for {
@@ -359,11 +359,11 @@
 		}
 		accepting.note(err)
 		if err != nil {
-			pause(ctx, rest)
+			sleepContext(ctx, rest)
 			rest = min(2*rest, acceptMost)
 			continue
 		}
-		rest = acceptPause
+		rest = acceptRetryDelay
 		s := &successor{link: &link{conn: conn}, packets: make(chan packet, 64)}
 		stop := context.AfterFunc(ctx, s.link.close)
 		if err := s.link.hear(); err == nil {
@@ -401,11 +401,11 @@
 	switch {
 	case !ev.gone:
 		n.log.Info("a successor stands by")
-		n.after = ev.s
+		n.successor = ev.s
 		n.shareWith(2)
-	case n.after == ev.s:
+	case n.successor == ev.s:
 		n.log.Warn("the successor is gone")
-		n.after = nil
+		n.successor = nil
 		n.shareWith(1)
 	}
 }
@@ -413,7 +413,7 @@
 // handOver gives all that this process owns to its successor, in one step: nothing else happens until it is done. On
 // an error this process owns it as before.
 func (n *Node) handOver() error {
-	s := n.after
+	s := n.successor
 	st, err := n.handoverState()
 	if err != nil {
 		return err
@@ -440,7 +440,7 @@
 		return err
 	}
 	// From here on the journal is the successor's, whatever else fails.
-	if err := errors.Join(n.journal.Close(), n.lock.Close()); err != nil {
+	if err := errors.Join(n.journal.Close(), n.stateLock.Close()); err != nil {
 		n.log.Error("handover: closing", "err", err)
 	}
 	return nil
@@ -449,15 +449,15 @@
 // handoverState collects what the journal does not hold.
 func (n *Node) handoverState() (*handover, error) {
 	now := time.Now()
-	st := &handover{Now: micros(now.Sub(n.start)), Wall: n.clock.Of(now), Recent: maps.Clone(n.recent), Last: n.dir.last,
-		Discovery: n.disc.addr, Gen: n.disc.gen, Started: n.disc.started,
-		Heard: n.disc.heard, Watching: n.disc.watching}
+	st := &handover{Now: toMicros(now.Sub(n.moduleEpoch)), Wall: n.clock.Of(now), Recent: maps.Clone(n.recentIDs), Last: n.directory.last,
+		Discovery: n.discovery.addr, Gen: n.discovery.gen, Started: n.discovery.started,
+		Heard: n.discovery.heard, Watching: n.discovery.watching}
 	var err error
 	if st.Module, err = n.sender.Snapshot(); err != nil {
 		return nil, err
 	}
-	for _, h := range n.held {
-		x := heldState{Message: *h.msg, Tries: h.tries, Over: h.over, Came: n.clock.Of(h.trail.came), Trail: string(h.trail.text)}
+	for _, h := range n.active {
+		x := heldState{Message: *h.msg, Tries: h.attempts, Over: h.ended, Came: n.clock.Of(h.log.receivedAt), Trail: string(h.log.text)}
 		x.Message.Body = nil
 		if h.call != nil {
 			c := callState(h.call)
@@ -465,9 +465,9 @@
 		}
 		st.Held = append(st.Held, x)
 	}
-	for id, to := range n.dir.eps {
-		x := targetState{ID: id, Name: to.name, Addr: to.addr, Zone: to.zone, Kind: to.kind, Dest: to.dest, Shut: n.dir.shut[id]}
-		if at, ok := n.dir.gone[id]; ok {
+	for id, to := range n.directory.eps {
+		x := targetState{ID: id, Name: to.name, Addr: to.addr, Zone: to.zone, Kind: to.kind, Dest: to.dest, Shut: n.directory.shut[id]}
+		if at, ok := n.directory.gone[id]; ok {
 			x.Gone = n.clock.Of(at)
 		}
 		st.Targets = append(st.Targets, x)
@@ -494,21 +494,21 @@
 // retire is what is left to do after the handover: to pass on what comes on the clients' connections until they are
 // idle, and to report how calls end. What is not over within the time after SIGTERM goes with the process.
 func (n *Node) retire(work context.Context) {
-	n.ln.Close() // the successor has it too: what waits in its queue is not lost
-	n.disc.halt()
+	n.listener.Close() // the successor has it too: what waits in its queue is not lost
+	n.discovery.halt()
 	n.caller.releaseAll()
-	n.clients.stopReading(n.closing.Add(stopSends))
-	n.clients.turn(replaced)
-	n.figures.open.Store(0)
-	grace, end := context.WithDeadline(work, n.closing.Add(stopAll))
+	n.clients.stopReadingAt(n.shutdownAt.Add(shutdownReadTimeout))
+	n.clients.setPhase(replaced)
+	n.metrics.open.Store(0)
+	grace, end := context.WithDeadline(work, n.shutdownAt.Add(shutdownTimeout))
 	defer end()
 	served := make(chan struct{})
 	go func() {
-		n.clients.gone(grace)
+		n.clients.awaitClosed(grace)
 		close(served)
 	}()
-	r := relay{n: n, s: n.after, packets: n.after.packets, waiting: map[int]chan<- string{}}
-	for quiet := false; !quiet || len(r.waiting) > 0 || len(n.calls()) > 0; {
+	r := relay{n: n, s: n.successor, packets: n.successor.packets, waiting: map[int]chan<- string{}}
+	for quiet := false; !quiet || len(r.waiting) > 0 || len(n.calledEndpoints()) > 0; {
 		select {
 		case ev := <-n.events:
 			r.pass(ev)
@@ -522,7 +522,7 @@
 		case <-served:
 			quiet, served = true, nil
 		case <-grace.Done():
-			n.log.Warn("replaced, with calls out", "calls", len(n.calls()))
+			n.log.Warn("replaced, with calls out", "calls", len(n.calledEndpoints()))
 			return
 		}
 	}
@@ -541,7 +541,7 @@
 // lost answers the clients whose messages the successor has taken with it: whether they were taken on is not known.
 func (r *relay) lost() {
 	for k, answer := range r.waiting {
-		answer <- answerFailed
+		answer <- replyFailed
 		delete(r.waiting, k)
 	}
 	r.packets = nil
@@ -553,25 +553,25 @@
 	switch ev := ev.(type) {
 	case putEvent:
 		if r.packets == nil {
-			ev.answer <- busy(0)
+			ev.reply <- busyReply(0)
 			return
 		}
 		r.count++
-		r.waiting[r.count] = ev.answer
+		r.waiting[r.count] = ev.reply
 		p.Put = &relayedPut{N: r.count, Msg: &ev.msg}
 	case remoteEvent: // from a process before this one that still ends its calls
 		for _, x := range ev.from.replies(ev) {
 			r.pass(x)
 		}
 		return
-	case replyEvent:
+	case attemptResultEvent:
 		c, x := ev.call, ev.result
-		if h := r.n.held[c.id]; h != nil && h.call == c {
-			r.n.landed(h)
+		if h := r.n.active[c.id]; h != nil && h.call == c {
+			r.n.attemptEnded(h)
 		}
 		p.Reply = &remoteReply{Call: callState(c), Outcome: x.outcome, Wait: x.wait, Over: x.over, Load: x.load, Idle: x.idle,
-			Took: ev.took}
-	case healthEvent:
+			Took: ev.duration}
+	case probeResultEvent:
 		p.Health = &ev
 	default: // news of the list or of notices: the successor hears of that itself
 		return
@@ -590,24 +590,24 @@
 		}
 	}
 	if p.Cancel != nil {
-		h := r.n.held[p.Cancel.ID]
+		h := r.n.active[p.Cancel.ID]
 		if h == nil || h.call == nil || h.call.attempt != p.Cancel.Attempt {
 			return
 		}
 		if p.Cancel.State == callHeld {
 			h.call.state.CompareAndSwap(callConnecting, callHeld)
 		}
-		h.stop()
+		h.cancel()
 	}
 }
 
 // shareWith bounds what this process uses to its part of the limits, with so many processes in all.
 func (n *Node) shareWith(processes int) {
-	limits := n.cfg.Limits.among(processes)
-	limits.BindMemory()
+	limits := n.cfg.Limits.dividedBy(processes)
+	limits.ApplyMemoryLimit()
 	cfg := *n.cfg
 	cfg.Limits = limits
-	most := shareOut(&cfg)
-	n.clients.setMost(most.clients)
+	most := newSocketBudget(&cfg)
+	n.clients.setMaxConns(most.clients)
 	n.caller.setMost(most)
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -22,8 +22,8 @@
 // upgradeWorld is a program with an endpoint, and where the next one is to start.
 type upgradeWorld struct {
 	t     *testing.T
-	p     *platform
-	e     *endpoint
+	p     *testPlatform
+	e     *testEndpoint
 	dir   string
 	known List
 }
@@ -51,7 +51,7 @@
 // takeOver waits until x serves.
 func (x *process) takeOver() {
 	x.t.Helper()
-	x.addr = await(x.t, x.ready, "ready program")
+	x.addr = receive(x.t, x.ready, "ready program")
 }
 
 // The old process keeps its clients and calls until they are done, and the new one owns what becomes of them: no
@@ -60,11 +60,11 @@
 	w := newUpgradeWorld(t)
 	x := w.start()
 	for round := range 2 {
-		c := dial(t, x.addr)
+		c := dialClient(t, x.addr)
 		id := func(s string) string { return fmt.Sprint(s, round) }
 		c.put(id("charge"), "unsafe", "+OK")
-		charge := await(t, w.e.calls, "call")
-		half := dial(t, x.addr)
+		charge := receive(t, w.e.calls, "call")
+		half := dialClient(t, x.addr)
 		io.WriteString(half.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$5\r\n"+id("half")+"\r\n")
 		next := w.beside()
 		if got := ask(t, next.admin, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
@@ -79,24 +79,24 @@
 			t.Errorf("the old process is ready: %q", got)
 		}
 		io.WriteString(half.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n") // read by the old process, taken by the new
-		if got := half.line(); got != "+OK" {
+		if got := half.readLine(); got != "+OK" {
 			t.Errorf("relayed: %q", got)
 		}
-		in := await(t, w.e.calls, "call for the relayed message")
+		in := receive(t, w.e.calls, "call for the relayed message")
 		if in.id() != id("half") {
 			t.Errorf("call with %s", in.id())
 		}
 		in.reply(200)
-		if got := c.line(); got != "" {
+		if got := c.readLine(); got != "" {
 			t.Errorf("an idle connection of the old process gets %q", got)
 		}
-		c = dial(t, next.addr)
+		c = dialClient(t, next.addr)
 		if got := c.do("PING"); got != "+PONG" {
 			t.Errorf("PING: %q", got)
 		}
 		c.put(id("charge"), "unsafe", "+OK") // the new process knows that it has it
 		c.put(id("new"), "unsafe", "+OK")
-		await(t, w.e.calls, "call").reply(200)
+		receive(t, w.e.calls, "call").reply(200)
 		text := ask(t, next.admin, "show-stat\n")
 		if n := figure(t, text, "edge_balancer.open_requests"); n < 1 || n > 3 {
 			t.Errorf("open_requests=%d", n)
@@ -104,7 +104,7 @@
 		charge.reply(200)
 		x.end()
 		x = next
-		for stop := time.Now().Add(patience); figure(t, text, "edge_balancer.operations.unsafe.fulfilled") < 2; {
+		for stop := time.Now().Add(testTimeout); figure(t, text, "edge_balancer.operations.unsafe.fulfilled") < 2; {
 			if time.Now().After(stop) {
 				t.Fatalf("the charge is not told to be delivered:\n%s", text)
 			}
@@ -113,11 +113,11 @@
 	}
 	x.term()
 	x.end()
-	w.e.none(t)
+	w.e.expectNoCall(t)
 	if len(w.p.notices) != 0 {
 		t.Errorf("notice %+v", <-w.p.notices)
 	}
-	if ids := owed(t, w.dir); ids != nil {
+	if ids := pendingMessageIDs(t, w.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
@@ -126,18 +126,18 @@
 func TestUpgradeKeepsWaits(t *testing.T) {
 	w := newUpgradeWorld(t)
 	x := w.start()
-	dial(t, x.addr).put("a", "unsafe", "+OK")
-	in := await(t, w.e.calls, "call")
+	dialClient(t, x.addr).put("a", "unsafe", "+OK")
+	in := receive(t, w.e.calls, "call")
 	next := w.beside()
 	in.reply(429, "X-Come-Back-Ms: 1500")
 	told := time.Now()
 	waitForOp(t, w.dir, `"op":3`)
 	x.term()
 	next.takeOver()
-	c := dial(t, next.addr)
+	c := dialClient(t, next.addr)
 	c.put("b", "unsafe", "+OK")
 	for range 2 {
-		in := await(t, w.e.calls, "call")
+		in := receive(t, w.e.calls, "call")
 		if d := in.at.Sub(told); d < 1500*time.Millisecond {
 			t.Errorf("%s was sent %v after a wait of 1.5 s", in.id(), d)
 		}
@@ -151,7 +151,7 @@
 // waitForOp waits until the journal holds an operation.
 func waitForOp(t *testing.T, dir, op string) {
 	t.Helper()
-	for stop := time.Now().Add(patience); ; {
+	for stop := time.Now().Add(testTimeout); ; {
 		b, err := os.ReadFile(dir + "/" + journalName)
 		if err != nil {
 			t.Fatal(err)
@@ -169,26 +169,26 @@
 func TestUpgradeThenKill(t *testing.T) {
 	w := newUpgradeWorld(t)
 	x := w.start()
-	c := dial(t, x.addr)
+	c := dialClient(t, x.addr)
 	c.put("u", "unsafe", "+OK")
-	await(t, w.e.calls, "call")
+	receive(t, w.e.calls, "call")
 	c.put("s", "safe", "+OK")
-	await(t, w.e.calls, "call")
+	receive(t, w.e.calls, "call")
 	next := w.beside()
 	x.term()
 	next.takeOver()
 	x.kill()
-	if n := await(t, w.p.notices, "notice"); n != (Notice{ID: "u", State: "failed"}) {
+	if n := receive(t, w.p.notices, "notice"); n != (Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	if in := await(t, w.e.calls, "call again"); in.id() != "s" {
+	if in := receive(t, w.e.calls, "call again"); in.id() != "s" {
 		t.Errorf("call with %s", in.id())
 	} else {
 		in.reply(200)
 	}
 	next.term()
 	next.end()
-	w.e.none(t)
+	w.e.expectNoCall(t)
 }
 
 // A successor that dies before its turn changes nothing, and SIGTERM is then a plain end.
@@ -197,12 +197,12 @@
 	x := w.start()
 	w.beside().kill()
 	x.says("the successor is gone")
-	c := dial(t, x.addr)
+	c := dialClient(t, x.addr)
 	c.put("a", "unsafe", "+OK")
-	await(t, w.e.calls, "call").reply(200)
+	receive(t, w.e.calls, "call").reply(200)
 	x.term()
 	x.end()
-	if ids := owed(t, w.dir); ids != nil {
+	if ids := pendingMessageIDs(t, w.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
@@ -211,16 +211,16 @@
 func TestOwnerDies(t *testing.T) {
 	w := newUpgradeWorld(t)
 	x := w.start()
-	c := dial(t, x.addr)
+	c := dialClient(t, x.addr)
 	c.put("u", "unsafe", "+OK")
-	await(t, w.e.calls, "call")
+	receive(t, w.e.calls, "call")
 	next := w.beside()
 	x.kill()
-	late := dial(t, x.addr) // nobody may be serving yet
+	late := dialClient(t, x.addr) // nobody may be serving yet
 	next.takeOver()
 	late.put("b", "safe", "+OK")
-	await(t, w.e.calls, "call").reply(200)
-	if n := await(t, w.p.notices, "notice"); n != (Notice{ID: "u", State: "failed"}) {
+	receive(t, w.e.calls, "call").reply(200)
+	if n := receive(t, w.p.notices, "notice"); n != (Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
 	next.term()
@@ -233,18 +233,18 @@
 	fresh := newPlatform(t)
 	fresh.list = List{Generation: 7, Reset: true, Instances: instances(w.e)}
 	x := w.start()
-	c := dial(t, x.addr)
+	c := dialClient(t, x.addr)
 	c.put("u", "unsafe", "+OK")
-	in := await(t, w.e.calls, "call")
+	in := receive(t, w.e.calls, "call")
 	next := w.beside()
 	next.hup(configText(fresh, w.known))
 	x.term()
 	next.takeOver()
-	if q := await(t, fresh.asked, "call at the new address"); q != "" {
+	if q := receive(t, fresh.listRequests, "call at the new address"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
 	in.reply(500)
-	if n := await(t, fresh.notices, "notice at the new address"); n != (Notice{ID: "u", State: "failed"}) {
+	if n := receive(t, fresh.notices, "notice at the new address"); n != (Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
 	x.end()
@@ -270,7 +270,7 @@
 	t.Cleanup(func() { lock.Close(); ln.Close(); clients.Close() })
 	return lock, func() *link {
 		t.Helper()
-		ln.SetDeadline(time.Now().Add(patience))
+		ln.SetDeadline(time.Now().Add(testTimeout))
 		conn, err := ln.AcceptUnix()
 		if err != nil {
 			t.Fatal(err)
@@ -312,7 +312,7 @@
 			x.says("no handover")
 			lock.Close()
 			x.takeOver()
-			if in := await(t, w.e.calls, "call"); in.id() != "kept" {
+			if in := receive(t, w.e.calls, "call"); in.id() != "kept" {
 				t.Errorf("call with %s", in.id())
 			} else {
 				in.reply(200)
@@ -334,8 +334,8 @@
 		t.Run(name, func(t *testing.T) {
 			w := newUpgradeWorld(t)
 			x := w.start()
-			dial(t, x.addr).put("u", "unsafe", "+OK")
-			in := await(t, w.e.calls, "call")
+			dialClient(t, x.addr).put("u", "unsafe", "+OK")
+			in := receive(t, w.e.calls, "call")
 			l, err := dialOwner(w.dir)
 			if err != nil {
 				t.Fatal(err)
@@ -348,7 +348,7 @@
 			x.says("a successor stands by")
 			x.term()
 			var p packet
-			if err := l.read(&p, time.Now().Add(patience)); err != nil || p.State == nil {
+			if err := l.read(&p, time.Now().Add(testTimeout)); err != nil || p.State == nil {
 				t.Fatal(p, err)
 			}
 			if err := say(l); err != nil {
@@ -358,7 +358,7 @@
 			x.says("the handover failed")
 			in.reply(200)
 			x.end()
-			if ids := owed(t, w.dir); ids != nil {
+			if ids := pendingMessageIDs(t, w.dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
 		})
@@ -395,8 +395,8 @@
 		t.Fatal(err)
 	}
 	x := w.start()
-	dial(t, x.addr).put("m1", "safe", "+OK")
-	await(t, w.e.calls, "call").reply(200)
+	dialClient(t, x.addr).put("m1", "safe", "+OK")
+	receive(t, w.e.calls, "call").reply(200)
 	x.term()
 	x.end()
 }
@@ -407,25 +407,25 @@
 	old, n := emptyNode(t, t.TempDir()), emptyNode(t, t.TempDir())
 	rec := accept("a", 10)
 	mustAppend(t, n.journal, rec)
-	old.held["a"] = &held{msg: &rec.Entry.Message}
-	old.goesOut(old.held["a"], &call{id: "a", ep: 7, state: new(atomic.Int32)}, func() {})
+	old.active["a"] = &activeMessage{msg: &rec.Entry.Message}
+	old.attemptStarted(old.active["a"], &call{id: "a", ep: 7, state: new(atomic.Int32)}, func() {})
 	st, err := old.handoverState()
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.before = &predecessor{link: &link{conn: new(net.UnixConn)}, out: map[string]*call{}}
+	n.predecessor = &predecessor{link: &link{conn: new(net.UnixConn)}, out: map[string]*call{}}
 	if err := n.adopt(st); err != nil {
 		t.Fatal(err)
 	}
-	c := n.before.out["a"]
-	if c == nil || !n.calls()[7] {
-		t.Fatalf("call %v, endpoints in use %v", c, n.calls())
+	c := n.predecessor.out["a"]
+	if c == nil || !n.calledEndpoints()[7] {
+		t.Fatalf("call %v, endpoints in use %v", c, n.calledEndpoints())
 	}
-	if n.holdWait(7); c.state.Load() != callHeld {
+	if n.abortForWait(7); c.state.Load() != callHeld {
 		t.Errorf("a wait leaves the call in state %d", c.state.Load())
 	}
-	n.reply(replyEvent{call: c, result: result{outcome: logic.Moot}})
-	if len(n.calls()) != 0 {
-		t.Errorf("endpoints in use after the end: %v", n.calls())
+	n.handleAttemptResult(attemptResultEvent{call: c, result: result{outcome: logic.Moot}})
+	if len(n.calledEndpoints()) != 0 {
+		t.Errorf("endpoints in use after the end: %v", n.calledEndpoints())
 	}
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -18,10 +18,10 @@
 )
 
 // patience bounds every wait for an event: it is not reached unless a test fails.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // await returns the next value of ch.
-func await[T any](t *testing.T, ch <-chan T, what string) T {
+func receive[T any](t *testing.T, ch <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v, ok := <-ch:
@@ -29,73 +29,73 @@
 			t.Fatalf("no more %s", what)
 		}
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 	}
 	panic("unreachable")
 }
 
 // inCall is a whole request that has come to an endpoint.
-type inCall struct {
-	req    *http.Request
-	body   string
-	at     time.Time
-	conn   *net.TCPConn
-	reader *bufio.Reader
-	done   chan bool // whether the endpoint goes on reading
+type receivedCall struct {
+	req         *http.Request
+	body        string
+	at          time.Time
+	conn        *net.TCPConn
+	reader      *bufio.Reader
+	keepReading chan bool // whether the endpoint goes on reading
 }
 
-func (c *inCall) id() string { return c.req.Header.Get("X-Trace-Id") }
+func (c *receivedCall) id() string { return c.req.Header.Get("X-Trace-Id") }
 
 // reply answers and keeps the connection.
-func (c *inCall) reply(status int, headers ...string) {
+func (c *receivedCall) reply(status int, headers ...string) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n", status)
 	for _, h := range headers {
 		b.WriteString(h + "\r\n")
 	}
 	io.WriteString(c.conn, b.String()+"\r\n")
-	c.done <- true
+	c.keepReading <- true
 }
 
 // replyAndClose answers and closes the connection without saying so first.
-func (c *inCall) replyAndClose(status int) {
+func (c *receivedCall) replyAndClose(status int) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", status)
 	c.conn.Close()
-	c.done <- false
+	c.keepReading <- false
 }
 
 // reset breaks the connection.
-func (c *inCall) reset() {
+func (c *receivedCall) reset() {
 	c.conn.SetLinger(0)
 	c.conn.Close()
-	c.done <- false
+	c.keepReading <- false
 }
 
 // awaitEnd waits until the sender has ended its side of the connection.
-func (c *inCall) awaitEnd(t *testing.T) {
+func (c *receivedCall) awaitEnd(t *testing.T) {
 	t.Helper()
-	c.conn.SetReadDeadline(time.Now().Add(patience))
+	c.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := c.reader.Read(make([]byte, 1)); n != 0 || isTimeout(err) {
 		t.Fatalf("connection goes on: %d bytes, %v", n, err)
 	}
 }
 
 // endpoint is the other side of calls: a test answers each by hand.
-type endpoint struct {
+type testEndpoint struct {
 	ln    net.Listener
-	calls chan *inCall
+	calls chan *receivedCall
 	conns chan net.Conn // each that is accepted
 }
 
-func newEndpoint(t *testing.T) *endpoint {
+func newEndpoint(t *testing.T) *testEndpoint {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	e := &endpoint{ln: ln, calls: make(chan *inCall, 64), conns: make(chan net.Conn, 64)}
+	e := &testEndpoint{ln: ln, calls: make(chan *receivedCall, 64), conns: make(chan net.Conn, 64)}
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -109,7 +109,7 @@
 	return e
 }
 
-func (e *endpoint) serve(conn *net.TCPConn) {
+func (e *testEndpoint) serve(conn *net.TCPConn) {
 	r := bufio.NewReader(conn)
 	for {
 		req, err := http.ReadRequest(r)
@@ -122,18 +122,18 @@
 			conn.Close()
 			return
 		}
-		c := &inCall{req: req, body: string(body), at: time.Now(), conn: conn, reader: r, done: make(chan bool, 1)}
+		c := &receivedCall{req: req, body: string(body), at: time.Now(), conn: conn, reader: r, keepReading: make(chan bool, 1)}
 		e.calls <- c
-		if !<-c.done {
+		if !<-c.keepReading {
 			return
 		}
 	}
 }
 
-func (e *endpoint) addr() string { return e.ln.Addr().String() }
+func (e *testEndpoint) addr() string { return e.ln.Addr().String() }
 
 // none checks that nothing has come that was not waited for.
-func (e *endpoint) none(t *testing.T) {
+func (e *testEndpoint) expectNoCall(t *testing.T) {
 	t.Helper()
 	select {
 	case c := <-e.calls:
@@ -143,23 +143,23 @@
 }
 
 // platform stands for discovery and for what hears of ends.
-type platform struct {
-	srv     *httptest.Server
-	notices chan Notice
-	asked   chan string // each call for the list
-	refused chan int    // each notice turned away: the number of lines
-	mu      sync.Mutex
-	list    List
-	news    chan struct{} // closed when the list changes
-	down    bool          // answers 503 to all
-	silent  bool          // never answers a call for the list
-	deaf    bool          // turns notices away
+type testPlatform struct {
+	srv            *httptest.Server
+	notices        chan Notice
+	listRequests   chan string // each call for the list
+	refusedNotices chan int    // each notice turned away: the number of lines
+	mu             sync.Mutex
+	list           List
+	changed        chan struct{} // closed when the list changes
+	down           bool          // answers 503 to all
+	holdLists      bool          // never answers a call for the list
+	refuseNotices  bool          // turns notices away
 }
 
-func newPlatform(t *testing.T) *platform {
+func newPlatform(t *testing.T) *testPlatform {
 	t.Helper()
-	p := &platform{notices: make(chan Notice, 64), asked: make(chan string, 1024), refused: make(chan int, 1024),
-		news: make(chan struct{})}
+	p := &testPlatform{notices: make(chan Notice, 64), listRequests: make(chan string, 1024), refusedNotices: make(chan int, 1024),
+		changed: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", p.hosts)
 	mux.HandleFunc("/v1/outcomes", p.outcomes)
@@ -168,20 +168,20 @@
 	return p
 }
 
-func (p *platform) set(f func()) {
+func (p *testPlatform) update(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
-	close(p.news)
-	p.news = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (p *platform) hosts(w http.ResponseWriter, r *http.Request) {
-	p.asked <- r.URL.RawQuery
+func (p *testPlatform) hosts(w http.ResponseWriter, r *http.Request) {
+	p.listRequests <- r.URL.RawQuery
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	for {
 		p.mu.Lock()
-		list, news, down, silent := p.list, p.news, p.down, p.silent
+		list, news, down, silent := p.list, p.changed, p.down, p.holdLists
 		p.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -199,9 +199,9 @@
 	}
 }
 
-func (p *platform) outcomes(w http.ResponseWriter, r *http.Request) {
+func (p *testPlatform) outcomes(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	deaf := p.deaf
+	deaf := p.refuseNotices
 	p.mu.Unlock()
 	var lines []Notice
 	for dec := json.NewDecoder(r.Body); dec.More(); {
@@ -213,7 +213,7 @@
 		lines = append(lines, x)
 	}
 	if deaf {
-		p.refused <- len(lines)
+		p.refusedNotices <- len(lines)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -224,7 +224,7 @@
 }
 
 // instances lists endpoints of destination 1.
-func instances(eps ...*endpoint) []Instance {
+func instances(eps ...*testEndpoint) []Instance {
 	var out []Instance
 	for i, e := range eps {
 		out = append(out, Instance{ID: fmt.Sprintf("s-%d", i), HostPort: e.addr(), Zone: "a", Kind: "std", Dest: 1,
@@ -234,7 +234,7 @@
 }
 
 // oneEndpoint is a platform that lists one endpoint, a folder for a sender, and the list that its configuration has.
-func oneEndpoint(t *testing.T) (p *platform, e *endpoint, dir string, known List) {
+func newSingleEndpoint(t *testing.T) (p *testPlatform, e *testEndpoint, dir string, known List) {
 	t.Helper()
 	p, e = newPlatform(t), newEndpoint(t)
 	known = List{Generation: 1, Reset: true, Instances: instances(e)}
@@ -243,7 +243,7 @@
 }
 
 // settings are those of the tests: one class of each effect.
-const settings = `{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"tick_s":0.005,"membership_mode":"on_request",
+const testSettings = `{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"tick_s":0.005,"membership_mode":"on_request",
 "weights":"nominal","over_share_worth":0.2,"machine_types":["std"],
 "classes":[
 {"name":"safe","aim_s":2,"deadline_s":16,"worth":1,"late_worth":0.4,"idempotency":"retryable","group":"all","window_s":5},
@@ -257,11 +257,11 @@
 "specifics":{"batch_by_kind":[1],"call_slots":6,"late":"halves","separate_routes":[false]}}`
 
 // configText is a configuration file.
-func configText(p *platform, known List) []byte {
+func configText(p *testPlatform, known List) []byte {
 	b, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0",
 		"discovery": strings.TrimPrefix(p.srv.URL, "http://"), "seed": "1f",
 		"limits": Limits{Cores: 1, MemoryMB: 192, Sockets: 256, DiskMB: 3}, "known": known,
-		"settings": json.RawMessage(settings)})
+		"settings": json.RawMessage(testSettings)})
 	if err != nil {
 		panic(err)
 	}
@@ -291,13 +291,13 @@
 	done chan error
 }
 
-func startNode(t *testing.T, p *platform, dir string, known List, with ...func(*Node)) *testNode {
+func startNode(t *testing.T, p *testPlatform, dir string, known List, with ...func(*Node)) *testNode {
 	t.Helper()
-	return startWith(t, string(configText(p, known)), dir, with...)
+	return startNodeWithConfig(t, string(configText(p, known)), dir, with...)
 }
 
 // startWith starts a sender with the text of a configuration.
-func startWith(t *testing.T, text, dir string, with ...func(*Node)) *testNode {
+func startNodeWithConfig(t *testing.T, text, dir string, with ...func(*Node)) *testNode {
 	t.Helper()
 	cfg, err := ParseConfig([]byte(text))
 	if err != nil {
@@ -314,30 +314,30 @@
 	ctx, stop := context.WithCancel(context.Background())
 	x := &testNode{Node: n, stop: stop, done: make(chan error, 1)}
 	go func() { x.done <- n.Run(ctx) }()
-	x.addr = await(t, n.ready, "ready sender").String()
+	x.addr = receive(t, n.ready, "ready sender").String()
 	t.Cleanup(stop)
 	return x
 }
 
 // client is a client's connection.
-type client struct {
+type testClient struct {
 	t    *testing.T
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-func dial(t *testing.T, addr string) *client {
+func dialClient(t *testing.T, addr string) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(2 * patience))
-	return &client{t, conn, bufio.NewReader(conn)}
+	conn.SetDeadline(time.Now().Add(2 * testTimeout))
+	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-func (c *client) send(args ...string) {
+func (c *testClient) send(args ...string) {
 	c.t.Helper()
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(args))
@@ -350,7 +350,7 @@
 }
 
 // line reads an answer; empty once the sender has closed the connection.
-func (c *client) line() string {
+func (c *testClient) readLine() string {
 	c.t.Helper()
 	s, err := c.r.ReadString('\n')
 	if isTimeout(err) {
@@ -359,19 +359,19 @@
 	return strings.TrimRight(s, "\r\n")
 }
 
-func (c *client) do(args ...string) string {
+func (c *testClient) do(args ...string) string {
 	c.t.Helper()
 	c.send(args...)
-	return c.line()
+	return c.readLine()
 }
 
 // put hands a message in and checks the answer.
-func (c *client) put(id, class, want string) {
+func (c *testClient) put(id, class, want string) {
 	c.t.Helper()
-	c.putFor(id, class, 10000, want)
+	c.putWithLifetime(id, class, 10000, want)
 }
 
-func (c *client) putFor(id, class string, ms int, want string) {
+func (c *testClient) putWithLifetime(id, class string, ms int, want string) {
 	c.t.Helper()
 	opts := fmt.Sprintf("c=%s,t=acme,d=%d,k=key-%s,dest=1", class, ms, id)
 	if got := c.do("MSG.PUT", "0000", id, opts, "body of "+id); got != want {
@@ -380,15 +380,15 @@
 }
 
 // world is a sender with endpoints and a platform.
-func world(t *testing.T, endpoints int, with ...func(*Node)) (*testNode, *client, *platform, []*endpoint) {
+func startNodeWithEndpoints(t *testing.T, endpoints int, with ...func(*Node)) (*testNode, *testClient, *testPlatform, []*testEndpoint) {
 	t.Helper()
 	p := newPlatform(t)
-	var eps []*endpoint
+	var eps []*testEndpoint
 	for range endpoints {
 		eps = append(eps, newEndpoint(t))
 	}
 	known := List{Generation: 1, Reset: true, Instances: instances(eps...)}
 	p.list = known
 	n := startNode(t, p, t.TempDir(), known, with...)
-	return n, dial(t, n.addr), p, eps
+	return n, dialClient(t, n.addr), p, eps
 }
--- a/internal/node/crowd_test.go
+++ b/internal/node/idle_clients_test.go
@@ -14,7 +14,7 @@
 )
 
 // bound limits the descriptors of a process that runs.
-func (x *process) bound(descriptors int) {
+func (x *process) limitDescriptors(descriptors int) {
 	x.t.Helper()
 	limit := syscall.Rlimit{Cur: uint64(descriptors), Max: uint64(descriptors)}
 	if _, _, err := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(x.cmd.Process.Pid), syscall.RLIMIT_NOFILE,
@@ -24,7 +24,7 @@
 }
 
 // descriptors counts those that a process has open.
-func (x *process) descriptors() int {
+func (x *process) openDescriptors() int {
 	x.t.Helper()
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", x.cmd.Process.Pid))
 	if err != nil {
@@ -35,7 +35,7 @@
 
 // crowd has clients come that say nothing and stay, 200 a second up to the end of the test: within the 2 s and more
 // that each of them may stay they are more than there are descriptors. It returns once one has been sent away.
-func crowd(t *testing.T, addr string) {
+func openIdleClients(t *testing.T, addr string) {
 	t.Helper()
 	stop, away := make(chan struct{}), make(chan struct{}, 1)
 	var all sync.WaitGroup
@@ -52,7 +52,7 @@
 			}
 			all.Go(func() {
 				defer conn.Close()
-				conn.SetReadDeadline(time.Now().Add(patience))
+				conn.SetReadDeadline(time.Now().Add(testTimeout))
 				io.Copy(io.Discard, conn) // up to its end, whoever ends it
 				select {
 				case away <- struct{}{}:
@@ -62,7 +62,7 @@
 		}
 	})
 	t.Cleanup(func() { close(stop); all.Wait() })
-	await(t, away, "client that is sent away")
+	receive(t, away, "client that is sent away")
 }
 
 // Clients that say nothing fill the descriptors while discovery is down. When it is back the list is fetched, calls go
@@ -70,41 +70,41 @@
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	p, e, added := newPlatform(t), newEndpoint(t), newEndpoint(t)
 	known := List{Generation: 1, Reset: true, Instances: instances(e)}
-	p.list, p.silent = known, true
+	p.list, p.holdLists = known, true
 	x := startProcess(t, p, t.TempDir(), known)
 	t.Cleanup(func() { x.kill() })
 	const sockets = 256 // of the configuration
-	x.bound(sockets)
-	await(t, p.asked, "watch")
-	dial(t, x.addr).put("fails", "unsafe", "+OK")
-	fails := await(t, e.calls, "call")
+	x.limitDescriptors(sockets)
+	receive(t, p.listRequests, "watch")
+	dialClient(t, x.addr).put("fails", "unsafe", "+OK")
+	fails := receive(t, e.calls, "call")
 
-	crowd(t, x.addr)
-	places := shareOut(&Config{Limits: Limits{Sockets: sockets}}).clients
-	if n := x.descriptors(); n < places {
+	openIdleClients(t, x.addr)
+	places := newSocketBudget(&Config{Limits: Limits{Sockets: sockets}}).clients
+	if n := x.openDescriptors(); n < places {
 		t.Errorf("%d descriptors open, want %d at least", n, places)
 	}
-	for len(p.asked) > 0 {
-		<-p.asked
+	for len(p.listRequests) > 0 {
+		<-p.listRequests
 	}
 	p.srv.CloseClientConnections() // what comes next needs a new one
-	await(t, p.asked, "call for the list on a new connection")
-	p.set(func() { p.silent, p.list = false, List{Generation: 2, Reset: true, Instances: instances(e, added)} })
-	taken(t, p, 2)
+	receive(t, p.listRequests, "call for the list on a new connection")
+	p.update(func() { p.holdLists, p.list = false, List{Generation: 2, Reset: true, Instances: instances(e, added)} })
+	awaitListGeneration(t, p, 2)
 	if got := ask(t, x.admin, "ready\n"); got != "+OK\n" {
 		t.Errorf("operators get %q", got)
 	}
 	fails.reply(500)
-	if n := await(t, p.notices, "notice"); n != (Notice{ID: "fails", State: "failed"}) {
+	if n := receive(t, p.notices, "notice"); n != (Notice{ID: "fails", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
 	for i := 0; ; i++ { // the endpoint that the list has added gets its share
-		dial(t, x.addr).put(fmt.Sprint("m-", i), "safe", "+OK")
-		var in *inCall
+		dialClient(t, x.addr).put(fmt.Sprint("m-", i), "safe", "+OK")
+		var in *receivedCall
 		select {
 		case in = <-e.calls:
 		case in = <-added.calls:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("no call")
 		}
 		in.reply(200)
@@ -118,7 +118,7 @@
 	if got := ask(t, x.admin, "show-stat\n"); !strings.HasPrefix(got, "+OK\n") {
 		t.Errorf("operators get %q", got)
 	}
-	if n := x.descriptors(); n < places || n > sockets {
+	if n := x.openDescriptors(); n < places || n > sockets {
 		t.Errorf("%d descriptors at the end, want %d to %d", n, places, sockets)
 	}
 	for len(x.said) > 0 { // no side may take those of another
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -206,7 +206,7 @@
 
 // A class that the settings do not name any more must not turn into another one: what may have run of it fails.
 func TestUnknownClassInTheJournal(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	j := openJournal(t, dir, 3e6)
 	for _, id := range []string{"ran", "waits"} {
 		mustAppend(t, j, record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, Class: "forgotten", Dest: 1,
@@ -216,12 +216,12 @@
 	n := startNode(t, p, dir, known)
 	ends := map[string]string{}
 	for range 2 {
-		x := await(t, p.notices, "notice")
+		x := receive(t, p.notices, "notice")
 		ends[x.ID] = x.State
 	}
 	if ends["ran"] != noticeFailed || ends["waits"] != noticeReturned {
 		t.Errorf("ended as %v", ends)
 	}
-	e.none(t)
-	stopClean(t, n)
+	e.expectNoCall(t)
+	stopAndCheckEmpty(t, n)
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -6,23 +6,23 @@
 // those that another needs.
 
 const (
-	otherSockets   = 20 + adminPlaces + 2 // standard streams, listeners, poller, journal, discovery, notices; operators
-	defaultSockets = 1024
-	lingering      = 8 // calls that are given up and not closed yet, and probes
+	reservedSockets    = 20 + adminPlaces + 2 // standard streams, listeners, poller, journal, discovery, notices; operators
+	defaultSockets     = 1024
+	closingCallSockets = 8 // calls that are given up and not closed yet, and probes
 )
 
 // memoryPart is the part of the memory that the garbage collector may let the heap fill.
-const memoryPart = 0.7
+const heapMemoryFraction = 0.7
 
-// BindMemory tells the garbage collector of the limit on memory.
-func (l Limits) BindMemory() {
+// ApplyMemoryLimit tells the garbage collector of the limit on memory.
+func (l Limits) ApplyMemoryLimit() {
 	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(l.MemoryMB * memoryPart * (1 << 20)))
+		debug.SetMemoryLimit(int64(l.MemoryMB * heapMemoryFraction * (1 << 20)))
 	}
 }
 
 // among is what each of several processes of one sender may use.
-func (l Limits) among(processes int) Limits {
+func (l Limits) dividedBy(processes int) Limits {
 	if l.Sockets <= 0 {
 		l.Sockets = defaultSockets
 	}
@@ -32,7 +32,7 @@
 }
 
 // shares says how many connections each side may hold.
-type shares struct {
+type socketBudget struct {
 	clients int
 	calls   int // to endpoints, idle ones counted
 	idle    int // to endpoints, without a call
@@ -40,16 +40,16 @@
 
 // shareOut gives calls what the slots can use, and some to keep, and the rest to clients;
 // clients need a third for requests, and as much again as room for those that say nothing.
-func shareOut(cfg *Config) shares {
+func newSocketBudget(cfg *Config) socketBudget {
 	sockets := cfg.Limits.Sockets
 	if sockets <= 0 {
 		sockets = defaultSockets
 	}
-	rest := max(sockets-otherSockets, 16)
+	rest := max(sockets-reservedSockets, 16)
 	clients := rest / 2
-	if need := cfg.Deploy.Settings.Slots + lingering; rest-clients < need {
+	if need := cfg.Deploy.Settings.Slots + closingCallSockets; rest-clients < need {
 		clients = max(rest-need, rest*2/5)
 	}
 	calls := rest - clients
-	return shares{clients: clients, calls: calls, idle: max(calls*2/3, 1)}
+	return socketBudget{clients: clients, calls: calls, idle: max(calls*2/3, 1)}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -16,7 +16,7 @@
 )
 
 // owed lists what a stopped sender has left in its journal.
-func owed(t *testing.T, dir string) (ids []string) {
+func pendingMessageIDs(t *testing.T, dir string) (ids []string) {
 	t.Helper()
 	for _, e := range openJournal(t, dir, 3e6).Entries() {
 		ids = append(ids, e.ID)
@@ -25,67 +25,67 @@
 }
 
 // stopClean shuts a sender down and checks that it owes nothing.
-func stopClean(t *testing.T, n *testNode) {
+func stopAndCheckEmpty(t *testing.T, n *testNode) {
 	t.Helper()
 	n.stop()
-	if err := await(t, n.done, "end of the sender"); err != nil {
+	if err := receive(t, n.done, "end of the sender"); err != nil {
 		t.Fatal(err)
 	}
-	if ids := owed(t, n.cfg.StateDir); ids != nil {
+	if ids := pendingMessageIDs(t, n.cfg.StateDir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
 
 func TestDeliver(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	if got := c.do("PING"); got != "+PONG" {
 		t.Fatalf("PING: %q", got)
 	}
 	c.put("a", "keyed", "+OK")
-	in := await(t, e[0].calls, "call")
+	in := receive(t, e[0].calls, "call")
 	if in.body != "body of a" || in.id() != "a" || in.req.Header.Get("Idempotency-Key") != "key-a" {
 		t.Errorf("went out changed: %v %q", in.req.Header, in.body)
 	}
 	in.reply(200)
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // A client may hand an id in once more when its connection was closed: that is one message, held or delivered.
 func TestSameIDTwice(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	c.send("MSG.PUT", "0", "a", "c=safe,d=9000,dest=1", "x")
-	c2 := dial(t, n.addr)
+	c2 := dialClient(t, n.addr)
 	c2.put("a", "safe", "+OK")
-	if got := c.line(); got != "+OK" {
+	if got := c.readLine(); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
-	in := await(t, e[0].calls, "call")
+	in := receive(t, e[0].calls, "call")
 	c.put("a", "safe", "+OK")
 	in.reply(200)
 	c.put("a", "safe", "+OK")
 	c.put("b", "safe", "+OK")
-	if in := await(t, e[0].calls, "call"); in.id() != "b" {
+	if in := receive(t, e[0].calls, "call"); in.id() != "b" {
 		t.Fatalf("call with %s, want b", in.id())
 	} else {
 		in.reply(200)
 	}
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // What the module gives up is answered at once, with the time to come again.
-func TestGivenUpAtOnce(t *testing.T) {
-	n, c, p, e := world(t, 1)
-	c.putFor("late", "safe", 1, "-BUSY 2000")
+func TestImmediateRefusal(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
+	c.putWithLifetime("late", "safe", 1, "-BUSY 2000")
 	c.put("b", "safe", "+OK")
-	await(t, e[0].calls, "call").reply(200)
-	stopClean(t, n)
+	receive(t, e[0].calls, "call").reply(200)
+	stopAndCheckEmpty(t, n)
 	if len(p.notices) != 0 {
 		t.Errorf("a notice for a message that was never taken on: %v", <-p.notices)
 	}
 }
 
 // The hold has a limit; what comes above it is turned away, and so is what the journal has no room for.
-func TestDoor(t *testing.T) {
+func TestAdmissionLimits(t *testing.T) {
 	p := newPlatform(t)
 	cfg, err := ParseConfig(configText(p, List{}))
 	if err != nil {
@@ -97,16 +97,16 @@
 		t.Fatal(err)
 	}
 	defer n.journal.Close()
-	n.dir.Take(List{Reset: true, Instances: []Instance{{ID: "s", HostPort: "127.0.0.1:1", Dest: 1, Lifecycle: "up"}}}, time.Now())
+	n.directory.Take(List{Reset: true, Instances: []Instance{{ID: "s", HostPort: "127.0.0.1:1", Dest: 1, Lifecycle: "up"}}}, time.Now())
 	answer := make(chan string, 1)
 	put := putEvent{Message{ID: "a", Class: "safe", Dest: 1, Body: make([]byte, 100)}, answer}
-	n.open = cfg.Deploy.Settings.MaxOpen
-	if n.put(put); await(t, answer, "answer") != "-BUSY\r\n" {
+	n.openCount = cfg.Deploy.Settings.MaxOpen
+	if n.handlePut(put); receive(t, answer, "answer") != "-BUSY\r\n" {
 		t.Error("taken on above max_open")
 	}
-	n.open = 0
+	n.openCount = 0
 	n.journal.limit = 500
-	if n.put(put); await(t, answer, "answer") != "-BUSY\r\n" {
+	if n.handlePut(put); receive(t, answer, "answer") != "-BUSY\r\n" {
 		t.Error("taken on without room in the journal")
 	}
 }
@@ -115,7 +115,7 @@
 // and the module gets the outcome of what it wanted to send, or a slot would be lost for good.
 func TestJournalFails(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
-	n, c, _, e := world(t, 1, func(n *Node) {
+	n, c, _, e := startNodeWithEndpoints(t, 1, func(n *Node) {
 		bad, err := os.Open(n.journal.file.Name()) // can't be written
 		if err != nil {
 			t.Fatal(err)
@@ -126,30 +126,30 @@
 	for i := range 10 { // more than there are slots
 		c.put(fmt.Sprint("x", i), "safe", "-BUSY")
 	}
-	e[0].none(t)
+	e[0].expectNoCall(t)
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	c.put("a", "safe", "+OK")
-	in := await(t, e[0].calls, "call")
+	in := receive(t, e[0].calls, "call")
 	if in.id() != "a" {
 		t.Fatalf("call with %s, want a", in.id())
 	}
 	in.reply(200)
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // Told to wait, the sender sends nothing there, for any message, until the wait is over.
-func TestWaitIsHeeded(t *testing.T) {
-	n, c, _, e := world(t, 1)
+func TestWaitIsHonoured(t *testing.T) {
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "safe", "+OK")
-	in := await(t, e[0].calls, "call")
+	in := receive(t, e[0].calls, "call")
 	const wait = 400 * time.Millisecond
 	told := time.Now()
 	in.reply(429, "X-Come-Back-Ms: 400")
 	c.put("b", "safe", "+OK")
 	for range 2 {
-		in := await(t, e[0].calls, "call")
+		in := receive(t, e[0].calls, "call")
 		if in.at.Sub(told) < wait {
 			// b may have gone before the answer was read; that is excused for 100 ms.
 			if in.at.Sub(told) > 100*time.Millisecond {
@@ -158,15 +158,15 @@
 		}
 		in.reply(200)
 	}
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // Refusals prove that nothing ran: also an unsafe message is sent again, and returned once its attempts are used up.
-func TestNeverRan(t *testing.T) {
-	n, c, p, e := world(t, 1)
+func TestRefusedAttemptsRetried(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("full", "unsafe", "+OK")
-	await(t, e[0].calls, "call").reply(503)
-	await(t, e[0].calls, "second call").reply(200)
+	receive(t, e[0].calls, "call").reply(503)
+	receive(t, e[0].calls, "second call").reply(200)
 	for _, answer := range [][]string{{"503", "X-Line-Busy: 1"}, {"504"}} {
 		c.put("moot"+answer[0], "unsafe", "+OK")
 		status := 503
@@ -174,23 +174,23 @@
 			status = 504
 		}
 		for range 3 { // max_attempts
-			await(t, e[0].calls, "call").reply(status, answer[1:]...)
+			receive(t, e[0].calls, "call").reply(status, answer[1:]...)
 		}
-		if x := await(t, p.notices, "notice"); x.ID != "moot"+answer[0] || x.State != "returned" || x.AfterMS != 2000 {
+		if x := receive(t, p.notices, "notice"); x.ID != "moot"+answer[0] || x.State != "returned" || x.AfterMS != 2000 {
 			t.Errorf("notice %+v", x)
 		}
 	}
-	stopClean(t, n)
-	e[0].none(t)
+	stopAndCheckEmpty(t, n)
+	e[0].expectNoCall(t)
 }
 
 // The endpoint says that the message is over: nothing is owed, not even a notice.
-func TestOver(t *testing.T) {
-	n, c, p, e := world(t, 1)
+func TestEndpointReportsMessageOver(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "unsafe", "+OK")
-	await(t, e[0].calls, "call").reply(410)
-	stopClean(t, n)
-	e[0].none(t)
+	receive(t, e[0].calls, "call").reply(410)
+	stopAndCheckEmpty(t, n)
+	e[0].expectNoCall(t)
 	if len(p.notices) != 0 {
 		t.Errorf("notice %+v", <-p.notices)
 	}
@@ -200,8 +200,8 @@
 func TestMayHaveRun(t *testing.T) {
 	for _, how := range []string{"500", "reset"} {
 		t.Run(how, func(t *testing.T) {
-			n, c, p, e := world(t, 1)
-			end := func(in *inCall) {
+			n, c, p, e := startNodeWithEndpoints(t, 1)
+			end := func(in *receivedCall) {
 				if how == "500" {
 					in.reply(500)
 				} else {
@@ -209,85 +209,85 @@
 				}
 			}
 			c.put("u", "unsafe", "+OK")
-			end(await(t, e[0].calls, "call"))
-			if x := await(t, p.notices, "notice"); x != (Notice{ID: "u", State: "failed"}) {
+			end(receive(t, e[0].calls, "call"))
+			if x := receive(t, p.notices, "notice"); x != (Notice{ID: "u", State: "failed"}) {
 				t.Errorf("notice %+v", x)
 			}
 			c.put("k", "keyed", "+OK")
-			end(await(t, e[0].calls, "call"))
-			in := await(t, e[0].calls, "call again")
+			end(receive(t, e[0].calls, "call"))
+			in := receive(t, e[0].calls, "call again")
 			if in.id() != "k" || in.req.Header.Get("Idempotency-Key") != "key-k" {
 				t.Errorf("call with %v", in.req.Header)
 			}
 			in.reply(200)
-			stopClean(t, n)
-			e[0].none(t)
+			stopAndCheckEmpty(t, n)
+			e[0].expectNoCall(t)
 		})
 	}
 }
 
 // An endpoint that answers nothing: an unsafe message fails when its time is up, and the call is ended.
-func TestSilentUntilDeadline(t *testing.T) {
-	n, c, p, e := world(t, 1)
-	c.putFor("u", "unsafe", 300, "+OK")
-	in := await(t, e[0].calls, "call")
-	if x := await(t, p.notices, "notice"); x != (Notice{ID: "u", State: "failed"}) {
+func TestSilentEndpointUntilDeadline(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
+	c.putWithLifetime("u", "unsafe", 300, "+OK")
+	in := receive(t, e[0].calls, "call")
+	if x := receive(t, p.notices, "notice"); x != (Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", x)
 	}
 	in.awaitEnd(t)
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // A safe message is called off at an endpoint that hangs and goes to another; the first call must have ended for
 // the endpoint before the second begins, or there are two copies.
-func TestSilentGoesElsewhere(t *testing.T) {
-	n, c, _, e := world(t, 2)
+func TestSilentEndpointRetriedElsewhere(t *testing.T) {
+	n, c, _, e := startNodeWithEndpoints(t, 2)
 	c.put("s", "safe", "+OK")
-	var first, second *inCall
+	var first, second *receivedCall
 	next := e[1]
 	select {
 	case first = <-e[0].calls:
 	case first = <-e[1].calls:
 		next = e[0]
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no call")
 	}
-	second = await(t, next.calls, "call elsewhere")
+	second = receive(t, next.calls, "call elsewhere")
 	first.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 	if _, err := first.reader.Read(make([]byte, 1)); err == nil || isTimeout(err) {
 		t.Errorf("the first call is still open: %v", err)
 	}
 	second.reply(200)
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // taken waits until the sender has the list of a generation: it asks from there on.
-func taken(t *testing.T, p *platform, generation int) {
+func awaitListGeneration(t *testing.T, p *testPlatform, generation int) {
 	t.Helper()
-	for !strings.HasPrefix(await(t, p.asked, "call for the list"), fmt.Sprintf("from=%d&", generation)) {
+	for !strings.HasPrefix(receive(t, p.listRequests, "call for the list"), fmt.Sprintf("from=%d&", generation)) {
 	}
 }
 
 // Nothing new goes to an endpoint that drains; an address may change under the same name.
 func TestDrainAndMove(t *testing.T) {
-	n, c, p, e := world(t, 2)
+	n, c, p, e := startNodeWithEndpoints(t, 2)
 	list := instances(e...)
 	list[0].Lifecycle = "draining"
-	p.set(func() { p.list = List{Generation: 2, Instances: list[:1]} })
-	taken(t, p, 2)
+	p.update(func() { p.list = List{Generation: 2, Instances: list[:1]} })
+	awaitListGeneration(t, p, 2)
 	for i := range 4 {
 		c.put(fmt.Sprint("m", i), "safe", "+OK")
-		await(t, e[1].calls, "call").reply(200)
+		receive(t, e[1].calls, "call").reply(200)
 	}
-	e[0].none(t)
+	e[0].expectNoCall(t)
 	moved := newEndpoint(t)
 	list[1].HostPort = moved.addr()
-	p.set(func() { p.list = List{Generation: 3, Instances: list[1:]} })
-	taken(t, p, 3)
+	p.update(func() { p.list = List{Generation: 3, Instances: list[1:]} })
+	awaitListGeneration(t, p, 3)
 	c.put("m", "safe", "+OK")
-	await(t, moved.calls, "call").reply(200)
-	stopClean(t, n)
-	e[1].none(t)
+	receive(t, moved.calls, "call").reply(200)
+	stopAndCheckEmpty(t, n)
+	e[1].expectNoCall(t)
 }
 
 // While discovery is down the last list serves, and the sender asks again until it hears.
@@ -296,50 +296,50 @@
 	p.down = true
 	e := newEndpoint(t)
 	n := startNode(t, p, t.TempDir(), List{Generation: 1, Reset: true, Instances: instances(e)})
-	dial(t, n.addr).put("a", "safe", "+OK")
-	await(t, e.calls, "call").reply(200)
-	taken(t, p, 1)
-	taken(t, p, 1)
+	dialClient(t, n.addr).put("a", "safe", "+OK")
+	receive(t, e.calls, "call").reply(200)
+	awaitListGeneration(t, p, 1)
+	awaitListGeneration(t, p, 1)
 	moved := newEndpoint(t)
-	p.set(func() { p.down, p.list = false, List{Generation: 2, Reset: true, Instances: instances(moved)} })
-	taken(t, p, 2)
-	dial(t, n.addr).put("b", "safe", "+OK")
-	await(t, moved.calls, "call").reply(200)
-	stopClean(t, n)
+	p.update(func() { p.down, p.list = false, List{Generation: 2, Reset: true, Instances: instances(moved)} })
+	awaitListGeneration(t, p, 2)
+	dialClient(t, n.addr).put("b", "safe", "+OK")
+	receive(t, moved.calls, "call").reply(200)
+	stopAndCheckEmpty(t, n)
 }
 
 func TestDiscoverySilent(t *testing.T) {
 	p := newPlatform(t)
-	p.silent = true
+	p.holdLists = true
 	e := newEndpoint(t)
 	n := startNode(t, p, t.TempDir(), List{Generation: 1, Reset: true, Instances: instances(e)})
-	await(t, p.asked, "call for the list")
-	dial(t, n.addr).put("a", "safe", "+OK")
-	await(t, e.calls, "call").reply(200)
-	stopClean(t, n)
+	receive(t, p.listRequests, "call for the list")
+	dialClient(t, n.addr).put("a", "safe", "+OK")
+	receive(t, e.calls, "call").reply(200)
+	stopAndCheckEmpty(t, n)
 }
 
 // A notice counts once the platform has confirmed it, and is sent until then.
 func TestNoticesDown(t *testing.T) {
-	n, c, p, e := world(t, 1)
-	p.set(func() { p.deaf = true })
+	n, c, p, e := startNodeWithEndpoints(t, 1)
+	p.update(func() { p.refuseNotices = true })
 	c.put("u", "unsafe", "+OK")
-	await(t, e[0].calls, "call").reply(500)
-	await(t, p.refused, "notice")
-	await(t, p.refused, "second notice")
-	p.set(func() { p.deaf = false })
-	if x := await(t, p.notices, "notice"); x.ID != "u" || x.State != "failed" {
+	receive(t, e[0].calls, "call").reply(500)
+	receive(t, p.refusedNotices, "notice")
+	receive(t, p.refusedNotices, "second notice")
+	p.update(func() { p.refuseNotices = false })
+	if x := receive(t, p.notices, "notice"); x.ID != "u" || x.State != "failed" {
 		t.Errorf("notice %+v", x)
 	}
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // Whatever a client sends, it gets an error line and nobody else is hurt.
 func TestMalformedRequests(t *testing.T) {
-	n, c, p, e := world(t, 1)
-	taken(t, p, 1) // an unknown destination is one that discovery does not know
-	p.set(func() { p.list.Generation = 2 })
-	taken(t, p, 2)
+	n, c, p, e := startNodeWithEndpoints(t, 1)
+	awaitListGeneration(t, p, 1) // an unknown destination is one that discovery does not know
+	p.update(func() { p.list.Generation = 2 })
+	awaitListGeneration(t, p, 2)
 	const good = "c=safe,t=acme,d=9000,dest=1"
 	for i, args := range [][]string{
 		{"NONSENSE"}, {""}, {"MSG.PUT"}, {"MSG.PUT", "0", "a", good}, {"MSG.PUT", "0", "", good, "x"},
@@ -355,7 +355,7 @@
 		{"MSG.PUT", "0", "a", "c=safe,d=9000000,dest=1", "x"}, {"MSG.PUT", "0", "a", "c=safe,d=9000,dest=77", "x"},
 	} {
 		if i%8 == 7 { // before there are too many errors on one connection
-			c = dial(t, n.addr)
+			c = dialClient(t, n.addr)
 		}
 		if got := c.do(args...); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%q: got %q", args, got)
@@ -365,91 +365,91 @@
 		t.Errorf("afterwards: %q", got)
 	}
 	for _, raw := range []string{"*1\r\n$9223372036854775807\r\n", "*1000000000\r\n", "GET / HTTP/1.1\r\n\r\n", "*1\r\n$65537\r\n"} {
-		bad := dial(t, n.addr)
+		bad := dialClient(t, n.addr)
 		bad.conn.Write([]byte(raw))
-		if got := bad.line(); !strings.HasPrefix(got, "-ERR ") {
+		if got := bad.readLine(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%q: got %q", raw, got)
 		}
-		if got := bad.line(); got != "" {
+		if got := bad.readLine(); got != "" {
 			t.Errorf("%q: the connection goes on with %q", raw, got)
 		}
 	}
-	half := dial(t, n.addr)
+	half := dialClient(t, n.addr)
 	half.conn.Write([]byte("*5\r\n$7\r\nMSG"))
 	half.conn.Close()
 	body := strings.Repeat("\x00\r\n", 1<<14) // bodies hold any bytes
 	if got := c.do("MSG.PUT", "0", "a", good, body); got != "+OK" {
 		t.Errorf("got %q", got)
 	}
-	in := await(t, e[0].calls, "call")
+	in := receive(t, e[0].calls, "call")
 	if in.body != body {
 		t.Errorf("body went out changed: %d bytes of %d", len(in.body), len(body))
 	}
 	in.reply(200)
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // A request that came just before the sender closes its connections is answered: its client counts on that.
-func TestRequestCrossesShutdown(t *testing.T) {
+func TestRequestArrivesDuringShutdown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	c := dial(t, ln.Addr().String())
+	c := dialClient(t, ln.Addr().String())
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	c.send("PING")
-	for stop := time.Now().Add(patience); ; {
-		if _, data := peek(conn); data {
+	for stop := time.Now().Add(testTimeout); ; {
+		if _, data := peekConn(conn); data {
 			break
 		}
 		if time.Now().After(stop) {
 			t.Fatal("the request does not come")
 		}
 	}
-	served := newClients(&Config{}, slog.New(slog.DiscardHandler), nil, newFigures(&Config{}))
-	served.phase, served.parting = stopping, true
-	(&session{c: served, conn: conn, opened: time.Now()}).handle()
+	served := newClientServer(&Config{}, slog.New(slog.DiscardHandler), nil, newFigures(&Config{}))
+	served.phase, served.closingIdle = stopping, true
+	(&session{server: served, conn: conn, openedAt: time.Now()}).handle()
 	conn.Close()
-	if got := c.line(); got != "-ERR stopping" {
+	if got := c.readLine(); got != "-ERR stopping" {
 		t.Errorf("got %q", got)
 	}
-	if got := c.line(); got != "" {
+	if got := c.readLine(); got != "" {
 		t.Errorf("the connection goes on with %q", got)
 	}
 }
 
 // A probe that is asked for has its one result.
 func TestProbe(t *testing.T) {
-	n, _, _, e := world(t, 1)
+	n, _, _, e := startNodeWithEndpoints(t, 1)
 	n.probe(t.Context(), 1)
-	in := await(t, e[0].calls, "probe")
+	in := receive(t, e[0].calls, "probe")
 	if in.req.URL.Path != "/alive" || in.req.Method != "GET" {
 		t.Errorf("probe %s %s", in.req.Method, in.req.URL)
 	}
 	in.reply(200)
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // A wait or a drain holds the calls that still connect there, and no others.
-func TestHoldReachesConnectingCalls(t *testing.T) {
+func TestAbortConnectingCalls(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		apart bool
 		learn func(n *Node)
 		held  [4]bool // connecting to endpoints 1 and 2 of destination 1 and 3 of destination 2; written to 1
 	}{
-		{"wait, one limit", false, func(n *Node) { n.holdWait(1) }, [4]bool{true, true, false, false}},
-		{"wait, routes apart", true, func(n *Node) { n.holdWait(1) }, [4]bool{true, false, false, false}},
+		{"wait, one limit", false, func(n *Node) { n.abortForWait(1) }, [4]bool{true, true, false, false}},
+		{"wait, routes apart", true, func(n *Node) { n.abortForWait(1) }, [4]bool{true, false, false, false}},
 		{"drain", false, func(n *Node) {
-			n.list(listEvent{list: List{Instances: []Instance{{ID: "b", Dest: 1, Lifecycle: "draining"}}}})
+			n.handleList(listEvent{list: List{Instances: []Instance{{ID: "b", Dest: 1, Lifecycle: "draining"}}}})
 		}, [4]bool{false, true, false, false}},
 		{"whole list", false, func(n *Node) {
-			n.list(listEvent{list: List{Reset: true, Instances: []Instance{{ID: "a", Dest: 1, Lifecycle: "up"}}}})
+			n.handleList(listEvent{list: List{Reset: true, Instances: []Instance{{ID: "a", Dest: 1, Lifecycle: "up"}}}})
 		}, [4]bool{false, true, true, false}},
 	} {
 		cfg, err := ParseConfig(configText(newPlatform(t), List{}))
@@ -463,14 +463,14 @@
 			t.Fatal(err)
 		}
 		defer n.journal.Close()
-		n.dir.Take(List{Instances: []Instance{{ID: "a", HostPort: "h:1", Kind: "std", Dest: 1},
+		n.directory.Take(List{Instances: []Instance{{ID: "a", HostPort: "h:1", Kind: "std", Dest: 1},
 			{ID: "b", HostPort: "h:2", Kind: "std", Dest: 1}, {ID: "c", HostPort: "h:3", Kind: "std", Dest: 2}}}, time.Now())
 		var calls []*call
 		for i, ep := range []logic.EndpointID{1, 2, 3, 1} {
 			calls = append(calls, &call{ep: ep, state: new(atomic.Int32)})
 			calls[i].id = fmt.Sprint("m", i)
-			n.held[calls[i].id] = new(held)
-			n.goesOut(n.held[calls[i].id], calls[i], func() {})
+			n.active[calls[i].id] = new(activeMessage)
+			n.attemptStarted(n.active[calls[i].id], calls[i], func() {})
 		}
 		calls[3].state.Store(callWritten)
 		x.learn(n)
@@ -502,26 +502,26 @@
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
-	addr := await(t, n.ready, "ready sender").String()
-	if q := await(t, p.asked, "watch"); !strings.Contains(q, "from=1") {
+	addr := receive(t, n.ready, "ready sender").String()
+	if q := receive(t, p.listRequests, "watch"); !strings.Contains(q, "from=1") {
 		t.Errorf("asked %q", q)
 	}
-	p.set(func() { p.down = true })
-	await(t, p.asked, "watch after a failed call")
+	p.update(func() { p.down = true })
+	receive(t, p.listRequests, "watch after a failed call")
 	both := instances(old, fresh)
 	both[0].Lifecycle = "draining"
-	p.set(func() { p.down, p.list = false, List{Generation: 2, Instances: both} })
+	p.update(func() { p.down, p.list = false, List{Generation: 2, Instances: both} })
 	for q := ""; !strings.Contains(q, "from=2"); { // the news has been read
-		q = await(t, p.asked, "watch from the new list")
+		q = receive(t, p.listRequests, "watch from the new list")
 	}
-	c := dial(t, addr)
+	c := dialClient(t, addr)
 	for i := range 4 {
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
-		await(t, fresh.calls, "call").reply(200)
+		receive(t, fresh.calls, "call").reply(200)
 	}
-	old.none(t)
+	old.expectNoCall(t)
 	stop()
-	if err := await(t, done, "end of the sender"); err != nil {
+	if err := receive(t, done, "end of the sender"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -94,7 +94,7 @@
 			failing = true
 			patience = min(2*patience, noticeTime)
 			if !errors.Is(err, context.DeadlineExceeded) { // that was pause enough
-				pause(ctx, jitter(noticePause))
+				sleepContext(ctx, jitter(noticePause))
 			}
 			continue
 		case n > 0:
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -36,13 +36,13 @@
 	go q.run(t.Context())
 	told := 0
 	for told < most {
-		for _, id := range await(t, events, "confirmation").(noticedEvent).ids {
+		for _, id := range receive(t, events, "confirmation").(noticedEvent).ids {
 			if want := fmt.Sprintf("%064d", told); id != want {
 				t.Fatalf("confirmed %s, want %s", id, want)
 			}
 			told++
 		}
-		b := await(t, bodies, "body")
+		b := receive(t, bodies, "body")
 		if len(b) > 64<<10 {
 			t.Errorf("a body of %d bytes", len(b))
 		}
@@ -70,9 +70,9 @@
 	q := newNotices(strings.TrimPrefix(silent.URL, "http://"), slog.New(slog.DiscardHandler), make(chan any, 1))
 	go q.run(t.Context())
 	q.add(Notice{ID: "a", State: "failed"})
-	await(t, asked, "post")
+	receive(t, asked, "post")
 	q.move(strings.TrimPrefix(p.srv.URL, "http://"))
-	if x := await(t, p.notices, "notice"); x.ID != "a" {
+	if x := receive(t, p.notices, "notice"); x.ID != "a" {
 		t.Errorf("notice %+v", x)
 	}
 }
@@ -97,8 +97,8 @@
 	go q.run(t.Context())
 	begun := time.Now()
 	q.add(Notice{ID: "a", State: noticeFailed})
-	if took := await(t, heard, "notice").Sub(begun); took > 300*time.Millisecond {
+	if took := receive(t, heard, "notice").Sub(begun); took > 300*time.Millisecond {
 		t.Errorf("told after %v", took)
 	}
-	await(t, events, "confirmation")
+	receive(t, events, "confirmation")
 }
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -53,23 +53,23 @@
 }
 
 // startProcess starts it and waits until it serves.
-func startProcess(t *testing.T, p *platform, dir string, known List) *process {
+func startProcess(t *testing.T, p *testPlatform, dir string, known List) *process {
 	t.Helper()
 	x := launchProcess(t, p, dir, known)
-	x.addr = await(t, x.ready, "ready program")
+	x.addr = receive(t, x.ready, "ready program")
 	return x
 }
 
 // launchProcess starts it with what the platform would tell it, and waits until it can be asked and signalled.
-func launchProcess(t *testing.T, p *platform, dir string, known List) *process {
+func launchProcess(t *testing.T, p *testPlatform, dir string, known List) *process {
 	t.Helper()
 	x := execProcess(t, p, dir, configText(p, known))
-	x.admin = await(t, x.asked, "operators' address")
+	x.admin = receive(t, x.asked, "operators' address")
 	return x
 }
 
 // execProcess starts it with the text of a configuration, and does not wait.
-func execProcess(t *testing.T, p *platform, dir string, text []byte) *process {
+func execProcess(t *testing.T, p *testPlatform, dir string, text []byte) *process {
 	t.Helper()
 	path, err := program()
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // execProgram starts a build of the program, with more in its environment.
-func execProgram(t *testing.T, path string, p *platform, dir string, text []byte, env ...string) *process {
+func execProgram(t *testing.T, path string, p *testPlatform, dir string, text []byte, env ...string) *process {
 	t.Helper()
 	config := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(config, text, 0o600); err != nil {
@@ -120,7 +120,7 @@
 func (x *process) kill() {
 	x.t.Helper()
 	x.cmd.Process.Kill()
-	await(x.t, x.done, "end of the program")
+	receive(x.t, x.done, "end of the program")
 }
 
 // term sends SIGTERM; end checks that the program ends by itself.
@@ -128,7 +128,7 @@
 
 func (x *process) end() {
 	x.t.Helper()
-	if err := await(x.t, x.done, "end of the program"); err != nil {
+	if err := receive(x.t, x.done, "end of the program"); err != nil {
 		x.t.Errorf("ended with %v", err)
 	}
 }
@@ -136,53 +136,53 @@
 // A crash with a call out: it may have run. Nothing is handed in again, so the sender itself must send it again
 // where that is harmless, and must not where it is not.
 func TestKillWithCallOut(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	x := startProcess(t, p, dir, known)
-	c := dial(t, x.addr)
+	c := dialClient(t, x.addr)
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		c.put("m-"+class, class, "+OK")
-		await(t, e.calls, "call")
+		receive(t, e.calls, "call")
 	}
 	x.kill()
 	x = startProcess(t, p, dir, known)
 	again := map[string]string{}
 	for range 2 {
-		in := await(t, e.calls, "call again")
+		in := receive(t, e.calls, "call again")
 		again[in.id()] = in.req.Header.Get("Idempotency-Key") + " " + in.body
 		in.reply(200)
 	}
 	if again["m-safe"] != "key-m-safe body of m-safe" || again["m-keyed"] != "key-m-keyed body of m-keyed" {
 		t.Errorf("sent again: %v", again)
 	}
-	if n := await(t, p.notices, "notice"); n != (Notice{ID: "m-unsafe", State: "failed"}) {
+	if n := receive(t, p.notices, "notice"); n != (Notice{ID: "m-unsafe", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
 	x.term()
 	x.end()
-	e.none(t)
-	if ids := owed(t, dir); ids != nil {
+	e.expectNoCall(t)
+	if ids := pendingMessageIDs(t, dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
 
 // Attempts before a crash count: a message that brings the process down each time must not come for ever.
 func TestKillCountsAttempts(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	for i := range 3 { // max_attempts
 		x := startProcess(t, p, dir, known)
 		if i == 0 {
-			dial(t, x.addr).putFor("a", "safe", 16000, "+OK")
+			dialClient(t, x.addr).putWithLifetime("a", "safe", 16000, "+OK")
 		}
-		await(t, e.calls, "call")
+		receive(t, e.calls, "call")
 		x.kill()
 	}
 	x := startProcess(t, p, dir, known)
-	if n := await(t, p.notices, "notice"); n != (Notice{ID: "a", State: "failed"}) {
+	if n := receive(t, p.notices, "notice"); n != (Notice{ID: "a", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
 	x.term()
 	x.end()
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // What a restart finds taken on and untried is tried, all of it, by a process that knows nothing of latencies yet: after
@@ -191,23 +191,23 @@
 	for name, stop := range map[string]func(*process){"kill": (*process).kill, "term": func(x *process) { x.term(); x.end() }} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, e, dir, known := oneEndpoint(t)
+			p, e, dir, known := newSingleEndpoint(t)
 			x := startProcess(t, p, dir, known)
-			c := dial(t, x.addr)
-			c.putFor("first", "unsafe", 16000, "+OK")
-			await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
+			c := dialClient(t, x.addr)
+			c.putWithLifetime("first", "unsafe", 16000, "+OK")
+			receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 			var want []string
 			for i, class := range []string{"safe", "keyed", "unsafe", "safe", "unsafe", "keyed"} { // held back by the wait
 				id := fmt.Sprintf("untried-%d", i)
 				want = append(want, id)
-				c.putFor(id, class, 16000, "+OK")
+				c.putWithLifetime(id, class, 16000, "+OK")
 			}
 			stop(x)
-			e.none(t)
+			e.expectNoCall(t)
 			x = startProcess(t, p, dir, known)
 			refused := false
 			for got := map[string]bool{}; len(got) < len(want); {
-				in := await(t, e.calls, "call")
+				in := receive(t, e.calls, "call")
 				if slices.Contains(want, in.id()) {
 					got[in.id()] = true
 				}
@@ -228,10 +228,10 @@
 
 // A journal that is damaged is read up to the damage; the log says so, and the sender serves.
 func TestDamagedJournal(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	x := startProcess(t, p, dir, known)
-	dial(t, x.addr).put("whole", "safe", "+OK")
-	await(t, e.calls, "call")
+	dialClient(t, x.addr).put("whole", "safe", "+OK")
+	receive(t, e.calls, "call")
 	x.kill()
 	f, err := os.OpenFile(filepath.Join(dir, journalName), os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
@@ -245,14 +245,14 @@
 	}
 	x = launchProcess(t, p, dir, known)
 	x.says("the end cannot be read")
-	x.addr = await(t, x.ready, "ready program")
-	if in := await(t, e.calls, "call"); in.id() != "whole" {
+	x.addr = receive(t, x.ready, "ready program")
+	if in := receive(t, e.calls, "call"); in.id() != "whole" {
 		t.Errorf("call with %s", in.id())
 	} else {
 		in.reply(200)
 	}
-	dial(t, x.addr).put("next", "safe", "+OK")
-	await(t, e.calls, "call").reply(200)
+	dialClient(t, x.addr).put("next", "safe", "+OK")
+	receive(t, e.calls, "call").reply(200)
 	x.term()
 	x.end()
 }
@@ -280,19 +280,19 @@
 	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
 	known := List{Generation: 1, Reset: true, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1",
 		Zone: "a", Kind: "std", Dest: 2, Lifecycle: "draining"})}
-	p.list, p.deaf = known, true
+	p.list, p.refuseNotices = known, true
 	x := startProcess(t, p, dir, known)
-	c := dial(t, x.addr)
+	c := dialClient(t, x.addr)
 	c.put("failed", "unsafe", "+OK")
-	await(t, e.calls, "call").reply(500)
-	await(t, p.refused, "notice")
+	receive(t, e.calls, "call").reply(500)
+	receive(t, p.refusedNotices, "notice")
 	c.put("refused", "unsafe", "+OK")
-	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
+	receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	if got := c.do("MSG.PUT", "0", "short", "c=unsafe,d=600,dest=2", "x"); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
 	over := time.Now().Add(600 * time.Millisecond)
-	for stop := time.Now().Add(patience); ; {
+	for stop := time.Now().Add(testTimeout); ; {
 		b, err := os.ReadFile(filepath.Join(dir, journalName))
 		if err != nil {
 			t.Fatal(err)
@@ -307,11 +307,11 @@
 	c.put("unsent", "unsafe", "+OK") // waits: the sender has been told to
 	x.kill()
 	time.Sleep(time.Until(over))
-	p.set(func() { p.deaf = false })
+	p.update(func() { p.refuseNotices = false })
 	x = startProcess(t, p, dir, known)
 	got := map[string]bool{}
 	for range 2 {
-		in := await(t, e.calls, "call")
+		in := receive(t, e.calls, "call")
 		got[in.id()] = true
 		in.reply(200)
 	}
@@ -320,7 +320,7 @@
 	}
 	ends := map[string]string{}
 	for range 2 {
-		n := await(t, p.notices, "notice")
+		n := receive(t, p.notices, "notice")
 		ends[n.ID] = n.State
 	}
 	if ends["failed"] != "failed" || ends["short"] != "returned" {
@@ -328,7 +328,7 @@
 	}
 	x.term()
 	x.end()
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // A planned restart: clients are served a while, connections are closed between requests, calls under way end and
@@ -337,18 +337,18 @@
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			p, e, dir, known := oneEndpoint(t)
+			p, e, dir, known := newSingleEndpoint(t)
 			x := startProcess(t, p, dir, known)
-			c := dial(t, x.addr)
+			c := dialClient(t, x.addr)
 			c.put("a", class, "+OK")
-			in := await(t, e.calls, "call")
+			in := receive(t, e.calls, "call")
 			x.term()
-			if got := c.line(); got != "" { // the connection is closed between requests
+			if got := c.readLine(); got != "" { // the connection is closed between requests
 				t.Errorf("got %q", got)
 			}
 			in.reply(200)
 			x.end()
-			if ids := owed(t, dir); ids != nil {
+			if ids := pendingMessageIDs(t, dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
 			if len(p.notices) != 0 {
@@ -360,21 +360,21 @@
 
 // A call that does not end must not keep the program from ending in time; it stays in the journal as open.
 func TestTermWithSilentCall(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	x := startProcess(t, p, dir, known)
-	dial(t, x.addr).put("a", "unsafe", "+OK")
-	await(t, e.calls, "call")
+	dialClient(t, x.addr).put("a", "unsafe", "+OK")
+	receive(t, e.calls, "call")
 	at := time.Now()
 	x.term()
 	x.end()
-	if d := time.Since(at); d > stopAll+2*time.Second {
+	if d := time.Since(at); d > shutdownTimeout+2*time.Second {
 		t.Errorf("ended after %v", d)
 	}
-	if ids := owed(t, dir); len(ids) != 1 {
+	if ids := pendingMessageIDs(t, dir); len(ids) != 1 {
 		t.Errorf("owed: %v", ids)
 	}
 	x = startProcess(t, p, dir, known)
-	if n := await(t, p.notices, "notice"); n != (Notice{ID: "a", State: "failed"}) {
+	if n := receive(t, p.notices, "notice"); n != (Notice{ID: "a", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
 	x.kill()
--- a/internal/node/put.go
+++ b/internal/node/put.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	maxHold   = 24 * time.Hour // the longest time that anybody may name
-	holdTimes = 10             // the longest that a message may ask for, in times of its class's deadline
-	maxIDLen  = 128
+	maxLifetime       = 24 * time.Hour // the longest time that anybody may name
+	maxLifetimeFactor = 10             // the longest that a message may ask for, in times of its class's deadline
+	maxIDLen          = 128
 )
 
 // parsePut reads the arguments of MSG.PUT, which came at a time on the lasting clock.
-func (c *clients) parsePut(args [][]byte, now int64) (Message, error) {
+func (c *clientServer) parsePut(args [][]byte, now int64) (Message, error) {
 	var m Message
 	if len(args) != 4 {
 		return m, errors.New("MSG.PUT wants a key, an id, a list of names and values, and a body")
 	}
 	m.ID, m.Body = string(args[1]), args[3]
 	if key := string(args[0]); strings.Trim(key, "0") != "" {
-		if len(key) > maxIDLen || !plain(key) {
+		if len(key) > maxIDLen || !isHeaderSafe(key) {
 			return m, errors.New("bad key")
 		}
 		m.Order = key
 	}
-	if m.ID == "" || len(m.ID) > maxIDLen || !plain(m.ID) {
+	if m.ID == "" || len(m.ID) > maxIDLen || !isHeaderSafe(m.ID) {
 		return m, errors.New("bad id")
 	}
 	var hold time.Duration
@@ -48,13 +48,13 @@
 		case "t":
 			m.Tenant = value
 		case "k":
-			if len(value) > maxIDLen || !plain(value) {
+			if len(value) > maxIDLen || !isHeaderSafe(value) {
 				return m, errors.New("bad idempotency key")
 			}
 			m.Key = value
 		case "d":
 			ms, err := strconv.ParseInt(value, 10, 64)
-			if err != nil || ms < 0 || ms > maxHold.Milliseconds() {
+			if err != nil || ms < 0 || ms > maxLifetime.Milliseconds() {
 				return m, errors.New("bad time")
 			}
 			hold = time.Duration(ms) * time.Millisecond
@@ -78,7 +78,7 @@
 	if class.Effect == logic.Keyed && m.Key == "" {
 		return m, errors.New("k must be given in a keyed class")
 	}
-	if hold > holdTimes*span(class.Deadline) {
+	if hold > maxLifetimeFactor*toDuration(class.Deadline) {
 		return m, errors.New("bad time")
 	}
 	if _, ok := c.cfg.Tenants[m.Tenant]; !ok && m.Tenant != "" {
@@ -88,6 +88,6 @@
 }
 
 // plain says whether s may stand in a header.
-func plain(s string) bool {
+func isHeaderSafe(s string) bool {
 	return strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 }
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -15,7 +15,7 @@
 const readyTime = 10 * time.Second
 
 // withDisk is a configuration with so much room for the journal.
-func withDisk(t *testing.T, p *platform, known List, mb float64) []byte {
+func withDisk(t *testing.T, p *testPlatform, known List, mb float64) []byte {
 	t.Helper()
 	var text map[string]any
 	if err := json.Unmarshal(configText(p, known), &text); err != nil {
@@ -33,7 +33,7 @@
 func fillJournal(t *testing.T, dir string, mb float64) {
 	t.Helper()
 	j := openJournal(t, dir, int64(mb*1e6))
-	deadline := time.Now().Add(2 * patience).UnixMicro()
+	deadline := time.Now().Add(2 * testTimeout).UnixMicro()
 	for i := 0; j.Room(300); i++ {
 		rec := accept(fmt.Sprint("m-", i), 300)
 		rec.Entry.Deadline = deadline
@@ -52,13 +52,13 @@
 		name      string
 		disk      float64
 		processes int
-		leave     func(t *testing.T, dir string, p *platform) // what the start finds
-		served    string                                      // a message that it has to send, if any
+		leave     func(t *testing.T, dir string, p *testPlatform) // what the start finds
+		served    string                                          // a message that it has to send, if any
 	}{
-		{"nothing", 3, 1, func(*testing.T, string, *platform) {}, ""},
-		{"full journal", 3, 1, func(t *testing.T, dir string, _ *platform) { fillJournal(t, dir, 3) }, "m-"},
-		{"full journal of the most that is used", 40, 1, func(t *testing.T, dir string, _ *platform) { fillJournal(t, dir, 40) }, "m-"},
-		{"torn journal", 3, 1, func(t *testing.T, dir string, _ *platform) {
+		{"nothing", 3, 1, func(*testing.T, string, *testPlatform) {}, ""},
+		{"full journal", 3, 1, func(t *testing.T, dir string, _ *testPlatform) { fillJournal(t, dir, 3) }, "m-"},
+		{"full journal of the most that is used", 40, 1, func(t *testing.T, dir string, _ *testPlatform) { fillJournal(t, dir, 40) }, "m-"},
+		{"torn journal", 3, 1, func(t *testing.T, dir string, _ *testPlatform) {
 			fillJournal(t, dir, 3)
 			path := filepath.Join(dir, journalName)
 			info, err := os.Stat(path)
@@ -69,9 +69,9 @@
 				t.Fatal(err)
 			}
 		}, "m-"},
-		{"discovery down", 3, 1, func(_ *testing.T, _ string, p *platform) { p.set(func() { p.silent = true }) }, ""},
-		{"discovery down, 16 at once with full journals", 3, 16, func(t *testing.T, dir string, p *platform) {
-			p.set(func() { p.silent = true })
+		{"discovery down", 3, 1, func(_ *testing.T, _ string, p *testPlatform) { p.update(func() { p.holdLists = true }) }, ""},
+		{"discovery down, 16 at once with full journals", 3, 16, func(t *testing.T, dir string, p *testPlatform) {
+			p.update(func() { p.holdLists = true })
 			fillJournal(t, dir, 3)
 		}, "m-"},
 	} {
@@ -85,7 +85,7 @@
 				dir := t.TempDir()
 				dirs = append(dirs, dir)
 				first := execProcess(t, p, dir, text)
-				await(t, first.ready, "ready program")
+				receive(t, first.ready, "ready program")
 				first.kill()
 				x.leave(t, dir, p)
 			}
@@ -95,14 +95,14 @@
 			}
 			var took []time.Duration
 			for _, y := range all {
-				y.addr = await(t, y.ready, "ready program")
+				y.addr = receive(t, y.ready, "ready program")
 				took = append(took, y.took)
-				if got := dial(t, y.addr).do("PING"); got != "+PONG" {
+				if got := dialClient(t, y.addr).do("PING"); got != "+PONG" {
 					t.Errorf("ready, and PING gets %q", got)
 				}
 			}
 			if x.served != "" {
-				if in := await(t, e.calls, "call"); !strings.HasPrefix(in.id(), x.served) {
+				if in := receive(t, e.calls, "call"); !strings.HasPrefix(in.id(), x.served) {
 					t.Errorf("call with %s", in.id())
 				}
 			}
--- a/internal/node/record.go
+++ b/internal/node/record.go
@@ -17,7 +17,7 @@
 		return nil
 	}
 	err := n.journal.Append(records)
-	n.failing.note(err)
+	n.journalFailures.note(err)
 	n.tell()
 	return err
 }
@@ -29,7 +29,7 @@
 		n.notices.add(x)
 		return
 	}
-	n.unsaid = append(n.unsaid, unsaid{x, deadline})
+	n.deferredNotices = append(n.deferredNotices, unsaid{x, deadline})
 }
 
 // unsaid is an end that the journal has not got yet.
@@ -43,13 +43,13 @@
 
 // tell tells the ends that need not wait any more, and sees that the others are looked at again.
 func (n *Node) tell() {
-	waiting := n.unsaid
-	n.unsaid = nil
+	waiting := n.deferredNotices
+	n.deferredNotices = nil
 	for _, x := range waiting {
 		n.say(x.notice, x.deadline)
 	}
 	if !n.journal.Settled() {
-		n.flush.Reset(flushPause)
+		n.flushTimer.Reset(flushPause)
 	}
 }
 
@@ -57,7 +57,7 @@
 // process finds it there.
 func notWritten(err error) string {
 	if errors.Is(err, errUncertain) {
-		return answerFailed
+		return replyFailed
 	}
-	return busy(0)
+	return busyReply(0)
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -12,7 +12,7 @@
 // ReloadOn makes Run read the configuration anew with load at each signal. Only the
 // address of discovery and notices moves; the rest is for the next start.
 func (n *Node) ReloadOn(signals <-chan os.Signal, load func() (*Config, error)) {
-	n.reload, n.load = signals, load
+	n.reloadSignals, n.loadConfig = signals, load
 }
 
 const (
@@ -23,7 +23,7 @@
 // reloadNow has the configuration read without a signal.
 func (n *Node) reloadNow() {
 	select {
-	case n.again <- struct{}{}:
+	case n.reloadRequested <- struct{}{}:
 	default: // it is about to be
 	}
 }
@@ -34,8 +34,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.reload:
-		case <-n.again:
+		case <-n.reloadSignals:
+		case <-n.reloadRequested:
 		}
 		if cfg := n.loadPatiently(ctx); cfg != nil {
 			n.events <- reloadEvent{cfg}
@@ -49,7 +49,7 @@
 	said := false
 	begun := time.Now()
 	for {
-		cfg, err := n.load()
+		cfg, err := n.loadConfig()
 		if err == nil {
 			return cfg
 		}
@@ -62,7 +62,7 @@
 		}
 		select {
 		case <-time.After(jitter(reloadPause)):
-		case <-n.reload: // another file
+		case <-n.reloadSignals: // another file
 			said, begun = false, time.Now()
 		case <-ctx.Done():
 			return nil
@@ -72,12 +72,12 @@
 
 // moveTo follows discovery and notices to the address that cfg names.
 func (n *Node) moveTo(work context.Context, cfg *Config) {
-	if cfg.Discovery == n.disc.addr {
+	if cfg.Discovery == n.discovery.addr {
 		n.log.Info("reload: same discovery", "addr", cfg.Discovery)
 		return
 	}
-	n.log.Info("reload: discovery moves", "from", n.disc.addr, "to", cfg.Discovery)
+	n.log.Info("reload: discovery moves", "from", n.discovery.addr, "to", cfg.Discovery)
 	n.notices.move(cfg.Discovery)
-	n.disc.move(cfg.Discovery)
-	n.disc.watch(work) // at once: what it has to tell counts as told soon
+	n.discovery.move(cfg.Discovery)
+	n.discovery.watch(work) // at once: what it has to tell counts as told soon
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -23,7 +23,7 @@
 // says waits for a line of the log.
 func (x *process) says(part string) {
 	x.t.Helper()
-	for !strings.Contains(await(x.t, x.said, "line with "+part), part) {
+	for !strings.Contains(receive(x.t, x.said, "line with "+part), part) {
 	}
 }
 
@@ -34,42 +34,42 @@
 	known := List{Generation: 5, Reset: true, Instances: instances(e)}
 	old.list = known
 	x := startProcess(t, old, t.TempDir(), known)
-	await(t, old.asked, "watch")
-	c := dial(t, x.addr)
+	receive(t, old.listRequests, "watch")
+	c := dialClient(t, x.addr)
 	c.put("under-way", "safe", "+OK")
-	underWay := await(t, e.calls, "call")
+	underWay := receive(t, e.calls, "call")
 
 	for i, bad := range []string{"{", "{}", strings.Replace(string(configText(fresh, known)), `"discovery":"`, `"discovery":"no address `, 1)} {
 		x.hup([]byte(strings.ReplaceAll(bad, "no address 127.0.0.1:", "no address ")))
 		x.says("old configuration stands")
 		id := fmt.Sprint("bad-", i)
 		c.put(id, "safe", "+OK")
-		in := await(t, e.calls, "call")
+		in := receive(t, e.calls, "call")
 		if in.id() != id {
 			t.Errorf("call with %s", in.id())
 		}
 		in.reply(200)
 	}
 
-	old.set(func() { old.deaf = true })
+	old.update(func() { old.refuseNotices = true })
 	c.put("fails", "unsafe", "+OK")
-	await(t, e.calls, "call").reply(500)
-	await(t, old.refused, "notice")
+	receive(t, e.calls, "call").reply(500)
+	receive(t, old.refusedNotices, "notice")
 	// The new address numbers its lists anew: a watch from the old number would wait for ever.
 	fresh.list = List{Generation: 2, Reset: true, Instances: instances(e, added)}
 	x.hup(configText(fresh, known))
-	if n := await(t, fresh.notices, "notice at the new address"); n != (Notice{ID: "fails", State: "failed"}) {
+	if n := receive(t, fresh.notices, "notice at the new address"); n != (Notice{ID: "fails", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	if q := await(t, fresh.asked, "call at the new address"); q != "" {
+	if q := receive(t, fresh.listRequests, "call at the new address"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
-	await(t, fresh.asked, "watch at the new address") // the list before it has been read
+	receive(t, fresh.listRequests, "watch at the new address") // the list before it has been read
 	old.srv.CloseClientConnections()
 	underWay.reply(200)
 	for i := 0; ; i++ { // the endpoint that only the new address lists gets its share
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
-		var in *inCall
+		var in *receivedCall
 		select {
 		case in = <-e.calls:
 		case in = <-added.calls:
--- a/internal/node/resp.go
+++ b/internal/node/resp.go
@@ -10,9 +10,9 @@
 
 // Bounds of a request. A longer one is a protocol error.
 const (
-	maxArgs = 16
-	maxBulk = 64 << 10 // body
-	maxLine = 64       // length lines
+	maxArgs      = 16
+	maxBulkBytes = 64 << 10 // body
+	maxLineBytes = 64       // length lines
 )
 
 // errProtocol marks what is not a RESP2 request; the connection cannot go on.
@@ -32,14 +32,14 @@
 	args := make([][]byte, n)
 	sum, asked := 0, false
 	for i := range args {
-		size, err := readLength(r, '$', maxBulk)
+		size, err := readLength(r, '$', maxBulkBytes)
 		if err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
-		if sum += size; sum > largeRequest {
-			return nil, fmt.Errorf("%w: request over %d", errProtocol, largeRequest)
+		if sum += size; sum > maxRequestBytes {
+			return nil, fmt.Errorf("%w: request over %d", errProtocol, maxRequestBytes)
 		}
-		if sum > smallRequest && !asked {
+		if sum > smallRequestBytes && !asked {
 			asked = true
 			if err := large(); err != nil {
 				return nil, err
@@ -47,7 +47,7 @@
 		}
 		b := make([]byte, size+2)
 		if _, err := io.ReadFull(r, b); err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 		if b[size] != '\r' || b[size+1] != '\n' {
 			return nil, fmt.Errorf("%w: bulk string without its end", errProtocol)
@@ -63,7 +63,7 @@
 		c, err := r.ReadByte()
 		if err != nil {
 			if len(line) > 0 {
-				err = unexpected(err)
+				err = unexpectedEOF(err)
 			}
 			return 0, err
 		}
@@ -71,7 +71,7 @@
 		if c == '\n' {
 			break
 		}
-		if len(line) >= maxLine {
+		if len(line) >= maxLineBytes {
 			return 0, fmt.Errorf("%w: length line too long", errProtocol)
 		}
 	}
@@ -89,7 +89,7 @@
 }
 
 // unexpected turns the end of the input into one inside a request.
-func unexpected(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/node/resp_test.go
+++ b/internal/node/resp_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestReadCommandCutOff(t *testing.T) {
+func TestReadCommandTruncated(t *testing.T) {
 	whole := "*2\r\n$4\r\nPING\r\n$2\r\nab\r\n"
 	for i := 1; i < len(whole); i++ {
 		if _, err := readCommand(bufio.NewReader(strings.NewReader(whole[:i])), nil); !errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -54,10 +54,10 @@
 		text := listText(n)
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(text) }))
 		d := newDiscovery("", 1, slog.New(slog.DiscardHandler), nil)
-		d.rest = patience
+		d.rest = testTimeout
 		var list List
 		var err error
-		each := allocated(func() { list, err = d.get(t.Context(), srv.URL, patience) }) / uint64(n)
+		each := allocated(func() { list, err = d.get(t.Context(), srv.URL, testTimeout) }) / uint64(n)
 		srv.Close()
 		if err != nil {
 			t.Errorf("%d endpoints, %d bytes: %v", n, len(text), err)
@@ -119,14 +119,14 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	x.list(listEvent{list: list})
+	x.handleList(listEvent{list: list})
 	x.step(tb.Context())
 	return x
 }
 
 func emptyNode(tb testing.TB, dir string) *Node {
 	tb.Helper()
-	cfg, err := ParseConfig(configText(&platform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, List{}))
+	cfg, err := ParseConfig(configText(&testPlatform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, List{}))
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 	}
 	tb.Cleanup(func() {
 		x.journal.Close()
-		x.lock.Close()
+		x.stateLock.Close()
 	})
 	return x
 }
@@ -172,12 +172,12 @@
 	for _, size := range listSizes {
 		n := listedNode(t, size)
 		changed[size] = least(50, func(i int) {
-			n.list(change(i))
+			n.handleList(change(i))
 			n.step(t.Context())
 		})
-		swept[size] = least(50, func(int) { n.dir.forget(time.Now(), nil) })
-		if n.dir.listed() != size {
-			t.Errorf("%d endpoints are listed, want %d", n.dir.listed(), size)
+		swept[size] = least(50, func(int) { n.directory.forget(time.Now(), nil) })
+		if n.directory.listed() != size {
+			t.Errorf("%d endpoints are listed, want %d", n.directory.listed(), size)
 		}
 	}
 	flat(t, "a change", listSizes, changed)
@@ -192,7 +192,7 @@
 	tb.Helper()
 	n := listedNode(tb, listSizes[0])
 	for i := range size {
-		n.held[fmt.Sprint(i)] = &held{msg: new(Message)}
+		n.active[fmt.Sprint(i)] = &activeMessage{msg: new(Message)}
 	}
 	return n
 }
@@ -203,11 +203,11 @@
 	for _, size := range heldSizes {
 		n := holding(t, size)
 		changed[size] = least(50, func(i int) {
-			n.list(change(i))
-			n.next = nil
+			n.handleList(change(i))
+			n.pendingEvents = nil
 		})
-		waited[size] = least(50, func(int) { n.holdWait(1) })
-		used[size] = least(50, func(int) { n.calls() })
+		waited[size] = least(50, func(int) { n.abortForWait(1) })
+		used[size] = least(50, func(int) { n.calledEndpoints() })
 	}
 	flat(t, "a change", heldSizes, changed)
 	flat(t, "a told wait", heldSizes, waited)
@@ -316,8 +316,8 @@
 		b.Run(name, func(b *testing.B) {
 			i := 0
 			for b.Loop() {
-				n.list(change(i))
-				n.next = nil
+				n.handleList(change(i))
+				n.pendingEvents = nil
 				i++
 			}
 		})
@@ -403,7 +403,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if err := n.begin(b.Context()); err != nil {
+		if err := n.takeOwnership(b.Context()); err != nil {
 			b.Fatal(err)
 		}
 		n.step(b.Context())
@@ -415,16 +415,16 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			text := configText(&platform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, list)
+			text := configText(&testPlatform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, list)
 			before := heap()
 			n := start(b, text, dir)
-			kept, owed := heap()-before, n.open
+			kept, owed := heap()-before, n.openCount
 			n.journal.Close()
-			n.lock.Close()
+			n.stateLock.Close()
 			for b.Loop() {
 				n := start(b, text, dir)
 				n.journal.Close()
-				n.lock.Close()
+				n.stateLock.Close()
 			}
 			b.ReportMetric(float64(kept), "heap-B")
 			b.ReportMetric(float64(owed), "messages")
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -65,7 +65,7 @@
 		if err == nil {
 			return nil
 		}
-		pause(ctx, jitter(startPause))
+		sleepContext(ctx, jitter(startPause))
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -78,14 +78,14 @@
 // listen opens the socket for clients, or has it opened as soon as that works: what is owed does not wait for it.
 func (n *Node) listen(work context.Context) error {
 	open := func() (err error) {
-		if n.ln == nil {
-			n.ln, err = net.Listen("tcp", n.cfg.Listen)
+		if n.listener == nil {
+			n.listener, err = net.Listen("tcp", n.cfg.Listen)
 		}
 		return err
 	}
 	err := open()
 	if err == nil {
-		n.serve(work, n.ln)
+		n.serve(work, n.listener)
 		return nil
 	}
 	if !momentary(err) {
@@ -109,19 +109,19 @@
 
 // serve begins to serve clients on ln, unless this process is on its way out.
 func (n *Node) serve(work context.Context, ln net.Listener) {
-	if !n.closing.IsZero() {
+	if !n.shutdownAt.IsZero() {
 		ln.Close()
 		return
 	}
-	if n.lock == nil || n.journal == nil {
-		report(n.log, n.figures, notOwner, "")
+	if n.stateLock == nil || n.journal == nil {
+		reportViolation(n.log, n.metrics, violationNotOwner, "")
 	}
-	n.ln = ln
+	n.listener = ln
 	go n.openToSuccessors(work, ln)
-	n.clients.turn(serving)
+	n.clients.setPhase(serving)
 	go n.clients.serve(ln)
-	n.stages.done("listen")
-	n.log.Info("ready", "name", n.cfg.Name, "addr", ln.Addr().String(), "held", len(n.held), slog.Group("ms", n.stages.spent...))
+	n.startup.finishStage("listen")
+	n.log.Info("ready", "name", n.cfg.Name, "addr", ln.Addr().String(), "held", len(n.active), slog.Group("ms", n.startup.attrs...))
 	n.ready <- ln.Addr()
 }
 
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -71,11 +71,11 @@
 		return nil, syscall.ECONNREFUSED
 	case "vanishes":
 		s.struck <- struct{}{}
-		pause(ctx, dialTime)
+		sleepContext(ctx, dialTime)
 		return nil, errors.Join(os.ErrDeadlineExceeded, ctx.Err())
 	case "creeps": // each step takes its time, and the last one does not come
 		s.struck <- struct{}{}
-		pause(ctx, dialTime-100*time.Millisecond)
+		sleepContext(ctx, dialTime-100*time.Millisecond)
 		go func() {
 			defer there.Close()
 			if _, err := http.ReadRequest(bufio.NewReader(there)); err == nil {
@@ -132,12 +132,12 @@
 	case "refuses", "resets":
 		return false
 	case "creeps":
-		pause(context.Background(), 300*time.Millisecond)
+		sleepContext(context.Background(), 300*time.Millisecond)
 		fallthrough
 	case "stops": // in the middle of a list
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"generation\":2,")
 	case "turns away late":
-		pause(context.Background(), 2*time.Second)
+		sleepContext(context.Background(), 2*time.Second)
 		fallthrough
 	case "turns away":
 		_, err := io.WriteString(conn, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
@@ -188,7 +188,7 @@
 	before := List{Generation: 1, Reset: true, Instances: []Instance{row("old", oldAddr, "up"), row("fresh", freshAddr, "up")}}
 	after := List{Generation: 2, Reset: true, Instances: []Instance{row("old", oldAddr, "draining"), row("fresh", freshAddr, "up")}}
 	text := func(discovery string) string {
-		deploy := strings.Replace(settings, `"balancers":1`, `"balancers":300`, 1)
+		deploy := strings.Replace(testSettings, `"balancers":1`, `"balancers":300`, 1)
 		if p.pushed {
 			deploy = strings.Replace(deploy, "on_request", "pushed", 1)
 		}
@@ -215,13 +215,13 @@
 	ln, signals := &noClients{closed: make(chan struct{})}, make(chan os.Signal)
 	var mu sync.Mutex
 	sent, toOld, start := map[string][]time.Time{}, make(chan struct{}, 4096), time.Now()
-	n := startWith(t, text("127.0.0.4:1"), dir, func(n *Node) {
-		n.ln = ln
+	n := startNodeWithConfig(t, text("127.0.0.4:1"), dir, func(n *Node) {
+		n.listener = ln
 		n.ReloadOn(signals, func() (*Config, error) { return ParseConfig([]byte(text("127.0.0.5:1"))) })
-		n.disc.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
+		n.discovery.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return stations[addr].dial(ctx)
 		}
-		n.disc.draw = func(most int64) int64 {
+		n.discovery.draw = func(most int64) int64 {
 			if most == int64(watchHold/4) { // what is taken off the hold
 				return 0
 			}
@@ -244,7 +244,7 @@
 	t.Cleanup(func() { // all of it, also after a failure: the bubble's time stands still after this
 		close(gone)
 		n.stop()
-		if err := await(t, n.done, "end of the sender"); err != nil {
+		if err := receive(t, n.done, "end of the sender"); err != nil {
 			t.Error(err)
 		}
 		for _, s := range stations {
@@ -271,7 +271,7 @@
 	}()
 
 	if p.at != "first call" {
-		await(t, toOld, "attempt at the old endpoint")
+		receive(t, toOld, "attempt at the old endpoint")
 		for len(first.calls) > 0 {
 			<-first.calls
 		}
@@ -284,12 +284,12 @@
 	switch p.at {
 	case "watch":
 		hit.now(p.fault, before)
-		await(t, hit.struck, "held watch")
+		receive(t, hit.struck, "held watch")
 	case "SIGHUP":
 		signals <- syscall.SIGHUP
 	}
 	for range p.calls {
-		await(t, hit.struck, "call that fails")
+		receive(t, hit.struck, "call that fails")
 	}
 	hit.now("", after)
 	back := time.Now()
@@ -361,7 +361,7 @@
 	t.Cleanup(func() { close(s.over) })
 	synctest.Wait()
 	for range 2 * senders { // the list, and the watch
-		await(t, s.calls, "call")
+		receive(t, s.calls, "call")
 	}
 }
 
@@ -386,7 +386,7 @@
 		fleet(t, s, 300)
 		s.now("", List{Generation: 2, Reset: true})
 		for range 300 {
-			await(t, s.calls, "watch after the news")
+			receive(t, s.calls, "watch after the news")
 		}
 		if most, all := fullest(s.calls, 100*time.Millisecond, 41); most > 100 || all != 300 {
 			t.Errorf("%d watches, %d of them within 0.1 s", all, most)
@@ -402,7 +402,7 @@
 		fleet(t, s, 300)
 		s.now("refuses", List{Generation: 1, Reset: true})
 		for range 600 {
-			await(t, s.struck, "watch that breaks")
+			receive(t, s.struck, "watch that breaks")
 		}
 		if most, all := fullest(s.struck, time.Second, 6); most > 150 || all != 300 {
 			t.Errorf("%d calls, %d of them within a second", all, most)
@@ -421,7 +421,7 @@
 			drains[0].Lifecycle = "draining"
 			var calls atomic.Int32
 			silent, heeded := make(chan time.Time, 1), make(chan struct{}, 64)
-			p := &platform{srv: httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			p := &testPlatform{srv: httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				switch calls.Add(1) {
 				case 1:
 					silent <- time.Now()
@@ -434,19 +434,19 @@
 				<-r.Context().Done()
 			}))}
 			t.Cleanup(func() { p.srv.CloseClientConnections(); p.srv.Close() })
-			n := startWith(t, strings.Replace(string(configText(p, known)), "on_request", mode, 1), t.TempDir())
-			at := await(t, silent, "watch")
-			await(t, heeded, "watch from the new list")
+			n := startNodeWithConfig(t, strings.Replace(string(configText(p, known)), "on_request", mode, 1), t.TempDir())
+			at := receive(t, silent, "watch")
+			receive(t, heeded, "watch from the new list")
 			if took := time.Since(at); took > toldAfter+2*time.Second { // and the grace of a drain
 				t.Errorf("heeded after %v", took)
 			}
-			c := dial(t, n.addr)
+			c := dialClient(t, n.addr)
 			for i := range 4 {
 				c.put(fmt.Sprint("m-", i), "safe", "+OK")
-				await(t, fresh.calls, "call").reply(200)
+				receive(t, fresh.calls, "call").reply(200)
 			}
-			old.none(t)
-			stopClean(t, n)
+			old.expectNoCall(t)
+			stopAndCheckEmpty(t, n)
 		})
 	}
 }
--- a/internal/node/window_test.go
+++ b/internal/node/window_test.go
@@ -10,12 +10,12 @@
 )
 
 // shortWindow is a configuration whose class keyed drops repeats for one second, each zone by itself.
-func shortWindow(p *platform, known List) string {
+func shortWindow(p *testPlatform, known List) string {
 	return strings.Replace(string(configText(p, known)), `"group":"all","window_s":25`, `"group":"zone","window_s":1`, 1)
 }
 
 // twoZones lists an endpoint in each of two zones.
-func twoZones(a, b *endpoint) List {
+func twoZones(a, b *testEndpoint) List {
 	list := List{Generation: 1, Reset: true, Instances: instances(a, b)}
 	list.Instances[1].Zone = "b"
 	return list
@@ -31,12 +31,12 @@
 	now := time.Now()
 	taken := func(id, class string) record {
 		return record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, Key: "key-" + id, Class: class, Dest: 1,
-			Deadline: now.Add(2 * patience).UnixMicro()}}}
+			Deadline: now.Add(2 * testTimeout).UnixMicro()}}}
 	}
 	sent := func(id string, at time.Time) record {
 		return record{Op: opSend, ID: id, At: at.UnixMicro(), Zone: 1}
 	}
-	open := now.Add(patience) // by a clock that is ahead, so that the window is open however long the start takes
+	open := now.Add(testTimeout) // by a clock that is ahead, so that the window is open however long the start takes
 	mustAppend(t, j, taken("open", "keyed"), taken("over", "keyed"), taken("answered late", "keyed"), taken("never ran", "keyed"),
 		taken("untried", "keyed"), taken("unsafe", "unsafe"),
 		sent("open", open), sent("over", now.Add(-1001*time.Millisecond)),
@@ -47,10 +47,10 @@
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	n := startWith(t, shortWindow(p, p.list), dir)
+	n := startNodeWithConfig(t, shortWindow(p, p.list), dir)
 	failed := map[string]bool{"over": true, "answered late": true, "unsafe": true}
 	for len(failed) > 0 { // before any call is answered, and long before their time is up
-		x := await(t, p.notices, "notice")
+		x := receive(t, p.notices, "notice")
 		if !failed[x.ID] || x.State != "failed" {
 			t.Fatalf("notice %+v", x)
 		}
@@ -58,14 +58,14 @@
 	}
 	tried := map[string]bool{"open": true, "never ran": true, "untried": true}
 	for len(tried) > 0 {
-		var in *inCall
+		var in *receivedCall
 		select {
 		case in = <-a.calls:
 			if in.id() == "open" {
 				t.Error("sent again to a zone that does not know the first send")
 			}
 		case in = <-b.calls:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("not tried: %v", tried)
 		}
 		if !tried[in.id()] {
@@ -74,9 +74,9 @@
 		delete(tried, in.id())
 		in.reply(200)
 	}
-	stopClean(t, n)
-	a.none(t)
-	b.none(t)
+	stopAndCheckEmpty(t, n)
+	a.expectNoCall(t)
+	b.expectNoCall(t)
 }
 
 // A repeat must be written by the end of the window that began before the restart, not of one that the restart begins;
@@ -89,30 +89,30 @@
 	}
 	cfg.StateDir = t.TempDir()
 	j := openJournal(t, cfg.StateDir, 3e6)
-	first := time.Now().Add(patience)
+	first := time.Now().Add(testTimeout)
 	mustAppend(t, j, record{Op: opAccept, Entry: &Entry{Message: Message{ID: "m", Key: "k", Class: "keyed", Dest: 1,
-		Deadline: first.Add(patience).UnixMicro()}}}, record{Op: opSend, ID: "m", At: first.UnixMicro()},
+		Deadline: first.Add(testTimeout).UnixMicro()}}}, record{Op: opSend, ID: "m", At: first.UnixMicro()},
 		record{Op: opAccept, Entry: &Entry{Message: Message{ID: "over", Key: "l", Class: "keyed", Dest: 1,
 			Deadline: first.UnixMicro()}}}, record{Op: opSend, ID: "over", At: time.Now().Add(-1001 * time.Millisecond).UnixMicro()})
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.lock.Close()
+	defer n.stateLock.Close()
 	defer n.journal.Close()
-	n.resume()
+	n.resumeFromJournal()
 	n.step(t.Context())
 	if e := n.journal.Entry("over"); e.Tries != 1 || e.End == nil || e.End.State != "failed" {
 		t.Errorf("out of its window, after the first step: %+v", e)
 	}
-	for n.held["m"].call == nil { // the pace lets it through a moment after the start
+	for n.active["m"].call == nil { // the pace lets it through a moment after the start
 		n.step(t.Context())
-		if time.Since(n.start) > patience {
+		if time.Since(n.moduleEpoch) > testTimeout {
 			t.Fatal("not sent again")
 		}
 	}
-	await(t, a.calls, "call").reply(200)
-	if got, want := n.held["m"].call.writeBy, n.clock.At(first.UnixMicro()).Add(time.Second); !got.Equal(want) {
+	receive(t, a.calls, "call").reply(200)
+	if got, want := n.active["m"].call.writeBy, n.clock.At(first.UnixMicro()).Add(time.Second); !got.Equal(want) {
 		t.Errorf("to be written by %v, want %v", got, want)
 	}
 	if e := n.journal.Entry("m"); e.Tries != 2 || e.FirstMay != first.UnixMicro() {
@@ -128,20 +128,20 @@
 		p.list = twoZones(a, b)
 		text := []byte(shortWindow(p, p.list))
 		x := execProcess(t, p, dir, text)
-		dial(t, await(t, x.ready, "ready program")).put("m", "keyed", "+OK")
-		var first *inCall
+		dialClient(t, receive(t, x.ready, "ready program")).put("m", "keyed", "+OK")
+		var first *receivedCall
 		calls, others := a.calls, b.calls
 		select {
 		case first = <-calls:
 		case first = <-others:
 			calls, others = others, calls
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("no call")
 		}
 		x.kill()
 		at := openJournal(t, dir, 3e6).Entry("m").FirstMay
 		y := execProcess(t, p, dir, text)
-		await(t, y.ready, "ready program")
+		receive(t, y.ready, "ready program")
 		select {
 		case in := <-calls:
 			e := openJournal(t, copyOf(t, dir), 3e6).Entry("m")
@@ -156,12 +156,12 @@
 			}
 		case <-others:
 			t.Error("sent again to a zone that does not know the first send")
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("neither sent again nor failed")
 		}
 		y.term()
 		y.end()
-		if ids := owed(t, dir); ids != nil {
+		if ids := pendingMessageIDs(t, dir); ids != nil {
 			t.Errorf("still owed: %v", ids)
 		}
 		if len(calls)+len(others)+len(p.notices) != 0 {
