--- a/internal/node/attempt_log.go
+++ b/internal/node/attempt_log.go
@@ -19,19 +19,19 @@
 	text       []byte
 }
 
-func (t *attemptLog) elapsedMS() int64 { return time.Since(t.receivedAt).Milliseconds() }
+func (l *attemptLog) elapsedMS() int64 { return time.Since(l.receivedAt).Milliseconds() }
 
-func (t *attemptLog) addSend(ep logic.EndpointID) {
-	if len(t.text) > 0 {
-		t.text = append(t.text, ' ')
+func (l *attemptLog) addSend(ep logic.EndpointID) {
+	if len(l.text) > 0 {
+		l.text = append(l.text, ' ')
 	}
-	t.text = fmt.Appendf(t.text, "%d>%d", t.elapsedMS(), ep)
+	l.text = fmt.Appendf(l.text, "%d>%d", l.elapsedMS(), ep)
 }
 
 // heard notes an outcome, with the time for which a kept connection had been idle.
-func (t *attemptLog) addOutcome(r result) {
-	t.text = fmt.Appendf(t.text, ":%s@%d", outcomeNames[r.outcome], t.elapsedMS())
+func (l *attemptLog) addOutcome(r result) {
+	l.text = fmt.Appendf(l.text, ":%s@%d", outcomeNames[r.outcome], l.elapsedMS())
 	if r.idle > 0 {
-		t.text = fmt.Appendf(t.text, "(idle %d)", r.idle.Milliseconds())
+		l.text = fmt.Appendf(l.text, "(idle %d)", r.idle.Milliseconds())
 	}
 }
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -46,14 +46,14 @@
 	wg             sync.WaitGroup
 }
 
-func newClientServer(cfg *Config, log *slog.Logger, events chan<- any, figures *figures) *clientServer {
-	memory := cfg.Limits.MemoryMB
-	if memory <= 0 {
-		memory = defaultMemoryMB
+func newClientServer(cfg *Config, log *slog.Logger, events chan<- any, metrics *figures) *clientServer {
+	memoryMB := cfg.Limits.MemoryMB
+	if memoryMB <= 0 {
+		memoryMB = defaultMemoryMB
 	}
 	c := &clientServer{cfg: cfg, log: log, events: events, maxConns: newSocketBudget(cfg).clients, sessions: map[*session]struct{}{},
-		clock: clock.New(), metrics: figures, acceptDone: make(chan struct{}),
-		largeSlots: make(chan struct{}, max(int(memory*(1<<20)/largeMemoryDivisor/maxRequestBytes), 8))}
+		clock: clock.New(), metrics: metrics, acceptDone: make(chan struct{}),
+		largeSlots: make(chan struct{}, max(int(memoryMB*(1<<20)/largeMemoryDivisor/maxRequestBytes), 8))}
 	c.closeIdleTimer = time.AfterFunc(time.Hour, c.startClosingIdle)
 	c.closeIdleTimer.Stop()
 	return c
@@ -62,13 +62,13 @@
 // serve accepts connections until the listener is closed.
 func (c *clientServer) serve(ln net.Listener) {
 	defer close(c.acceptDone)
-	failing := failures{log: c.log, what: "accept"}
+	acceptFailures := failures{log: c.log, what: "accept"}
 	for {
 		conn, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		failing.note(err)
+		acceptFailures.note(err)
 		if err != nil {
 			// Only where this process is out of descriptors does one that closes make room.
 			if !errors.Is(err, syscall.EMFILE) || !c.evictIdlest() {
@@ -114,12 +114,12 @@
 }
 
 // setMost bounds the connections anew; the idlest above the bound go.
-func (c *clientServer) setMaxConns(most int) {
+func (c *clientServer) setMaxConns(maxConns int) {
 	c.mu.Lock()
-	c.maxConns = most
-	over := len(c.sessions) - most
+	c.maxConns = maxConns
+	excess := len(c.sessions) - maxConns
 	c.mu.Unlock()
-	for ; over > 0 && c.evictIdlest(); over-- {
+	for ; excess > 0 && c.evictIdlest(); excess-- {
 	}
 }
 
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -56,10 +56,10 @@
 // turnTo is turn, under the lock. Clients are sent away by degrees: PING says no from now on, and
 // connections part once those that the front still sends have come.
 func (c *clientServer) setPhaseLocked(p phase) {
-	was := c.phase
+	previous := c.phase
 	c.phase = p
-	if was != p {
-		c.log.Info("state", "from", was.String(), "to", p.String())
+	if previous != p {
+		c.log.Info("state", "from", previous.String(), "to", p.String())
 	}
 	switch {
 	case p == serving:
@@ -67,7 +67,7 @@
 		c.closeIdleTimer.Stop()
 	case p == replaced:
 		c.closeIdleLocked()
-	case (p == draining || p == stopping) && was != draining: // else the time of grace began before
+	case (p == draining || p == stopping) && previous != draining: // else the time of grace began before
 		c.closeIdleTimer.Reset(closeIdleDelay)
 	}
 }
@@ -92,20 +92,20 @@
 
 // idleBy is until when a connection may stay without a request, under the lock of clients.
 func (s *session) idleDeadline(now time.Time) time.Time {
-	wait := clientIdleTimeout
+	timeout := clientIdleTimeout
 	if s.noRequestYet {
-		wait = firstRequestTimeout
+		timeout = firstRequestTimeout
 	}
 	if s.server.closingIdle {
 		if !s.noRequestYet {
 			return now
 		}
-		wait = newConnTimeout
+		timeout = newConnTimeout
 	}
 	if s.noRequestYet {
-		return s.openedAt.Add(wait)
+		return s.openedAt.Add(timeout)
 	}
-	return now.Add(wait)
+	return now.Add(timeout)
 }
 
 // stopReading sets the time after which no request is taken: what is answered by the loop must not come later than that
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -59,142 +59,142 @@
 }
 
 // report counts and logs a violation.
-func reportViolation(log *slog.Logger, f *figures, v violation, id string, more ...any) {
-	f.violations.add(string(v))
-	log.Error("violation", append([]any{"rule", string(v), "id", id}, more...)...)
+func reportViolation(log *slog.Logger, metrics *figures, v violation, id string, attrs ...any) {
+	metrics.violations.add(string(v))
+	log.Error("violation", append([]any{"rule", string(v), "id", id}, attrs...)...)
 }
 
 // send says whether a message may go to an endpoint. What was right when it was decided and has come too late since, by
 // a slow write to the journal say, is denied and no violation.
-func (p *protocolGuard) allowSend(h *activeMessage, ep logic.EndpointID) bool {
-	if v := p.checkSend(h, ep, p.node.stepTime); v != noViolation {
-		reportViolation(p.node.log, p.node.metrics, v, h.msg.ID, "endpoint", ep, "attempt", h.attempts)
+func (g *protocolGuard) allowSend(h *activeMessage, ep logic.EndpointID) bool {
+	if v := g.checkSend(h, ep, g.node.stepTime); v != noViolation {
+		reportViolation(g.node.log, g.node.metrics, v, h.msg.ID, "endpoint", ep, "attempt", h.attempts)
 		return false
 	}
-	v := p.checkSend(h, ep, p.node.clock.Now())
+	v := g.checkSend(h, ep, g.node.clock.Now())
 	if v != noViolation {
-		p.node.log.Info("not sent", "id", h.msg.ID, "endpoint", ep, "why", string(v))
+		g.node.log.Info("not sent", "id", h.msg.ID, "endpoint", ep, "why", string(v))
 	}
 	return v == noViolation
 }
 
 // checkSend holds a send at a time against the rules.
-func (p *protocolGuard) checkSend(h *activeMessage, ep logic.EndpointID, now int64) violation {
-	n := p.node
-	to, known := n.directory.eps[ep]
-	e := n.journal.Entry(h.msg.ID)
-	set := &n.cfg.Deploy.Settings
+func (g *protocolGuard) checkSend(h *activeMessage, ep logic.EndpointID, now int64) violation {
+	n := g.node
+	target, known := n.directory.eps[ep]
+	entry := n.journal.Entry(h.msg.ID)
+	settings := &n.cfg.Deploy.Settings
 	switch {
 	case n.stateLock == nil:
 		return violationNotOwner
 	case h.ended:
 		return violationAlreadyEnded
-	case e == nil:
+	case entry == nil:
 		return violationNotAccepted
-	case e.End != nil:
+	case entry.End != nil:
 		return violationAlreadyEnded
 	case h.call != nil:
 		return violationAlreadyInFlight
-	case !known || to.dest != h.msg.Dest:
+	case !known || target.dest != h.msg.Dest:
 		return violationWrongDestination
 	case !n.directory.ready(ep):
 		return violationEndpointUnavailable
-	case time.Now().Before(p.waitUntil[p.waitScopeOf(ep)]):
+	case time.Now().Before(g.waitUntil[g.waitScopeOf(ep)]):
 		return violationWaitNotOver
-	case set.MaxTries > 0 && h.attempts >= set.MaxTries:
+	case settings.MaxTries > 0 && h.attempts >= settings.MaxTries:
 		return violationAttemptsUsedUp
 	case now >= h.msg.Deadline:
 		return violationDeadlinePassed
 	}
-	return p.checkRepeat(e, to.zone, now)
+	return g.checkRepeat(entry, target.zone, now)
 }
 
 // checkRepeat holds a further attempt against what an earlier one may have done.
-func (p *protocolGuard) checkRepeat(e *Entry, zone int, now int64) violation {
-	c := p.node.cfg.classOf(&e.Message)
+func (g *protocolGuard) checkRepeat(entry *Entry, zone int, now int64) violation {
+	class := g.node.cfg.classOf(&entry.Message)
 	switch {
-	case !e.MayRun:
+	case !entry.MayRun:
 		return noViolation
-	case c.Effect == logic.Unsafe:
+	case class.Effect == logic.Unsafe:
 		return violationRepeatUnsafe
-	case c.Effect == logic.Keyed && c.ByZone && zone != e.FirstZone:
+	case class.Effect == logic.Keyed && class.ByZone && zone != entry.FirstZone:
 		return violationRepeatOtherZone
-	case c.Effect == logic.Keyed && now > e.FirstMay+int64(c.Window):
+	case class.Effect == logic.Keyed && now > entry.FirstMay+int64(class.Window):
 		return violationRepeatLate
 	}
 	return noViolation
 }
 
 // told notes a wait that an endpoint has told.
-func (p *protocolGuard) noteWait(ep logic.EndpointID, wait time.Duration) {
+func (g *protocolGuard) noteWait(ep logic.EndpointID, wait time.Duration) {
 	until := time.Now().Add(wait)
-	if key := p.waitScopeOf(ep); until.After(p.waitUntil[key]) {
-		p.waitUntil[key] = until
+	if key := g.waitScopeOf(ep); until.After(g.waitUntil[key]) {
+		g.waitUntil[key] = until
 	}
 }
 
 // lane is what a wait told by an endpoint binds.
-func (p *protocolGuard) waitScopeOf(ep logic.EndpointID) waitScope {
-	to := p.node.directory.eps[ep]
-	if p.node.directory.apart(ep) {
-		return waitScope{to.dest, ep}
+func (g *protocolGuard) waitScopeOf(ep logic.EndpointID) waitScope {
+	target := g.node.directory.eps[ep]
+	if g.node.directory.apart(ep) {
+		return waitScope{target.dest, ep}
 	}
-	return waitScope{dest: to.dest}
+	return waitScope{dest: target.dest}
 }
 
 // forget drops waits that are over.
-func (p *protocolGuard) expireWaits() {
+func (g *protocolGuard) expireWaits() {
 	now := time.Now()
-	for key, until := range p.waitUntil {
+	for key, until := range g.waitUntil {
 		if now.After(until) {
-			delete(p.waitUntil, key)
+			delete(g.waitUntil, key)
 		}
 	}
 }
 
 // giveUp checks an end by our word. It is told all the same: a message without an end is lost.
-func (p *protocolGuard) checkEnd(h *activeMessage, x Notice) {
-	e := p.node.journal.Entry(x.ID)
+func (g *protocolGuard) checkEnd(h *activeMessage, notice Notice) {
+	entry := g.node.journal.Entry(notice.ID)
 	v := noViolation
 	switch {
-	case e == nil:
+	case entry == nil:
 		v = violationNotAccepted
-	case x.State == noticeReturned && p.returnUnsafe(e):
+	case notice.State == noticeReturned && g.returnUnsafe(entry):
 		v = violationReturnedMayHaveRun
 	}
 	if v != noViolation {
-		reportViolation(p.node.log, p.node.metrics, v, x.ID, "state", x.State)
+		reportViolation(g.node.log, g.node.metrics, v, notice.ID, "state", notice.State)
 	}
 }
 
 // mayHaveRun says whether a promise that a message may be handed in again would be wrong.
-func (p *protocolGuard) returnUnsafe(e *Entry) bool {
-	c := p.node.cfg.classOf(&e.Message)
-	return (e.MayRun || e.Open) && (c.Effect == logic.Unsafe || c.Effect == logic.Keyed && c.ByZone)
+func (g *protocolGuard) returnUnsafe(entry *Entry) bool {
+	class := g.node.cfg.classOf(&entry.Message)
+	return (entry.MayRun || entry.Open) && (class.Effect == logic.Unsafe || class.Effect == logic.Keyed && class.ByZone)
 }
 
 // refuse checks the answer to a message that is not taken on.
-func (p *protocolGuard) checkRefusal(id string) {
-	if p.node.journal.Entry(id) != nil {
-		reportViolation(p.node.log, p.node.metrics, violationRefusedAccepted, id)
+func (g *protocolGuard) checkRefusal(id string) {
+	if g.node.journal.Entry(id) != nil {
+		reportViolation(g.node.log, g.node.metrics, violationRefusedAccepted, id)
 	}
 }
 
 // overdue looks for messages whose time is up and that have no end.
-func (p *protocolGuard) checkOverdue() {
-	late := p.node.clock.Now() - overdueGrace.Microseconds()
-	for id, h := range p.node.active {
-		if !h.ended && h.msg.Deadline < late && !h.overdueReported {
+func (g *protocolGuard) checkOverdue() {
+	cutoff := g.node.clock.Now() - overdueGrace.Microseconds()
+	for id, h := range g.node.active {
+		if !h.ended && h.msg.Deadline < cutoff && !h.overdueReported {
 			h.overdueReported = true
-			reportViolation(p.node.log, p.node.metrics, violationOverdue, id)
+			reportViolation(g.node.log, g.node.metrics, violationOverdue, id)
 		}
 	}
 }
 
 // write decides, at the last moment, whether a call may be written: from here on it may have run.
-func (in *call) claimWrite() bool {
-	if !in.writeBy.IsZero() && time.Now().After(in.writeBy) {
-		in.state.CompareAndSwap(callConnecting, callHeld)
+func (c *call) claimWrite() bool {
+	if !c.writeBy.IsZero() && time.Now().After(c.writeBy) {
+		c.state.CompareAndSwap(callConnecting, callHeld)
 	}
-	return in.state.CompareAndSwap(callConnecting, callWritten)
+	return c.state.CompareAndSwap(callConnecting, callWritten)
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -45,11 +45,11 @@
 	if sockets <= 0 {
 		sockets = defaultSockets
 	}
-	rest := max(sockets-reservedSockets, 16)
-	clients := rest / 2
-	if need := cfg.Deploy.Settings.Slots + closingCallSockets; rest-clients < need {
-		clients = max(rest-need, rest*2/5)
+	available := max(sockets-reservedSockets, 16)
+	clients := available / 2
+	if callSockets := cfg.Deploy.Settings.Slots + closingCallSockets; available-clients < callSockets {
+		clients = max(available-callSockets, available*2/5)
 	}
-	calls := rest - clients
+	calls := available - clients
 	return socketBudget{clients: clients, calls: calls, idle: max(calls*2/3, 1)}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -58,10 +58,10 @@
 	attrs      []any // names and milliseconds
 }
 
-func (s *startupTimer) finishStage(name string) {
+func (t *startupTimer) finishStage(name string) {
 	now := time.Now()
-	s.attrs = append(s.attrs, name, now.Sub(s.stageStart).Milliseconds())
-	s.stageStart = now
+	t.attrs = append(t.attrs, name, now.Sub(t.stageStart).Milliseconds())
+	t.stageStart = now
 }
 
 // Node is one sender.
@@ -114,32 +114,32 @@
 
 // New makes a sender. It replays the journal, unless another process owns that.
 func New(cfg *Config, log *slog.Logger) (*Node, error) {
-	set := cfg.Deploy.Settings
-	sender, err := logic.New(set, cfg.Seed)
+	settings := cfg.Deploy.Settings
+	sender, err := logic.New(settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	spent := startupTimer{stageStart: began}
-	lock, err := tryLock(cfg.StateDir)
+	startedAt := time.Now()
+	startup := startupTimer{stageStart: startedAt}
+	stateLock, err := tryLock(cfg.StateDir)
 	if err != nil && !momentary(err) {
 		return nil, err
 	}
-	spent.finishStage("lock")
-	figures := newFigures(cfg)
+	startup.finishStage("lock")
+	metrics := newFigures(cfg)
 	// The module asks for the list only where it must, and anywhere after a failed call.
-	n := &Node{cfg: cfg, log: log, stateLock: lock, watchFromStart: !set.OnRequest, sender: sender, directory: NewDirectory(cfg), metrics: figures,
-		caller: newCaller(toDuration(cfg.Deploy.ConnectTimeout), toDuration(set.ConnIdle), set.Slots, newSocketBudget(cfg), &figures.relayed),
-		events: make(chan any, eventQueueSize), ready: make(chan net.Addr, 1), reloadRequested: make(chan struct{}, 1), startedAt: began, moduleEpoch: time.Now(), startup: spent, wakeTimer: time.NewTimer(time.Hour), active: map[string]*activeMessage{}, inFlight: map[string]*activeMessage{}, recentIDs: map[string]int64{},
+	n := &Node{cfg: cfg, log: log, stateLock: stateLock, watchFromStart: !settings.OnRequest, sender: sender, directory: NewDirectory(cfg), metrics: metrics,
+		caller: newCaller(toDuration(cfg.Deploy.ConnectTimeout), toDuration(settings.ConnIdle), settings.Slots, newSocketBudget(cfg), &metrics.relayed),
+		events: make(chan any, eventQueueSize), ready: make(chan net.Addr, 1), reloadRequested: make(chan struct{}, 1), startedAt: startedAt, moduleEpoch: time.Now(), startup: startup, wakeTimer: time.NewTimer(time.Hour), active: map[string]*activeMessage{}, inFlight: map[string]*activeMessage{}, recentIDs: map[string]int64{},
 		clock: clock.New(), flushTimer: time.NewTimer(time.Hour), journalFailures: failures{log: log, what: "journal"}}
 	n.guard = newProtocolGuard(n)
 	n.caller.copies = cfg.Deploy.SecondCopies
-	n.discovery = newDiscovery(cfg.Discovery, set.Senders, log, n.events)
-	n.discovery.pushed = !set.OnRequest
+	n.discovery = newDiscovery(cfg.Discovery, settings.Senders, log, n.events)
+	n.discovery.pushed = !settings.OnRequest
 	n.notices = newNotices(cfg.Discovery, log, n.events)
-	n.clients = newClientServer(cfg, log, n.events, figures)
-	n.admin = newAdmin(log, n.clients, figures)
-	if lock != nil {
+	n.clients = newClientServer(cfg, log, n.events, metrics)
+	n.admin = newAdmin(log, n.clients, metrics)
+	if stateLock != nil {
 		if err := n.openJournal(); err != nil && !momentary(err) {
 			return nil, err
 		}
@@ -171,16 +171,16 @@
 
 // Run serves until ctx is cancelled, then shuts down in good order, or hands over to a process that stands by.
 func (n *Node) Run(ctx context.Context) error {
-	work, cancel := context.WithCancel(context.Background())
-	defer cancel()
+	workCtx, cancelWork := context.WithCancel(context.Background())
+	defer cancelWork()
 	if n.cfg.Admin != "" {
-		served, err := n.serveOperators(work)
+		operatorsDone, err := n.serveOperators(workCtx)
 		if err != nil {
 			return err
 		}
-		defer func() { cancel(); <-served }()
+		defer func() { cancelWork(); <-operatorsDone }()
 	}
-	go n.reloads(work)
+	go n.reloads(workCtx)
 	if err := n.takeOwnership(ctx); err != nil {
 		if ctx.Err() != nil { // ended before it owned anything
 			return nil
@@ -190,20 +190,20 @@
 	defer n.stateLock.Close()
 	defer n.journal.Close()
 	if n.watchFromStart {
-		n.discovery.watch(work)
+		n.discovery.watch(workCtx)
 	}
 	if n.wasStandby && n.predecessor == nil {
-		n.awaitInitialList(work)
+		n.awaitInitialList(workCtx)
 	}
-	n.step(work) // what the journal holds comes first: its ends are due
+	n.step(workCtx) // what the journal holds comes first: its ends are due
 	n.startup.finishStage("step")
-	notify, stopNotices := context.WithCancel(work)
+	noticesCtx, stopNotices := context.WithCancel(workCtx)
 	defer stopNotices()
-	go n.notices.run(notify)
+	go n.notices.run(noticesCtx)
 	if n.predecessor != nil {
-		go n.predecessor.read(work, n.events)
+		go n.predecessor.read(workCtx, n.events)
 	}
-	if err := n.listen(work); err != nil {
+	if err := n.listen(workCtx); err != nil {
 		return err
 	}
 	defer func() {
@@ -215,12 +215,12 @@
 		select {
 		case <-ctx.Done():
 			n.events <- shutdownEvent{time.Now()}
-		case <-work.Done():
+		case <-workCtx.Done():
 		}
 	}()
-	if n.loop(work) {
+	if n.loop(workCtx) {
 		stopNotices()
-		n.retire(work)
+		n.retire(workCtx)
 	}
 	return nil
 }
@@ -228,10 +228,10 @@
 // begin makes this process the owner of the journal and takes up what is owed: from the process before, if that hands
 // over, or else from the journal alone.
 func (n *Node) takeOwnership(ctx context.Context) error {
-	var st *handover
+	var state *handover
 	if n.stateLock == nil {
 		var err error
-		if st, err = n.claim(ctx); err != nil {
+		if state, err = n.claim(ctx); err != nil {
 			return err
 		}
 	}
@@ -241,8 +241,8 @@
 		}
 		n.reloadAfterTakeover()
 	}
-	if st != nil {
-		err := n.adopt(st)
+	if state != nil {
+		err := n.adopt(state)
 		if err == nil {
 			return nil
 		}
@@ -257,14 +257,14 @@
 
 // awaitList waits for the list, for a short while, where an agent of our own has it at once. A process that stood by and
 // was not handed over to goes on for a sender that may have been told of changes which its own list does not have.
-func (n *Node) awaitInitialList(work context.Context) {
-	late := time.NewTimer(initialListTimeout)
-	defer late.Stop()
+func (n *Node) awaitInitialList(workCtx context.Context) {
+	timeout := time.NewTimer(initialListTimeout)
+	defer timeout.Stop()
 	for n.watchFromStart && !n.discovery.heard {
 		select {
 		case ev := <-n.events:
-			n.handleEvent(work, ev)
-		case <-late.C:
+			n.handleEvent(workCtx, ev)
+		case <-timeout.C:
 			return
 		}
 	}
@@ -288,56 +288,56 @@
 }
 
 // shutDown sends the clients away. The first channel is closed when none is left, the second when the time is up.
-func (n *Node) shutDownClients(work context.Context) (served, stopped <-chan struct{}) {
-	none, late := make(chan struct{}), make(chan struct{})
+func (n *Node) shutDownClients(workCtx context.Context) (clientsClosed, timedOut <-chan struct{}) {
+	closed, expired := make(chan struct{}), make(chan struct{})
 	n.clients.stopReadingAt(n.shutdownAt.Add(shutdownReadTimeout))
 	n.clients.setPhase(stopping)
-	grace, end := context.WithDeadline(work, n.shutdownAt.Add(shutdownTimeout))
-	ln := n.listener
-	if ln == nil { // it never served
+	graceCtx, cancel := context.WithDeadline(workCtx, n.shutdownAt.Add(shutdownTimeout))
+	listener := n.listener
+	if listener == nil { // it never served
 		close(n.clients.acceptDone)
 	}
 	go func() {
-		defer end()
-		sleepContext(grace, closeIdleDelay)
-		if ln != nil {
-			ln.Close()
-		}
-		n.clients.awaitClosed(grace)
-		close(none)
-		<-grace.Done()
-		close(late)
+		defer cancel()
+		sleepContext(graceCtx, closeIdleDelay)
+		if listener != nil {
+			listener.Close()
+		}
+		n.clients.awaitClosed(graceCtx)
+		close(closed)
+		<-graceCtx.Done()
+		close(expired)
 	}()
-	return none, late
+	return closed, expired
 }
 
 // loop owns the module and all of the state: it takes what has come, lets the
 // module step, writes the journal and acts, at most once a tick.
 //
 // It returns true when another process goes on.
-func (n *Node) loop(work context.Context) bool {
+func (n *Node) loop(workCtx context.Context) bool {
 	tick := max(toDuration(n.cfg.Deploy.Settings.Tick), time.Millisecond)
-	sweep := time.NewTicker(sweepInterval)
-	defer sweep.Stop()
-	rest := time.NewTimer(0)
-	defer rest.Stop()
+	sweepTicker := time.NewTicker(sweepInterval)
+	defer sweepTicker.Stop()
+	tickTimer := time.NewTimer(0)
+	defer tickTimer.Stop()
 	defer n.wakeTimer.Stop()
 	defer n.flushTimer.Stop()
-	var served, stopped <-chan struct{} // while shutting down
-	quiet := false                      // shutting down, and no client is left
+	var clientsClosed, timedOut <-chan struct{} // while shutting down
+	noClients := false                          // shutting down, and no client is left
 	for {
-		if quiet && n.openCount == 0 && len(n.journal.entries) == 0 && n.journal.Settled() {
+		if noClients && n.openCount == 0 && len(n.journal.entries) == 0 && n.journal.Settled() {
 			n.log.Info("stopped", "owed", 0)
 			return false
 		}
 		select {
 		case ev := <-n.events:
-			n.handleEvent(work, ev)
+			n.handleEvent(workCtx, ev)
 		case <-n.wakeTimer.C:
 			n.pendingEvents = append(n.pendingEvents, logic.Due{Token: n.wakeToken})
 		case <-n.flushTimer.C:
 			n.record(nil)
-		case <-sweep.C:
+		case <-sweepTicker.C:
 			n.caller.sweep()
 			if len(n.directory.gone) > 0 {
 				n.directory.forget(time.Now(), n.calledEndpoints())
@@ -346,10 +346,10 @@
 			n.guard.expireWaits()
 			n.guard.checkOverdue()
 			continue
-		case <-served:
-			quiet, served = true, nil
+		case <-clientsClosed:
+			noClients, clientsClosed = true, nil
 			continue
-		case <-stopped:
+		case <-timedOut:
 			// What is still out stays in the journal as it is.
 			n.record(nil)
 			n.log.Info("stopped", "owed", len(n.journal.entries))
@@ -358,16 +358,16 @@
 		for more := true; more; {
 			select {
 			case ev := <-n.events:
-				n.handleEvent(work, ev)
+				n.handleEvent(workCtx, ev)
 			default:
 				more = false
 			}
 		}
-		n.step(work)
+		n.step(workCtx)
 		for len(n.pendingEvents) > 0 {
-			n.step(work)
+			n.step(workCtx)
 		}
-		if !n.shutdownAt.IsZero() && stopped == nil {
+		if !n.shutdownAt.IsZero() && timedOut == nil {
 			if n.successor != nil {
 				err := n.handOver()
 				if err == nil {
@@ -375,12 +375,12 @@
 				}
 				n.log.Error("the handover failed: this process stays the owner until its end", "err", err)
 			}
-			served, stopped = n.shutDownClients(work)
+			clientsClosed, timedOut = n.shutDownClients(workCtx)
 			n.pendingEvents = append(n.pendingEvents, logic.Closing{Left: toMicros(max(shutdownReadTimeout-time.Since(n.shutdownAt), 0))})
-			n.step(work)
+			n.step(workCtx)
 		}
-		rest.Reset(tick)
-		<-rest.C
+		tickTimer.Reset(tick)
+		<-tickTimer.C
 	}
 }
 
@@ -415,13 +415,13 @@
 
 // endUnknown ends a message whose class the settings do not name any more.
 func (n *Node) endUnknownClass(e *Entry) {
-	x := Notice{ID: e.ID, State: noticeReturned}
+	notice := Notice{ID: e.ID, State: noticeReturned}
 	if e.MayRun || e.Open {
-		x.State = noticeFailed
+		notice.State = noticeFailed
 	}
-	n.log.Warn("message of an unknown class", "id", e.ID, "class", e.Class, "end", x.State)
-	n.pendingRecords = append(n.pendingRecords, record{Op: opEnd, ID: e.ID, Notice: &x})
-	n.deferredNotices = append(n.deferredNotices, unsaid{x, e.Deadline})
+	n.log.Warn("message of an unknown class", "id", e.ID, "class", e.Class, "end", notice.State)
+	n.pendingRecords = append(n.pendingRecords, record{Op: opEnd, ID: e.ID, Notice: &notice})
+	n.deferredNotices = append(n.deferredNotices, unsaid{notice, e.Deadline})
 }
 
 // callOf is the module's view of a message, without its times: those are set at the step.
@@ -434,7 +434,7 @@
 }
 
 // take turns what has come into events for the next step.
-func (n *Node) handleEvent(work context.Context, ev any) {
+func (n *Node) handleEvent(workCtx context.Context, ev any) {
 	switch ev := ev.(type) {
 	case putEvent:
 		n.handlePut(ev)
@@ -452,11 +452,11 @@
 		n.pendingRecords = nil
 		n.record(records) // at once: what is off the journal makes room
 	case reloadEvent:
-		n.moveTo(work, ev.cfg)
+		n.moveTo(workCtx, ev.cfg)
 	case shutdownEvent:
 		n.shutdownAt = ev.at
 	case listeningEvent:
-		n.serve(work, ev.ln)
+		n.serve(workCtx, ev.ln)
 	case remoteEvent:
 		n.remote(ev)
 	case successorEvent:
@@ -466,8 +466,8 @@
 
 func (n *Node) handlePut(ev putEvent) {
 	id := ev.msg.ID
-	_, over := n.recentIDs[id]
-	if n.active[id] != nil || n.journal.Entry(id) != nil || over {
+	_, recentlyEnded := n.recentIDs[id]
+	if n.active[id] != nil || n.journal.Entry(id) != nil || recentlyEnded {
 		if n.isPendingPut(id) {
 			n.pendingPuts = append(n.pendingPuts, ev) // it gets the answer of the first
 			return
@@ -475,10 +475,10 @@
 		ev.reply <- replyOK
 		return
 	}
-	if answer := n.admissionReply(&ev.msg); answer != "" {
+	if reply := n.admissionReply(&ev.msg); reply != "" {
 		n.guard.checkRefusal(id)
-		n.metrics.told(ev.msg.Class, answer)
-		ev.reply <- answer
+		n.metrics.told(ev.msg.Class, reply)
+		ev.reply <- reply
 		return
 	}
 	m := ev.msg
@@ -490,7 +490,7 @@
 
 // admission is the answer to a message that is not let in; empty for one that is.
 func (n *Node) admissionReply(m *Message) string {
-	most := n.cfg.Deploy.Settings.MaxOpen
+	maxOpen := n.cfg.Deploy.Settings.MaxOpen
 	switch {
 	case !n.directory.serves(m.Dest) && n.discovery.heard:
 		n.metrics.refused.add(string(refusedUnknown))
@@ -498,7 +498,7 @@
 	case !n.directory.serves(m.Dest): // nobody has told yet what there is
 		n.metrics.refused.add(string(refusedNoList))
 		return busyReply(logic.Second)
-	case most > 0 && n.openCount >= most:
+	case maxOpen > 0 && n.openCount >= maxOpen:
 		n.metrics.refused.add(string(refusedHold))
 		return busyReply(0)
 	case !n.journal.Room(len(m.Body)):
@@ -546,11 +546,11 @@
 		ready[row.Endpoint] = row.State == logic.Ready
 	}
 	n.abortConnecting(func(ep logic.EndpointID) bool {
-		is, told := ready[ep]
-		return !is && (told || ev.list.Reset)
+		isReady, listed := ready[ep]
+		return !isReady && (listed || ev.list.Reset)
 	})
-	for ep, is := range ready {
-		if !is {
+	for ep, isReady := range ready {
+		if !isReady {
 			n.caller.release(ep)
 		}
 	}
@@ -564,16 +564,16 @@
 
 // calls lists the endpoints that calls are out to.
 func (n *Node) calledEndpoints() map[logic.EndpointID]bool {
-	out := map[logic.EndpointID]bool{}
+	endpoints := map[logic.EndpointID]bool{}
 	for _, h := range n.inFlight {
-		out[h.call.ep] = true
+		endpoints[h.call.ep] = true
 	}
-	return out
+	return endpoints
 }
 
 // goesOut notes that an attempt is out, and how it is ended.
-func (n *Node) attemptStarted(h *activeMessage, c *call, stop context.CancelFunc) {
-	h.call, h.cancel = c, stop
+func (n *Node) attemptStarted(h *activeMessage, c *call, cancel context.CancelFunc) {
+	h.call, h.cancel = c, cancel
 	n.inFlight[c.id] = h
 }
 
@@ -618,10 +618,10 @@
 		n.guard.noteWait(ev.call.ep, r.wait)
 		n.abortForWait(ev.call.ep)
 	}
-	ended := h.ended
+	alreadyEnded := h.ended
 	done := r.outcome == logic.Completed || r.over
 	switch {
-	case ended:
+	case alreadyEnded:
 	case done:
 		n.pendingRecords = append(n.pendingRecords, record{Op: opDone, ID: ev.call.id})
 		if late := time.Since(h.log.receivedAt) > toDuration(n.cfg.classOf(h.msg).Aim); late || r.over {
@@ -638,13 +638,13 @@
 	if h.ended {
 		delete(n.active, ev.call.id)
 	}
-	n.pendingEvents = append(n.pendingEvents, logic.Reply{ID: ev.call.id, NoMore: ended || done, Endpoint: ev.call.ep,
+	n.pendingEvents = append(n.pendingEvents, logic.Reply{ID: ev.call.id, NoMore: alreadyEnded || done, Endpoint: ev.call.ep,
 		Attempt: ev.call.attempt, Outcome: r.outcome, Took: toMicros(ev.duration), Wait: toMicros(r.wait), Load: loadOf(r.load, n.cfg.Deploy.Reports)})
 }
 
 // badEnd logs the course of a message that was not delivered in the time wanted.
-func (n *Node) logAttempts(h *activeMessage, end string) {
-	n.log.Info("message", "id", h.msg.ID, "class", h.msg.Class, "dest", h.msg.Dest, "end", end, "ms", h.log.elapsedMS(),
+func (n *Node) logAttempts(h *activeMessage, outcome string) {
+	n.log.Info("message", "id", h.msg.ID, "class", h.msg.Class, "dest", h.msg.Dest, "end", outcome, "ms", h.log.elapsedMS(),
 		"attempts", string(h.log.text))
 }
 
@@ -692,15 +692,15 @@
 }
 
 // step lets the module decide, writes the journal, and then acts, in order.
-func (n *Node) step(work context.Context) {
+func (n *Node) step(workCtx context.Context) {
 	events := n.pendingEvents
 	n.pendingEvents = nil
 	n.stepTime = n.clock.Now()
 	n.setCallTimes(events)
 	actions := n.sender.Step(toMicros(time.Since(n.moduleEpoch)), events)
-	answers := n.immediateReplies(actions)
+	replies := n.immediateReplies(actions)
 	for i, p := range n.pendingPuts {
-		if answers[p.msg.ID] == "" && !n.isRepeatedPut(i) {
+		if replies[p.msg.ID] == "" && !n.isRepeatedPut(i) {
 			m := p.msg
 			n.pendingRecords = append(n.pendingRecords, record{Op: opAccept, Entry: &Entry{Message: m}})
 		}
@@ -710,9 +710,9 @@
 		case logic.CallOut:
 			n.pendingRecords = append(n.pendingRecords, record{Op: opSend, ID: a.ID, At: n.stepTime, Zone: n.directory.eps[a.Endpoint].zone})
 		case logic.Refuse, logic.Fail:
-			x := noticeFor(a)
-			if answers[x.ID] == "" && n.journal.Entry(x.ID) != nil {
-				n.pendingRecords = append(n.pendingRecords, record{Op: opEnd, ID: x.ID, Notice: &x})
+			notice := noticeFor(a)
+			if replies[notice.ID] == "" && n.journal.Entry(notice.ID) != nil {
+				n.pendingRecords = append(n.pendingRecords, record{Op: opEnd, ID: notice.ID, Notice: &notice})
 			}
 		}
 	}
@@ -720,29 +720,29 @@
 	n.pendingRecords = nil
 	err := n.record(records)
 	for i, p := range n.pendingPuts {
-		answer := answers[p.msg.ID]
+		reply := replies[p.msg.ID]
 		switch {
-		case answer != "":
+		case reply != "":
 			n.metrics.refused.add(string(refusedDecision))
 			n.guard.checkRefusal(p.msg.ID)
 		case err != nil: // not written, so not taken on
 			n.metrics.refused.add(string(refusedWrite))
-			answer = notWritten(err)
+			reply = notWritten(err)
 			n.dropMessage(p.msg.ID)
 			n.pendingEvents = append(n.pendingEvents, logic.ClientGone{ID: p.msg.ID})
 		default:
-			answer = replyOK
+			reply = replyOK
 		}
 		if !n.isRepeatedPut(i) {
-			n.metrics.told(p.msg.Class, answer)
+			n.metrics.told(p.msg.Class, reply)
 		}
-		p.reply <- answer
+		p.reply <- reply
 	}
 	n.pendingPuts = nil
 	for _, a := range actions {
-		n.perform(work, a, answers, err == nil)
+		n.perform(workCtx, a, replies, err == nil)
 	}
-	n.sendPendingCalls(work)
+	n.sendPendingCalls(workCtx)
 	n.updateGauges()
 }
 
@@ -761,23 +761,23 @@
 // answers finds the messages that the module ends in the step in which they came:
 // their clients are told at once.
 func (n *Node) immediateReplies(actions []logic.Action) map[string]string {
-	out := map[string]string{}
+	replies := map[string]string{}
 	if len(n.pendingPuts) == 0 {
-		return out
+		return replies
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.Refuse:
 			if n.isPendingPut(a.ID) {
-				out[a.ID] = busyReply(a.RetryIn)
+				replies[a.ID] = busyReply(a.RetryIn)
 			}
 		case logic.Fail:
 			if n.isPendingPut(a.ID) {
-				out[a.ID] = replyFailed
+				replies[a.ID] = replyFailed
 			}
 		}
 	}
-	return out
+	return replies
 }
 
 func noticeFor(a logic.Action) Notice {
@@ -798,45 +798,45 @@
 	}
 }
 
-func (n *Node) perform(work context.Context, a logic.Action, answers map[string]string, written bool) {
+func (n *Node) perform(workCtx context.Context, a logic.Action, replies map[string]string, written bool) {
 	switch a := a.(type) {
 	case logic.CallOut:
-		n.startAttempt(work, a, written)
+		n.startAttempt(workCtx, a, written)
 	case logic.Cancel:
 		if h := n.active[a.ID]; h != nil && h.cancel != nil && h.attempts-1 == a.Attempt {
 			h.cancel()
 		}
 	case logic.Refuse, logic.Fail:
-		x := noticeFor(a)
-		if h := n.active[x.ID]; h != nil && !h.ended {
-			n.logAttempts(h, x.State)
+		notice := noticeFor(a)
+		if h := n.active[notice.ID]; h != nil && !h.ended {
+			n.logAttempts(h, notice.State)
 		}
-		if answers[x.ID] != "" {
-			n.dropMessage(x.ID)
+		if replies[notice.ID] != "" {
+			n.dropMessage(notice.ID)
 			return
 		}
-		if h := n.active[x.ID]; h != nil && !h.ended {
-			n.metrics.told(h.msg.Class, x.State)
-			n.guard.checkEnd(h, x)
-			n.endMessage(x.ID, h)
-			n.say(x, h.msg.Deadline)
+		if h := n.active[notice.ID]; h != nil && !h.ended {
+			n.metrics.told(h.msg.Class, notice.State)
+			n.guard.checkEnd(h, notice)
+			n.endMessage(notice.ID, h)
+			n.say(notice, h.msg.Deadline)
 		}
 	case logic.SetTimer:
 		n.wakeTimer.Reset(toDuration(a.Wait)) // it goes off no later than the one before
 		n.wakeToken = a.Token
 	case logic.Probe:
-		n.probe(work, a.Endpoint)
+		n.probe(workCtx, a.Endpoint)
 	case logic.Release:
 		n.caller.release(a.Endpoint)
 	case logic.Listen:
-		n.discovery.watch(work)
+		n.discovery.watch(workCtx)
 	case logic.Log:
 		n.log.Info(a.Text)
 	}
 }
 
 // callOut makes an attempt. Without its record in the journal it is not made.
-func (n *Node) startAttempt(work context.Context, a logic.CallOut, written bool) {
+func (n *Node) startAttempt(workCtx context.Context, a logic.CallOut, written bool) {
 	h := n.active[a.ID]
 	if h == nil { // never taken on; the module is still owed its one outcome
 		n.pendingEvents = append(n.pendingEvents, logic.Reply{ID: a.ID, NoMore: true, Endpoint: a.Endpoint, Outcome: logic.Moot})
@@ -846,38 +846,38 @@
 	attempt := h.attempts
 	h.attempts++
 	h.log.addSend(a.Endpoint)
-	to := n.directory.eps[a.Endpoint]
-	in := &call{id: a.ID, attempt: attempt, ep: a.Endpoint, addr: to.addr, giveUp: toDuration(a.GiveUp), msg: h.msg, state: new(atomic.Int32), carries: 1}
-	c := n.cfg.classOf(h.msg)
-	in.fragile = c.Effect == logic.Unsafe
-	if e := n.journal.Entry(a.ID); e != nil && e.MayRun && c.Effect == logic.Keyed { // a repeat: by the end of the window it must be written
-		in.writeBy = n.clock.At(e.FirstMay).Add(toDuration(c.Window))
-	}
-	ctx, stop := context.WithCancel(work)
-	n.attemptStarted(h, in, stop)
+	target := n.directory.eps[a.Endpoint]
+	c := &call{id: a.ID, attempt: attempt, ep: a.Endpoint, addr: target.addr, giveUp: toDuration(a.GiveUp), msg: h.msg, state: new(atomic.Int32), carries: 1}
+	class := n.cfg.classOf(h.msg)
+	c.fragile = class.Effect == logic.Unsafe
+	if entry := n.journal.Entry(a.ID); entry != nil && entry.MayRun && class.Effect == logic.Keyed { // a repeat: by the end of the window it must be written
+		c.writeBy = n.clock.At(entry.FirstMay).Add(toDuration(class.Window))
+	}
+	ctx, cancel := context.WithCancel(workCtx)
+	n.attemptStarted(h, c, cancel)
 	var err error
-	in.recorded = written
-	if in.request, err = deliverRequest(h.msg, to.addr, in.giveUp); err != nil || !written || !permitted {
+	c.recorded = written
+	if c.request, err = deliverRequest(h.msg, target.addr, c.giveUp); err != nil || !written || !permitted {
 		if err != nil {
 			n.log.Error("call", "err", err)
 		}
-		ev := attemptResultEvent{in, result{outcome: logic.Unsent}, 0}
+		ev := attemptResultEvent{c, result{outcome: logic.Unsent}, 0}
 		if written { // it will not work later either
 			ev.result.outcome = logic.Moot
 		}
 		time.AfterFunc(jitter(attemptRetryDelay), func() { n.events <- ev }) // a full disk, say: room may come
 		return
 	}
-	n.pendingCalls = append(n.pendingCalls, outgoing{ctx, in})
+	n.pendingCalls = append(n.pendingCalls, outgoing{ctx, c})
 }
 
 // launch makes the calls that the step has decided on. Those to one endpoint go as one, as far as its kind allows:
 // so the module counts them, and so does the endpoint.
-func (n *Node) sendPendingCalls(work context.Context) {
+func (n *Node) sendPendingCalls(workCtx context.Context) {
 	var group []outgoing
-	for rest := n.pendingCalls; len(rest) > 0; {
-		group, rest = together(rest, n.batchSize(rest[0].ep))
-		go n.sendCalls(work, group)
+	for remaining := n.pendingCalls; len(remaining) > 0; {
+		group, remaining = together(remaining, n.batchSize(remaining[0].ep))
+		go n.sendCalls(workCtx, group)
 	}
 	n.pendingCalls = nil
 }
@@ -891,18 +891,18 @@
 	return 1
 }
 
-func (n *Node) sendCalls(work context.Context, group []outgoing) {
-	at := time.Now()
+func (n *Node) sendCalls(workCtx context.Context, group []outgoing) {
+	startedAt := time.Now()
 	if len(group) > 1 {
-		n.caller.doBulk(work, group, func(in *call, r result) { n.events <- attemptResultEvent{in, r, time.Since(at)} })
+		n.caller.doBulk(workCtx, group, func(c *call, r result) { n.events <- attemptResultEvent{c, r, time.Since(startedAt)} })
 		return
 	}
 	r := n.caller.do(group[0].ctx, group[0].call)
-	took := time.Since(at)
+	duration := time.Since(startedAt)
 	if r.local {
 		sleepContext(group[0].ctx, jitter(attemptRetryDelay)) // descriptors, say: room may come
 	}
-	n.events <- attemptResultEvent{group[0].call, r, took}
+	n.events <- attemptResultEvent{group[0].call, r, duration}
 }
 
 // hold keeps calls that are still connecting from being written: what the module decided before it knew better
@@ -917,17 +917,19 @@
 
 // holdWait holds calls to where a wait was told: the destination, or the one route where routes are apart.
 func (n *Node) abortForWait(ep logic.EndpointID) {
-	to, apart := n.directory.eps[ep], n.directory.apart(ep)
-	n.abortConnecting(func(x logic.EndpointID) bool { return x == ep || !apart && n.directory.eps[x].dest == to.dest })
+	target, separateRoutes := n.directory.eps[ep], n.directory.apart(ep)
+	n.abortConnecting(func(x logic.EndpointID) bool {
+		return x == ep || !separateRoutes && n.directory.eps[x].dest == target.dest
+	})
 }
 
-func (n *Node) probe(work context.Context, ep logic.EndpointID) {
+func (n *Node) probe(workCtx context.Context, ep logic.EndpointID) {
 	addr := n.directory.eps[ep].addr
 	go func() {
-		out := logic.RefusedConn
+		outcome := logic.RefusedConn
 		if req, err := probeRequest(addr); err == nil {
-			out = n.caller.do(work, &call{ep: ep, addr: addr, giveUp: probeTime, request: req, state: new(atomic.Int32)}).outcome
+			outcome = n.caller.do(workCtx, &call{ep: ep, addr: addr, giveUp: probeTime, request: req, state: new(atomic.Int32)}).outcome
 		}
-		n.events <- probeResultEvent{ep, out}
+		n.events <- probeResultEvent{ep, outcome}
 	}()
 }
--- a/internal/node/put.go
+++ b/internal/node/put.go
@@ -31,7 +31,7 @@
 	if m.ID == "" || len(m.ID) > maxIDLen || !isHeaderSafe(m.ID) {
 		return m, errors.New("bad id")
 	}
-	var hold time.Duration
+	var lifetime time.Duration
 	seen := map[string]bool{}
 	for _, pair := range strings.Split(string(args[2]), ",") {
 		name, value, ok := strings.Cut(pair, "=")
@@ -57,8 +57,8 @@
 			if err != nil || ms < 0 || ms > maxLifetime.Milliseconds() {
 				return m, errors.New("bad time")
 			}
-			hold = time.Duration(ms) * time.Millisecond
-			m.Deadline = now + hold.Microseconds()
+			lifetime = time.Duration(ms) * time.Millisecond
+			m.Deadline = now + lifetime.Microseconds()
 		case "dest":
 			n, err := strconv.ParseInt(value, 10, 64)
 			if err != nil || n < 0 {
@@ -78,7 +78,7 @@
 	if class.Effect == logic.Keyed && m.Key == "" {
 		return m, errors.New("k must be given in a keyed class")
 	}
-	if hold > maxLifetimeFactor*toDuration(class.Deadline) {
+	if lifetime > maxLifetimeFactor*toDuration(class.Deadline) {
 		return m, errors.New("bad time")
 	}
 	if _, ok := c.cfg.Tenants[m.Tenant]; !ok && m.Tenant != "" {
--- a/internal/node/resp.go
+++ b/internal/node/resp.go
@@ -21,7 +21,7 @@
 // readCommand reads one request: an array of bulk strings. All lengths are
 // checked before memory is taken for them; large is asked once before a request
 // takes more than a small one's.
-func readCommand(r *bufio.Reader, large func() error) ([][]byte, error) {
+func readCommand(r *bufio.Reader, acquireLarge func() error) ([][]byte, error) {
 	n, err := readLength(r, '*', maxArgs)
 	if err != nil {
 		return nil, err
@@ -30,18 +30,18 @@
 		return nil, fmt.Errorf("%w: empty request", errProtocol)
 	}
 	args := make([][]byte, n)
-	sum, asked := 0, false
+	total, acquired := 0, false
 	for i := range args {
 		size, err := readLength(r, '$', maxBulkBytes)
 		if err != nil {
 			return nil, unexpectedEOF(err)
 		}
-		if sum += size; sum > maxRequestBytes {
+		if total += size; total > maxRequestBytes {
 			return nil, fmt.Errorf("%w: request over %d", errProtocol, maxRequestBytes)
 		}
-		if sum > smallRequestBytes && !asked {
-			asked = true
-			if err := large(); err != nil {
+		if total > smallRequestBytes && !acquired {
+			acquired = true
+			if err := acquireLarge(); err != nil {
 				return nil, err
 			}
 		}
@@ -57,7 +57,7 @@
 	return args, nil
 }
 
-func readLength(r *bufio.Reader, mark byte, most int) (int, error) {
+func readLength(r *bufio.Reader, prefix byte, maxLength int) (int, error) {
 	var line []byte
 	for {
 		c, err := r.ReadByte()
@@ -75,15 +75,15 @@
 			return 0, fmt.Errorf("%w: length line too long", errProtocol)
 		}
 	}
-	if len(line) < 4 || line[0] != mark || line[len(line)-2] != '\r' {
-		return 0, fmt.Errorf("%w: want a line of %q and a length", errProtocol, mark)
+	if len(line) < 4 || line[0] != prefix || line[len(line)-2] != '\r' {
+		return 0, fmt.Errorf("%w: want a line of %q and a length", errProtocol, prefix)
 	}
 	n, err := strconv.ParseUint(string(line[1:len(line)-2]), 10, 31)
 	if err != nil {
 		return 0, fmt.Errorf("%w: bad length", errProtocol)
 	}
-	if n > uint64(most) {
-		return 0, fmt.Errorf("%w: length over %d", errProtocol, most)
+	if n > uint64(maxLength) {
+		return 0, fmt.Errorf("%w: length over %d", errProtocol, maxLength)
 	}
 	return int(n), nil
 }
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -54,40 +54,40 @@
 }
 
 func (s *session) handle() {
-	queue, written := make(chan clientReply, maxPipelined), make(chan struct{})
+	replies, writerDone := make(chan clientReply, maxPipelined), make(chan struct{})
 	go func() {
-		defer close(written)
-		s.writeReplies(queue)
+		defer close(writerDone)
+		s.writeReplies(replies)
 	}()
-	why := s.readRequests(bufio.NewReader(s.conn), queue)
-	close(queue)
-	<-written
-	s.recordClose(why)
+	reason := s.readRequests(bufio.NewReader(s.conn), replies)
+	close(replies)
+	<-writerDone
+	s.recordClose(reason)
 	s.lingeringClose()
 }
 
 // closes counts the end of a connection, and checks that no request is left without its answer.
-func (s *session) recordClose(why closing) {
+func (s *session) recordClose(reason closing) {
 	s.server.mu.Lock()
-	open, gone := s.openRequests, s.evicted
+	openRequests, evicted := s.openRequests, s.evicted
 	s.server.mu.Unlock()
-	if !gone { // else it was counted where it was closed
-		s.server.metrics.closed.add(string(why))
+	if !evicted { // else it was counted where it was closed
+		s.server.metrics.closed.add(string(reason))
 	}
-	if open > 0 {
-		reportViolation(s.server.log, s.server.metrics, violationClosedWithRequests, "", "requests", open, "why", string(why))
+	if openRequests > 0 {
+		reportViolation(s.server.log, s.server.metrics, violationClosedWithRequests, "", "requests", openRequests, "why", string(reason))
 	}
 }
 
 // read takes requests until the connection ends, and says why it does.
-func (s *session) readRequests(r *bufio.Reader, queue chan<- clientReply) closing {
+func (s *session) readRequests(r *bufio.Reader, replies chan<- clientReply) closing {
 	first := true
 	for {
-		if why, ok := s.awaitRequest(r); !ok {
-			return why
+		if reason, ok := s.awaitRequest(r); !ok {
+			return reason
 		}
 		if n := s.consecutiveErrors.Load(); n >= maxConsecutiveErrors {
-			queue <- clientReply{line: replyTooManyErrors}
+			replies <- clientReply{line: replyTooManyErrors}
 			return closedErrors
 		} else if n > 0 {
 			time.Sleep(time.Duration(n) * errorDelay)
@@ -104,39 +104,39 @@
 		case err == nil:
 			a := s.server.execute(args)
 			a.large = large
-			queue <- a
+			replies <- a
 			first = false
 			continue
 		case errors.Is(err, errProtocol):
-			queue <- clientReply{line: fmt.Sprintf("-ERR %v\r\n", err), large: large}
+			replies <- clientReply{line: fmt.Sprintf("-ERR %v\r\n", err), large: large}
 			return closedProtocol
 		case errors.Is(err, errLargeRequestLimit):
-			queue <- clientReply{line: busyReply(0)}
+			replies <- clientReply{line: busyReply(0)}
 			return closedNoPlace
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			queue <- clientReply{line: replyRequestTimeout, large: large}
+			replies <- clientReply{line: replyRequestTimeout, large: large}
 			return closedTimeout
 		}
-		queue <- clientReply{large: large}
+		replies <- clientReply{large: large}
 		return closedGone
 	}
 }
 
 // requestBy is when the request that has begun to come must be whole.
 func (s *session) requestDeadline(first bool) time.Time {
-	by := time.Now().Add(requestTimeout)
+	deadline := time.Now().Add(requestTimeout)
 	if first {
-		by = s.openedAt.Add(firstRequestTimeout)
-		if least := time.Now().Add(minRequestTime); by.Before(least) {
-			by = least
+		deadline = s.openedAt.Add(firstRequestTimeout)
+		if earliest := time.Now().Add(minRequestTime); deadline.Before(earliest) {
+			deadline = earliest
 		}
 	}
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
-	if last := s.server.readCutoff; !last.IsZero() && last.Before(by) {
-		return last
+	if cutoff := s.server.readCutoff; !cutoff.IsZero() && cutoff.Before(deadline) {
+		return cutoff
 	}
-	return by
+	return deadline
 }
 
 // errNoPlace says that too many large requests are under way.
@@ -190,29 +190,29 @@
 }
 
 // whole notes that the request at hand has come to its end, good or bad, and whether some of the next has come with it.
-func (s *session) requestDone(more bool) {
+func (s *session) requestDone(nextBuffered bool) {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
-	if s.readingRequest = more; more {
+	if s.readingRequest = nextBuffered; nextBuffered {
 		s.openRequests++
 	}
 }
 
 // write sends the answers in the order of their requests, those that are ready together.
-func (s *session) writeReplies(queue <-chan clientReply) {
+func (s *session) writeReplies(replies <-chan clientReply) {
 	w := bufio.NewWriterSize(s.conn, 512)
 	var err error
-	for a := range queue {
-		line := a.line
-		if a.pending != nil {
+	for reply := range replies {
+		line := reply.line
+		if reply.pending != nil {
 			select {
-			case line = <-a.pending:
+			case line = <-reply.pending:
 			default: // what is ready must not wait for what is not
 				err = errors.Join(err, s.flush(w))
-				line = <-a.pending
+				line = <-reply.pending
 			}
 		}
-		if a.large {
+		if reply.large {
 			<-s.server.largeSlots
 		}
 		if strings.HasPrefix(line, "-ERR") {
@@ -224,7 +224,7 @@
 			s.conn.SetWriteDeadline(time.Now().Add(replyWriteTimeout))
 			_, err = w.WriteString(line)
 		}
-		if len(queue) == 0 {
+		if len(replies) == 0 {
 			err = errors.Join(err, s.flush(w))
 		}
 		s.replySent()
@@ -253,7 +253,7 @@
 	s.server.mu.Lock()
 	s.idleSince = time.Time{} // the first to go
 	s.server.mu.Unlock()
-	if half, ok := s.conn.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
+	if halfCloser, ok := s.conn.(interface{ CloseWrite() error }); !ok || halfCloser.CloseWrite() != nil {
 		return // gone already
 	}
 	s.conn.SetReadDeadline(time.Now().Add(clientLingerTimeout))
@@ -264,8 +264,8 @@
 func (c *clientServer) execute(args [][]byte) clientReply {
 	switch cmd := strings.ToUpper(string(args[0])); cmd {
 	case "PING":
-		if p := c.currentPhase(); p != serving && p != replaced {
-			return clientReply{line: "-ERR " + p.String() + "\r\n"}
+		if phase := c.currentPhase(); phase != serving && phase != replaced {
+			return clientReply{line: "-ERR " + phase.String() + "\r\n"}
 		}
 		switch {
 		case len(args) == 1:
@@ -280,15 +280,15 @@
 			return clientReply{line: "-ERR " + err.Error() + "\r\n"}
 		}
 		c.mu.Lock()
-		late := c.pastReadCutoff()
+		afterCutoff := c.pastReadCutoff()
 		c.mu.Unlock()
-		if late { // it came behind others that were read in time
+		if afterCutoff { // it came behind others that were read in time
 			c.metrics.refused.add(string(refusedLate))
 			return clientReply{line: busyReply(0)}
 		}
-		later := make(chan string, 1)
-		c.events <- putEvent{msg, later}
-		return clientReply{pending: later}
+		pending := make(chan string, 1)
+		c.events <- putEvent{msg, pending}
+		return clientReply{pending: pending}
 	}
 	return clientReply{line: "-ERR unknown command\r\n"}
 }
