--- a/internal/node/attempt_log.go
+++ b/internal/node/attempt_log.go
@@ -7,13 +7,13 @@
 	"rundeal/logic"
 )
 
-// outcomeNames are for the people on call.
+// outcomeNames are the names of outcomes in logs and metrics.
 var outcomeNames = map[logic.Outcome]string{logic.Completed: "ok", logic.Errored: "error", logic.Full: "full",
 	logic.Overdue: "timeout", logic.RefusedConn: "no-connection", logic.Severed: "reset", logic.Recalled: "recalled",
 	logic.Moot: "not-sent", logic.Unsent: "held-here", logic.Spoilt: "unreadable"}
 
-// trail is the course of a message: each attempt as the time of its send, its endpoint, its outcome and the
-// time of that, in milliseconds from when the message came.
+// attemptLog lists the attempts of a message as text. Each attempt has the time of its send, its endpoint, its outcome
+// and the time of that, in milliseconds since the message arrived.
 type attemptLog struct {
 	receivedAt time.Time
 	text       []byte
@@ -21,6 +21,7 @@
 
 func (l *attemptLog) elapsedMS() int64 { return time.Since(l.receivedAt).Milliseconds() }
 
+// addSend records the start of an attempt.
 func (l *attemptLog) addSend(ep logic.EndpointID) {
 	if len(l.text) > 0 {
 		l.text = append(l.text, ' ')
@@ -28,7 +29,7 @@
 	l.text = fmt.Appendf(l.text, "%d>%d", l.elapsedMS(), ep)
 }
 
-// heard notes an outcome, with the time for which a kept connection had been idle.
+// addOutcome records the outcome of an attempt, and how long its connection had been idle if it was a kept one.
 func (l *attemptLog) addOutcome(r result) {
 	l.text = fmt.Appendf(l.text, ":%s@%d", outcomeNames[r.outcome], l.elapsedMS())
 	if r.idle > 0 {
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -13,37 +13,37 @@
 
 const (
 	acceptRetryDelay   = 5 * time.Millisecond
-	maxPipelined       = 16 // requests of one connection that wait for their answers
-	smallRequestBytes  = 4 << 10
+	maxPipelined       = 16      // requests of one connection that wait for their replies
+	smallRequestBytes  = 4 << 10 // a larger request needs a slot of its own
 	maxRequestBytes    = maxBulkBytes + smallRequestBytes
-	largeMemoryDivisor = 8 // the part of the memory that large requests may take until they are answered
+	largeMemoryDivisor = 8 // large requests may use 1/8 of the memory until they are answered
 	defaultMemoryMB    = 192
 )
 
-// putEvent is a message that a client hands in. The loop sends its one answer.
+// putEvent is a message sent by a client. The loop sends exactly one reply.
 type putEvent struct {
 	msg   Message
 	reply chan<- string
 }
 
-// clients serves the RESP2 side: it accepts connections within the process's means
-// and closes the idlest to make room for new ones.
+// clientServer serves clients over RESP2. It accepts connections up to a limit and closes the one idle longest to make
+// room for a new one.
 type clientServer struct {
 	cfg            *Config
 	log            *slog.Logger
 	events         chan<- any
 	clock          *clock.Lasting // set before clients are served
 	metrics        *figures
-	maxConns       int           // connections
-	largeSlots     chan struct{} // a place for each large request that is not answered
+	maxConns       int
+	largeSlots     chan struct{} // holds one element per large request that is not answered
 	mu             sync.Mutex
 	sessions       map[*session]struct{}
 	phase          phase
-	closingIdle    bool          // a connection ends when no request is open on it
-	closeIdleTimer *time.Timer   // starts that
-	readCutoff     time.Time     // no request is taken after this; zero for no such time
-	acceptDone     chan struct{} // closed when no more are accepted
-	wg             sync.WaitGroup
+	closingIdle    bool           // connections are closed as soon as no request is open on them
+	closeIdleTimer *time.Timer    // calls startClosingIdle
+	readCutoff     time.Time      // no request is accepted after this; zero for no limit
+	acceptDone     chan struct{}  // closed when no more connections are accepted
+	wg             sync.WaitGroup // sessions
 }
 
 func newClientServer(cfg *Config, log *slog.Logger, events chan<- any, metrics *figures) *clientServer {
@@ -51,9 +51,17 @@
 	if memoryMB <= 0 {
 		memoryMB = defaultMemoryMB
 	}
-	c := &clientServer{cfg: cfg, log: log, events: events, maxConns: newSocketBudget(cfg).clients, sessions: map[*session]struct{}{},
-		clock: clock.New(), metrics: metrics, acceptDone: make(chan struct{}),
-		largeSlots: make(chan struct{}, max(int(memoryMB*(1<<20)/largeMemoryDivisor/maxRequestBytes), 8))}
+	c := &clientServer{
+		cfg:        cfg,
+		log:        log,
+		events:     events,
+		maxConns:   newSocketBudget(cfg).clients,
+		sessions:   map[*session]struct{}{},
+		clock:      clock.New(),
+		metrics:    metrics,
+		acceptDone: make(chan struct{}),
+		largeSlots: make(chan struct{}, max(int(memoryMB*(1<<20)/largeMemoryDivisor/maxRequestBytes), 8)),
+	}
 	c.closeIdleTimer = time.AfterFunc(time.Hour, c.startClosingIdle)
 	c.closeIdleTimer.Stop()
 	return c
@@ -70,7 +78,7 @@
 		}
 		acceptFailures.note(err)
 		if err != nil {
-			// Only where this process is out of descriptors does one that closes make room.
+			// Closing a connection helps only if this process itself, not the system, is out of descriptors.
 			if !errors.Is(err, syscall.EMFILE) || !c.evictIdlest() {
 				time.Sleep(acceptRetryDelay)
 			}
@@ -91,8 +99,8 @@
 	}
 }
 
-// admit takes a connection on. When all places are taken, the idlest one without a
-// request under way goes; if there is none, the new one does.
+// admit registers a connection. At the limit it closes the connection that has been idle longest; if each has a request
+// open, it returns false and the new connection is to be closed.
 func (c *clientServer) admit(s *session) bool {
 	for {
 		c.mu.Lock()
@@ -113,7 +121,7 @@
 	}
 }
 
-// setMost bounds the connections anew; the idlest above the bound go.
+// setMaxConns changes the limit on connections and closes those above it, the one idle longest first.
 func (c *clientServer) setMaxConns(maxConns int) {
 	c.mu.Lock()
 	c.maxConns = maxConns
@@ -123,7 +131,7 @@
 	}
 }
 
-// evict closes the idlest connection; false if a request is under way on each.
+// evictIdlest closes the connection that has been idle longest. It returns false if a request is open on each.
 func (c *clientServer) evictIdlest() bool {
 	c.mu.Lock()
 	var idlest *session
@@ -151,7 +159,7 @@
 	delete(c.sessions, s)
 }
 
-// awaitInput waits until something has come on a connection, and leaves it unread; false once the peer has closed it.
+// awaitInput waits until a connection has input, without reading it. data is false if the peer has closed the connection.
 func awaitInput(conn net.Conn) (data bool, err error) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -163,14 +171,14 @@
 	}
 	err = raw.Read(func(fd uintptr) bool {
 		n, err := peekByte(fd)
-		// An error of the moment says nothing of the connection: whoever reads it will see.
+		// A temporary error says nothing about the connection; the next read will show its state.
 		data = n > 0 || err != nil && momentary(err)
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	return data, err
 }
 
-// peekByte looks whether a byte has come, without taking it.
+// peekByte checks for input without consuming it or blocking.
 func peekByte(fd uintptr) (n int, err error) {
 	var b [1]byte
 	for {
@@ -181,8 +189,8 @@
 	}
 }
 
-// peek looks at a connection without reading or waiting: whether the peer has it
-// open still, and whether something has come.
+// peekConn reports, without reading or blocking, whether the peer still has the connection open and whether there is
+// input.
 func peekConn(conn net.Conn) (alive, data bool) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/node/close_test.go
+++ b/internal/node/close_test.go
@@ -268,7 +268,7 @@
 		t.Helper()
 		n.clients.mu.Lock()
 		defer n.clients.mu.Unlock()
-		if got, want := n.clients.readCutoff, n.shutdownAt.Add(shutdownReadTimeout); !got.Equal(want) || shutdownReadTimeout >= shutdownTimeout {
+		if got, want := n.clients.readCutoff, n.shutdownAt.Add(shutdownWorkTimeout); !got.Equal(want) || shutdownWorkTimeout >= shutdownTimeout {
 			t.Errorf("%s: read until %v, want %v", how, got, want)
 		}
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	closeIdleDelay = 500 * time.Millisecond // after the first no, clients are served as before for so long
-	newConnTimeout = time.Second            // then, for the first request on a new connection to begin
+	closeIdleDelay = 500 * time.Millisecond // from the first refused PING until idle connections are closed
+	newConnTimeout = time.Second            // from then on, for the first request on a new connection to begin
 )
 
-// phase is what a sender does about its clients. PING, the operators' ready, the
-// readers of clients and the shutdown all ask this one state.
+// phase is the state of client service. It is shared by PING, the operators' ready call, the readers of clients'
+// connections and the shutdown.
 type phase int
 
 const (
-	starting phase = iota // not served yet
-	waiting               // the same, but another process is about to hand over
+	starting phase = iota // clients are not served yet
+	waiting               // not served yet; another process is about to hand over
 	serving
-	draining // sent away, until resume
-	stopping // sent away for good
-	replaced // another process serves: connections go over to it
+	draining // clients are sent away until an operator resumes service
+	stopping // clients are sent away for good
+	replaced // another process serves, and clients reconnect to it
 )
 
 func (p phase) String() string {
@@ -33,8 +33,8 @@
 	return c.phase
 }
 
-// operate goes over to p at an operator's word, and says what holds from here on: only a
-// sender that serves can be drained, and brought back.
+// setPhaseByOperator sets the phase to p for an operator and returns the resulting phase. Only a serving sender can be
+// drained, and only a draining one resumed; in other phases nothing changes.
 func (c *clientServer) setPhaseByOperator(p phase) phase {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +44,7 @@
 	return c.phase
 }
 
-// turn goes over to p. What stops is not brought back.
+// setPhase sets the phase to p. The phases stopping and replaced are final.
 func (c *clientServer) setPhase(p phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,8 +53,8 @@
 	}
 }
 
-// turnTo is turn, under the lock. Clients are sent away by degrees: PING says no from now on, and
-// connections part once those that the front still sends have come.
+// setPhaseLocked sets the phase; c.mu must be held. Clients are sent away gradually: PING fails at once, but
+// connections are closed only after closeIdleDelay, when those that the front end still routes here have arrived.
 func (c *clientServer) setPhaseLocked(p phase) {
 	previous := c.phase
 	c.phase = p
@@ -67,30 +67,32 @@
 		c.closeIdleTimer.Stop()
 	case p == replaced:
 		c.closeIdleLocked()
-	case (p == draining || p == stopping) && previous != draining: // else the time of grace began before
+	case (p == draining || p == stopping) && previous != draining: // otherwise the delay has already started
 		c.closeIdleTimer.Reset(closeIdleDelay)
 	}
 }
 
-// startParting wakes the readers: from here on a connection ends when no request is open on it.
+// startClosingIdle begins to close connections without an open request, unless service was resumed in the meantime.
 func (c *clientServer) startClosingIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != serving { // not resumed in the meantime
+	if c.phase != serving {
 		c.closeIdleLocked()
 	}
 }
 
+// closeIdleLocked shortens the read deadlines of connections that have no request partly read; c.mu must be held.
 func (c *clientServer) closeIdleLocked() {
 	c.closingIdle = true
 	for s := range c.sessions {
-		if !s.readingRequest { // what has come in part is read to its end
+		if !s.readingRequest { // a request that has begun to arrive is read to its end
 			s.conn.SetReadDeadline(s.idleDeadline(time.Now()))
 		}
 	}
 }
 
-// idleBy is until when a connection may stay without a request, under the lock of clients.
+// idleDeadline returns the time until which a connection may stay without a request. The lock of clientServer must be
+// held.
 func (s *session) idleDeadline(now time.Time) time.Time {
 	timeout := clientIdleTimeout
 	if s.noRequestYet {
@@ -108,20 +110,20 @@
 	return now.Add(timeout)
 }
 
-// stopReading sets the time after which no request is taken: what is answered by the loop must not come later than that
-// can answer, and clients go on sending on a connection as long as it is open.
+// stopReadingAt sets the time after which no request is accepted. Clients keep sending for as long as a connection is
+// open, and a request must not arrive when the loop can no longer reply to it.
 func (c *clientServer) stopReadingAt(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readCutoff = at
 }
 
-// tooLate says whether it is after that time, under the lock.
+// pastReadCutoff reports whether that time has passed; c.mu must be held.
 func (c *clientServer) pastReadCutoff() bool {
 	return !c.readCutoff.IsZero() && !time.Now().Before(c.readCutoff)
 }
 
-// gone waits until no client is left or ctx is over. The listener must be closed.
+// awaitClosed waits until all clients' connections are closed or ctx is done. The listener must be closed before.
 func (c *clientServer) awaitClosed(ctx context.Context) {
 	done := make(chan struct{})
 	go func() { <-c.acceptDone; c.wg.Wait(); close(done) }()
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -7,65 +7,82 @@
 	"rundeal/logic"
 )
 
-// permits decides whether something may be sent, repeated, written, given up, closed or begun now. It goes by what
-// the sender itself has recorded and been told, not by the module that asks: all that leaves this process passes it.
-// What it denies is not done; that something had to be denied, or came too late, is a violation, which is counted and
-// logged with the message's id.
+// protocolGuard checks every send, repeat, write, end, close and start of service against the rules of the protocol. It
+// is independent of the decision module: it relies only on what the sender has recorded and been told. Everything that
+// leaves this process passes through it. What it denies is not done. Having to deny something, or an end that comes too
+// late, is a violation, which is counted and logged with the id of the message; see allowSend for the one exception.
 //
-// All but the write of a call belong to the loop.
+// All methods belong to the event loop, except call.claimWrite.
 type protocolGuard struct {
 	node      *Node
-	waitUntil map[waitScope]time.Time // told waits, until when
+	waitUntil map[waitScope]time.Time // end of each wait that an endpoint has requested
 }
 
-// waitKey is what a told wait binds: a destination, or one route of it where routes are apart.
+// waitScope is what a requested wait applies to: a destination, or one of its routes where routes are limited separately.
 type waitScope struct {
 	dest  int64
 	route logic.EndpointID // 0 for the whole destination
 }
 
-// violation names a rule that something would have broken.
+// violation names a rule of the protocol that was, or would have been, broken.
 type violation string
 
-// The rules of the protocol as far as a sender can see them by itself.
+// The rules of the protocol that a sender can check by itself.
 const (
-	violationNotAccepted         violation = "not-taken-on"  // a send or an end of what the journal does not have
-	violationAlreadyEnded        violation = "already-over"  // a send or a second end after the end
-	violationAlreadyInFlight     violation = "already-out"   // a send while a call with the message is out
-	violationWrongDestination    violation = "other-place"   // a send to an endpoint that is not of the destination
-	violationEndpointUnavailable violation = "endpoint-shut" // a send to an endpoint that drains or is gone
-	violationWaitNotOver         violation = "wait-told"     // a send before a told wait was over
-	violationRepeatUnsafe        violation = "repeat-unsafe" // a repeat of what may have run and may not be repeated
-	violationRepeatLate          violation = "repeat-late"   // a repeat after the window for it
-	violationRepeatOtherZone     violation = "repeat-else"   // a repeat in another zone than that which drops it
-	violationAttemptsUsedUp      violation = "tries-used-up" // a send beyond the attempts that a message has
-	violationDeadlinePassed      violation = "time-up"       // a send after the message's time
-	violationReturnedMayHaveRun  violation = "returned-run"  // a promise of no effect for what may have run
-	violationRefusedAccepted     violation = "refused-taken" // a refusal of what the journal has
-	violationOverdue             violation = "overdue"       // no end in the message's time
-	violationClosedWithRequests  violation = "closed-open"   // a close over requests without an answer
-	violationNotOwner            violation = "not-owner"     // service without the lock and the journal
+	violationNotAccepted         violation = "not-taken-on"  // send or end of a message that is not in the journal
+	violationAlreadyEnded        violation = "already-over"  // send or second end after the end
+	violationAlreadyInFlight     violation = "already-out"   // send while a call with the message is in flight
+	violationWrongDestination    violation = "other-place"   // send to an endpoint of another destination
+	violationEndpointUnavailable violation = "endpoint-shut" // send to an endpoint that is draining or removed
+	violationWaitNotOver         violation = "wait-told"     // send before the end of a requested wait
+	violationRepeatUnsafe        violation = "repeat-unsafe" // repeat of an unsafe message that may have run
+	violationRepeatLate          violation = "repeat-late"   // repeat after the deduplication window
+	violationRepeatOtherZone     violation = "repeat-else"   // repeat in a zone other than the one that deduplicates it
+	violationAttemptsUsedUp      violation = "tries-used-up" // send beyond the maximum number of attempts
+	violationDeadlinePassed      violation = "time-up"       // send after the message's deadline
+	violationReturnedMayHaveRun  violation = "returned-run"  // message returned as not delivered although it may have run
+	violationRefusedAccepted     violation = "refused-taken" // refusal of a message that is in the journal
+	violationOverdue             violation = "overdue"       // no end by the message's deadline
+	violationClosedWithRequests  violation = "closed-open"   // client connection closed with unanswered requests
+	violationNotOwner            violation = "not-owner"     // service without the state lock or the journal
 	noViolation                  violation = ""
 )
 
-var allViolations = []violation{violationNotAccepted, violationAlreadyEnded, violationAlreadyInFlight, violationWrongDestination, violationEndpointUnavailable, violationWaitNotOver, violationRepeatUnsafe, violationRepeatLate,
-	violationRepeatOtherZone, violationAttemptsUsedUp, violationDeadlinePassed, violationReturnedMayHaveRun, violationRefusedAccepted, violationOverdue, violationClosedWithRequests, violationNotOwner}
+var allViolations = []violation{
+	violationNotAccepted,
+	violationAlreadyEnded,
+	violationAlreadyInFlight,
+	violationWrongDestination,
+	violationEndpointUnavailable,
+	violationWaitNotOver,
+	violationRepeatUnsafe,
+	violationRepeatLate,
+	violationRepeatOtherZone,
+	violationAttemptsUsedUp,
+	violationDeadlinePassed,
+	violationReturnedMayHaveRun,
+	violationRefusedAccepted,
+	violationOverdue,
+	violationClosedWithRequests,
+	violationNotOwner,
+}
 
-// overdueAfter is how long after its time a message that is not over counts as overdue: its notice has 300 ms.
+// overdueGrace is how long after its deadline a message that has not ended counts as overdue. The protocol allows 300 ms
+// for its notice.
 const overdueGrace = 300 * time.Millisecond
 
 func newProtocolGuard(n *Node) *protocolGuard {
 	return &protocolGuard{node: n, waitUntil: map[waitScope]time.Time{}}
 }
 
-// report counts and logs a violation.
+// reportViolation counts and logs a violation.
 func reportViolation(log *slog.Logger, metrics *figures, v violation, id string, attrs ...any) {
 	metrics.violations.add(string(v))
 	log.Error("violation", append([]any{"rule", string(v), "id", id}, attrs...)...)
 }
 
-// send says whether a message may go to an endpoint. What was right when it was decided and has come too late since, by
-// a slow write to the journal say, is denied and no violation.
+// allowSend reports whether a message may be sent to an endpoint. A send that was correct when it was decided, but has
+// become too late since, for example because of a slow journal write, is denied without being a violation.
 func (g *protocolGuard) allowSend(h *activeMessage, ep logic.EndpointID) bool {
 	if v := g.checkSend(h, ep, g.node.stepTime); v != noViolation {
 		reportViolation(g.node.log, g.node.metrics, v, h.msg.ID, "endpoint", ep, "attempt", h.attempts)
@@ -78,7 +95,7 @@
 	return v == noViolation
 }
 
-// checkSend holds a send at a time against the rules.
+// checkSend returns the rule that a send at the time now would break, or noViolation.
 func (g *protocolGuard) checkSend(h *activeMessage, ep logic.EndpointID, now int64) violation {
 	n := g.node
 	target, known := n.directory.eps[ep]
@@ -109,7 +126,7 @@
 	return g.checkRepeat(entry, target.zone, now)
 }
 
-// checkRepeat holds a further attempt against what an earlier one may have done.
+// checkRepeat returns the rule that a further attempt would break because an earlier one may have run, or noViolation.
 func (g *protocolGuard) checkRepeat(entry *Entry, zone int, now int64) violation {
 	class := g.node.cfg.classOf(&entry.Message)
 	switch {
@@ -125,7 +142,7 @@
 	return noViolation
 }
 
-// told notes a wait that an endpoint has told.
+// noteWait records a wait that an endpoint has requested.
 func (g *protocolGuard) noteWait(ep logic.EndpointID, wait time.Duration) {
 	until := time.Now().Add(wait)
 	if key := g.waitScopeOf(ep); until.After(g.waitUntil[key]) {
@@ -133,7 +150,7 @@
 	}
 }
 
-// lane is what a wait told by an endpoint binds.
+// waitScopeOf returns the scope of a wait requested by an endpoint.
 func (g *protocolGuard) waitScopeOf(ep logic.EndpointID) waitScope {
 	target := g.node.directory.eps[ep]
 	if g.node.directory.apart(ep) {
@@ -142,7 +159,7 @@
 	return waitScope{dest: target.dest}
 }
 
-// forget drops waits that are over.
+// expireWaits removes waits that have ended.
 func (g *protocolGuard) expireWaits() {
 	now := time.Now()
 	for key, until := range g.waitUntil {
@@ -152,7 +169,8 @@
 	}
 }
 
-// giveUp checks an end by our word. It is told all the same: a message without an end is lost.
+// checkEnd checks an end decided by the sender. It only reports violations: the notice is sent in any case, because a
+// message without an end would be lost.
 func (g *protocolGuard) checkEnd(h *activeMessage, notice Notice) {
 	entry := g.node.journal.Entry(notice.ID)
 	v := noViolation
@@ -167,20 +185,21 @@
 	}
 }
 
-// mayHaveRun says whether a promise that a message may be handed in again would be wrong.
+// returnUnsafe reports whether it would be wrong to return a message, which tells its owner that it may be submitted
+// again.
 func (g *protocolGuard) returnUnsafe(entry *Entry) bool {
 	class := g.node.cfg.classOf(&entry.Message)
 	return (entry.MayRun || entry.Open) && (class.Effect == logic.Unsafe || class.Effect == logic.Keyed && class.ByZone)
 }
 
-// refuse checks the answer to a message that is not taken on.
+// checkRefusal checks that a message which is refused is not in the journal.
 func (g *protocolGuard) checkRefusal(id string) {
 	if g.node.journal.Entry(id) != nil {
 		reportViolation(g.node.log, g.node.metrics, violationRefusedAccepted, id)
 	}
 }
 
-// overdue looks for messages whose time is up and that have no end.
+// checkOverdue reports messages that have not ended although their deadline has passed.
 func (g *protocolGuard) checkOverdue() {
 	cutoff := g.node.clock.Now() - overdueGrace.Microseconds()
 	for id, h := range g.node.active {
@@ -191,7 +210,7 @@
 	}
 }
 
-// write decides, at the last moment, whether a call may be written: from here on it may have run.
+// claimWrite decides at the last moment whether a call may be written. If it returns true the call may have run.
 func (c *call) claimWrite() bool {
 	if !c.writeBy.IsZero() && time.Now().After(c.writeBy) {
 		c.state.CompareAndSwap(callConnecting, callHeld)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -497,7 +497,7 @@
 	n.listener.Close() // the successor has it too: what waits in its queue is not lost
 	n.discovery.halt()
 	n.caller.releaseAll()
-	n.clients.stopReadingAt(n.shutdownAt.Add(shutdownReadTimeout))
+	n.clients.stopReadingAt(n.shutdownAt.Add(shutdownWorkTimeout))
 	n.clients.setPhase(replaced)
 	n.metrics.open.Store(0)
 	grace, end := context.WithDeadline(work, n.shutdownAt.Add(shutdownTimeout))
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -2,26 +2,26 @@
 
 import "runtime/debug"
 
-// The process's descriptors are shared out at the start, so that no side can take
-// those that another needs.
+// File descriptors are divided between clients and calls at startup, so that neither can use up those of the other.
 
 const (
-	reservedSockets    = 20 + adminPlaces + 2 // standard streams, listeners, poller, journal, discovery, notices; operators
+	// Standard streams, listeners, poller, journal, discovery and notices; operators.
+	reservedSockets    = 20 + adminPlaces + 2
 	defaultSockets     = 1024
-	closingCallSockets = 8 // calls that are given up and not closed yet, and probes
+	closingCallSockets = 8 // for abandoned calls that are not closed yet, and for probes
 )
 
-// memoryPart is the part of the memory that the garbage collector may let the heap fill.
+// heapMemoryFraction is the fraction of the memory limit that is set as the runtime's soft limit.
 const heapMemoryFraction = 0.7
 
-// ApplyMemoryLimit tells the garbage collector of the limit on memory.
+// ApplyMemoryLimit sets the Go runtime's memory limit from the configured one.
 func (l Limits) ApplyMemoryLimit() {
 	if l.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(l.MemoryMB * heapMemoryFraction * (1 << 20)))
 	}
 }
 
-// among is what each of several processes of one sender may use.
+// dividedBy returns the limits of each of several processes of one sender.
 func (l Limits) dividedBy(processes int) Limits {
 	if l.Sockets <= 0 {
 		l.Sockets = defaultSockets
@@ -31,15 +31,16 @@
 	return l
 }
 
-// shares says how many connections each side may hold.
+// socketBudget limits the number of connections of each kind.
 type socketBudget struct {
-	clients int
-	calls   int // to endpoints, idle ones counted
-	idle    int // to endpoints, without a call
+	clients int // from clients
+	calls   int // to endpoints, including idle ones
+	idle    int // to endpoints, kept without a call
 }
 
-// shareOut gives calls what the slots can use, and some to keep, and the rest to clients;
-// clients need a third for requests, and as much again as room for those that say nothing.
+// newSocketBudget gives calls half of the available sockets, or more if the call slots need them, and clients the rest.
+// Clients keep at least two fifths: they need a third for requests, and ideally as much again for connections that stay
+// silent.
 func newSocketBudget(cfg *Config) socketBudget {
 	sockets := cfg.Limits.Sockets
 	if sockets <= 0 {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -16,46 +16,46 @@
 )
 
 const (
-	shutdownReadTimeout = 3200 * time.Millisecond // what is sent after SIGTERM must end by then
-	shutdownTimeout     = 3400 * time.Millisecond // and the process must be gone soon after this
+	shutdownWorkTimeout = 3200 * time.Millisecond // after SIGTERM: sends end and requests are read by then
+	shutdownTimeout     = 3400 * time.Millisecond // after SIGTERM: the process exits soon after this
 	sweepInterval       = time.Second
-	attemptRetryDelay   = 250 * time.Millisecond // of an attempt that could not be written to the journal
-	initialListTimeout  = 500 * time.Millisecond // for the list, of a process that takes over without a handover
+	attemptRetryDelay   = 250 * time.Millisecond // before an attempt that failed locally is reported
+	initialListTimeout  = 500 * time.Millisecond // for the endpoint list, after a takeover without a handover
 	eventQueueSize      = 4096
 )
 
-// replyEvent is the one outcome of an attempt.
+// attemptResultEvent reports the result of an attempt. Each attempt has exactly one.
 type attemptResultEvent struct {
 	call     *call
 	result   result
 	duration time.Duration
 }
 
-// healthEvent is the one outcome of a probe.
+// probeResultEvent reports the outcome of a probe. Each probe has exactly one.
 type probeResultEvent struct {
 	Endpoint logic.EndpointID
 	Outcome  logic.Outcome
 }
 
-// closingEvent starts the shutdown, or the handover to another process.
-type shutdownEvent struct{ at time.Time } // when SIGTERM came
+// shutdownEvent starts the shutdown, or the handover to another process. at is the time of SIGTERM.
+type shutdownEvent struct{ at time.Time }
 
-// held is a message that the module has and that is not over.
+// activeMessage is a message that the decision module knows and that has not ended, or whose last attempt is in flight.
 type activeMessage struct {
 	msg      *Message
 	attempts int
-	ended    bool               // ended; an attempt is still out
-	cancel   context.CancelFunc // of the attempt that is out
-	call     *call              // that attempt
+	ended    bool               // the message has ended while an attempt is still in flight
+	cancel   context.CancelFunc // cancels the attempt in flight; nil if there is none
+	call     *call              // the attempt in flight; nil if there is none
 	log      attemptLog
 
-	overdueReported bool // it was counted as such
+	overdueReported bool // already reported as a violation
 }
 
-// stages is what a start spends its time on, for the line that says that it is ready.
+// startupTimer measures the stages of the startup for the "ready" log line.
 type startupTimer struct {
 	stageStart time.Time
-	attrs      []any // names and milliseconds
+	attrs      []any // log attributes: stage names and milliseconds
 }
 
 func (t *startupTimer) finishStage(name string) {
@@ -64,7 +64,8 @@
 	t.stageStart = now
 }
 
-// Node is one sender.
+// Node is one sender process. It connects the decision module (package logic) with the clients, the journal, the
+// endpoints, discovery and the platform.
 type Node struct {
 	cfg             *Config
 	log             *slog.Logger
@@ -78,41 +79,41 @@
 	admin           *admin
 	metrics         *figures
 	events          chan any
-	ready           chan net.Addr // gets the address once clients are served
+	ready           chan net.Addr // receives the listen address once clients are served
 	reloadSignals   <-chan os.Signal
 	loadConfig      func() (*Config, error)
-	reloadRequested chan struct{} // holds one token while the configuration is to be read without a signal
-	watchFromStart  bool          // watch discovery from the start
-	wasStandby      bool          // another process owned the journal when this one began
-	stateLock       *os.File      // on the state folder; nil while another process owns it
-	listener        net.Listener  // clients'
-
-	// What follows belongs to the loop.
-	wakeTimer       *time.Timer // the module's
-	wakeToken       uint64
-	startedAt       time.Time // of the process
-	moduleEpoch     time.Time // when the module's clock was 0
+	reloadRequested chan struct{} // holds one token while a reload without a signal is pending
+	watchFromStart  bool          // watch discovery without waiting for the module to ask
+	wasStandby      bool          // another process owned the journal when this one started
+	stateLock       *os.File      // lock on the state folder; nil while another process owns it
+	listener        net.Listener  // for clients
+
+	// The fields below are owned by the event loop.
+	wakeTimer       *time.Timer // set by the module's SetTimer action
+	wakeToken       uint64      // identifies that timer to the module
+	startedAt       time.Time   // start of the process
+	moduleEpoch     time.Time   // zero of the module's clock
 	startup         startupTimer
 	active          map[string]*activeMessage
-	openCount       int                       // of held, those not over
-	inFlight        map[string]*activeMessage // of held, those with an attempt out
-	recentIDs       map[string]int64          // ids that were taken on and are over, until their time is up, on the lasting clock
+	openCount       int                       // active messages that have not ended
+	inFlight        map[string]*activeMessage // active messages with an attempt in flight
+	recentIDs       map[string]int64          // ended messages by id, with their deadlines on the persistent clock
 	pendingEvents   []logic.Event             // for the next step
-	shutdownAt      time.Time                 // when SIGTERM came; zero until then
-	predecessor     *predecessor              // nil if there is none
-	successor       *successor                // nil if there is none
-	pendingPuts     []putEvent
-	pendingRecords  []record
-	pendingCalls    []outgoing // calls of the step at hand
-	clock           *clock.Lasting
-	stepTime        int64 // when the step at hand began, on the clock
+	shutdownAt      time.Time                 // time of SIGTERM; zero until then
+	predecessor     *predecessor              // process that handed over to this one; nil if there is none
+	successor       *successor                // process waiting to take over; nil if there is none
+	pendingPuts     []putEvent                // puts to be answered by the next step
+	pendingRecords  []record                  // journal records for the next step
+	pendingCalls    []outgoing                // calls decided in the current step
+	clock           *clock.Lasting            // persistent clock, which continues across restarts
+	stepTime        int64                     // start of the current step on the persistent clock
 	guard           *protocolGuard
-	deferredNotices []unsaid    // ends that the journal has not got yet
-	flushTimer      *time.Timer // tries again to write what the journal has not got
-	journalFailures failures    // of the journal
+	deferredNotices []unsaid    // notices of ends that are not in the journal yet
+	flushTimer      *time.Timer // retries journal writes that failed
+	journalFailures failures
 }
 
-// New makes a sender. It replays the journal, unless another process owns that.
+// New creates a sender. It replays the journal unless another process owns it.
 func New(cfg *Config, log *slog.Logger) (*Node, error) {
 	settings := cfg.Deploy.Settings
 	sender, err := logic.New(settings, cfg.Seed)
@@ -127,11 +128,31 @@
 	}
 	startup.finishStage("lock")
 	metrics := newFigures(cfg)
-	// The module asks for the list only where it must, and anywhere after a failed call.
-	n := &Node{cfg: cfg, log: log, stateLock: stateLock, watchFromStart: !settings.OnRequest, sender: sender, directory: NewDirectory(cfg), metrics: metrics,
-		caller: newCaller(toDuration(cfg.Deploy.ConnectTimeout), toDuration(settings.ConnIdle), settings.Slots, newSocketBudget(cfg), &metrics.relayed),
-		events: make(chan any, eventQueueSize), ready: make(chan net.Addr, 1), reloadRequested: make(chan struct{}, 1), startedAt: startedAt, moduleEpoch: time.Now(), startup: startup, wakeTimer: time.NewTimer(time.Hour), active: map[string]*activeMessage{}, inFlight: map[string]*activeMessage{}, recentIDs: map[string]int64{},
-		clock: clock.New(), flushTimer: time.NewTimer(time.Hour), journalFailures: failures{log: log, what: "journal"}}
+	// The module asks for the endpoint list only in on-request mode; in either mode it asks again after a failed call.
+	n := &Node{
+		cfg:            cfg,
+		log:            log,
+		stateLock:      stateLock,
+		watchFromStart: !settings.OnRequest,
+		sender:         sender,
+		directory:      NewDirectory(cfg),
+		metrics:        metrics,
+		caller: newCaller(toDuration(cfg.Deploy.ConnectTimeout), toDuration(settings.ConnIdle), settings.Slots,
+			newSocketBudget(cfg), &metrics.relayed),
+		events:          make(chan any, eventQueueSize),
+		ready:           make(chan net.Addr, 1),
+		reloadRequested: make(chan struct{}, 1),
+		startedAt:       startedAt,
+		moduleEpoch:     time.Now(),
+		startup:         startup,
+		wakeTimer:       time.NewTimer(time.Hour),
+		active:          map[string]*activeMessage{},
+		inFlight:        map[string]*activeMessage{},
+		recentIDs:       map[string]int64{},
+		clock:           clock.New(),
+		flushTimer:      time.NewTimer(time.Hour),
+		journalFailures: failures{log: log, what: "journal"},
+	}
 	n.guard = newProtocolGuard(n)
 	n.caller.copies = cfg.Deploy.SecondCopies
 	n.discovery = newDiscovery(cfg.Discovery, settings.Senders, log, n.events)
@@ -152,7 +173,8 @@
 	return logic.Micros(d / time.Microsecond)
 }
 
-// openJournal replays the journal. The lock must be held. A read that fails is given some time to work again.
+// openJournal opens and replays the journal. The caller must hold the state lock. A read error is returned, so that the
+// caller can retry, until readPatience has passed since the start; after that the journal ends before the error.
 func (n *Node) openJournal() error {
 	lenient := time.Since(n.startedAt) > readPatience
 	journal, err := OpenJournal(n.cfg.StateDir, int64(n.cfg.Limits.DiskMB*1e6), lenient)
@@ -169,7 +191,8 @@
 	return nil
 }
 
-// Run serves until ctx is cancelled, then shuts down in good order, or hands over to a process that stands by.
+// Run serves until ctx is cancelled. Then it hands over to a standby process if there is one, or else shuts down
+// gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	workCtx, cancelWork := context.WithCancel(context.Background())
 	defer cancelWork()
@@ -182,7 +205,7 @@
 	}
 	go n.reloads(workCtx)
 	if err := n.takeOwnership(ctx); err != nil {
-		if ctx.Err() != nil { // ended before it owned anything
+		if ctx.Err() != nil { // cancelled before this process owned anything
 			return nil
 		}
 		return err
@@ -195,7 +218,7 @@
 	if n.wasStandby && n.predecessor == nil {
 		n.awaitInitialList(workCtx)
 	}
-	n.step(workCtx) // what the journal holds comes first: its ends are due
+	n.step(workCtx) // handle journalled messages before new ones: some may be due to end
 	n.startup.finishStage("step")
 	noticesCtx, stopNotices := context.WithCancel(workCtx)
 	defer stopNotices()
@@ -225,8 +248,8 @@
 	return nil
 }
 
-// begin makes this process the owner of the journal and takes up what is owed: from the process before, if that hands
-// over, or else from the journal alone.
+// takeOwnership makes this process the owner of the journal and continues with the messages that have not ended: with
+// the state of the previous process if that hands over, or else from the journal alone.
 func (n *Node) takeOwnership(ctx context.Context) error {
 	var state *handover
 	if n.stateLock == nil {
@@ -246,7 +269,7 @@
 		if err == nil {
 			return nil
 		}
-		n.log.Error("the handover does not fit: the journal alone counts", "err", err)
+		n.log.Error("handed-over state does not match the journal; resuming from the journal alone", "err", err)
 		if n.sender, err = logic.New(n.cfg.Deploy.Settings, n.cfg.Seed); err != nil {
 			return err
 		}
@@ -255,8 +278,9 @@
 	return nil
 }
 
-// awaitList waits for the list, for a short while, where an agent of our own has it at once. A process that stood by and
-// was not handed over to goes on for a sender that may have been told of changes which its own list does not have.
+// awaitInitialList waits up to initialListTimeout for the endpoint list if discovery is watched from the start, because
+// a local discovery agent then has the list at once. A standby process that takes over without a handover replaces one
+// that may have seen changes which are missing from the list in its own configuration.
 func (n *Node) awaitInitialList(workCtx context.Context) {
 	timeout := time.NewTimer(initialListTimeout)
 	defer timeout.Stop()
@@ -270,14 +294,14 @@
 	}
 }
 
-// loadAnew follows a configuration that may have been replaced while this process waited for its turn.
+// reloadAfterTakeover applies a configuration that may have been replaced while this process waited to take over.
 func (n *Node) reloadAfterTakeover() {
 	if n.loadConfig == nil {
 		return
 	}
 	cfg, err := n.loadConfig()
 	if err != nil {
-		n.log.Warn("the configuration of the start stands until it can be read", "err", err)
+		n.log.Warn("cannot read the configuration; keeping the one loaded at startup until it can be read", "err", err)
 		n.reloadNow()
 		return
 	}
@@ -287,14 +311,15 @@
 	}
 }
 
-// shutDown sends the clients away. The first channel is closed when none is left, the second when the time is up.
+// shutDownClients closes the clients' connections gracefully. clientsClosed is closed when none is left, timedOut when
+// shutdownTimeout has passed since SIGTERM.
 func (n *Node) shutDownClients(workCtx context.Context) (clientsClosed, timedOut <-chan struct{}) {
 	closed, expired := make(chan struct{}), make(chan struct{})
-	n.clients.stopReadingAt(n.shutdownAt.Add(shutdownReadTimeout))
+	n.clients.stopReadingAt(n.shutdownAt.Add(shutdownWorkTimeout))
 	n.clients.setPhase(stopping)
 	graceCtx, cancel := context.WithDeadline(workCtx, n.shutdownAt.Add(shutdownTimeout))
 	listener := n.listener
-	if listener == nil { // it never served
+	if listener == nil { // clients were never served
 		close(n.clients.acceptDone)
 	}
 	go func() {
@@ -311,10 +336,10 @@
 	return closed, expired
 }
 
-// loop owns the module and all of the state: it takes what has come, lets the
-// module step, writes the journal and acts, at most once a tick.
+// loop is the event loop. It owns the decision module and all of the state: at most once per tick it takes the events
+// that have arrived, steps the module, writes the journal and performs the module's actions.
 //
-// It returns true when another process goes on.
+// It returns true once another process has taken over.
 func (n *Node) loop(workCtx context.Context) bool {
 	tick := max(toDuration(n.cfg.Deploy.Settings.Tick), time.Millisecond)
 	sweepTicker := time.NewTicker(sweepInterval)
@@ -323,8 +348,8 @@
 	defer tickTimer.Stop()
 	defer n.wakeTimer.Stop()
 	defer n.flushTimer.Stop()
-	var clientsClosed, timedOut <-chan struct{} // while shutting down
-	noClients := false                          // shutting down, and no client is left
+	var clientsClosed, timedOut <-chan struct{} // nil unless shutting down
+	noClients := false                          // shutting down, and all clients' connections are closed
 	for {
 		if noClients && n.openCount == 0 && len(n.journal.entries) == 0 && n.journal.Settled() {
 			n.log.Info("stopped", "owed", 0)
@@ -350,7 +375,7 @@
 			noClients, clientsClosed = true, nil
 			continue
 		case <-timedOut:
-			// What is still out stays in the journal as it is.
+			// Messages with an attempt in flight stay in the journal as they are.
 			n.record(nil)
 			n.log.Info("stopped", "owed", len(n.journal.entries))
 			return false
@@ -376,7 +401,7 @@
 				n.log.Error("the handover failed: this process stays the owner until its end", "err", err)
 			}
 			clientsClosed, timedOut = n.shutDownClients(workCtx)
-			n.pendingEvents = append(n.pendingEvents, logic.Closing{Left: toMicros(max(shutdownReadTimeout-time.Since(n.shutdownAt), 0))})
+			n.pendingEvents = append(n.pendingEvents, logic.Closing{Left: toMicros(max(shutdownWorkTimeout-time.Since(n.shutdownAt), 0))})
 			n.step(workCtx)
 		}
 		tickTimer.Reset(tick)
@@ -384,11 +409,14 @@
 	}
 }
 
-// resume hands the module what the journal holds, with what became of it so far.
+// resumeFromJournal passes the journalled messages to the module, with the outcome of their attempts so far.
 func (n *Node) resumeFromJournal() {
 	if n.cfg.Known.Generation != 0 || len(n.cfg.Known.Instances) > 0 {
 		n.discovery.gen, n.discovery.started = n.cfg.Known.Generation, true
-		n.pendingEvents = append(n.pendingEvents, logic.Endpoints{Form: logic.ListCached, Entries: n.directory.Take(n.cfg.Known, time.Now())})
+		n.pendingEvents = append(n.pendingEvents, logic.Endpoints{
+			Form:    logic.ListCached,
+			Entries: n.directory.Take(n.cfg.Known, time.Now()),
+		})
 	}
 	for _, e := range n.journal.Entries() {
 		if e.End != nil {
@@ -406,14 +434,14 @@
 		if c.Past.MayRun {
 			c.Past.Zone = e.FirstZone
 		}
-		if e.Open { // whoever reads the journal next must not take its outcome for a later one's
+		if e.Open { // the next reader of the journal must not attribute the outcome of a later attempt to this one
 			n.pendingRecords = append(n.pendingRecords, record{Op: opOutcome, ID: e.ID, MayRun: true})
 		}
 		n.pendingEvents = append(n.pendingEvents, c)
 	}
 }
 
-// endUnknown ends a message whose class the settings do not name any more.
+// endUnknownClass ends a message whose class is no longer in the settings.
 func (n *Node) endUnknownClass(e *Entry) {
 	notice := Notice{ID: e.ID, State: noticeReturned}
 	if e.MayRun || e.Open {
@@ -424,7 +452,7 @@
 	n.deferredNotices = append(n.deferredNotices, unsaid{notice, e.Deadline})
 }
 
-// callOf is the module's view of a message, without its times: those are set at the step.
+// moduleCall returns the module's view of a message. Its times are set at the step, by setCallTimes.
 func (n *Node) moduleCall(m *Message) logic.Call {
 	c := logic.Call{ID: m.ID, Key: m.Order, Dest: m.Dest, Tenant: -1, Class: n.cfg.Classes[m.Class]}
 	if t, ok := n.cfg.Tenants[m.Tenant]; ok && m.Tenant != "" {
@@ -433,7 +461,7 @@
 	return c
 }
 
-// take turns what has come into events for the next step.
+// handleEvent processes an event of the loop. Most become module events for the next step.
 func (n *Node) handleEvent(workCtx context.Context, ev any) {
 	switch ev := ev.(type) {
 	case putEvent:
@@ -450,7 +478,7 @@
 		}
 		records := n.pendingRecords
 		n.pendingRecords = nil
-		n.record(records) // at once: what is off the journal makes room
+		n.record(records) // immediately: entries that are removed make room in the journal
 	case reloadEvent:
 		n.moveTo(workCtx, ev.cfg)
 	case shutdownEvent:
@@ -464,12 +492,13 @@
 	}
 }
 
+// handlePut takes a new message on, refuses it, or confirms one that was taken on before.
 func (n *Node) handlePut(ev putEvent) {
 	id := ev.msg.ID
 	_, recentlyEnded := n.recentIDs[id]
 	if n.active[id] != nil || n.journal.Entry(id) != nil || recentlyEnded {
 		if n.isPendingPut(id) {
-			n.pendingPuts = append(n.pendingPuts, ev) // it gets the answer of the first
+			n.pendingPuts = append(n.pendingPuts, ev) // gets the same reply as the first put
 			return
 		}
 		ev.reply <- replyOK
@@ -488,14 +517,14 @@
 	n.pendingEvents = append(n.pendingEvents, n.moduleCall(&m))
 }
 
-// admission is the answer to a message that is not let in; empty for one that is.
+// admissionReply returns the reply to a message that is refused without asking the module, or "" to admit it.
 func (n *Node) admissionReply(m *Message) string {
 	maxOpen := n.cfg.Deploy.Settings.MaxOpen
 	switch {
 	case !n.directory.serves(m.Dest) && n.discovery.heard:
 		n.metrics.refused.add(string(refusedUnknown))
 		return replyUnknownDestination
-	case !n.directory.serves(m.Dest): // nobody has told yet what there is
+	case !n.directory.serves(m.Dest): // no list from discovery yet: the destination may exist
 		n.metrics.refused.add(string(refusedNoList))
 		return busyReply(logic.Second)
 	case maxOpen > 0 && n.openCount >= maxOpen:
@@ -508,7 +537,7 @@
 	return ""
 }
 
-// waits says whether the message came since the last step.
+// isPendingPut reports whether the message arrived since the last step, so that its client still waits for the reply.
 func (n *Node) isPendingPut(id string) bool {
 	for _, p := range n.pendingPuts {
 		if p.msg.ID == id {
@@ -518,6 +547,7 @@
 	return false
 }
 
+// busyReply returns the -BUSY reply, with the time after which to retry if there is one, rounded up to milliseconds.
 func busyReply(after logic.Micros) string {
 	if after <= 0 {
 		return "-BUSY\r\n"
@@ -525,6 +555,8 @@
 	return fmt.Sprintf("-BUSY %d\r\n", (after+999)/1000)
 }
 
+// handleList applies an answer of discovery. Calls that are still connecting to endpoints which are no longer ready are
+// aborted, and kept connections to those endpoints are closed.
 func (n *Node) handleList(ev listEvent) {
 	if !n.discovery.takes(ev) {
 		return
@@ -538,7 +570,7 @@
 		form = logic.ListFull
 	}
 	rows := n.directory.Take(ev.list, time.Now())
-	if ev.list.Reset || len(rows) > 0 { // not each watch that ends without news
+	if ev.list.Reset || len(rows) > 0 { // not logged for watches that end without changes
 		n.log.Info("list", "generation", ev.list.Generation, "whole", ev.list.Reset, "entries", len(ev.list.Instances))
 	}
 	ready := make(map[logic.EndpointID]bool, len(rows))
@@ -554,7 +586,7 @@
 			n.caller.release(ep)
 		}
 	}
-	if ev.list.Reset { // it leaves out what is gone
+	if ev.list.Reset { // a full list omits removed endpoints, so they have no row
 		for id := range n.directory.gone {
 			n.caller.release(id)
 		}
@@ -562,7 +594,7 @@
 	n.pendingEvents = append(n.pendingEvents, logic.Endpoints{Form: form, Entries: rows})
 }
 
-// calls lists the endpoints that calls are out to.
+// calledEndpoints returns the endpoints with a call in flight.
 func (n *Node) calledEndpoints() map[logic.EndpointID]bool {
 	endpoints := map[logic.EndpointID]bool{}
 	for _, h := range n.inFlight {
@@ -571,23 +603,24 @@
 	return endpoints
 }
 
-// goesOut notes that an attempt is out, and how it is ended.
+// attemptStarted records an attempt in flight and how to cancel it.
 func (n *Node) attemptStarted(h *activeMessage, c *call, cancel context.CancelFunc) {
 	h.call, h.cancel = c, cancel
 	n.inFlight[c.id] = h
 }
 
-// landed notes that the attempt has had its outcome.
+// attemptEnded records that the attempt in flight has ended.
 func (n *Node) attemptEnded(h *activeMessage) {
 	h.cancel()
 	delete(n.inFlight, h.call.id)
 	h.call, h.cancel = nil, nil
 }
 
-// jitter is d, give or take half: what fails for many senders at once must not be tried again by all at once.
+// jitter returns a random duration from d/2 to 3d/2, so that a failure that hits many senders at once is not retried by
+// all of them at once.
 func jitter(d time.Duration) time.Duration { return d/2 + time.Duration(rand.Int64N(int64(d))) }
 
-// pause waits for d or until ctx is over.
+// sleepContext waits for d or until ctx is done.
 func sleepContext(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -600,6 +633,7 @@
 	}
 }
 
+// handleAttemptResult records the result of an attempt and passes it to the module.
 func (n *Node) handleAttemptResult(ev attemptResultEvent) {
 	h := n.active[ev.call.id]
 	if h == nil {
@@ -631,29 +665,38 @@
 			n.metrics.fulfilled(h.msg.Class)
 		}
 		n.endMessage(ev.call.id, h)
-	case r.outcome == logic.Unsent && !ev.call.recorded: // the journal knows nothing of it
+	case r.outcome == logic.Unsent && !ev.call.recorded: // the attempt is not in the journal
 	default:
-		n.pendingRecords = append(n.pendingRecords, record{Op: opOutcome, ID: ev.call.id, MayRun: mayHaveRun(r.outcome), Unsent: r.outcome == logic.Unsent})
+		n.pendingRecords = append(n.pendingRecords, record{Op: opOutcome, ID: ev.call.id,
+			MayRun: mayHaveRun(r.outcome), Unsent: r.outcome == logic.Unsent})
 	}
 	if h.ended {
 		delete(n.active, ev.call.id)
 	}
-	n.pendingEvents = append(n.pendingEvents, logic.Reply{ID: ev.call.id, NoMore: alreadyEnded || done, Endpoint: ev.call.ep,
-		Attempt: ev.call.attempt, Outcome: r.outcome, Took: toMicros(ev.duration), Wait: toMicros(r.wait), Load: loadOf(r.load, n.cfg.Deploy.Reports)})
+	n.pendingEvents = append(n.pendingEvents, logic.Reply{
+		ID:       ev.call.id,
+		NoMore:   alreadyEnded || done,
+		Endpoint: ev.call.ep,
+		Attempt:  ev.call.attempt,
+		Outcome:  r.outcome,
+		Took:     toMicros(ev.duration),
+		Wait:     toMicros(r.wait),
+		Load:     loadOf(r.load, n.cfg.Deploy.Reports),
+	})
 }
 
-// badEnd logs the course of a message that was not delivered in the time wanted.
+// logAttempts logs the attempts of a message that was not delivered within the target time of its class.
 func (n *Node) logAttempts(h *activeMessage, outcome string) {
 	n.log.Info("message", "id", h.msg.ID, "class", h.msg.Class, "dest", h.msg.Dest, "end", outcome, "ms", h.log.elapsedMS(),
 		"attempts", string(h.log.text))
 }
 
-// mayHaveRun says what an outcome leaves open.
+// mayHaveRun reports whether the endpoint may have processed the message after an attempt with this outcome.
 func mayHaveRun(o logic.Outcome) bool {
 	return o != logic.Full && o != logic.RefusedConn && o != logic.Moot && o != logic.Unsent
 }
 
-// finish takes a message off the books; its id is remembered until its time is up.
+// endMessage ends a message. Its id is remembered until its deadline, to recognize repeated puts.
 func (n *Node) endMessage(id string, h *activeMessage) {
 	h.ended = true
 	n.openCount--
@@ -663,7 +706,7 @@
 	}
 }
 
-// forget drops ids that nobody can hand in any more.
+// expireRecentIDs forgets the ids of ended messages whose deadline has passed.
 func (n *Node) expireRecentIDs() {
 	now := n.clock.Now()
 	for id, until := range n.recentIDs {
@@ -673,8 +716,8 @@
 	}
 }
 
-// setTimes sets the times of the messages that the step at hand is told of. The module counts from the step, and they may
-// have waited for it, for the list of a start say.
+// setCallTimes sets the times of new messages relative to the current step, which is what the module counts from. The
+// messages may have waited for the step, for example for the endpoint list at startup.
 func (n *Node) setCallTimes(events []logic.Event) {
 	for i, ev := range events {
 		c, ok := ev.(logic.Call)
@@ -691,7 +734,8 @@
 	}
 }
 
-// step lets the module decide, writes the journal, and then acts, in order.
+// step lets the module decide on the pending events, writes the journal, replies to clients and then performs the
+// module's actions, in that order: nothing takes effect before it is in the journal.
 func (n *Node) step(workCtx context.Context) {
 	events := n.pendingEvents
 	n.pendingEvents = nil
@@ -708,7 +752,8 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.CallOut:
-			n.pendingRecords = append(n.pendingRecords, record{Op: opSend, ID: a.ID, At: n.stepTime, Zone: n.directory.eps[a.Endpoint].zone})
+			n.pendingRecords = append(n.pendingRecords, record{Op: opSend, ID: a.ID, At: n.stepTime,
+				Zone: n.directory.eps[a.Endpoint].zone})
 		case logic.Refuse, logic.Fail:
 			notice := noticeFor(a)
 			if replies[notice.ID] == "" && n.journal.Entry(notice.ID) != nil {
@@ -725,7 +770,7 @@
 		case reply != "":
 			n.metrics.refused.add(string(refusedDecision))
 			n.guard.checkRefusal(p.msg.ID)
-		case err != nil: // not written, so not taken on
+		case err != nil: // not in the journal, so not accepted
 			n.metrics.refused.add(string(refusedWrite))
 			reply = notWritten(err)
 			n.dropMessage(p.msg.ID)
@@ -746,20 +791,20 @@
 	n.updateGauges()
 }
 
-// repeats says whether the message of a put stands earlier among the puts of the step.
+// isRepeatedPut reports whether an earlier pending put has the same message id as the i-th.
 func (n *Node) isRepeatedPut(i int) bool {
 	return slices.ContainsFunc(n.pendingPuts[:i], func(x putEvent) bool { return x.msg.ID == n.pendingPuts[i].msg.ID })
 }
 
-// show brings the operators' figures up to date.
+// updateGauges updates the gauges that operators read.
 func (n *Node) updateGauges() {
 	n.metrics.open.Store(int64(n.openCount))
 	n.metrics.entries.Store(int64(n.directory.listed()))
 	n.metrics.avoided.Store(int64(n.sender.OutOfRotation()))
 }
 
-// answers finds the messages that the module ends in the step in which they came:
-// their clients are told at once.
+// immediateReplies returns the replies, by message id, to puts that the module ends in the step in which they arrived.
+// Their clients get the result as the reply to the put instead of a notice.
 func (n *Node) immediateReplies(actions []logic.Action) map[string]string {
 	replies := map[string]string{}
 	if len(n.pendingPuts) == 0 {
@@ -780,6 +825,7 @@
 	return replies
 }
 
+// noticeFor returns the notice for a Refuse or Fail action.
 func noticeFor(a logic.Action) Notice {
 	switch a := a.(type) {
 	case logic.Refuse:
@@ -790,7 +836,7 @@
 	return Notice{}
 }
 
-// drop forgets a message that was never taken on.
+// dropMessage removes a message that was not accepted.
 func (n *Node) dropMessage(id string) {
 	if h := n.active[id]; h != nil && !h.ended {
 		n.openCount--
@@ -798,6 +844,8 @@
 	}
 }
 
+// perform carries out an action of the module. replies are those of immediateReplies; written tells whether the records
+// of the step are in the journal.
 func (n *Node) perform(workCtx context.Context, a logic.Action, replies map[string]string, written bool) {
 	switch a := a.(type) {
 	case logic.CallOut:
@@ -822,7 +870,7 @@
 			n.say(notice, h.msg.Deadline)
 		}
 	case logic.SetTimer:
-		n.wakeTimer.Reset(toDuration(a.Wait)) // it goes off no later than the one before
+		n.wakeTimer.Reset(toDuration(a.Wait)) // replaces the previous timer, which was set for the same time or later
 		n.wakeToken = a.Token
 	case logic.Probe:
 		n.probe(workCtx, a.Endpoint)
@@ -835,10 +883,11 @@
 	}
 }
 
-// callOut makes an attempt. Without its record in the journal it is not made.
+// startAttempt prepares an attempt for sendPendingCalls. An attempt whose record could not be written to the journal, or
+// that the guard denies, is not sent but reported as such.
 func (n *Node) startAttempt(workCtx context.Context, a logic.CallOut, written bool) {
 	h := n.active[a.ID]
-	if h == nil { // never taken on; the module is still owed its one outcome
+	if h == nil { // not accepted; the module still expects exactly one outcome
 		n.pendingEvents = append(n.pendingEvents, logic.Reply{ID: a.ID, NoMore: true, Endpoint: a.Endpoint, Outcome: logic.Moot})
 		return
 	}
@@ -847,10 +896,20 @@
 	h.attempts++
 	h.log.addSend(a.Endpoint)
 	target := n.directory.eps[a.Endpoint]
-	c := &call{id: a.ID, attempt: attempt, ep: a.Endpoint, addr: target.addr, giveUp: toDuration(a.GiveUp), msg: h.msg, state: new(atomic.Int32), carries: 1}
+	c := &call{
+		id:      a.ID,
+		attempt: attempt,
+		ep:      a.Endpoint,
+		addr:    target.addr,
+		giveUp:  toDuration(a.GiveUp),
+		msg:     h.msg,
+		state:   new(atomic.Int32),
+		carries: 1,
+	}
 	class := n.cfg.classOf(h.msg)
 	c.fragile = class.Effect == logic.Unsafe
-	if entry := n.journal.Entry(a.ID); entry != nil && entry.MayRun && class.Effect == logic.Keyed { // a repeat: by the end of the window it must be written
+	if entry := n.journal.Entry(a.ID); entry != nil && entry.MayRun && class.Effect == logic.Keyed {
+		// A repeat must be written before the deduplication window ends.
 		c.writeBy = n.clock.At(entry.FirstMay).Add(toDuration(class.Window))
 	}
 	ctx, cancel := context.WithCancel(workCtx)
@@ -859,20 +918,21 @@
 	c.recorded = written
 	if c.request, err = deliverRequest(h.msg, target.addr, c.giveUp); err != nil || !written || !permitted {
 		if err != nil {
-			n.log.Error("call", "err", err)
+			n.log.Error("cannot build the delivery request", "err", err)
 		}
 		ev := attemptResultEvent{c, result{outcome: logic.Unsent}, 0}
-		if written { // it will not work later either
+		if written { // a request that cannot be built, or that the guard denies, would fail again
 			ev.result.outcome = logic.Moot
 		}
-		time.AfterFunc(jitter(attemptRetryDelay), func() { n.events <- ev }) // a full disk, say: room may come
+		// The delay gives the cause, such as a full disk, time to clear.
+		time.AfterFunc(jitter(attemptRetryDelay), func() { n.events <- ev })
 		return
 	}
 	n.pendingCalls = append(n.pendingCalls, outgoing{ctx, c})
 }
 
-// launch makes the calls that the step has decided on. Those to one endpoint go as one, as far as its kind allows:
-// so the module counts them, and so does the endpoint.
+// sendPendingCalls sends the calls of the current step. Calls to one endpoint are sent as one batch, up to the batch
+// size of its kind: both the module and the endpoint count a batch as one call.
 func (n *Node) sendPendingCalls(workCtx context.Context) {
 	var group []outgoing
 	for remaining := n.pendingCalls; len(remaining) > 0; {
@@ -882,7 +942,7 @@
 	n.pendingCalls = nil
 }
 
-// batch is how many messages one call to ep may carry.
+// batchSize returns how many messages one call to ep may carry.
 func (n *Node) batchSize(ep logic.EndpointID) int {
 	kinds := n.cfg.Deploy.Settings.Kinds
 	if kind := n.directory.eps[ep].kind; kind >= 0 && kind < len(kinds) {
@@ -891,6 +951,7 @@
 	return 1
 }
 
+// sendCalls makes the calls of a batch and reports their results to the loop.
 func (n *Node) sendCalls(workCtx context.Context, group []outgoing) {
 	startedAt := time.Now()
 	if len(group) > 1 {
@@ -900,13 +961,13 @@
 	r := n.caller.do(group[0].ctx, group[0].call)
 	duration := time.Since(startedAt)
 	if r.local {
-		sleepContext(group[0].ctx, jitter(attemptRetryDelay)) // descriptors, say: room may come
+		sleepContext(group[0].ctx, jitter(attemptRetryDelay)) // gives a local shortage, e.g. of descriptors, time to clear
 	}
 	n.events <- attemptResultEvent{group[0].call, r, duration}
 }
 
-// hold keeps calls that are still connecting from being written: what the module decided before it knew better
-// would reach the endpoint long after. They end as never sent.
+// abortConnecting ends matching calls that are still connecting, so that they are never written. They were decided
+// before the module learned of the change and would reach the endpoint long after it. They end as not sent.
 func (n *Node) abortConnecting(match func(ep logic.EndpointID) bool) {
 	for _, h := range n.inFlight {
 		if match(h.call.ep) && h.call.state.CompareAndSwap(callConnecting, callHeld) {
@@ -915,7 +976,8 @@
 	}
 }
 
-// holdWait holds calls to where a wait was told: the destination, or the one route where routes are apart.
+// abortForWait aborts connecting calls that fall under a wait requested by ep: those to its whole destination, or only
+// to ep where routes are limited separately.
 func (n *Node) abortForWait(ep logic.EndpointID) {
 	target, separateRoutes := n.directory.eps[ep], n.directory.apart(ep)
 	n.abortConnecting(func(x logic.EndpointID) bool {
@@ -923,12 +985,19 @@
 	})
 }
 
+// probe checks the health of an endpoint in the background and reports the outcome to the loop.
 func (n *Node) probe(workCtx context.Context, ep logic.EndpointID) {
 	addr := n.directory.eps[ep].addr
 	go func() {
 		outcome := logic.RefusedConn
 		if req, err := probeRequest(addr); err == nil {
-			outcome = n.caller.do(workCtx, &call{ep: ep, addr: addr, giveUp: probeTime, request: req, state: new(atomic.Int32)}).outcome
+			outcome = n.caller.do(workCtx, &call{
+				ep:      ep,
+				addr:    addr,
+				giveUp:  probeTime,
+				request: req,
+				state:   new(atomic.Int32),
+			}).outcome
 		}
 		n.events <- probeResultEvent{ep, outcome}
 	}()
--- a/internal/node/put.go
+++ b/internal/node/put.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	maxLifetime       = 24 * time.Hour // the longest time that anybody may name
-	maxLifetimeFactor = 10             // the longest that a message may ask for, in times of its class's deadline
+	maxLifetime       = 24 * time.Hour // of any message
+	maxLifetimeFactor = 10             // maximum lifetime as a multiple of the deadline of the message's class
 	maxIDLen          = 128
 )
 
-// parsePut reads the arguments of MSG.PUT, which came at a time on the lasting clock.
+// parsePut parses the arguments of MSG.PUT. now is the time of arrival on the persistent clock.
 func (c *clientServer) parsePut(args [][]byte, now int64) (Message, error) {
 	var m Message
 	if len(args) != 4 {
@@ -87,7 +87,7 @@
 	return m, nil
 }
 
-// plain says whether s may stand in a header.
+// isHeaderSafe reports whether s may be used in an HTTP header: printable ASCII without spaces.
 func isHeaderSafe(s string) bool {
 	return strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 }
--- a/internal/node/resp.go
+++ b/internal/node/resp.go
@@ -8,19 +8,18 @@
 	"strconv"
 )
 
-// Bounds of a request. A longer one is a protocol error.
+// Limits of a request. Exceeding one is a protocol error.
 const (
 	maxArgs      = 16
-	maxBulkBytes = 64 << 10 // body
-	maxLineBytes = 64       // length lines
+	maxBulkBytes = 64 << 10 // per bulk string, so also the body of a message
+	maxLineBytes = 64       // per line with a length
 )
 
-// errProtocol marks what is not a RESP2 request; the connection cannot go on.
+// errProtocol marks input that is not a RESP2 request. The connection cannot be used any further.
 var errProtocol = errors.New("protocol error")
 
-// readCommand reads one request: an array of bulk strings. All lengths are
-// checked before memory is taken for them; large is asked once before a request
-// takes more than a small one's.
+// readCommand reads one request: an array of bulk strings. Each length is checked before memory is allocated for it.
+// acquireLarge is called once, before a request exceeds smallRequestBytes.
 func readCommand(r *bufio.Reader, acquireLarge func() error) ([][]byte, error) {
 	n, err := readLength(r, '*', maxArgs)
 	if err != nil {
@@ -57,6 +56,7 @@
 	return args, nil
 }
 
+// readLength reads a line that consists of prefix and a length of at most maxLength.
 func readLength(r *bufio.Reader, prefix byte, maxLength int) (int, error) {
 	var line []byte
 	for {
@@ -88,7 +88,7 @@
 	return int(n), nil
 }
 
-// unexpected turns the end of the input into one inside a request.
+// unexpectedEOF replaces io.EOF, which is expected only between requests.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	firstRequestTimeout  = 2300 * time.Millisecond // for the first request to have come whole
-	requestTimeout       = 2 * time.Second         // for a later one, once it has begun
+	firstRequestTimeout  = 2300 * time.Millisecond // from the connection to the end of the first request
+	requestTimeout       = 2 * time.Second         // from the start to the end of a later request
 	clientIdleTimeout    = 4 * time.Second         // between requests
 	replyWriteTimeout    = 2 * time.Second
-	minRequestTime       = 200 * time.Millisecond // least time for a request that has begun to come
-	maxConsecutiveErrors = 16                     // errors in a row after which a connection is closed
-	errorDelay           = 5 * time.Millisecond   // before the next request is read, for each error in a row
-	clientLingerTimeout  = 500 * time.Millisecond // after the end of our side, for the client to close its own
-	maxLingerBytes       = 1 << 20
+	minRequestTime       = 200 * time.Millisecond // least time for a request that has begun to arrive, or to get a slot
+	maxConsecutiveErrors = 16                     // a connection with this many errors in a row is closed
+	errorDelay           = 5 * time.Millisecond   // before the next request is read, times the errors in a row
+	clientLingerTimeout  = 500 * time.Millisecond // for the client to close its side after we have closed ours
+	maxLingerBytes       = 1 << 20                // read and discarded during that time
 
 	replyOK                 = "+OK\r\n"
 	replyFailed             = "-ERR failed\r\n"
@@ -30,29 +30,30 @@
 	replyTooManyErrors      = "-ERR too many errors\r\n"
 )
 
-// session is one client's connection. Requests may be pipelined: a reader hands
-// them on as they come, a writer answers them in their order.
+// session is one client's connection. Requests may be pipelined: a reader passes them on as they arrive, and a writer
+// sends the replies in the order of the requests.
 type session struct {
 	server            *clientServer
 	conn              net.Conn
 	openedAt          time.Time
-	consecutiveErrors atomic.Int32 // in a row
+	consecutiveErrors atomic.Int32
 
-	// Under the lock of clients.
-	openRequests   int       // requests that have begun to come and are not answered
-	readingRequest bool      // one of them has not come whole
-	noRequestYet   bool      // none has begun to come
-	idleSince      time.Time // when the last one was answered
-	evicted        bool      // closed to make room
+	// Guarded by clientServer.mu.
+	openRequests   int       // requests that have begun to arrive and are not answered
+	readingRequest bool      // one of them has not arrived completely
+	noRequestYet   bool      // no request has begun to arrive on this connection
+	idleSince      time.Time // when the last request was answered
+	evicted        bool      // closed to make room for another connection
 }
 
-// answer is the answer to a request: at once, or as soon as it is there.
+// clientReply is the reply to a request.
 type clientReply struct {
-	line    string
-	pending <-chan string
-	large   bool // the request holds a place among the large ones
+	line    string        // the reply, unless pending is set
+	pending <-chan string // delivers a reply that is not ready yet
+	large   bool          // the request holds a large-request slot
 }
 
+// handle serves the connection until it ends. The caller closes it.
 func (s *session) handle() {
 	replies, writerDone := make(chan clientReply, maxPipelined), make(chan struct{})
 	go func() {
@@ -66,20 +67,21 @@
 	s.lingeringClose()
 }
 
-// closes counts the end of a connection, and checks that no request is left without its answer.
+// recordClose counts the end of a connection by its reason and checks that every request was answered.
 func (s *session) recordClose(reason closing) {
 	s.server.mu.Lock()
 	openRequests, evicted := s.openRequests, s.evicted
 	s.server.mu.Unlock()
-	if !evicted { // else it was counted where it was closed
+	if !evicted { // evictIdlest has counted it
 		s.server.metrics.closed.add(string(reason))
 	}
 	if openRequests > 0 {
-		reportViolation(s.server.log, s.server.metrics, violationClosedWithRequests, "", "requests", openRequests, "why", string(reason))
+		reportViolation(s.server.log, s.server.metrics, violationClosedWithRequests, "",
+			"requests", openRequests, "why", string(reason))
 	}
 }
 
-// read takes requests until the connection ends, and says why it does.
+// readRequests reads and executes requests until the connection ends, and returns the reason for its end.
 func (s *session) readRequests(r *bufio.Reader, replies chan<- clientReply) closing {
 	first := true
 	for {
@@ -122,7 +124,7 @@
 	}
 }
 
-// requestBy is when the request that has begun to come must be whole.
+// requestDeadline returns the time by which the request that has begun to arrive must be complete.
 func (s *session) requestDeadline(first bool) time.Time {
 	deadline := time.Now().Add(requestTimeout)
 	if first {
@@ -139,9 +141,10 @@
 	return deadline
 }
 
-// errNoPlace says that too many large requests are under way.
-var errLargeRequestLimit = errors.New("no place for a large request")
+// errLargeRequestLimit is returned when too many large requests are open.
+var errLargeRequestLimit = errors.New("too many large requests")
 
+// acquireLargeSlot waits up to minRequestTime for a large-request slot.
 func (s *session) acquireLargeSlot() error {
 	t := time.NewTimer(minRequestTime)
 	defer t.Stop()
@@ -153,18 +156,19 @@
 	}
 }
 
-// await waits for the first byte of a request; false ends the connection, for the reason given. A request counts as open before anything of it
-// is read: until then the connection may be closed, and its client sends the request again elsewhere.
+// awaitRequest waits for the first byte of a request. If it returns false the connection ends, for the reason returned.
+// A request counts as open before any of it is read: until then the connection may be closed, and the client resends the
+// request on another one.
 func (s *session) awaitRequest(r *bufio.Reader) (closing, bool) {
 	if r.Buffered() > 0 {
-		return "", true // counted with the one before
+		return "", true // counted by requestDone of the previous request
 	}
 	s.server.mu.Lock()
-	s.conn.SetReadDeadline(s.idleDeadline(time.Now())) // under the lock: startParting may be about to set its own
+	s.conn.SetReadDeadline(s.idleDeadline(time.Now())) // under the lock, so as not to override the deadline of startClosingIdle
 	s.server.mu.Unlock()
 	data, err := awaitInput(s.conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		_, data = peekConn(s.conn) // it may have come just before: its client counts on an answer
+		_, data = peekConn(s.conn) // a request that arrived just before the deadline must be answered
 	}
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
@@ -176,7 +180,7 @@
 	return "", true
 }
 
-// whyEnded says why no request is awaited any more, under the lock of clients.
+// endReason returns why no further request is awaited. The lock of clientServer must be held.
 func (s *session) endReason(data bool, err error) closing {
 	switch {
 	case s.evicted, !data && err == nil:
@@ -189,7 +193,8 @@
 	return closedGone
 }
 
-// whole notes that the request at hand has come to its end, good or bad, and whether some of the next has come with it.
+// requestDone records that the current request was read or has failed. nextBuffered tells whether the start of the next
+// request has already been read.
 func (s *session) requestDone(nextBuffered bool) {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
@@ -198,7 +203,7 @@
 	}
 }
 
-// write sends the answers in the order of their requests, those that are ready together.
+// writeReplies sends the replies in the order of their requests. Replies that are ready are written together.
 func (s *session) writeReplies(replies <-chan clientReply) {
 	w := bufio.NewWriterSize(s.conn, 512)
 	var err error
@@ -207,7 +212,7 @@
 		if reply.pending != nil {
 			select {
 			case line = <-reply.pending:
-			default: // what is ready must not wait for what is not
+			default: // replies that are ready must not wait for this one
 				err = errors.Join(err, s.flush(w))
 				line = <-reply.pending
 			}
@@ -239,6 +244,7 @@
 	return w.Flush()
 }
 
+// replySent records that a request has been answered.
 func (s *session) replySent() {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
@@ -246,21 +252,21 @@
 	s.idleSince = time.Now()
 }
 
-// lingeringClose ends the sending side and reads on until the client has closed too, for a while at most: a close over
-// unread input would be a reset, which destroys answers that are on their way. What is read here goes nowhere: the client
-// has been told that the connection is at its end.
+// lingeringClose closes the sending side and then reads until the client has closed its side, within limits. Closing a
+// connection with unread input would send a reset, which destroys replies in transit. The input read here is discarded:
+// the client has already been told that the connection is closing.
 func (s *session) lingeringClose() {
 	s.server.mu.Lock()
-	s.idleSince = time.Time{} // the first to go
+	s.idleSince = time.Time{} // evicted before any other
 	s.server.mu.Unlock()
 	if halfCloser, ok := s.conn.(interface{ CloseWrite() error }); !ok || halfCloser.CloseWrite() != nil {
-		return // gone already
+		return // already closed
 	}
 	s.conn.SetReadDeadline(time.Now().Add(clientLingerTimeout))
 	io.Copy(io.Discard, io.LimitReader(s.conn, maxLingerBytes))
 }
 
-// answer carries a request out.
+// execute carries out a request.
 func (c *clientServer) execute(args [][]byte) clientReply {
 	switch cmd := strings.ToUpper(string(args[0])); cmd {
 	case "PING":
@@ -282,7 +288,7 @@
 		c.mu.Lock()
 		afterCutoff := c.pastReadCutoff()
 		c.mu.Unlock()
-		if afterCutoff { // it came behind others that were read in time
+		if afterCutoff { // the request was pipelined behind others that were read in time
 			c.metrics.refused.add(string(refusedLate))
 			return clientReply{line: busyReply(0)}
 		}
