--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// ended reads until the sender closes the connection.
+// readToEnd reads until the sender closes the connection.
 func (c *testClient) readToEnd() string {
 	c.t.Helper()
 	b, err := io.ReadAll(c.r)
 	if isTimeout(err) {
-		c.t.Fatal("the connection stays open")
+		c.t.Fatal("the connection is still open")
 	}
 	return string(b)
 }
 
-// A client that says nothing, or half a request, would keep its place for good.
+// A client that sends nothing, or part of a request, must be disconnected: it would occupy a connection forever.
 func TestSilentClients(t *testing.T) {
 	n, _, _, _ := startNodeWithEndpoints(t, 1)
-	for name, said := range map[string]string{"nothing": "", "half a length": "*5", "half a request": "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0"} {
+	for name, input := range map[string]string{"nothing": "", "half a length": "*5", "half a request": "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			at, c := time.Now(), dialClient(t, n.addr)
-			io.WriteString(c.conn, said)
+			io.WriteString(c.conn, input)
 			got := c.readToEnd()
 			if d := time.Since(at); d < 2*time.Second || d > 3*time.Second {
 				t.Errorf("closed after %v", d)
 			}
-			if said != "" && !strings.HasPrefix(got, "-ERR ") {
+			if input != "" && !strings.HasPrefix(got, "-ERR ") {
 				t.Errorf("got %q", got)
 			}
 		})
 	}
 }
 
-// Connections that asked once and stay must not keep new clients out: the idlest makes room. One with a request
-// under way never does.
+// Clients that stay connected after a request must not keep new clients out: the connection idle longest is closed to
+// make room. A connection with an open request is never closed for that.
 func TestConnectionLimitEvictsIdlest(t *testing.T) {
 	n, first, _, e := startNodeWithEndpoints(t, 1, func(n *Node) { n.clients.maxConns = 3 })
 	first.put("a", "safe", "+OK")
@@ -47,40 +47,40 @@
 	second := dialClient(t, n.addr)
 	second.put("b", "safe", "+OK")
 	receive(t, e[0].calls, "call").reply(200)
-	half := dialClient(t, n.addr)
-	io.WriteString(half.conn, "*1\r\n$4\r\nPI")
-	for stop := time.Now().Add(testTimeout); ; { // until the sender has it
+	partial := dialClient(t, n.addr)
+	io.WriteString(partial.conn, "*1\r\n$4\r\nPI")
+	for stop := time.Now().Add(testTimeout); ; { // until the sender has begun to read it
 		n.clients.mu.Lock()
-		begun := 0
+		openRequests := 0
 		for s := range n.clients.sessions {
-			begun += s.openRequests
+			openRequests += s.openRequests
 		}
 		n.clients.mu.Unlock()
-		if begun == 1 {
+		if openRequests == 1 {
 			break
 		}
 		if time.Now().After(stop) {
-			t.Fatal("the request does not come")
+			t.Fatal("the partial request was not read")
 		}
 	}
 	fourth := dialClient(t, n.addr)
 	if got := fourth.do("PING"); got != "+PONG" {
-		t.Errorf("a new client gets %q", got)
+		t.Errorf("the new client got %q", got)
 	}
 	if got := first.readToEnd(); got != "" {
-		t.Errorf("the idlest got %q", got)
+		t.Errorf("the client idle longest got %q", got)
 	}
 	if got := second.do("PING"); got != "+PONG" {
-		t.Errorf("one that is less idle gets %q", got)
+		t.Errorf("the client idle for a shorter time got %q", got)
 	}
-	io.WriteString(half.conn, "NG\r\n")
-	if got := half.readLine(); got != "+PONG" {
-		t.Errorf("a request under way gets %q", got)
+	io.WriteString(partial.conn, "NG\r\n")
+	if got := partial.readLine(); got != "+PONG" {
+		t.Errorf("the partial request got %q", got)
 	}
 	stopAndCheckEmpty(t, n)
 }
 
-// Hundreds of requests at once are answered each, in order, and not at one a tick.
+// Hundreds of pipelined requests must each be answered, in order, and faster than one per tick.
 func TestPipelined(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1)
 	go func() {
@@ -112,8 +112,8 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// A client that sends at full speed what can't be read gets its error line all the same: a close with unread input
-// would destroy it.
+// A client that keeps sending after a malformed request must still receive the error reply. Closing a connection with
+// unread input sends a reset, which would destroy the reply.
 func TestErrorReplySurvivesClose(t *testing.T) {
 	n, _, _, _ := startNodeWithEndpoints(t, 1)
 	c := dialClient(t, n.addr)
@@ -123,7 +123,7 @@
 	}
 }
 
-// The same again and again is turned away for good.
+// A connection with too many errors in a row must be closed.
 func TestConsecutiveErrorsCloseConnection(t *testing.T) {
 	n, c, _, _ := startNodeWithEndpoints(t, 1)
 	go func() {
@@ -140,7 +140,7 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// What large requests hold is bounded over all connections.
+// The memory of large requests must be limited over all connections, and each request must release its slot.
 func TestLargeRequestsBounded(t *testing.T) {
 	n, c, _, _ := startNodeWithEndpoints(t, 1)
 	for range cap(n.clients.largeSlots) {
@@ -153,7 +153,7 @@
 		<-n.clients.largeSlots
 	}
 	d := dialClient(t, n.addr)
-	for range 2 * cap(n.clients.largeSlots) { // each gives its place back
+	for range 2 * cap(n.clients.largeSlots) { // fails if a request does not release its slot
 		if got := d.do("MSG.PUT", "0", "id", "c=safe,d=9000,dest=99", strings.Repeat("x", maxBulkBytes)); !strings.HasPrefix(got, "-") {
 			t.Fatalf("got %q", got)
 		}
@@ -162,13 +162,13 @@
 	}
 	for stop := time.Now().Add(testTimeout); len(n.clients.largeSlots) > 0; {
 		if time.Now().After(stop) {
-			t.Fatalf("%d places are not given back", len(n.clients.largeSlots))
+			t.Fatalf("%d slots are not released", len(n.clients.largeSlots))
 		}
 	}
 }
 
-// A start with an empty list: nobody knows what there is, so clients are asked to come again; once discovery has
-// told, an unknown destination is an error.
+// After a start with an empty list the destinations are unknown, so clients are told to retry. Once discovery has
+// answered, an unknown destination is an error.
 func TestUnknownDestination(t *testing.T) {
 	p, e := newPlatform(t), newEndpoint(t)
 	p.holdLists = true
@@ -185,8 +185,7 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// Clients' connections and calls together stay within the descriptors; a call without one left says nothing of the
-// endpoint, and an idle connection makes room.
+// The connections of clients and calls together must stay within the descriptor limit.
 func TestSocketBudget(t *testing.T) {
 	for sockets := 128; sockets <= 4096; sockets *= 2 {
 		for _, slots := range []int{0, 6, 60, 300} {
--- a/internal/node/close_test.go
+++ b/internal/node/close_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// hookConn is the sender's side of a client's connection, with hooks where the sender acts on it.
+// hookConn is the sender's side of a client's connection, with hooks around the sender's operations on it.
 type hookConn struct {
 	*net.TCPConn
-	beforeClose func()    // before the sender ends its side, or all of it
+	beforeClose func()    // before the first CloseWrite or Close
 	beforeRead  func()    // before each read
 	afterWrite  func(int) // after each write
 	once        sync.Once
@@ -43,7 +43,7 @@
 	return n, err
 }
 
-// hooked is a session on a connection of its own, and the client's side.
+// newHookedSession returns a session on a new connection, its hooks, and the client's side of the connection.
 func newHookedSession(t *testing.T, events chan any) (*session, *hookConn, *testClient) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,14 +61,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &hookConn{TCPConn: conn.(*net.TCPConn), beforeClose: func() {}, beforeRead: func() {}, afterWrite: func(int) {}}
-	s := &session{server: newClientServer(cfg, slog.New(slog.DiscardHandler), events, newFigures(cfg)), conn: h, openedAt: time.Now(), noRequestYet: true}
+	hooks := &hookConn{TCPConn: conn.(*net.TCPConn), beforeClose: func() {}, beforeRead: func() {}, afterWrite: func(int) {}}
+	s := &session{server: newClientServer(cfg, slog.New(slog.DiscardHandler), events, newFigures(cfg)), conn: hooks, openedAt: time.Now(), noRequestYet: true}
 	s.server.phase = serving
 	s.server.sessions[s] = struct{}{}
-	return s, h, c
+	return s, hooks, c
 }
 
-// run serves the session as clients.serve does, and tells of its end.
+// serveAsync serves the session as clientServer.serve does. The returned channel is closed at its end.
 func (s *session) serveAsync() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -80,14 +80,14 @@
 	return done
 }
 
-// arrives waits until something that the sender has not read is there.
+// awaitUnread waits until there is input that the sender has not read.
 func (c *hookConn) awaitUnread(t *testing.T) {
 	for stop := time.Now().Add(testTimeout); ; {
 		if _, data := peekConn(c.TCPConn); data {
 			return
 		}
 		if time.Now().After(stop) {
-			t.Error("what was written does not come")
+			t.Error("the client's input did not arrive")
 			return
 		}
 	}
@@ -95,9 +95,9 @@
 
 const putRequest = "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nlate\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n"
 
-// A request may come in the instant in which the sender ends a resting connection. It is not sent on, for nobody could
-// be told what became of it; and it costs none of the answers that the client has yet to take, which a close over
-// unread input would.
+// A request may arrive just as the sender closes an idle connection. It must not be passed on, because its client could
+// not be told the result, and it must not destroy replies that the client has not read yet. Closing a connection with
+// unread input would do that, because it sends a reset.
 func TestRepliesSurviveClose(t *testing.T) {
 	events := make(chan any, 1)
 	s, h, c := newHookedSession(t, events)
@@ -108,7 +108,7 @@
 		fmt.Fprintf(&want, "$%d\r\n%s\r\n", len(arg), arg)
 	}
 	h.SetWriteBuffer(1 << 20)
-	if err := c.conn.(*net.TCPConn).SetReadBuffer(4096); err != nil { // most of the answers stay on the sender's side
+	if err := c.conn.(*net.TCPConn).SetReadBuffer(4096); err != nil { // most of the replies stay in the sender's buffer
 		t.Fatal(err)
 	}
 	answered, sum := make(chan struct{}), 0
@@ -125,20 +125,20 @@
 	for range pings {
 		c.send("PING", arg)
 	}
-	awaitClosed(t, answered, "all answers")
+	awaitClosed(t, answered, "end of all replies")
 	s.server.setPhase(stopping)
 	s.server.startClosingIdle()
 	if got := c.readToEnd(); got != want.String() {
-		t.Errorf("the client gets %d bytes, want %d", len(got), want.Len())
+		t.Errorf("the client got %d bytes, want %d", len(got), want.Len())
 	}
 	c.conn.Close()
 	awaitClosed(t, done, "end of the session")
 	if len(events) != 0 {
-		t.Errorf("sent on: %+v", <-events)
+		t.Errorf("passed on: %+v", <-events)
 	}
 }
 
-// over waits until ch is closed.
+// awaitClosed waits until ch is closed.
 func awaitClosed(t *testing.T, ch <-chan struct{}, what string) {
 	t.Helper()
 	select {
@@ -148,8 +148,8 @@
 	}
 }
 
-// Nothing of a request is read before the request counts as open: until then the connection may be closed to make room,
-// and a client sends again only what has not been read.
+// A request must count as open before any of it is read: until then its connection may be closed to make room, and
+// clients resend only requests that were not read.
 func TestRequestCountsBeforeRead(t *testing.T) {
 	events := make(chan any)
 	s, h, c := newHookedSession(t, events)
@@ -165,8 +165,8 @@
 	if got := c.do("PING"); got != "+PONG" {
 		t.Fatalf("got %q", got)
 	}
-	io.WriteString(c.conn, putRequest+putRequest) // both are read at once
-	for stop := time.Now().Add(testTimeout); ; {  // the first is on its way to the loop
+	io.WriteString(c.conn, putRequest+putRequest) // read together
+	for stop := time.Now().Add(testTimeout); ; {  // until the first is being passed to the loop
 		s.server.mu.Lock()
 		open := s.openRequests
 		s.server.mu.Unlock()
@@ -183,9 +183,9 @@
 	if got := c.readLine() + c.readLine(); got != "+OK+OK" {
 		t.Errorf("got %q", got)
 	}
-	for stop := time.Now().Add(testTimeout); !s.server.evictIdlest(); { // idle once both are answered
+	for stop := time.Now().Add(testTimeout); !s.server.evictIdlest(); { // the connection is idle once both are answered
 		if time.Now().After(stop) {
-			t.Fatal("never idle")
+			t.Fatal("the connection was never idle")
 		}
 	}
 	awaitClosed(t, done, "end of the session")
@@ -194,8 +194,9 @@
 	}
 }
 
-// A request that is read so late in a shutdown that the loop might not answer it is not sent on: one that has not begun
-// is left unread, one that came behind others is turned away, and one that is not complete gets an error line.
+// A request that arrives so late in a shutdown that the loop might not reply any more must not be passed on: one that
+// has not begun to arrive is left unread, one that is pipelined behind others is refused, and an incomplete one gets an
+// error reply.
 func TestReadCutoffAtShutdown(t *testing.T) {
 	t.Run("unread", func(t *testing.T) {
 		events := make(chan any, 1)
@@ -203,17 +204,17 @@
 		s.server.stopReadingAt(time.Now())
 		read := 0
 		h.beforeRead = func() { read++ }
-		h.beforeClose = func() { h.beforeRead = func() {} } // what is drained after that goes nowhere
+		h.beforeClose = func() { h.beforeRead = func() {} } // reads after that discard their input
 		io.WriteString(c.conn, putRequest)
 		h.awaitUnread(t)
 		done := s.serveAsync()
 		if got := c.readToEnd(); got != "" || read != 0 {
-			t.Errorf("%d reads, answer %q", read, got)
+			t.Errorf("%d reads, reply %q", read, got)
 		}
 		c.conn.Close()
 		awaitClosed(t, done, "end of the session")
 		if len(events) != 0 {
-			t.Errorf("sent on: %+v", <-events)
+			t.Errorf("passed on: %+v", <-events)
 		}
 	})
 	t.Run("behind another", func(t *testing.T) {
@@ -222,7 +223,7 @@
 		done := s.serveAsync()
 		io.WriteString(c.conn, putRequest+putRequest+putRequest[:len(putRequest)-1])
 		first := receive(t, events, "message").(putEvent)
-		s.server.stopReadingAt(time.Now()) // the second may be on its way already
+		s.server.stopReadingAt(time.Now()) // the second may already have been passed on
 		first.reply <- replyOK
 		go func() {
 			for ev := range events {
@@ -243,7 +244,7 @@
 		s.server.stopReadingAt(at)
 		for _, first := range []bool{true, false} {
 			if by := s.requestDeadline(first); by.After(at) {
-				t.Errorf("first %v: read until %v after the last time", first, by.Sub(at))
+				t.Errorf("first %v: read until %v after the cutoff", first, by.Sub(at))
 			}
 		}
 	})
@@ -256,13 +257,12 @@
 		}
 		s.server.stopReadingAt(time.Now())
 		if a := s.server.execute(args); a.line != "-BUSY\r\n" || len(events) != 0 {
-			t.Errorf("got %q, %d sent on", a.line, len(events))
+			t.Errorf("got %q, %d passed on", a.line, len(events))
 		}
 	})
 }
 
-// The last time to read is set by the shutdown, and by the handover, so that the loop, and the relay, go on for longer than
-// clients are read.
+// Both the shutdown and the handover must set a read cutoff that ends before the loop, or the relay, does.
 func TestShutdownStopsReading(t *testing.T) {
 	check := func(how string, n *Node) {
 		t.Helper()
@@ -289,8 +289,8 @@
 	check("replaced", old)
 }
 
-// An answer is small, and must not wait in the system for another: a close over unread input would take it along. So on
-// connections of a listener that came from the process before, too.
+// TCP_NODELAY must be set on clients' connections, also on those of a listener inherited from the previous process: a
+// small reply that the kernel holds back would be lost if the connection is closed with unread input.
 func TestRepliesAreNotDelayed(t *testing.T) {
 	own, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -302,12 +302,12 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	given, err := net.FileListener(f)
+	inherited, err := net.FileListener(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer given.Close()
-	for _, ln := range []net.Listener{own, given} {
+	defer inherited.Close()
+	for _, ln := range []net.Listener{own, inherited} {
 		s, _, _ := newHookedSession(t, nil)
 		go s.server.serve(ln)
 		if got := dialClient(t, ln.Addr().String()).do("PING"); got != "+PONG" {
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -83,44 +83,44 @@
 
 // allowSend reports whether a message may be sent to an endpoint. A send that was correct when it was decided, but has
 // become too late since, for example because of a slow journal write, is denied without being a violation.
-func (g *protocolGuard) allowSend(h *activeMessage, ep logic.EndpointID) bool {
-	if v := g.checkSend(h, ep, g.node.stepTime); v != noViolation {
-		reportViolation(g.node.log, g.node.metrics, v, h.msg.ID, "endpoint", ep, "attempt", h.attempts)
+func (g *protocolGuard) allowSend(m *activeMessage, ep logic.EndpointID) bool {
+	if v := g.checkSend(m, ep, g.node.stepTime); v != noViolation {
+		reportViolation(g.node.log, g.node.metrics, v, m.msg.ID, "endpoint", ep, "attempt", m.attempts)
 		return false
 	}
-	v := g.checkSend(h, ep, g.node.clock.Now())
+	v := g.checkSend(m, ep, g.node.clock.Now())
 	if v != noViolation {
-		g.node.log.Info("not sent", "id", h.msg.ID, "endpoint", ep, "why", string(v))
+		g.node.log.Info("not sent", "id", m.msg.ID, "endpoint", ep, "why", string(v))
 	}
 	return v == noViolation
 }
 
 // checkSend returns the rule that a send at the time now would break, or noViolation.
-func (g *protocolGuard) checkSend(h *activeMessage, ep logic.EndpointID, now int64) violation {
+func (g *protocolGuard) checkSend(m *activeMessage, ep logic.EndpointID, now int64) violation {
 	n := g.node
 	target, known := n.directory.eps[ep]
-	entry := n.journal.Entry(h.msg.ID)
+	entry := n.journal.Entry(m.msg.ID)
 	settings := &n.cfg.Deploy.Settings
 	switch {
 	case n.stateLock == nil:
 		return violationNotOwner
-	case h.ended:
+	case m.ended:
 		return violationAlreadyEnded
 	case entry == nil:
 		return violationNotAccepted
 	case entry.End != nil:
 		return violationAlreadyEnded
-	case h.call != nil:
+	case m.call != nil:
 		return violationAlreadyInFlight
-	case !known || target.dest != h.msg.Dest:
+	case !known || target.dest != m.msg.Dest:
 		return violationWrongDestination
 	case !n.directory.ready(ep):
 		return violationEndpointUnavailable
 	case time.Now().Before(g.waitUntil[g.waitScopeOf(ep)]):
 		return violationWaitNotOver
-	case settings.MaxTries > 0 && h.attempts >= settings.MaxTries:
+	case settings.MaxTries > 0 && m.attempts >= settings.MaxTries:
 		return violationAttemptsUsedUp
-	case now >= h.msg.Deadline:
+	case now >= m.msg.Deadline:
 		return violationDeadlinePassed
 	}
 	return g.checkRepeat(entry, target.zone, now)
@@ -171,7 +171,7 @@
 
 // checkEnd checks an end decided by the sender. It only reports violations: the notice is sent in any case, because a
 // message without an end would be lost.
-func (g *protocolGuard) checkEnd(h *activeMessage, notice Notice) {
+func (g *protocolGuard) checkEnd(m *activeMessage, notice Notice) {
 	entry := g.node.journal.Entry(notice.ID)
 	v := noViolation
 	switch {
@@ -202,9 +202,9 @@
 // checkOverdue reports messages that have not ended although their deadline has passed.
 func (g *protocolGuard) checkOverdue() {
 	cutoff := g.node.clock.Now() - overdueGrace.Microseconds()
-	for id, h := range g.node.active {
-		if !h.ended && h.msg.Deadline < cutoff && !h.overdueReported {
-			h.overdueReported = true
+	for id, m := range g.node.active {
+		if !m.ended && m.msg.Deadline < cutoff && !m.overdueReported {
+			m.overdueReported = true
 			reportViolation(g.node.log, g.node.metrics, violationOverdue, id)
 		}
 	}
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -8,24 +8,24 @@
 	"rundeal/logic"
 )
 
-// Each rule is broken by hand, one at a time: the send is denied, and counted under its name.
+// Breaks each rule, one at a time. The send must be denied and counted under the name of the rule.
 func TestGuardDeniesSend(t *testing.T) {
 	const id = "m"
-	for _, x := range []struct {
+	for _, test := range []struct {
 		rule  violation
 		class string
-		spoil func(n *Node, h *activeMessage, e *Entry)
+		spoil func(n *Node, m *activeMessage, e *Entry)
 	}{
 		{noViolation, "unsafe", func(*Node, *activeMessage, *Entry) {}},
-		{violationAlreadyEnded, "safe", func(_ *Node, h *activeMessage, _ *Entry) { h.ended = true }},
+		{violationAlreadyEnded, "safe", func(_ *Node, m *activeMessage, _ *Entry) { m.ended = true }},
 		{violationAlreadyEnded, "safe", func(_ *Node, _ *activeMessage, e *Entry) { e.End = &Notice{} }},
 		{violationNotAccepted, "safe", func(n *Node, _ *activeMessage, _ *Entry) { delete(n.journal.entries, id) }},
-		{violationAlreadyInFlight, "safe", func(_ *Node, h *activeMessage, _ *Entry) { h.call = &call{} }},
-		{violationWrongDestination, "safe", func(_ *Node, h *activeMessage, _ *Entry) { h.msg.Dest = 2 }},
+		{violationAlreadyInFlight, "safe", func(_ *Node, m *activeMessage, _ *Entry) { m.call = &call{} }},
+		{violationWrongDestination, "safe", func(_ *Node, m *activeMessage, _ *Entry) { m.msg.Dest = 2 }},
 		{violationEndpointUnavailable, "safe", func(n *Node, _ *activeMessage, _ *Entry) { n.directory.shut[1] = true }},
 		{violationWaitNotOver, "safe", func(n *Node, _ *activeMessage, _ *Entry) { n.guard.noteWait(1, time.Minute) }},
-		{violationAttemptsUsedUp, "safe", func(_ *Node, h *activeMessage, _ *Entry) { h.attempts = 3 }},
-		{violationDeadlinePassed, "safe", func(n *Node, h *activeMessage, _ *Entry) { h.msg.Deadline = n.clock.Now() - 1 }},
+		{violationAttemptsUsedUp, "safe", func(_ *Node, m *activeMessage, _ *Entry) { m.attempts = 3 }},
+		{violationDeadlinePassed, "safe", func(n *Node, m *activeMessage, _ *Entry) { m.msg.Deadline = n.clock.Now() - 1 }},
 		{noViolation, "safe", func(_ *Node, _ *activeMessage, e *Entry) { e.MayRun = true }},
 		{violationRepeatUnsafe, "unsafe", func(_ *Node, _ *activeMessage, e *Entry) { e.MayRun = true }},
 		{violationRepeatLate, "keyed", func(n *Node, _ *activeMessage, e *Entry) {
@@ -39,22 +39,22 @@
 	} {
 		e := newEndpoint(t)
 		n := newIdleNode(t, e)
-		m := Message{ID: id, Class: x.class, Dest: 1, Deadline: n.clock.Now() + time.Minute.Microseconds(), Body: []byte("x")}
-		mustAppend(t, n.journal, record{Op: opAccept, Entry: &Entry{Message: m}})
+		msg := Message{ID: id, Class: test.class, Dest: 1, Deadline: n.clock.Now() + time.Minute.Microseconds(), Body: []byte("x")}
+		mustAppend(t, n.journal, record{Op: opAccept, Entry: &Entry{Message: msg}})
 		entry := n.journal.Entry(id)
-		h := &activeMessage{msg: &entry.Message}
-		x.spoil(n, h, entry)
+		m := &activeMessage{msg: &entry.Message}
+		test.spoil(n, m, entry)
 		n.stepTime = n.clock.Now()
-		if got := n.guard.allowSend(h, 1); got != (x.rule == noViolation) {
-			t.Errorf("%q: permitted %v", x.rule, got)
+		if got := n.guard.allowSend(m, 1); got != (test.rule == noViolation) {
+			t.Errorf("%q: permitted %v", test.rule, got)
 		}
-		if x.rule != noViolation && !strings.Contains(n.metrics.text(), "violation."+string(x.rule)+"=1\n") {
-			t.Errorf("%q is not counted:\n%s", x.rule, n.metrics.text())
+		if test.rule != noViolation && !strings.Contains(n.metrics.text(), "violation."+string(test.rule)+"=1\n") {
+			t.Errorf("%q is not counted:\n%s", test.rule, n.metrics.text())
 		}
 	}
 }
 
-// What was decided in time and has become too late since is not sent, and breaks no rule.
+// A send that was decided in time but has become too late since must be denied without counting as a violation.
 func TestGuardDeniesLateSend(t *testing.T) {
 	n := newIdleNode(t, newEndpoint(t))
 	h := takenOn(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
@@ -66,11 +66,12 @@
 		t.Error("permitted after the window")
 	}
 	if !strings.Contains(n.metrics.text(), figurePrefix+"violations=0\n") {
-		t.Errorf("counted:\n%s", n.metrics.text())
+		t.Errorf("counted as a violation:\n%s", n.metrics.text())
 	}
 }
 
-// What waits for a step is no younger for it: the module is told the time that is left at the step.
+// The module must get the times as of the step. A message that waits for a step would otherwise seem to have more time
+// left, and an earlier attempt to be more recent.
 func TestCallTimesSetAtStep(t *testing.T) {
 	n := newIdleNode(t, newEndpoint(t))
 	h := takenOn(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
@@ -86,7 +87,7 @@
 	}
 }
 
-// A promise that a message may be handed in again is checked, and so is its time.
+// Returned messages, refusals and messages past their deadline must be checked, and each violation counted once.
 func TestGuardChecksEnds(t *testing.T) {
 	n := newIdleNode(t, newEndpoint(t))
 	for _, id := range []string{"ran", "late"} {
@@ -106,11 +107,11 @@
 		}
 	}
 	if !strings.Contains(n.metrics.text(), figurePrefix+"violations=3\n") {
-		t.Errorf("no sum:\n%s", n.metrics.text())
+		t.Errorf("wrong sum:\n%s", n.metrics.text())
 	}
 }
 
-// quietNode is a sender that owns a journal and knows one endpoint, and does nothing.
+// newIdleNode returns a sender that owns a journal and knows one endpoint, and does not run.
 func newIdleNode(t *testing.T, e *testEndpoint) *Node {
 	t.Helper()
 	n := newNode(t, configText(newPlatform(t), List{}))
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -17,10 +17,10 @@
 	"time"
 )
 
-// patience bounds every wait for an event: it is not reached unless a test fails.
+// testTimeout limits every wait for an event. It is reached only when a test fails.
 const testTimeout = 20 * time.Second
 
-// await returns the next value of ch.
+// receive returns the next value of ch. It fails the test if ch is closed or testTimeout passes.
 func receive[T any](t *testing.T, ch <-chan T, what string) T {
 	t.Helper()
 	select {
@@ -35,57 +35,57 @@
 	panic("unreachable")
 }
 
-// inCall is a whole request that has come to an endpoint.
+// receivedCall is a complete request received by a test endpoint.
 type receivedCall struct {
 	req         *http.Request
 	body        string
 	at          time.Time
 	conn        *net.TCPConn
 	reader      *bufio.Reader
-	keepReading chan bool // whether the endpoint goes on reading
+	keepReading chan bool // tells the endpoint whether to keep reading
 }
 
 func (c *receivedCall) id() string { return c.req.Header.Get("X-Trace-Id") }
 
-// reply answers and keeps the connection.
+// reply sends a response and keeps the connection open.
 func (c *receivedCall) reply(status int, headers ...string) {
-	var b strings.Builder
-	fmt.Fprintf(&b, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n", status)
+	var response strings.Builder
+	fmt.Fprintf(&response, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n", status)
 	for _, h := range headers {
-		b.WriteString(h + "\r\n")
+		response.WriteString(h + "\r\n")
 	}
-	io.WriteString(c.conn, b.String()+"\r\n")
+	io.WriteString(c.conn, response.String()+"\r\n")
 	c.keepReading <- true
 }
 
-// replyAndClose answers and closes the connection without saying so first.
+// replyAndClose sends a response and closes the connection without announcing it in a header.
 func (c *receivedCall) replyAndClose(status int) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", status)
 	c.conn.Close()
 	c.keepReading <- false
 }
 
-// reset breaks the connection.
+// reset resets the connection.
 func (c *receivedCall) reset() {
 	c.conn.SetLinger(0)
 	c.conn.Close()
 	c.keepReading <- false
 }
 
-// awaitEnd waits until the sender has ended its side of the connection.
+// awaitEnd waits until the sender has closed its side of the connection.
 func (c *receivedCall) awaitEnd(t *testing.T) {
 	t.Helper()
 	c.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := c.reader.Read(make([]byte, 1)); n != 0 || isTimeout(err) {
-		t.Fatalf("connection goes on: %d bytes, %v", n, err)
+		t.Fatalf("connection still open: %d bytes, %v", n, err)
 	}
 }
 
-// endpoint is the other side of calls: a test answers each by hand.
+// testEndpoint is an endpoint whose calls are answered one by one by the test.
 type testEndpoint struct {
 	ln    net.Listener
 	calls chan *receivedCall
-	conns chan net.Conn // each that is accepted
+	conns chan net.Conn // accepted connections
 }
 
 func newEndpoint(t *testing.T) *testEndpoint {
@@ -132,28 +132,28 @@
 
 func (e *testEndpoint) addr() string { return e.ln.Addr().String() }
 
-// none checks that nothing has come that was not waited for.
+// expectNoCall checks that no further call has arrived.
 func (e *testEndpoint) expectNoCall(t *testing.T) {
 	t.Helper()
 	select {
 	case c := <-e.calls:
-		t.Fatalf("call with %s", c.id())
+		t.Fatalf("unexpected call with %s", c.id())
 	default:
 	}
 }
 
-// platform stands for discovery and for what hears of ends.
+// testPlatform stands in for discovery and for the service that receives notices.
 type testPlatform struct {
 	srv            *httptest.Server
 	notices        chan Notice
-	listRequests   chan string // each call for the list
-	refusedNotices chan int    // each notice turned away: the number of lines
+	listRequests   chan string // query of each request for the list
+	refusedNotices chan int    // number of lines of each refused request with notices
 	mu             sync.Mutex
 	list           List
 	changed        chan struct{} // closed when the list changes
-	down           bool          // answers 503 to all
-	holdLists      bool          // never answers a call for the list
-	refuseNotices  bool          // turns notices away
+	down           bool          // discovery responds 503 to all requests
+	holdLists      bool          // requests for the list are never answered
+	refuseNotices  bool          // notices are refused
 }
 
 func newPlatform(t *testing.T) *testPlatform {
@@ -168,6 +168,7 @@
 	return p
 }
 
+// update changes the platform and wakes the requests that wait for a list.
 func (p *testPlatform) update(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,18 +182,18 @@
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	for {
 		p.mu.Lock()
-		list, news, down, silent := p.list, p.changed, p.down, p.holdLists
+		list, changed, down, holdLists := p.list, p.changed, p.down, p.holdLists
 		p.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if !silent && list.Generation > from {
+		if !holdLists && list.Generation > from {
 			json.NewEncoder(w).Encode(list)
 			return
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-r.Context().Done():
 			return
 		}
@@ -201,29 +202,29 @@
 
 func (p *testPlatform) outcomes(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	deaf := p.refuseNotices
+	refuseNotices := p.refuseNotices
 	p.mu.Unlock()
 	var lines []Notice
 	for dec := json.NewDecoder(r.Body); dec.More(); {
-		var x Notice
-		if err := dec.Decode(&x); err != nil {
+		var notice Notice
+		if err := dec.Decode(&notice); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		lines = append(lines, x)
+		lines = append(lines, notice)
 	}
-	if deaf {
+	if refuseNotices {
 		p.refusedNotices <- len(lines)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
-	for _, x := range lines {
-		p.notices <- x
+	for _, notice := range lines {
+		p.notices <- notice
 	}
 }
 
-// instances lists endpoints of destination 1.
+// instances returns list entries for endpoints of destination 1.
 func instances(eps ...*testEndpoint) []Instance {
 	var out []Instance
 	for i, e := range eps {
@@ -233,7 +234,8 @@
 	return out
 }
 
-// oneEndpoint is a platform that lists one endpoint, a folder for a sender, and the list that its configuration has.
+// newSingleEndpoint returns a platform that lists one endpoint, that endpoint, a state folder for a sender, and the list
+// for the sender's configuration.
 func newSingleEndpoint(t *testing.T) (p *testPlatform, e *testEndpoint, dir string, known List) {
 	t.Helper()
 	p, e = newPlatform(t), newEndpoint(t)
@@ -242,7 +244,7 @@
 	return p, e, t.TempDir(), known
 }
 
-// settings are those of the tests: one class of each effect.
+// testSettings are the settings of the tests, with one class of each effect.
 const testSettings = `{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"tick_s":0.005,"membership_mode":"on_request",
 "weights":"nominal","over_share_worth":0.2,"machine_types":["std"],
 "classes":[
@@ -256,7 +258,7 @@
 "rules":{"cold_from":0.2,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":14},
 "specifics":{"batch_by_kind":[1],"call_slots":6,"late":"halves","separate_routes":[false]}}`
 
-// configText is a configuration file.
+// configText returns the text of a configuration file.
 func configText(p *testPlatform, known List) []byte {
 	b, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0",
 		"discovery": strings.TrimPrefix(p.srv.URL, "http://"), "seed": "1f",
@@ -268,7 +270,7 @@
 	return b
 }
 
-// newNode makes a sender with the text of a configuration and a folder of its own. It does not run.
+// newNode creates a sender with the given configuration and its own state folder, without running it.
 func newNode(t *testing.T, text []byte) *Node {
 	t.Helper()
 	cfg, err := ParseConfig(text)
@@ -283,7 +285,7 @@
 	return n
 }
 
-// testNode is a sender under test, in this process.
+// testNode is a sender under test that runs in the test process.
 type testNode struct {
 	*Node
 	addr string
@@ -291,13 +293,14 @@
 	done chan error
 }
 
-func startNode(t *testing.T, p *testPlatform, dir string, known List, with ...func(*Node)) *testNode {
+// startNode starts a sender and waits until it serves clients.
+func startNode(t *testing.T, p *testPlatform, dir string, known List, options ...func(*Node)) *testNode {
 	t.Helper()
-	return startNodeWithConfig(t, string(configText(p, known)), dir, with...)
+	return startNodeWithConfig(t, string(configText(p, known)), dir, options...)
 }
 
-// startWith starts a sender with the text of a configuration.
-func startNodeWithConfig(t *testing.T, text, dir string, with ...func(*Node)) *testNode {
+// startNodeWithConfig is startNode with the text of a configuration file.
+func startNodeWithConfig(t *testing.T, text, dir string, options ...func(*Node)) *testNode {
 	t.Helper()
 	cfg, err := ParseConfig([]byte(text))
 	if err != nil {
@@ -308,18 +311,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range with {
+	for _, f := range options {
 		f(n)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	x := &testNode{Node: n, stop: stop, done: make(chan error, 1)}
-	go func() { x.done <- n.Run(ctx) }()
-	x.addr = receive(t, n.ready, "ready sender").String()
+	node := &testNode{Node: n, stop: stop, done: make(chan error, 1)}
+	go func() { node.done <- n.Run(ctx) }()
+	node.addr = receive(t, n.ready, "ready sender").String()
 	t.Cleanup(stop)
-	return x
+	return node
 }
 
-// client is a client's connection.
+// testClient is a client's connection.
 type testClient struct {
 	t    *testing.T
 	conn net.Conn
@@ -337,6 +340,7 @@
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
+// send sends a request without waiting for the reply.
 func (c *testClient) send(args ...string) {
 	c.t.Helper()
 	var b strings.Builder
@@ -349,28 +353,30 @@
 	}
 }
 
-// line reads an answer; empty once the sender has closed the connection.
+// readLine reads one line of a reply. It returns "" once the sender has closed the connection.
 func (c *testClient) readLine() string {
 	c.t.Helper()
 	s, err := c.r.ReadString('\n')
 	if isTimeout(err) {
-		c.t.Fatal("no answer")
+		c.t.Fatal("no reply")
 	}
 	return strings.TrimRight(s, "\r\n")
 }
 
+// do sends a request and returns the reply.
 func (c *testClient) do(args ...string) string {
 	c.t.Helper()
 	c.send(args...)
 	return c.readLine()
 }
 
-// put hands a message in and checks the answer.
+// put sends a message with a lifetime of 10 s and checks the reply.
 func (c *testClient) put(id, class, want string) {
 	c.t.Helper()
 	c.putWithLifetime(id, class, 10000, want)
 }
 
+// putWithLifetime sends a message with a lifetime in milliseconds and checks the reply.
 func (c *testClient) putWithLifetime(id, class string, ms int, want string) {
 	c.t.Helper()
 	opts := fmt.Sprintf("c=%s,t=acme,d=%d,k=key-%s,dest=1", class, ms, id)
@@ -379,8 +385,8 @@
 	}
 }
 
-// world is a sender with endpoints and a platform.
-func startNodeWithEndpoints(t *testing.T, endpoints int, with ...func(*Node)) (*testNode, *testClient, *testPlatform, []*testEndpoint) {
+// startNodeWithEndpoints starts a sender with a number of endpoints of destination 1, a connected client and a platform.
+func startNodeWithEndpoints(t *testing.T, endpoints int, options ...func(*Node)) (*testNode, *testClient, *testPlatform, []*testEndpoint) {
 	t.Helper()
 	p := newPlatform(t)
 	var eps []*testEndpoint
@@ -389,6 +395,6 @@
 	}
 	known := List{Generation: 1, Reset: true, Instances: instances(eps...)}
 	p.list = known
-	n := startNode(t, p, t.TempDir(), known, with...)
+	n := startNode(t, p, t.TempDir(), known, options...)
 	return n, dialClient(t, n.addr), p, eps
 }
--- a/internal/node/idle_clients_test.go
+++ b/internal/node/idle_clients_test.go
@@ -13,7 +13,7 @@
 	"unsafe"
 )
 
-// bound limits the descriptors of a process that runs.
+// limitDescriptors sets the descriptor limit of a running process.
 func (x *process) limitDescriptors(descriptors int) {
 	x.t.Helper()
 	limit := syscall.Rlimit{Cur: uint64(descriptors), Max: uint64(descriptors)}
@@ -23,7 +23,7 @@
 	}
 }
 
-// descriptors counts those that a process has open.
+// openDescriptors returns the number of descriptors that a process has open.
 func (x *process) openDescriptors() int {
 	x.t.Helper()
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", x.cmd.Process.Pid))
@@ -33,13 +33,13 @@
 	return len(open)
 }
 
-// crowd has clients come that say nothing and stay, 200 a second up to the end of the test: within the 2 s and more
-// that each of them may stay they are more than there are descriptors. It returns once one has been sent away.
+// openIdleClients connects clients that send nothing and stay connected, 200 per second until the end of the test. Each
+// may stay for more than 2 s, so that there are more of them than descriptors. It returns once one has been disconnected.
 func openIdleClients(t *testing.T, addr string) {
 	t.Helper()
-	stop, away := make(chan struct{}), make(chan struct{}, 1)
-	var all sync.WaitGroup
-	all.Go(func() {
+	stop, closed := make(chan struct{}), make(chan struct{}, 1)
+	var clients sync.WaitGroup
+	clients.Go(func() {
 		for {
 			select {
 			case <-stop:
@@ -48,57 +48,58 @@
 			}
 			conn, err := net.Dial("tcp", addr)
 			if err != nil {
-				continue // the queue of the listener is full
+				continue // the listener's backlog is full
 			}
-			all.Go(func() {
+			clients.Go(func() {
 				defer conn.Close()
 				conn.SetReadDeadline(time.Now().Add(testTimeout))
-				io.Copy(io.Discard, conn) // up to its end, whoever ends it
+				io.Copy(io.Discard, conn) // until either side closes the connection
 				select {
-				case away <- struct{}{}:
+				case closed <- struct{}{}:
 				default:
 				}
 			})
 		}
 	})
-	t.Cleanup(func() { close(stop); all.Wait() })
-	receive(t, away, "client that is sent away")
+	t.Cleanup(func() { close(stop); clients.Wait() })
+	receive(t, closed, "client that is disconnected")
 }
 
-// Clients that say nothing fill the descriptors while discovery is down. When it is back the list is fetched, calls go
-// out, notices reach the platform, and operators and new clients are answered, with the crowd still there.
+// Silent clients use up the client connections while discovery is down. They must not starve the rest of the process:
+// when discovery is back, and with the silent clients still connected, the list is fetched, calls are made, notices
+// reach the platform, and operators and new clients are answered.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	p, e, added := newPlatform(t), newEndpoint(t), newEndpoint(t)
 	known := List{Generation: 1, Reset: true, Instances: instances(e)}
 	p.list, p.holdLists = known, true
 	x := startProcess(t, p, t.TempDir(), known)
 	t.Cleanup(func() { x.kill() })
-	const sockets = 256 // of the configuration
+	const sockets = 256 // as in the configuration
 	x.limitDescriptors(sockets)
 	receive(t, p.listRequests, "watch")
 	dialClient(t, x.addr).put("fails", "unsafe", "+OK")
-	fails := receive(t, e.calls, "call")
+	failing := receive(t, e.calls, "call")
 
 	openIdleClients(t, x.addr)
-	places := newSocketBudget(&Config{Limits: Limits{Sockets: sockets}}).clients
-	if n := x.openDescriptors(); n < places {
-		t.Errorf("%d descriptors open, want %d at least", n, places)
+	maxClients := newSocketBudget(&Config{Limits: Limits{Sockets: sockets}}).clients
+	if n := x.openDescriptors(); n < maxClients {
+		t.Errorf("%d descriptors open, want %d at least", n, maxClients)
 	}
 	for len(p.listRequests) > 0 {
 		<-p.listRequests
 	}
-	p.srv.CloseClientConnections() // what comes next needs a new one
+	p.srv.CloseClientConnections() // the next request needs a new connection
 	receive(t, p.listRequests, "call for the list on a new connection")
 	p.update(func() { p.holdLists, p.list = false, List{Generation: 2, Reset: true, Instances: instances(e, added)} })
 	awaitListGeneration(t, p, 2)
 	if got := ask(t, x.admin, "ready\n"); got != "+OK\n" {
 		t.Errorf("operators get %q", got)
 	}
-	fails.reply(500)
+	failing.reply(500)
 	if n := receive(t, p.notices, "notice"); n != (Notice{ID: "fails", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	for i := 0; ; i++ { // the endpoint that the list has added gets its share
+	for i := 0; ; i++ { // until the endpoint added by the new list gets a call
 		dialClient(t, x.addr).put(fmt.Sprint("m-", i), "safe", "+OK")
 		var in *receivedCall
 		select {
@@ -112,16 +113,16 @@
 			break
 		}
 		if i == 20 {
-			t.Fatal("the new list is not heeded")
+			t.Fatal("the endpoint of the new list gets no calls")
 		}
 	}
 	if got := ask(t, x.admin, "show-stat\n"); !strings.HasPrefix(got, "+OK\n") {
 		t.Errorf("operators get %q", got)
 	}
-	if n := x.openDescriptors(); n < places || n > sockets {
-		t.Errorf("%d descriptors at the end, want %d to %d", n, places, sockets)
+	if n := x.openDescriptors(); n < maxClients || n > sockets {
+		t.Errorf("%d descriptors at the end, want %d to %d", n, maxClients, sockets)
 	}
-	for len(x.said) > 0 { // no side may take those of another
+	for len(x.said) > 0 { // neither side may use up the descriptors of the other
 		if line := <-x.said; strings.Contains(line, "too many open files") {
 			t.Fatal(line)
 		}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -597,23 +597,23 @@
 // calledEndpoints returns the endpoints with a call in flight.
 func (n *Node) calledEndpoints() map[logic.EndpointID]bool {
 	endpoints := map[logic.EndpointID]bool{}
-	for _, h := range n.inFlight {
-		endpoints[h.call.ep] = true
+	for _, m := range n.inFlight {
+		endpoints[m.call.ep] = true
 	}
 	return endpoints
 }
 
 // attemptStarted records an attempt in flight and how to cancel it.
-func (n *Node) attemptStarted(h *activeMessage, c *call, cancel context.CancelFunc) {
-	h.call, h.cancel = c, cancel
-	n.inFlight[c.id] = h
+func (n *Node) attemptStarted(m *activeMessage, c *call, cancel context.CancelFunc) {
+	m.call, m.cancel = c, cancel
+	n.inFlight[c.id] = m
 }
 
 // attemptEnded records that the attempt in flight has ended.
-func (n *Node) attemptEnded(h *activeMessage) {
-	h.cancel()
-	delete(n.inFlight, h.call.id)
-	h.call, h.cancel = nil, nil
+func (n *Node) attemptEnded(m *activeMessage) {
+	m.cancel()
+	delete(n.inFlight, m.call.id)
+	m.call, m.cancel = nil, nil
 }
 
 // jitter returns a random duration from d/2 to 3d/2, so that a failure that hits many senders at once is not retried by
@@ -635,42 +635,42 @@
 
 // handleAttemptResult records the result of an attempt and passes it to the module.
 func (n *Node) handleAttemptResult(ev attemptResultEvent) {
-	h := n.active[ev.call.id]
-	if h == nil {
+	m := n.active[ev.call.id]
+	if m == nil {
 		return
 	}
-	if h.call != nil {
-		n.attemptEnded(h)
+	if m.call != nil {
+		n.attemptEnded(m)
 	}
 	r := ev.result
 	if r.outcome == logic.Unsent {
-		h.attempts--
+		m.attempts--
 	}
-	h.log.addOutcome(r)
+	m.log.addOutcome(r)
 	n.metrics.attempts.add(outcomeNames[r.outcome])
 	if r.wait > 0 {
 		n.guard.noteWait(ev.call.ep, r.wait)
 		n.abortForWait(ev.call.ep)
 	}
-	alreadyEnded := h.ended
+	alreadyEnded := m.ended
 	done := r.outcome == logic.Completed || r.over
 	switch {
 	case alreadyEnded:
 	case done:
 		n.pendingRecords = append(n.pendingRecords, record{Op: opDone, ID: ev.call.id})
-		if late := time.Since(h.log.receivedAt) > toDuration(n.cfg.classOf(h.msg).Aim); late || r.over {
-			n.logAttempts(h, map[bool]string{true: "over", false: "late"}[r.over])
+		if late := time.Since(m.log.receivedAt) > toDuration(n.cfg.classOf(m.msg).Aim); late || r.over {
+			n.logAttempts(m, map[bool]string{true: "over", false: "late"}[r.over])
 		}
 		if r.outcome == logic.Completed {
-			n.metrics.fulfilled(h.msg.Class)
+			n.metrics.fulfilled(m.msg.Class)
 		}
-		n.endMessage(ev.call.id, h)
+		n.endMessage(ev.call.id, m)
 	case r.outcome == logic.Unsent && !ev.call.recorded: // the attempt is not in the journal
 	default:
 		n.pendingRecords = append(n.pendingRecords, record{Op: opOutcome, ID: ev.call.id,
 			MayRun: mayHaveRun(r.outcome), Unsent: r.outcome == logic.Unsent})
 	}
-	if h.ended {
+	if m.ended {
 		delete(n.active, ev.call.id)
 	}
 	n.pendingEvents = append(n.pendingEvents, logic.Reply{
@@ -686,9 +686,9 @@
 }
 
 // logAttempts logs the attempts of a message that was not delivered within the target time of its class.
-func (n *Node) logAttempts(h *activeMessage, outcome string) {
-	n.log.Info("message", "id", h.msg.ID, "class", h.msg.Class, "dest", h.msg.Dest, "end", outcome, "ms", h.log.elapsedMS(),
-		"attempts", string(h.log.text))
+func (n *Node) logAttempts(m *activeMessage, outcome string) {
+	n.log.Info("message", "id", m.msg.ID, "class", m.msg.Class, "dest", m.msg.Dest, "end", outcome, "ms", m.log.elapsedMS(),
+		"attempts", string(m.log.text))
 }
 
 // mayHaveRun reports whether the endpoint may have processed the message after an attempt with this outcome.
@@ -697,11 +697,11 @@
 }
 
 // endMessage ends a message. Its id is remembered until its deadline, to recognize repeated puts.
-func (n *Node) endMessage(id string, h *activeMessage) {
-	h.ended = true
+func (n *Node) endMessage(id string, m *activeMessage) {
+	m.ended = true
 	n.openCount--
-	n.recentIDs[id] = h.msg.Deadline
-	if h.cancel == nil {
+	n.recentIDs[id] = m.msg.Deadline
+	if m.cancel == nil {
 		delete(n.active, id)
 	}
 }
@@ -724,8 +724,8 @@
 		if !ok {
 			continue
 		}
-		if h := n.active[c.ID]; h != nil {
-			c.Left = logic.Micros(h.msg.Deadline - n.stepTime)
+		if m := n.active[c.ID]; m != nil {
+			c.Left = logic.Micros(m.msg.Deadline - n.stepTime)
 		}
 		if c.Past.MayRun {
 			c.Past.Age = logic.Micros(max(n.stepTime-n.journal.Entry(c.ID).FirstMay, 0))
@@ -838,7 +838,7 @@
 
 // dropMessage removes a message that was not accepted.
 func (n *Node) dropMessage(id string) {
-	if h := n.active[id]; h != nil && !h.ended {
+	if m := n.active[id]; m != nil && !m.ended {
 		n.openCount--
 		delete(n.active, id)
 	}
@@ -851,23 +851,23 @@
 	case logic.CallOut:
 		n.startAttempt(workCtx, a, written)
 	case logic.Cancel:
-		if h := n.active[a.ID]; h != nil && h.cancel != nil && h.attempts-1 == a.Attempt {
-			h.cancel()
+		if m := n.active[a.ID]; m != nil && m.cancel != nil && m.attempts-1 == a.Attempt {
+			m.cancel()
 		}
 	case logic.Refuse, logic.Fail:
 		notice := noticeFor(a)
-		if h := n.active[notice.ID]; h != nil && !h.ended {
-			n.logAttempts(h, notice.State)
+		if m := n.active[notice.ID]; m != nil && !m.ended {
+			n.logAttempts(m, notice.State)
 		}
 		if replies[notice.ID] != "" {
 			n.dropMessage(notice.ID)
 			return
 		}
-		if h := n.active[notice.ID]; h != nil && !h.ended {
-			n.metrics.told(h.msg.Class, notice.State)
-			n.guard.checkEnd(h, notice)
-			n.endMessage(notice.ID, h)
-			n.say(notice, h.msg.Deadline)
+		if m := n.active[notice.ID]; m != nil && !m.ended {
+			n.metrics.told(m.msg.Class, notice.State)
+			n.guard.checkEnd(m, notice)
+			n.endMessage(notice.ID, m)
+			n.say(notice, m.msg.Deadline)
 		}
 	case logic.SetTimer:
 		n.wakeTimer.Reset(toDuration(a.Wait)) // replaces the previous timer, which was set for the same time or later
@@ -886,15 +886,15 @@
 // startAttempt prepares an attempt for sendPendingCalls. An attempt whose record could not be written to the journal, or
 // that the guard denies, is not sent but reported as such.
 func (n *Node) startAttempt(workCtx context.Context, a logic.CallOut, written bool) {
-	h := n.active[a.ID]
-	if h == nil { // not accepted; the module still expects exactly one outcome
+	m := n.active[a.ID]
+	if m == nil { // not accepted; the module still expects exactly one outcome
 		n.pendingEvents = append(n.pendingEvents, logic.Reply{ID: a.ID, NoMore: true, Endpoint: a.Endpoint, Outcome: logic.Moot})
 		return
 	}
-	permitted := !written || n.guard.allowSend(h, a.Endpoint)
-	attempt := h.attempts
-	h.attempts++
-	h.log.addSend(a.Endpoint)
+	permitted := !written || n.guard.allowSend(m, a.Endpoint)
+	attempt := m.attempts
+	m.attempts++
+	m.log.addSend(a.Endpoint)
 	target := n.directory.eps[a.Endpoint]
 	c := &call{
 		id:      a.ID,
@@ -902,21 +902,21 @@
 		ep:      a.Endpoint,
 		addr:    target.addr,
 		giveUp:  toDuration(a.GiveUp),
-		msg:     h.msg,
+		msg:     m.msg,
 		state:   new(atomic.Int32),
 		carries: 1,
 	}
-	class := n.cfg.classOf(h.msg)
+	class := n.cfg.classOf(m.msg)
 	c.fragile = class.Effect == logic.Unsafe
 	if entry := n.journal.Entry(a.ID); entry != nil && entry.MayRun && class.Effect == logic.Keyed {
 		// A repeat must be written before the deduplication window ends.
 		c.writeBy = n.clock.At(entry.FirstMay).Add(toDuration(class.Window))
 	}
 	ctx, cancel := context.WithCancel(workCtx)
-	n.attemptStarted(h, c, cancel)
+	n.attemptStarted(m, c, cancel)
 	var err error
 	c.recorded = written
-	if c.request, err = deliverRequest(h.msg, target.addr, c.giveUp); err != nil || !written || !permitted {
+	if c.request, err = deliverRequest(m.msg, target.addr, c.giveUp); err != nil || !written || !permitted {
 		if err != nil {
 			n.log.Error("cannot build the delivery request", "err", err)
 		}
@@ -969,9 +969,9 @@
 // abortConnecting ends matching calls that are still connecting, so that they are never written. They were decided
 // before the module learned of the change and would reach the endpoint long after it. They end as not sent.
 func (n *Node) abortConnecting(match func(ep logic.EndpointID) bool) {
-	for _, h := range n.inFlight {
-		if match(h.call.ep) && h.call.state.CompareAndSwap(callConnecting, callHeld) {
-			h.cancel()
+	for _, m := range n.inFlight {
+		if match(m.call.ep) && m.call.state.CompareAndSwap(callConnecting, callHeld) {
+			m.cancel()
 		}
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,7 +15,7 @@
 	"rundeal/logic"
 )
 
-// owed lists what a stopped sender has left in its journal.
+// pendingMessageIDs returns the ids of the messages that a stopped sender has left in its journal.
 func pendingMessageIDs(t *testing.T, dir string) (ids []string) {
 	t.Helper()
 	for _, e := range openJournal(t, dir, 3e6).Entries() {
@@ -24,7 +24,7 @@
 	return ids
 }
 
-// stopClean shuts a sender down and checks that it owes nothing.
+// stopAndCheckEmpty shuts a sender down and checks that its journal is empty.
 func stopAndCheckEmpty(t *testing.T, n *testNode) {
 	t.Helper()
 	n.stop()
@@ -32,10 +32,11 @@
 		t.Fatal(err)
 	}
 	if ids := pendingMessageIDs(t, n.cfg.StateDir); ids != nil {
-		t.Errorf("still owed: %v", ids)
+		t.Errorf("still in the journal: %v", ids)
 	}
 }
 
+// A delivered message must reach the endpoint unchanged, with its id and idempotency key.
 func TestDeliver(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1)
 	if got := c.do("PING"); got != "+PONG" {
@@ -44,13 +45,14 @@
 	c.put("a", "keyed", "+OK")
 	in := receive(t, e[0].calls, "call")
 	if in.body != "body of a" || in.id() != "a" || in.req.Header.Get("Idempotency-Key") != "key-a" {
-		t.Errorf("went out changed: %v %q", in.req.Header, in.body)
+		t.Errorf("delivered with changes: %v %q", in.req.Header, in.body)
 	}
 	in.reply(200)
 	stopAndCheckEmpty(t, n)
 }
 
-// A client may hand an id in once more when its connection was closed: that is one message, held or delivered.
+// A client whose connection was closed may put the same message id again. That must not create a second message, whether
+// the first one is pending or delivered.
 func TestSameIDTwice(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1)
 	c.send("MSG.PUT", "0", "a", "c=safe,d=9000,dest=1", "x")
@@ -72,7 +74,8 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// What the module gives up is answered at once, with the time to come again.
+// A message that the module refuses in the step in which it arrives must be refused in the reply, with a time to retry
+// after, and without a notice.
 func TestImmediateRefusal(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.putWithLifetime("late", "safe", 1, "-BUSY 2000")
@@ -80,11 +83,11 @@
 	receive(t, e[0].calls, "call").reply(200)
 	stopAndCheckEmpty(t, n)
 	if len(p.notices) != 0 {
-		t.Errorf("a notice for a message that was never taken on: %v", <-p.notices)
+		t.Errorf("a notice for a message that was not accepted: %v", <-p.notices)
 	}
 }
 
-// The hold has a limit; what comes above it is turned away, and so is what the journal has no room for.
+// Messages above max_open, or for which the journal has no room, must be refused.
 func TestAdmissionLimits(t *testing.T) {
 	p := newPlatform(t)
 	cfg, err := ParseConfig(configText(p, List{}))
@@ -102,26 +105,26 @@
 	put := putEvent{Message{ID: "a", Class: "safe", Dest: 1, Body: make([]byte, 100)}, answer}
 	n.openCount = cfg.Deploy.Settings.MaxOpen
 	if n.handlePut(put); receive(t, answer, "answer") != "-BUSY\r\n" {
-		t.Error("taken on above max_open")
+		t.Error("accepted above max_open")
 	}
 	n.openCount = 0
 	n.journal.limit = 500
 	if n.handlePut(put); receive(t, answer, "answer") != "-BUSY\r\n" {
-		t.Error("taken on without room in the journal")
+		t.Error("accepted without room in the journal")
 	}
 }
 
-// A message that can't be journalled is not taken on: it would be lost with the process. Nothing of it is sent,
-// and the module gets the outcome of what it wanted to send, or a slot would be lost for good.
+// A message that cannot be journalled must not be accepted: it would be lost with the process. It must not be sent
+// either, and the module must still get an outcome for the attempt, or one of its call slots would be lost forever.
 func TestJournalFails(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
 	n, c, _, e := startNodeWithEndpoints(t, 1, func(n *Node) {
-		bad, err := os.Open(n.journal.file.Name()) // can't be written
+		bad, err := os.Open(n.journal.file.Name()) // opened read-only
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.journal.file.Close()
-		n.journal.file, n.journal.dir, n.cfg.StateDir = bad, dir, dir // nor rewritten, as long as dir is not there
+		n.journal.file, n.journal.dir, n.cfg.StateDir = bad, dir, dir // cannot be rewritten either until dir exists
 	})
 	for i := range 10 { // more than there are slots
 		c.put(fmt.Sprint("x", i), "safe", "-BUSY")
@@ -139,7 +142,7 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// Told to wait, the sender sends nothing there, for any message, until the wait is over.
+// After an endpoint has requested a wait, no message may be sent there until the wait is over.
 func TestWaitIsHonoured(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "safe", "+OK")
@@ -151,9 +154,9 @@
 	for range 2 {
 		in := receive(t, e[0].calls, "call")
 		if in.at.Sub(told) < wait {
-			// b may have gone before the answer was read; that is excused for 100 ms.
+			// b may have been sent before the response was read; 100 ms are allowed for that.
 			if in.at.Sub(told) > 100*time.Millisecond {
-				t.Errorf("%s was sent %v after a wait of %v was told", in.id(), in.at.Sub(told), wait)
+				t.Errorf("%s was sent %v after a wait of %v was requested", in.id(), in.at.Sub(told), wait)
 			}
 		}
 		in.reply(200)
@@ -161,7 +164,8 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// Refusals prove that nothing ran: also an unsafe message is sent again, and returned once its attempts are used up.
+// A refusal proves that the message was not processed. Even an unsafe message must be sent again, and returned once its
+// attempts are used up.
 func TestRefusedAttemptsRetried(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("full", "unsafe", "+OK")
@@ -184,7 +188,7 @@
 	e[0].expectNoCall(t)
 }
 
-// The endpoint says that the message is over: nothing is owed, not even a notice.
+// When an endpoint reports that the message is over (410), the message ends without a retry or a notice.
 func TestEndpointReportsMessageOver(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "unsafe", "+OK")
@@ -196,13 +200,14 @@
 	}
 }
 
-// After an error or a reset it may have run: an unsafe message fails, others are sent again.
+// After an error or a reset the endpoint may have processed the message: an unsafe message must fail, others are sent
+// again.
 func TestMayHaveRun(t *testing.T) {
-	for _, how := range []string{"500", "reset"} {
-		t.Run(how, func(t *testing.T) {
+	for _, ending := range []string{"500", "reset"} {
+		t.Run(ending, func(t *testing.T) {
 			n, c, p, e := startNodeWithEndpoints(t, 1)
 			end := func(in *receivedCall) {
-				if how == "500" {
+				if ending == "500" {
 					in.reply(500)
 				} else {
 					in.reset()
@@ -226,7 +231,7 @@
 	}
 }
 
-// An endpoint that answers nothing: an unsafe message fails when its time is up, and the call is ended.
+// An unsafe message at an endpoint that never responds must fail at its deadline, and the call must be ended.
 func TestSilentEndpointUntilDeadline(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.putWithLifetime("u", "unsafe", 300, "+OK")
@@ -238,8 +243,8 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// A safe message is called off at an endpoint that hangs and goes to another; the first call must have ended for
-// the endpoint before the second begins, or there are two copies.
+// A safe message at an endpoint that hangs is cancelled there and sent to another one. The endpoint must see the end of
+// the first call before the second begins, or there would be two copies.
 func TestSilentEndpointRetriedElsewhere(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 2)
 	c.put("s", "safe", "+OK")
@@ -261,14 +266,15 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// taken waits until the sender has the list of a generation: it asks from there on.
+// awaitListGeneration waits until the sender has the list of a generation, which shows in its next request.
 func awaitListGeneration(t *testing.T, p *testPlatform, generation int) {
 	t.Helper()
 	for !strings.HasPrefix(receive(t, p.listRequests, "call for the list"), fmt.Sprintf("from=%d&", generation)) {
 	}
 }
 
-// Nothing new goes to an endpoint that drains; an address may change under the same name.
+// A draining endpoint must get no new calls. An endpoint whose address changes under the same id must be called at the
+// new one.
 func TestDrainAndMove(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 2)
 	list := instances(e...)
@@ -290,7 +296,7 @@
 	e[1].expectNoCall(t)
 }
 
-// While discovery is down the last list serves, and the sender asks again until it hears.
+// While discovery is down the sender must use the last list and retry until discovery responds.
 func TestDiscoveryDown(t *testing.T) {
 	p := newPlatform(t)
 	p.down = true
@@ -308,6 +314,7 @@
 	stopAndCheckEmpty(t, n)
 }
 
+// While discovery does not respond the sender must use the list of its configuration.
 func TestDiscoverySilent(t *testing.T) {
 	p := newPlatform(t)
 	p.holdLists = true
@@ -319,7 +326,7 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// A notice counts once the platform has confirmed it, and is sent until then.
+// A notice must be resent until the platform has confirmed it.
 func TestNoticesDown(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	p.update(func() { p.refuseNotices = true })
@@ -334,10 +341,10 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// Whatever a client sends, it gets an error line and nobody else is hurt.
+// A malformed request must get an error reply and must not affect other clients or later requests.
 func TestMalformedRequests(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
-	awaitListGeneration(t, p, 1) // an unknown destination is one that discovery does not know
+	awaitListGeneration(t, p, 1) // a destination counts as unknown only once discovery has responded
 	p.update(func() { p.list.Generation = 2 })
 	awaitListGeneration(t, p, 2)
 	const good = "c=safe,t=acme,d=9000,dest=1"
@@ -354,7 +361,7 @@
 		{"MSG.PUT", "0", "a", "c=keyed,d=9000,dest=1", "x"}, {"MSG.PUT", "0", "a", good + ",d=9000", "x"},
 		{"MSG.PUT", "0", "a", "c=safe,d=9000000,dest=1", "x"}, {"MSG.PUT", "0", "a", "c=safe,d=9000,dest=77", "x"},
 	} {
-		if i%8 == 7 { // before there are too many errors on one connection
+		if i%8 == 7 { // a new connection before there are too many errors on this one
 			c = dialClient(t, n.addr)
 		}
 		if got := c.do(args...); !strings.HasPrefix(got, "-ERR ") {
@@ -371,25 +378,25 @@
 			t.Errorf("%q: got %q", raw, got)
 		}
 		if got := bad.readLine(); got != "" {
-			t.Errorf("%q: the connection goes on with %q", raw, got)
+			t.Errorf("%q: the connection continues with %q", raw, got)
 		}
 	}
-	half := dialClient(t, n.addr)
-	half.conn.Write([]byte("*5\r\n$7\r\nMSG"))
-	half.conn.Close()
-	body := strings.Repeat("\x00\r\n", 1<<14) // bodies hold any bytes
+	partial := dialClient(t, n.addr)
+	partial.conn.Write([]byte("*5\r\n$7\r\nMSG"))
+	partial.conn.Close()
+	body := strings.Repeat("\x00\r\n", 1<<14) // a body may contain any bytes
 	if got := c.do("MSG.PUT", "0", "a", good, body); got != "+OK" {
 		t.Errorf("got %q", got)
 	}
 	in := receive(t, e[0].calls, "call")
 	if in.body != body {
-		t.Errorf("body went out changed: %d bytes of %d", len(in.body), len(body))
+		t.Errorf("body delivered with changes: %d bytes of %d", len(in.body), len(body))
 	}
 	in.reply(200)
 	stopAndCheckEmpty(t, n)
 }
 
-// A request that came just before the sender closes its connections is answered: its client counts on that.
+// A request that arrives just before the sender closes its connections must be answered.
 func TestRequestArrivesDuringShutdown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -408,22 +415,22 @@
 			break
 		}
 		if time.Now().After(stop) {
-			t.Fatal("the request does not come")
+			t.Fatal("the request did not arrive")
 		}
 	}
-	served := newClientServer(&Config{}, slog.New(slog.DiscardHandler), nil, newFigures(&Config{}))
-	served.phase, served.closingIdle = stopping, true
-	(&session{server: served, conn: conn, openedAt: time.Now()}).handle()
+	server := newClientServer(&Config{}, slog.New(slog.DiscardHandler), nil, newFigures(&Config{}))
+	server.phase, server.closingIdle = stopping, true
+	(&session{server: server, conn: conn, openedAt: time.Now()}).handle()
 	conn.Close()
 	if got := c.readLine(); got != "-ERR stopping" {
 		t.Errorf("got %q", got)
 	}
 	if got := c.readLine(); got != "" {
-		t.Errorf("the connection goes on with %q", got)
+		t.Errorf("the connection continues with %q", got)
 	}
 }
 
-// A probe that is asked for has its one result.
+// A probe must be sent as a request for /alive.
 func TestProbe(t *testing.T) {
 	n, _, _, e := startNodeWithEndpoints(t, 1)
 	n.probe(t.Context(), 1)
@@ -435,13 +442,14 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// A wait or a drain holds the calls that still connect there, and no others.
+// A requested wait or a change of the list must abort the calls that are still connecting to the endpoints concerned, and
+// no others.
 func TestAbortConnectingCalls(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
 		apart bool
 		learn func(n *Node)
-		held  [4]bool // connecting to endpoints 1 and 2 of destination 1 and 3 of destination 2; written to 1
+		held  [4]bool // calls connecting to endpoints 1 and 2 of destination 1 and 3 of destination 2, and one written to 1
 	}{
 		{"wait, one limit", false, func(n *Node) { n.abortForWait(1) }, [4]bool{true, true, false, false}},
 		{"wait, routes apart", true, func(n *Node) { n.abortForWait(1) }, [4]bool{true, false, false, false}},
@@ -457,7 +465,7 @@
 			t.Fatal(err)
 		}
 		cfg.StateDir = t.TempDir()
-		cfg.Deploy.Settings.Kinds[0].Apart = x.apart
+		cfg.Deploy.Settings.Kinds[0].Apart = test.apart
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
@@ -473,16 +481,16 @@
 			n.attemptStarted(n.active[calls[i].id], calls[i], func() {})
 		}
 		calls[3].state.Store(callWritten)
-		x.learn(n)
+		test.learn(n)
 		for i, c := range calls {
-			if got := c.state.Load() == callHeld; got != x.held[i] {
-				t.Errorf("%s: call %d held: %v", x.name, i, got)
+			if got := c.state.Load() == callHeld; got != test.held[i] {
+				t.Errorf("%s: call %d held: %v", test.name, i, got)
 			}
 		}
 	}
 }
 
-// Whether an attempt may have run decides after a restart whether an unsafe message is sent again.
+// Whether an attempt may have run decides whether an unsafe message is sent again after a restart.
 func TestMayHaveRunByOutcome(t *testing.T) {
 	for o, want := range map[logic.Outcome]bool{logic.Completed: true, logic.Errored: true, logic.Overdue: true,
 		logic.Severed: true, logic.Recalled: true, logic.Full: false, logic.RefusedConn: false, logic.Moot: false} {
@@ -492,10 +500,10 @@
 	}
 }
 
-// Where the list is pushed the module does not ask for it: the sender follows it all the same, and again after a
-// call that failed.
+// In pushed mode the module does not ask for the list. The sender must watch it all the same, also after a failed
+// request.
 func TestPushedListIsFollowed(t *testing.T) {
-	p, old, fresh := newPlatform(t), newEndpoint(t), newEndpoint(t)
+	p, old, added := newPlatform(t), newEndpoint(t), newEndpoint(t)
 	known := List{Generation: 1, Reset: true, Instances: instances(old)}
 	p.list = known
 	n := newNode(t, []byte(strings.Replace(string(configText(p, known)), "on_request", "pushed", 1)))
@@ -508,16 +516,16 @@
 	}
 	p.update(func() { p.down = true })
 	receive(t, p.listRequests, "watch after a failed call")
-	both := instances(old, fresh)
+	both := instances(old, added)
 	both[0].Lifecycle = "draining"
 	p.update(func() { p.down, p.list = false, List{Generation: 2, Instances: both} })
-	for q := ""; !strings.Contains(q, "from=2"); { // the news has been read
+	for q := ""; !strings.Contains(q, "from=2"); { // until the new list has been read
 		q = receive(t, p.listRequests, "watch from the new list")
 	}
 	c := dialClient(t, addr)
 	for i := range 4 {
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
-		receive(t, fresh.calls, "call").reply(200)
+		receive(t, added.calls, "call").reply(200)
 	}
 	old.expectNoCall(t)
 	stop()
@@ -526,7 +534,7 @@
 	}
 }
 
-// Retries are spread: what fails for many senders at one moment is not tried again by all at one.
+// Retry delays must be spread, so that a failure that hits many senders at once is not retried by all of them at once.
 func TestJitter(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for range 200 {
--- a/internal/node/resp_test.go
+++ b/internal/node/resp_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Lengths come from outside: none may take memory, time or the process before it is checked.
+// Lengths are untrusted input: a malformed or huge one must not allocate memory, take time or crash the process.
 func TestReadCommandMalformed(t *testing.T) {
 	for _, in := range []string{
 		"PING\r\n", "*\r\n", "*0\r\n", "*-1\r\n", "*1000000000\r\n", "*99999999999999999999\r\n", "*1\n$4\r\nPING\r\n",
@@ -22,6 +22,7 @@
 	}
 }
 
+// A request that is cut off at any byte must give io.ErrUnexpectedEOF, and the complete one must be parsed.
 func TestReadCommandTruncated(t *testing.T) {
 	whole := "*2\r\n$4\r\nPING\r\n$2\r\nab\r\n"
 	for i := 1; i < len(whole); i++ {
--- a/internal/node/signal_test.go
+++ b/internal/node/signal_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// holdLock takes the lock on a state folder, as a process that owns it would, and gives it back when f is called.
+// lockStateDir locks a state folder, as a process that owns it would. The returned function releases the lock.
 func lockStateDir(t *testing.T, dir string) (f func()) {
 	t.Helper()
 	lock, err := tryLock(dir)
@@ -20,108 +20,108 @@
 	return func() { lock.Close() }
 }
 
-// half sends a request but for its last bytes, and returns those.
+// sendPartialPut sends a request except for its last bytes, and returns those.
 func (c *testClient) sendPartialPut(id, class string) string {
 	c.t.Helper()
 	opts := fmt.Sprintf("c=%s,t=acme,d=10000,k=key-%s,dest=1", class, id)
-	text := fmt.Sprintf("*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$4\r\nbody\r\n", len(id), id, len(opts), opts)
-	if _, err := io.WriteString(c.conn, text[:len(text)-3]); err != nil {
+	request := fmt.Sprintf("*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$4\r\nbody\r\n", len(id), id, len(opts), opts)
+	if _, err := io.WriteString(c.conn, request[:len(request)-3]); err != nil {
 		c.t.Fatal(err)
 	}
-	return text[len(text)-3:]
+	return request[len(request)-3:]
 }
 
-// A signal may come between any two steps. SIGHUP and SIGTERM end nothing that has begun, SIGTERM ends the process
-// without an error, and after SIGKILL the next process goes on from the folder.
+// A signal may arrive at any point of the process's work. SIGHUP and SIGTERM must not abort work that has begun, SIGTERM
+// must end the process without an error, and after SIGKILL the next process must continue from the state folder.
 func TestSignalAtEachStep(t *testing.T) {
 	signals := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGKILL}
-	// Each step leaves the sender in the middle of something, calls hit, and goes on if the process lives.
-	steps := map[string]func(t *testing.T, w *signalCase, hit func(*process)){
-		"start, not the owner yet": func(t *testing.T, w *signalCase, hit func(*process)) {
-			release := lockStateDir(t, w.dir)
-			x := launchProcess(t, w.p, w.dir, w.known)
+	// Each step interrupts the sender's work at some point, calls sendSignal, and continues if the process survives.
+	steps := map[string]func(t *testing.T, c *signalCase, sendSignal func(*process)){
+		"start, not the owner yet": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
+			release := lockStateDir(t, c.dir)
+			x := launchProcess(t, c.p, c.dir, c.known)
 			x.says("waits for the owner's end")
-			hit(x)
+			sendSignal(x)
 			release()
-			if w.survives {
+			if c.survives {
 				x.addr = receive(t, x.ready, "ready program")
 			}
 		},
-		"start, with a journal": func(t *testing.T, w *signalCase, hit func(*process)) {
-			x := startProcess(t, w.p, w.dir, w.known)
+		"start, with a journal": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
+			x := startProcess(t, c.p, c.dir, c.known)
 			dialClient(t, x.addr).put("m", "safe", "+OK")
-			receive(t, w.e.calls, "call")
+			receive(t, c.e.calls, "call")
 			x.kill()
-			x = launchProcess(t, w.p, w.dir, w.known)
-			hit(x)
-			if w.sig != syscall.SIGKILL {
-				receive(t, w.e.calls, "call from the journal").reply(200)
+			x = launchProcess(t, c.p, c.dir, c.known)
+			sendSignal(x)
+			if c.sig != syscall.SIGKILL {
+				receive(t, c.e.calls, "call from the journal").reply(200)
 			}
-			w.pendingID = "m"
+			c.pendingID = "m"
 		},
-		"half a request": func(t *testing.T, w *signalCase, hit func(*process)) {
-			x := startProcess(t, w.p, w.dir, w.known)
-			c, watch := dialClient(t, x.addr), dialClient(t, x.addr)
+		"half a request": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
+			x := startProcess(t, c.p, c.dir, c.known)
+			client, watch := dialClient(t, x.addr), dialClient(t, x.addr)
 			watch.do("PING")
-			rest := c.sendPartialPut("m", "safe")
-			hit(x)
-			if w.sig == syscall.SIGKILL {
+			rest := client.sendPartialPut("m", "safe")
+			sendSignal(x)
+			if c.sig == syscall.SIGKILL {
 				return
 			}
-			for w.sig == syscall.SIGTERM && watch.do("PING") != "-ERR stopping" { // until it is known
+			for c.sig == syscall.SIGTERM && watch.do("PING") != "-ERR stopping" { // until the sender has handled it
 			}
-			io.WriteString(c.conn, rest)
-			if got := c.readLine(); got != "+OK" {
+			io.WriteString(client.conn, rest)
+			if got := client.readLine(); got != "+OK" {
 				t.Errorf("got %q", got)
 			}
-			receive(t, w.e.calls, "call").reply(200)
+			receive(t, c.e.calls, "call").reply(200)
 		},
-		"a call": func(t *testing.T, w *signalCase, hit func(*process)) {
-			x := startProcess(t, w.p, w.dir, w.known)
+		"a call": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
+			x := startProcess(t, c.p, c.dir, c.known)
 			dialClient(t, x.addr).put("m", "safe", "+OK")
-			in := receive(t, w.e.calls, "call")
-			hit(x)
+			in := receive(t, c.e.calls, "call")
+			sendSignal(x)
 			in.reply(200)
-			w.pendingID = "m"
+			c.pendingID = "m"
 		},
-		"half a line of an answer": func(t *testing.T, w *signalCase, hit func(*process)) {
-			x := startProcess(t, w.p, w.dir, w.known)
+		"half a line of an answer": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
+			x := startProcess(t, c.p, c.dir, c.known)
 			watch := dialClient(t, x.addr)
 			watch.put("m", "safe", "+OK")
-			in := receive(t, w.e.calls, "call")
+			in := receive(t, c.e.calls, "call")
 			io.WriteString(in.conn, "HTTP/1.1 20")
-			hit(x)
-			for w.sig == syscall.SIGTERM && watch.do("PING") != "-ERR stopping" { // until it is known
+			sendSignal(x)
+			for c.sig == syscall.SIGTERM && watch.do("PING") != "-ERR stopping" { // until the sender has handled it
 			}
 			io.WriteString(in.conn, "0 OK\r\nContent-Length: 0\r\n\r\n")
 			in.keepReading <- false
-			w.pendingID = "m"
+			c.pendingID = "m"
 		},
-		"a stop, with a call": func(t *testing.T, w *signalCase, hit func(*process)) {
-			x := startProcess(t, w.p, w.dir, w.known)
-			c := dialClient(t, x.addr)
-			c.put("m", "safe", "+OK")
-			in := receive(t, w.e.calls, "call")
+		"a stop, with a call": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
+			x := startProcess(t, c.p, c.dir, c.known)
+			client := dialClient(t, x.addr)
+			client.put("m", "safe", "+OK")
+			in := receive(t, c.e.calls, "call")
 			x.term()
-			for c.readLine() != "" { // until it sends its clients away
+			for client.readLine() != "" { // until the sender closes the client's connection
 			}
-			w.survives = false
-			hit(x)
+			c.survives = false
+			sendSignal(x)
 			in.reply(200)
-			w.pendingID = "m"
+			c.pendingID = "m"
 		},
 	}
 	for name, step := range steps {
 		for _, sig := range signals {
 			t.Run(fmt.Sprintf("%s, %v", name, sig), func(t *testing.T) {
 				t.Parallel()
-				w := &signalCase{p: newPlatform(t), e: newEndpoint(t), dir: t.TempDir(), sig: sig, survives: sig == syscall.SIGHUP}
-				w.known = List{Generation: 1, Reset: true, Instances: instances(w.e)}
-				w.p.list = w.known
+				c := &signalCase{p: newPlatform(t), e: newEndpoint(t), dir: t.TempDir(), sig: sig, survives: sig == syscall.SIGHUP}
+				c.known = List{Generation: 1, Reset: true, Instances: instances(c.e)}
+				c.p.list = c.known
 				var x *process
-				step(t, w, func(y *process) {
+				step(t, c, func(y *process) {
 					x = y
-					if sig == syscall.SIGKILL { // gone before anything else happens
+					if sig == syscall.SIGKILL { // killed before anything else happens
 						x.kill()
 						return
 					}
@@ -130,45 +130,46 @@
 					}
 				})
 				switch {
-				case sig == syscall.SIGKILL && w.pendingID == "":
+				case sig == syscall.SIGKILL && c.pendingID == "":
 				case sig == syscall.SIGKILL:
-					y := startProcess(t, w.p, w.dir, w.known)
-					if in := receive(t, w.e.calls, "call again"); in.id() != w.pendingID {
+					y := startProcess(t, c.p, c.dir, c.known)
+					if in := receive(t, c.e.calls, "call again"); in.id() != c.pendingID {
 						t.Errorf("call with %s", in.id())
 					} else {
 						in.reply(200)
 					}
 					y.term()
 					y.end()
-				case w.survives:
+				case c.survives:
 					x.term()
 					x.end()
 				default:
 					x.end()
 				}
-				if ids := pendingMessageIDs(t, w.dir); ids != nil {
-					t.Errorf("still owed: %v", ids)
+				if ids := pendingMessageIDs(t, c.dir); ids != nil {
+					t.Errorf("still in the journal: %v", ids)
 				}
-				if len(w.p.notices) != 0 {
-					t.Errorf("notice %+v", <-w.p.notices)
+				if len(c.p.notices) != 0 {
+					t.Errorf("notice %+v", <-c.p.notices)
 				}
 			})
 		}
 	}
 }
 
-// crossing is a sender that a signal meets in the middle of something.
+// signalCase is a sender that receives a signal at some point of its work.
 type signalCase struct {
 	p         *testPlatform
 	e         *testEndpoint
 	dir       string
 	known     List
 	sig       syscall.Signal
-	survives  bool   // the process goes on after the signal
-	pendingID string // the message that a kill leaves in the journal
+	survives  bool   // the process continues after the signal
+	pendingID string // id of the message that a kill leaves in the journal
 }
 
-// A client that sends much at once and goes has handed in what came whole; the sender delivers that and serves on.
+// A client may send several requests at once and disconnect. Complete requests must be delivered, the incomplete one
+// ignored, and other clients served.
 func TestClientSendsAndDisconnects(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1)
 	var b strings.Builder
@@ -176,9 +177,9 @@
 		id := fmt.Sprint("m-", i)
 		fmt.Fprintf(&b, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n", len(id), id)
 	}
-	gone := dialClient(t, n.addr)
-	io.WriteString(gone.conn, b.String()+"*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nha")
-	gone.conn.Close()
+	leaving := dialClient(t, n.addr)
+	io.WriteString(leaving.conn, b.String()+"*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nha")
+	leaving.conn.Close()
 	for got := map[string]bool{}; len(got) < 5; {
 		in := receive(t, e[0].calls, "call")
 		got[in.id()] = true
@@ -193,8 +194,9 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// Many clients that send much at once and go by a reset, with their answers unread, leave nothing behind: no place, no
-// memory of large requests, nothing that was taken on and has no end. Beside them others are served.
+// Clients that send many requests at once and reset the connection without reading the replies must leave nothing
+// behind: no session, no large-request slot, and no accepted message without an end. Other clients must be served
+// meanwhile.
 func TestFloodsLeakNothing(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	stop := make(chan struct{})
@@ -204,7 +206,7 @@
 			select {
 			case in := <-e[0].calls:
 				in.reply(200)
-			case <-p.notices: // what there was no room for is returned
+			case <-p.notices: // messages in excess of the limit are returned
 			case <-stop:
 				return
 			}
@@ -212,15 +214,15 @@
 	}()
 	large := strings.Repeat("x", 2*smallRequestBytes)
 	for i := range 20 {
-		gone := dialClient(t, n.addr)
+		leaving := dialClient(t, n.addr)
 		var b strings.Builder
 		for k := range 50 {
 			id := fmt.Sprintf("%04d-%04d", i, k)
 			fmt.Fprintf(&b, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$9\r\n%s\r\n$20\r\nc=safe,d=3000,dest=1\r\n$%d\r\n%s\r\n", id, len(large), large)
 		}
-		io.WriteString(gone.conn, b.String()[:b.Len()-100*(i%2)]) // every second one stops within a request; one may be cut short
-		gone.conn.(*net.TCPConn).SetLinger(0)
-		gone.conn.Close()
+		io.WriteString(leaving.conn, b.String()[:b.Len()-100*(i%2)]) // every second client stops within a request; a write may be cut short
+		leaving.conn.(*net.TCPConn).SetLinger(0)
+		leaving.conn.Close()
 		if got := c.do("PING"); got != "+PONG" {
 			t.Fatalf("after %d floods PING gets %q", i+1, got)
 		}
@@ -229,7 +231,7 @@
 		n.clients.mu.Lock()
 		left := len(n.clients.sessions)
 		n.clients.mu.Unlock()
-		if left <= 1 && len(n.clients.largeSlots) == 0 { // that of c, at most
+		if left <= 1 && len(n.clients.largeSlots) == 0 { // only that of c may be left
 			break
 		}
 		if time.Now().After(stop) {
@@ -239,7 +241,8 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// What a class may do comes from its settings, not from its name, and holds beside a class of the other effect.
+// Whether messages of a class may be repeated must depend on the settings of the class, not on its name or on the other
+// classes.
 func TestEffectComesFromTheSettings(t *testing.T) {
 	for _, swapped := range []bool{false, true} {
 		p, e := newPlatform(t), newEndpoint(t)
@@ -272,8 +275,9 @@
 	}
 }
 
-// A client may send on and on until its connection is closed, also while the sender shuts down. Each request that is read
-// has its answer, and what is sent on, or left for the next start, has been taken on by that answer.
+// A client may keep sending until its connection is closed, also while the sender shuts down. Every request that is read
+// must get a reply, and every message that is sent to an endpoint or left in the journal must have been accepted by that
+// reply.
 func TestFloodAcrossShutdown(t *testing.T) {
 	p, e, dir, known := newSingleEndpoint(t)
 	x := startProcess(t, p, dir, known)
@@ -303,7 +307,7 @@
 	answers := 0
 	for {
 		line, err := c.r.ReadString('\n')
-		if err == io.EOF && line == "" { // in good order: a reset may come in the middle of what was read
+		if err == io.EOF && line == "" { // a graceful close; a reset could destroy replies
 			break
 		} else if err != nil {
 			t.Fatalf("after %d answers: %v", answers, err)
@@ -325,11 +329,11 @@
 	}
 	for _, id := range ids {
 		if !taken[id] {
-			t.Errorf("%s went on, and its client has no answer", id)
+			t.Errorf("%s was sent or journalled without a reply to its client", id)
 		}
 	}
 	if len(ids) == 0 {
-		t.Error("nothing was sent on")
+		t.Error("no message was sent or journalled")
 	}
-	t.Logf("%d answers, %d taken on, %d sent on or owed", answers, len(taken), len(ids))
+	t.Logf("%d replies, %d accepted, %d sent or journalled", answers, len(taken), len(ids))
 }
