--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -203,6 +203,7 @@
 	}
 }
 
+// For any input a request without large-request slots must stay small, and an error must be one of the documented kinds.
 func FuzzReadCommand(f *testing.F) {
 	f.Add("*1\r\n$4\r\nPING\r\n")
 	f.Add("*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$1\r\na\r\n$20\r\nc=safe,d=9000,dest=1\r\n$3\r\n\r\n\x00\r\n")
@@ -215,7 +216,8 @@
 		if sum > smallRequestBytes || err == nil && len(args) == 0 {
 			t.Errorf("%q: %d arguments, %d bytes", in, len(args), sum)
 		}
-		if err != nil && !errors.Is(err, errProtocol) && !errors.Is(err, errLargeRequestLimit) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		if err != nil && !errors.Is(err, errProtocol) && !errors.Is(err, errLargeRequestLimit) &&
+			!errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%q: %v", in, err)
 		}
 	})
--- a/internal/node/close_test.go
+++ b/internal/node/close_test.go
@@ -62,7 +62,12 @@
 		t.Fatal(err)
 	}
 	hooks := &hookConn{TCPConn: conn.(*net.TCPConn), beforeClose: func() {}, beforeRead: func() {}, afterWrite: func(int) {}}
-	s := &session{server: newClientServer(cfg, slog.New(slog.DiscardHandler), events, newFigures(cfg)), conn: hooks, openedAt: time.Now(), noRequestYet: true}
+	s := &session{
+		server:       newClientServer(cfg, slog.New(slog.DiscardHandler), events, newFigures(cfg)),
+		conn:         hooks,
+		openedAt:     time.Now(),
+		noRequestYet: true,
+	}
 	s.server.phase = serving
 	s.server.sessions[s] = struct{}{}
 	return s, hooks, c
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -492,7 +492,7 @@
 	}
 }
 
-// handlePut takes a new message on, refuses it, or confirms one that was taken on before.
+// handlePut queues a new message for the next step, refuses it, or confirms one that was accepted before.
 func (n *Node) handlePut(ev putEvent) {
 	id := ev.msg.ID
 	_, recentlyEnded := n.recentIDs[id]
