--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -32,10 +32,10 @@
 	wg    sync.WaitGroup
 }
 
-func newAdminServer(log *slog.Logger, clients *clients, metrics *metrics) *adminServer {
+func newAdminServer(log *slog.Logger, clients *clientServer, metrics *metrics) *adminServer {
 	setPhase := func(p phase) func() string {
 		return func() string {
-			if now := clients.operate(p); now != p {
+			if now := clients.setPhaseByOperator(p); now != p {
 				return "-ERR " + now.String()
 			}
 			log.Info("operator", "state", p.String())
@@ -44,7 +44,7 @@
 	}
 	return &adminServer{log: log, commands: map[string]func() string{
 		"ready": func() string {
-			if p := clients.now(); p != serving && p != waiting {
+			if p := clients.currentPhase(); p != serving && p != waiting {
 				return "-ERR " + p.String()
 			}
 			return "+OK"
@@ -74,7 +74,7 @@
 		}
 		failing.observe(err)
 		if err != nil {
-			pause(ctx, acceptPause)
+			sleepContext(ctx, acceptRetryDelay)
 			continue
 		}
 		a.addConn(conn)
@@ -135,7 +135,7 @@
 		tcp.CloseWrite()
 	}
 	conn.SetDeadline(time.Now().Add(adminLingerTimeout))
-	io.Copy(io.Discard, io.LimitReader(r, lingerBytes))
+	io.Copy(io.Discard, io.LimitReader(r, maxLingerBytes))
 }
 
 func (a *adminServer) execute(command string) string {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -27,11 +27,11 @@
 // adminCall sends a command and returns the whole answer.
 func adminCall(t *testing.T, addr, call string) string {
 	t.Helper()
-	c := dial(t, addr)
+	c := dialClient(t, addr)
 	if _, err := io.WriteString(c.conn, call); err != nil {
 		t.Fatal(err)
 	}
-	return c.ended()
+	return c.readToEnd()
 }
 
 // metricValue returns the value of a metric, which must occur exactly once.
@@ -46,7 +46,7 @@
 }
 
 func TestAdminCalls(t *testing.T) {
-	n, _, _, _ := world(t, 1)
+	n, _, _, _ := startNodeWithEndpoints(t, 1)
 	addr := startAdmin(t, n.Node)
 	for command, want := range map[string]string{
 		"ready\r\n":                        "+OK\n",
@@ -62,22 +62,22 @@
 			t.Errorf("%.20q: %q", command, got)
 		}
 	}
-	c := dial(t, addr)
+	c := dialClient(t, addr)
 	for _, b := range []byte("ready\r\n") { // byte by byte
 		if _, err := c.conn.Write([]byte{b}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := c.ended(); got != "+OK\n" {
+	if got := c.readToEnd(); got != "+OK\n" {
 		t.Errorf("command sent byte by byte: %q", got)
 	}
-	c = dial(t, addr)
+	c = dialClient(t, addr)
 	io.WriteString(c.conn, "rea")
 	c.conn.(*net.TCPConn).CloseWrite()
-	if got := c.ended(); !strings.HasPrefix(got, "-ERR ") {
+	if got := c.readToEnd(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("incomplete command: %q", got)
 	}
-	if got := n.clients.now(); got != serving {
+	if got := n.clients.currentPhase(); got != serving {
 		t.Errorf("after invalid commands the sender is %v", got)
 	}
 }
@@ -87,11 +87,11 @@
 func TestAdminWithIncompleteCalls(t *testing.T) {
 	n := newNode(t, configText(newPlatform(t), EndpointList{}))
 	defer n.journal.Close()
-	n.clients.turn(serving)
+	n.clients.setPhase(serving)
 	addr := startAdmin(t, n)
-	var incomplete []*client
+	var incomplete []*testClient
 	for range 2 * maxAdminConns {
-		c := dial(t, addr)
+		c := dialClient(t, addr)
 		io.WriteString(c.conn, "show-")
 		incomplete = append(incomplete, c)
 	}
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, c := range incomplete {
-		if got := c.line(); got != "" && !strings.HasPrefix(got, "-ERR ") {
+		if got := c.readLine(); got != "" && !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("incomplete command: %q", got)
 		}
 	}
@@ -109,7 +109,7 @@
 
 // Each message must be counted once, when it ends, and every metric must be present from the start.
 func TestMetrics(t *testing.T) {
-	n, c, p, e := world(t, 2)
+	n, c, p, e := startNodeWithEndpoints(t, 2)
 	addr := startAdmin(t, n.Node)
 	names := func(text string) (out []string) {
 		for _, line := range strings.Split(text, "\n") {
@@ -127,7 +127,7 @@
 	}
 	want = append(want, "edge_balancer.relayed", "edge_balancer.open_requests", "edge_balancer.registry_entries",
 		"edge_balancer.out_of_rotation", "edge_balancer.violations")
-	for _, v := range violations {
+	for _, v := range allViolations {
 		want = append(want, "edge_balancer.violation."+string(v))
 	}
 	for _, reason := range refusalReasons {
@@ -144,7 +144,7 @@
 	if got := names(start); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("names %q, want %q", got, want)
 	}
-	calls := make(chan *inCall, 8)
+	calls := make(chan *receivedCall, 8)
 	for _, x := range e {
 		go func() {
 			for in := range x.calls {
@@ -153,24 +153,24 @@
 		}()
 	}
 	c.put("a", "safe", "+OK")
-	await(t, calls, "call").reply(503) // refused, then delivered: two calls, one message
-	c2 := await(t, calls, "second call")
+	receive(t, calls, "call").reply(503) // refused, then delivered: two calls, one message
+	c2 := receive(t, calls, "second call")
 	open := metricValue(t, adminCall(t, addr, "show-stat\n"), "edge_balancer.open_requests")
 	if open != 1 {
 		t.Errorf("%d open, want 1", open)
 	}
 	c2.reply(200)
-	c.putFor("late", "safe", 1, "-BUSY 2000") // refused at once
+	c.putWithLifetime("late", "safe", 1, "-BUSY 2000") // refused at once
 	c.put("b", "unsafe", "+OK")
-	await(t, calls, "call").reply(500)
-	await(t, p.notices, "notice") // failed
-	if got := c.do("MSG.PUT", "0", "x", "c=keyed,k=1,d=9000,dest=7", "x"); got+"\r\n" != answerUnknown {
+	receive(t, calls, "call").reply(500)
+	receive(t, p.notices, "notice") // failed
+	if got := c.do("MSG.PUT", "0", "x", "c=keyed,k=1,d=9000,dest=7", "x"); got+"\r\n" != replyUnknownDestination {
 		if got != "-BUSY 1000" { // discovery has not answered yet
 			t.Errorf("got %q", got)
 		}
 	}
 	var text string
-	for stop := time.Now().Add(patience); ; { // until the last outcome is counted
+	for stop := time.Now().Add(testTimeout); ; { // until the last outcome is counted
 		text = adminCall(t, addr, "show-stat\n")
 		if metricValue(t, text, "edge_balancer.operations.safe.fulfilled") == 1 || time.Now().After(stop) {
 			break
@@ -188,25 +188,25 @@
 	if keyed != 1 {
 		t.Errorf("%d messages of the class keyed counted, want 1", keyed)
 	}
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // While a sender drains, PING and ready must refuse at once, but requests that still arrive are served. Connections are
 // closed between requests, never within one, and accepted messages are delivered. After resume, PING and ready must
 // succeed at once.
 func TestDrainAndResume(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	addr := startAdmin(t, n.Node)
-	incomplete := dial(t, n.addr)
+	incomplete := dialClient(t, n.addr)
 	io.WriteString(incomplete.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nhalf\r\n")
 	c.put("a", "unsafe", "+OK")
-	in := await(t, e[0].calls, "call")
+	in := receive(t, e[0].calls, "call")
 	for range 2 { // repeating it changes nothing
 		if got := adminCall(t, addr, "drain\n"); got != "+OK\n" {
 			t.Fatalf("drain: %q", got)
 		}
 	}
-	late := dial(t, n.addr)
+	late := dialClient(t, n.addr)
 	if got := late.do("PING"); !strings.HasPrefix(got, "-ERR") {
 		t.Errorf("PING while draining: %q", got)
 	}
@@ -214,35 +214,35 @@
 		t.Errorf("ready while draining: %q", got)
 	}
 	late.put("b", "safe", "+OK")
-	inB := await(t, e[0].calls, "call")
-	if got := c.ended() + late.ended(); got != "" {
+	inB := receive(t, e[0].calls, "call")
+	if got := c.readToEnd() + late.readToEnd(); got != "" {
 		t.Errorf("got %q at the end of the connections", got)
 	}
 	io.WriteString(incomplete.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n")
-	if got := incomplete.ended(); got != "+OK\r\n" {
+	if got := incomplete.readToEnd(); got != "+OK\r\n" {
 		t.Errorf("the request in progress got %q", got)
 	}
 	in.reply(200)
 	inB.reply(200)
-	await(t, e[0].calls, "call").reply(200)
-	later := dial(t, n.addr)
+	receive(t, e[0].calls, "call").reply(200)
+	later := dialClient(t, n.addr)
 	later.put("d", "safe", "+OK") // new connections are still served
-	await(t, e[0].calls, "call").reply(200)
-	later.ended()
+	receive(t, e[0].calls, "call").reply(200)
+	later.readToEnd()
 	for range 2 {
 		if got := adminCall(t, addr, "resume\n"); got != "+OK\n" {
 			t.Fatalf("resume: %q", got)
 		}
 	}
-	back := dial(t, n.addr)
+	back := dialClient(t, n.addr)
 	if got := back.do("PING"); got != "+PONG" {
 		t.Errorf("PING after the drain: %q", got)
 	}
 	back.put("c", "safe", "+OK")
-	await(t, e[0].calls, "call").reply(200)
+	receive(t, e[0].calls, "call").reply(200)
 	back.put("e", "safe", "+OK") // connections are kept open again
-	await(t, e[0].calls, "call").reply(200)
-	stopClean(t, n)
+	receive(t, e[0].calls, "call").reply(200)
+	stopAndCheckEmpty(t, n)
 	if got := adminCall(t, addr, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("resume of a stopping sender: %q", got)
 	}
--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -199,7 +199,7 @@
 	if err != nil || ms < 0 {
 		return 0
 	}
-	return time.Duration(min(ms, maxHold.Milliseconds())) * time.Millisecond
+	return time.Duration(min(ms, maxLifetime.Milliseconds())) * time.Millisecond
 }
 
 // parseLoadReport returns the values of a load report in the order of names, and
--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -48,14 +48,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e, c := newEndpoint(t), newTestEndpointClient()
-			got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
-			in := await(t, e.calls, "call")
+			got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+			in := receive(t, e.calls, "call")
 			io.WriteString(in.conn, text)
-			if r := await(t, got, "result"); r.outcome != logic.Unreadable || r.messageGone {
+			if r := receive(t, got, "result"); r.outcome != logic.Unreadable || r.messageGone {
 				t.Errorf("got %+v, want the outcome of a malformed response", r)
 			}
 			in.awaitEnd(t)
-			in.done <- false
+			in.keepReading <- false
 			if c.connCount != 0 {
 				t.Errorf("%d connections still counted", c.connCount)
 			}
@@ -77,14 +77,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e, c := newEndpoint(t), newTestEndpointClient()
-			got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
-			in := await(t, e.calls, "call")
+			got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+			in := receive(t, e.calls, "call")
 			go io.WriteString(in.conn, "HTTP/1.1 200 OK\r\n"+rest)
-			if r := await(t, got, "result"); r.outcome != logic.Delivered {
+			if r := receive(t, got, "result"); r.outcome != logic.Delivered {
 				t.Errorf("got %+v, want a delivery", r)
 			}
 			in.awaitEnd(t)
-			in.done <- false
+			in.keepReading <- false
 		})
 	}
 }
@@ -94,9 +94,9 @@
 func TestTruncatedStatusLine(t *testing.T) {
 	for _, line := range []string{"HTTP/1.1 200 OK\r", "HTTP/1.1 200 O", "HTTP/1.1 200 ", "HTTP/1.1 200", "HTTP/1.1 503 x\r",
 		"HTTP/1.1 200 " + strings.Repeat("x", 8192), "HTTP/1.1 200 " + strings.Repeat("x", 8192) + "\n"} {
-		for name, end := range map[string]func(*inCall){
-			"silent": func(*inCall) {},
-			"closed": func(in *inCall) { in.conn.CloseWrite() },
+		for name, end := range map[string]func(*receivedCall){
+			"silent": func(*receivedCall) {},
+			"closed": func(in *receivedCall) { in.conn.CloseWrite() },
 		} {
 			want := map[string]logic.Outcome{"silent": logic.Unreadable, "closed": logic.ConnLost}[name]
 			if strings.HasSuffix(line, "\n") {
@@ -105,15 +105,15 @@
 			t.Run(fmt.Sprintf("%s, %d bytes %.16q", name, len(line), line), func(t *testing.T) {
 				t.Parallel()
 				e, c := newEndpoint(t), newTestEndpointClient()
-				got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
-				in := await(t, e.calls, "call")
+				got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+				in := receive(t, e.calls, "call")
 				io.WriteString(in.conn, line)
 				end(in)
-				if r := await(t, got, "result"); r.outcome != want {
+				if r := receive(t, got, "result"); r.outcome != want {
 					t.Errorf("got %v, want %v", r.outcome, want)
 				}
 				in.awaitEnd(t)
-				in.done <- false
+				in.keepReading <- false
 			})
 		}
 	}
@@ -125,30 +125,30 @@
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			n, c, p, e := world(t, 1)
+			n, c, p, e := startNodeWithEndpoints(t, 1)
 			c.put("a", class, "+OK")
-			in := await(t, e[0].calls, "call")
+			in := receive(t, e[0].calls, "call")
 			key := in.req.Header.Get("Idempotency-Key")
 			io.WriteString(in.conn, "noise\r\n\r\n")
 			in.awaitEnd(t)
-			in.done <- false
+			in.keepReading <- false
 			if class == "unsafe" {
-				if x := await(t, p.notices, "notice"); x != (Notice{ID: "a", State: "failed"}) {
+				if x := receive(t, p.notices, "notice"); x != (Notice{ID: "a", State: "failed"}) {
 					t.Errorf("notice %+v", x)
 				}
 			} else {
-				in = await(t, e[0].calls, "call again")
+				in = receive(t, e[0].calls, "call again")
 				if in.id() != "a" || in.req.Header.Get("Idempotency-Key") != key {
 					t.Errorf("retried with header %v", in.req.Header)
 				}
 				in.reply(200)
 			}
 			c.put("b", class, "+OK")
-			in = await(t, e[0].calls, "call")
+			in = receive(t, e[0].calls, "call")
 			io.WriteString(in.conn, "HTTP/1.1 200 OK\r\n\x01\r\n\r\n")
 			in.awaitEnd(t)
-			in.done <- false
-			stopClean(t, n)
+			in.keepReading <- false
+			stopAndCheckEmpty(t, n)
 			if len(p.notices) != 0 {
 				t.Errorf("notice %+v", <-p.notices)
 			}
@@ -162,21 +162,21 @@
 func TestUnsolicitedResponse(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	c.reuseDelay = time.Hour
-	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
-	first := await(t, e.calls, "call")
+	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	first := receive(t, e.calls, "call")
 	first.reply(200)
-	await(t, got, "result")
-	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
-	second := await(t, e.calls, "call")
+	receive(t, got, "result")
+	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	second := receive(t, e.calls, "call")
 	if second.conn == first.conn {
 		t.Fatal("the connection was reused before the reuse delay was over")
 	}
 	io.WriteString(first.conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	second.reply(500)
-	if r := await(t, got, "result"); r.outcome != logic.Errored {
+	if r := receive(t, got, "result"); r.outcome != logic.Errored {
 		t.Errorf("got %+v, want the outcome of an error response", r)
 	}
-	for stop := time.Now().Add(patience); ; { // until the unsolicited response has arrived
+	for stop := time.Now().Add(testTimeout); ; { // until the unsolicited response has arrived
 		c.mu.Lock()
 		good := c.reusable(c.idle[1][0])
 		c.mu.Unlock()
@@ -188,13 +188,13 @@
 		}
 	}
 	c.reuseDelay = 0
-	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
-	third := await(t, e.calls, "call")
+	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	third := receive(t, e.calls, "call")
 	if third.conn == first.conn {
 		t.Error("a connection with unsolicited data was reused")
 	}
 	third.reply(429)
-	if r := await(t, got, "result"); r.outcome != logic.Refused {
+	if r := receive(t, got, "result"); r.outcome != logic.Refused {
 		t.Errorf("got %+v, want the outcome of a refusal", r)
 	}
 }
@@ -204,15 +204,15 @@
 	for _, x := range []struct {
 		name string
 		time time.Duration
-		end  func(cancel func(), in *inCall)
+		end  func(cancel func(), in *receivedCall)
 		want logic.Outcome
 	}{
-		{"late", patience, func(_ func(), in *inCall) {
+		{"late", testTimeout, func(_ func(), in *receivedCall) {
 			time.Sleep(headTimeout + headTimeout/4) // longer than the timeout for the rest of a header
 			in.reply(200)
 		}, logic.Delivered},
-		{"cancelled", patience, func(cancel func(), in *inCall) { cancel(); in.awaitEnd(t); in.reset() }, logic.Cancelled},
-		{"silent", 100 * time.Millisecond, func(_ func(), in *inCall) { in.awaitEnd(t); in.reset() }, logic.TimedOut},
+		{"cancelled", testTimeout, func(cancel func(), in *receivedCall) { cancel(); in.awaitEnd(t); in.reset() }, logic.Cancelled},
+		{"silent", 100 * time.Millisecond, func(_ func(), in *receivedCall) { in.awaitEnd(t); in.reset() }, logic.TimedOut},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
@@ -220,10 +220,10 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			got := doAsync(ctx, c, newTestCall(t, e.addr(), "hello", x.time))
-			in := await(t, e.calls, "call")
+			in := receive(t, e.calls, "call")
 			io.WriteString(in.conn, "HTTP/1.1 102 Processing\r\nA: b\r\n\r\n")
 			x.end(cancel, in)
-			if r := await(t, got, "result"); r.outcome != x.want {
+			if r := receive(t, got, "result"); r.outcome != x.want {
 				t.Errorf("got %+v, want %v", r, x.want)
 			}
 		})
@@ -233,23 +233,23 @@
 // A call that gets no file descriptor was never sent and says nothing about the
 // endpoint. Idle connections are closed to make room.
 func TestNoFreeDescriptor(t *testing.T) {
-	e, c := newEndpoint(t), newEndpointClient(time.Second, time.Hour, 4, shares{calls: 1, idle: 1}, new(atomic.Int64))
-	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
-	in := await(t, e.calls, "call")
-	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", patience)); r.outcome != logic.LocalFailure || !r.localFailure {
+	e, c := newEndpoint(t), newEndpointClient(time.Second, time.Hour, 4, socketBudget{calls: 1, idle: 1}, new(atomic.Int64))
+	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	in := receive(t, e.calls, "call")
+	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.LocalFailure || !r.localFailure {
 		t.Errorf("got %+v, want a local failure", r)
 	}
 	in.reply(200)
-	await(t, got, "result")
+	receive(t, got, "result")
 	other := newEndpoint(t)
-	call := newTestCall(t, other.addr(), "hello", patience)
+	call := newTestCall(t, other.addr(), "hello", testTimeout)
 	call.endpoint = 2
 	got = doAsync(t.Context(), c, call)
-	await(t, other.calls, "call after an idle connection was closed").reply(200)
-	await(t, got, "result")
+	receive(t, other.calls, "call after an idle connection was closed").reply(200)
+	receive(t, got, "result")
 	c.closeIdleTo(2)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return syscall.EMFILE }
-	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", patience)); r.outcome != logic.LocalFailure || !r.localFailure {
+	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.LocalFailure || !r.localFailure {
 		t.Errorf("got %+v, want a local failure", r)
 	}
 	if c.connCount != 0 || c.idleCount != 0 {
@@ -328,14 +328,14 @@
 			}
 			list.Instances = append(list.Instances, inst)
 		}
-		n.dir.Apply(list, time.Now())
+		n.directory.Apply(list, time.Now())
 		st, err := n.collectHandoverState()
 		if err != nil {
 			t.Fatal(err)
 		}
 		successor := NewDirectory(n.cfg)
 		successor.restore(st, n.clock)
-		for who, d := range map[string]*Directory{"this process": n.dir, "the successor": successor} {
+		for who, d := range map[string]*Directory{"this process": n.directory, "the successor": successor} {
 			if d.listedCount() != len(present) {
 				t.Fatalf("list %d: %s has %d endpoints, want %d", i, who, d.listedCount(), len(present))
 			}
@@ -360,7 +360,7 @@
 		conn, peer := net.Pipe()
 		defer conn.Close()
 		defer peer.Close()
-		r, reusable := readResponse(newReader(text), &callDeadline{conn: conn, deadline: time.Now().Add(patience)})
+		r, reusable := readResponse(newReader(text), &callDeadline{conn: conn, deadline: time.Now().Add(testTimeout)})
 		if r.outcome == logic.Delivered && !(strings.Contains(text, "HTTP/1.") && strings.Contains(text, " 200")) {
 			t.Errorf("%q counts as a delivery", text)
 		}
@@ -373,11 +373,11 @@
 // Connections to an endpoint that is removed from the list are closed. A new endpoint
 // at the same address gets new connections.
 func TestRemovedEndpoint(t *testing.T) {
-	n, c, p, e := world(t, 1)
+	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "safe", "+OK")
-	first := await(t, e[0].calls, "call")
+	first := receive(t, e[0].calls, "call")
 	first.reply(200)
-	for stop := time.Now().Add(patience); ; { // until the connection is idle
+	for stop := time.Now().Add(testTimeout); ; { // until the connection is idle
 		n.caller.mu.Lock()
 		idle := n.caller.idleCount
 		n.caller.mu.Unlock()
@@ -390,10 +390,10 @@
 	}
 	again := instances(e[0])
 	again[0].ID = "new at the old address"
-	p.set(func() { p.list = EndpointList{Generation: 2, Reset: true, Instances: again} })
-	taken(t, p, 2)
+	p.update(func() { p.list = EndpointList{Generation: 2, Reset: true, Instances: again} })
+	awaitListGeneration(t, p, 2)
 	c.put("b", "safe", "+OK")
-	second := await(t, e[0].calls, "call")
+	second := receive(t, e[0].calls, "call")
 	if second.conn == first.conn {
 		t.Error("the new endpoint is called over a connection of the old one")
 	}
@@ -403,7 +403,7 @@
 		t.Errorf("%d connections to the old endpoint are kept", len(n.caller.idle[1]))
 	}
 	n.caller.mu.Unlock()
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
 // After a reused connection broke, a non-retryable call, which a reset would fail for
@@ -411,21 +411,21 @@
 func TestNonRetryableAvoidsFailingConnections(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	c.reuseDelay = 0
-	call := func(nonRetryable bool, end func(*inCall)) (*inCall, callResult) {
+	call := func(nonRetryable bool, end func(*receivedCall)) (*receivedCall, callResult) {
 		t.Helper()
-		in := newTestCall(t, e.addr(), "hello", patience)
+		in := newTestCall(t, e.addr(), "hello", testTimeout)
 		in.nonRetryable = nonRetryable
 		got := doAsync(t.Context(), c, in)
-		out := await(t, e.calls, "call")
+		out := receive(t, e.calls, "call")
 		end(out)
-		return out, await(t, got, "result")
+		return out, receive(t, got, "result")
 	}
-	ok := func(in *inCall) { in.reply(200) }
+	ok := func(in *receivedCall) { in.reply(200) }
 	first, _ := call(true, ok)
 	if second, _ := call(true, ok); second.conn != first.conn {
 		t.Error("no connection is reused although none broke")
 	}
-	if _, r := call(false, (*inCall).reset); r.outcome != logic.ConnLost {
+	if _, r := call(false, (*receivedCall).reset); r.outcome != logic.ConnLost {
 		t.Errorf("got %+v, want the outcome of a broken connection", r)
 	}
 	third, _ := call(false, ok)
@@ -440,10 +440,10 @@
 	for _, status := range []int{200, 503, 500} {
 		n, e := newBulkNode(t, map[string]string{"a": "x"})
 		n.cfg.Deployment.Reports = []string{"x0", "x1"}
-		n.launch(t.Context())
-		await(t, e.calls, "call").reply(status, "Endpoint-Load-Metrics: x0=0.4,x1=25")
-		n.reply(await(t, n.events, "outcome").(replyEvent))
-		if got := n.next[0].(logic.AttemptResult).Load; !slices.Equal(got, []float64{0.4, 25}) {
+		n.sendPendingCalls(t.Context())
+		receive(t, e.calls, "call").reply(status, "Endpoint-Load-Metrics: x0=0.4,x1=25")
+		n.handleAttemptResult(receive(t, n.events, "outcome").(attemptResultEvent))
+		if got := n.pendingEvents[0].(logic.AttemptResult).Load; !slices.Equal(got, []float64{0.4, 25}) {
 			t.Errorf("%d: load %v", status, got)
 		}
 	}
--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -156,7 +156,7 @@
 	conn, err := c.getConn(ctx, &combined, deadline)
 	var sent []*call
 	for _, pc := range group {
-		if pc.write() {
+		if pc.claimWrite() {
 			sent = append(sent, pc.call)
 		} else {
 			bc.resolve(pc.call, callResult{outcome: logic.Skipped})
@@ -166,7 +166,7 @@
 		res := callResult{outcome: logic.ConnRefused}
 		if isLocalError(err) {
 			res = callResult{outcome: logic.LocalFailure, localFailure: true}
-			pause(ctx, jitter(retryPause)) // for example, file descriptors may become free
+			sleepContext(ctx, jitter(attemptRetryDelay)) // for example, file descriptors may become free
 		}
 		bc.resolveAll(sent, res)
 		return
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -16,7 +16,7 @@
 
 // newBulkNode returns a sender that is not running and has decided to send each message to an
 // endpoint whose machine type accepts batches.
-func newBulkNode(t *testing.T, bodies map[string]string) (*Node, *endpoint) {
+func newBulkNode(t *testing.T, bodies map[string]string) (*Node, *testEndpoint) {
 	t.Helper()
 	e, p := newEndpoint(t), newPlatform(t)
 	cfg, err := ParseConfig(configText(p, EndpointList{}))
@@ -30,21 +30,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { n.journal.Close() })
-	rows := n.dir.Apply(EndpointList{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
+	rows := n.directory.Apply(EndpointList{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
 	for _, id := range slices.Sorted(maps.Keys(bodies)) {
 		m := Message{ID: id, Class: "safe", Dest: 1, Body: []byte(bodies[id])}
-		n.held[id] = addHeldMessage(t, n, m)
-		n.callOut(t.Context(), logic.Send{ID: id, Timeout: micros(patience), Endpoint: rows[0].Endpoint}, true)
+		n.active[id] = addHeldMessage(t, n, m)
+		n.startAttempt(t.Context(), logic.Send{ID: id, Timeout: toMicros(testTimeout), Endpoint: rows[0].Endpoint}, true)
 	}
 	return n, e
 }
 
 // addHeldMessage records a message in the journal, with time left until its deadline.
-func addHeldMessage(t *testing.T, n *Node, m Message) *held {
+func addHeldMessage(t *testing.T, n *Node, m Message) *activeMessage {
 	t.Helper()
-	m.Deadline = n.clock.Now() + (2 * patience).Microseconds()
+	m.Deadline = n.clock.Now() + (2 * testTimeout).Microseconds()
 	mustAppend(t, n.journal, record{Op: opAccept, Entry: &Entry{Message: m}})
-	return &held{msg: &n.journal.Entry(m.ID).Message, trail: trail{came: time.Now()}}
+	return &activeMessage{msg: &n.journal.Entry(m.ID).Message, log: attemptLog{receivedAt: time.Now()}}
 }
 
 // collectOutcomes returns the outcomes of the next count calls, by message id.
@@ -52,16 +52,16 @@
 	t.Helper()
 	out := map[string]logic.Outcome{}
 	for range count {
-		ev := await(t, n.events, "outcome").(replyEvent)
+		ev := receive(t, n.events, "outcome").(attemptResultEvent)
 		out[ev.call.id] = ev.result.outcome
 	}
 	return out
 }
 
 // replyWithBody responds with status 200 and a body.
-func replyWithBody(c *inCall, body string) {
+func replyWithBody(c *receivedCall, body string) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	c.done <- true
+	c.keepReading <- true
 }
 
 // All messages that one step sends to one endpoint go in one call, since package logic
@@ -69,8 +69,8 @@
 func TestBulkIsOneCall(t *testing.T) {
 	bodies := map[string]string{"a": "body of a", "b": "\x00\xff", "c": ""}
 	n, e := newBulkNode(t, bodies)
-	n.launch(t.Context())
-	in := await(t, e.calls, "call")
+	n.sendPendingCalls(t.Context())
+	in := receive(t, e.calls, "call")
 	if in.req.URL.Path != "/inbox/bulk" || in.req.Header.Get("X-Expires-In-Ms") != "20000" {
 		t.Fatalf("call to %s with %v", in.req.URL.Path, in.req.Header)
 	}
@@ -90,7 +90,7 @@
 	if got := collectOutcomes(t, n, 3); !maps.Equal(got, want) {
 		t.Errorf("outcomes %v, want %v", got, want)
 	}
-	e.none(t)
+	e.expectNoCall(t)
 	if len(e.conns) != 1 {
 		t.Errorf("%d connections", len(e.conns))
 	}
@@ -101,10 +101,10 @@
 func TestBulkLatestDeadlineFirst(t *testing.T) {
 	n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y", "c": "z"})
 	for id, deadline := range map[string]int64{"a": 2, "b": 1, "c": 3} {
-		n.held[id].msg.Deadline = deadline
+		n.active[id].msg.Deadline = deadline
 	}
-	n.launch(t.Context())
-	in := await(t, e.calls, "call")
+	n.sendPendingCalls(t.Context())
+	in := receive(t, e.calls, "call")
 	var items []bulkItem
 	if err := json.Unmarshal([]byte(in.body), &items); err != nil {
 		t.Fatal(err)
@@ -139,13 +139,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y"})
-			n.launch(t.Context())
-			in := await(t, e.calls, "call")
+			n.sendPendingCalls(t.Context())
+			in := receive(t, e.calls, "call")
 			io.WriteString(in.conn, x.answer)
 			if name == "cut short" {
 				in.conn.Close()
 			}
-			in.done <- false
+			in.keepReading <- false
 			if got := collectOutcomes(t, n, 2); got["a"] != x.a || got["b"] != x.b {
 				t.Errorf("outcomes %v", got)
 			}
@@ -159,9 +159,9 @@
 	for _, copies := range []bool{true, false} {
 		n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y", "c": "z"})
 		n.caller.allowSecondCopies = copies
-		n.launch(t.Context())
-		in := await(t, e.calls, "call")
-		n.held["a"].stop()
+		n.sendPendingCalls(t.Context())
+		in := receive(t, e.calls, "call")
+		n.active["a"].cancel()
 		if copies {
 			if got := collectOutcomes(t, n, 1); got["a"] != logic.Cancelled {
 				t.Fatalf("outcomes %v", got)
@@ -181,29 +181,29 @@
 // Once all messages are cancelled, the connection is closed, which tells the endpoint.
 func TestBulkCancelAll(t *testing.T) {
 	n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y"})
-	n.launch(t.Context())
-	in := await(t, e.calls, "call")
-	n.held["a"].stop()
-	n.held["b"].stop()
+	n.sendPendingCalls(t.Context())
+	in := receive(t, e.calls, "call")
+	n.active["a"].cancel()
+	n.active["b"].cancel()
 	if got := collectOutcomes(t, n, 2); got["a"] != logic.Cancelled || got["b"] != logic.Cancelled {
 		t.Errorf("outcomes %v", got)
 	}
 	in.awaitEnd(t)
 	in.conn.Close()
-	in.done <- false
+	in.keepReading <- false
 }
 
 // A body is limited to 64 KiB. Messages that do not fit go in another call.
 func TestBulkBodyLimit(t *testing.T) {
 	n, e := newBulkNode(t, map[string]string{"a": strings.Repeat("x", 40<<10), "b": strings.Repeat("y", 40<<10), "c": "z"})
-	n.launch(t.Context())
+	n.sendPendingCalls(t.Context())
 	for range 2 {
-		in := await(t, e.calls, "call")
+		in := receive(t, e.calls, "call")
 		if len(in.body) > 64<<10 {
 			t.Errorf("a body of %d bytes", len(in.body))
 		}
 		in.reply(503)
 	}
 	collectOutcomes(t, n, 3)
-	e.none(t)
+	e.expectNoCall(t)
 }
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -84,7 +84,7 @@
 	idleTimeout        time.Duration
 	maxIdlePerEndpoint int
 	allowSecondCopies  bool // a message may be sent again while an earlier call with it is in flight
-	limits             shares
+	limits             socketBudget
 	messagesWritten    *atomic.Int64 // messages in completely written requests
 	mu                 sync.Mutex
 	idle               map[logic.EndpointID][]*pooledConn
@@ -96,7 +96,7 @@
 func newEndpointClient(
 	dialTimeout, idleTimeout time.Duration,
 	maxIdlePerEndpoint int,
-	limits shares,
+	limits socketBudget,
 	messagesWritten *atomic.Int64,
 ) *endpointClient {
 	return &endpointClient{
@@ -115,7 +115,7 @@
 func (c *endpointClient) do(ctx context.Context, cl *call) callResult {
 	deadline := time.Now().Add(cl.timeout)
 	conn, err := c.getConn(ctx, cl, deadline)
-	if !cl.write() {
+	if !cl.claimWrite() {
 		if err == nil && !c.putIdle(cl.endpoint, conn) {
 			c.closeConn(conn)
 		}
@@ -377,7 +377,7 @@
 	if time.Since(conn.idleSince) > c.idleTimeout-min(idleExpiryMargin, c.idleTimeout/4) {
 		return false
 	}
-	alive, data := peek(conn.Conn)
+	alive, data := peekConn(conn.Conn)
 	return alive && !data
 }
 
@@ -415,7 +415,7 @@
 
 // setLimits changes the limits on connections and closes the oldest idle
 // connections that exceed them.
-func (c *endpointClient) setLimits(limits shares) {
+func (c *endpointClient) setLimits(limits socketBudget) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.limits = limits
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -24,7 +24,7 @@
 }
 
 func newTestEndpointClient() *endpointClient {
-	return newEndpointClient(time.Second, 10*time.Second, 4, shares{calls: 16, idle: 16}, new(atomic.Int64))
+	return newEndpointClient(time.Second, 10*time.Second, 4, socketBudget{calls: 16, idle: 16}, new(atomic.Int64))
 }
 
 // doAsync makes a call in the background.
@@ -55,14 +55,14 @@
 		{504, nil, callResult{outcome: logic.Skipped}},
 		{410, nil, callResult{outcome: logic.Skipped, messageGone: true}},
 	} {
-		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
-		in := await(t, e.calls, "call")
+		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+		in := receive(t, e.calls, "call")
 		if in.body != "hello" || in.id() != "m1" || in.req.Header.Get("Idempotency-Key") != "k1" ||
 			in.req.Header.Get("X-Expires-In-Ms") != "20000" || in.req.URL.Path != "/inbox" {
 			t.Fatalf("unexpected request: %+v %q", in.req, in.body)
 		}
 		in.reply(x.status, x.headers...)
-		r := await(t, got, "result")
+		r := receive(t, got, "result")
 		r.idleTime = 0 // only for the log
 		if r != x.want {
 			t.Errorf("%d %v: got %+v, want %+v", x.status, x.headers, r, x.want)
@@ -91,7 +91,7 @@
 	c := newTestEndpointClient()
 	c.dialer.Control = small
 	// Far more than both socket buffers hold, so that the last byte cannot have been written.
-	got := doAsync(t.Context(), c, newTestCall(t, ln.Addr().String(), strings.Repeat("x", 8<<20), patience))
+	got := doAsync(t.Context(), c, newTestCall(t, ln.Addr().String(), strings.Repeat("x", 8<<20), testTimeout))
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	}
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
-	if r := await(t, got, "result"); r.outcome != logic.ConnRefused {
+	if r := receive(t, got, "result"); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want the outcome of a refused connection", r)
 	}
 }
@@ -110,17 +110,17 @@
 // however the connection ends.
 func TestBreakAfterLastByte(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
-	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
-	await(t, e.calls, "call").reset()
-	if r := await(t, got, "result"); r.outcome != logic.ConnLost {
+	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	receive(t, e.calls, "call").reset()
+	if r := receive(t, got, "result"); r.outcome != logic.ConnLost {
 		t.Errorf("reset: got %+v, want the outcome of a broken connection", r)
 	}
-	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
-	in := await(t, e.calls, "call")
+	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	in := receive(t, e.calls, "call")
 	io.WriteString(in.conn, "HTTP/1.1 2")
 	in.conn.Close()
-	in.done <- false
-	if r := await(t, got, "result"); r.outcome != logic.ConnLost {
+	in.keepReading <- false
+	if r := receive(t, got, "result"); r.outcome != logic.ConnLost {
 		t.Errorf("partial response: got %+v, want the outcome of a broken connection", r)
 	}
 }
@@ -128,7 +128,7 @@
 func TestConnectionRefused(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	e.ln.Close()
-	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", patience)); r.outcome != logic.ConnRefused {
+	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want the outcome of a refused connection", r)
 	}
 }
@@ -136,18 +136,18 @@
 // Reusing a connection that the endpoint has closed, or will soon close as idle, ends
 // the next call with a reset, after which a message of an unsafe class has failed.
 func TestUnusableConnectionIsNotReused(t *testing.T) {
-	e, c := newEndpoint(t), newEndpointClient(time.Second, time.Hour, 4, shares{calls: 16, idle: 16}, new(atomic.Int64))
+	e, c := newEndpoint(t), newEndpointClient(time.Second, time.Hour, 4, socketBudget{calls: 16, idle: 16}, new(atomic.Int64))
 	c.reuseDelay = 0
-	call := func(end func(*inCall)) {
+	call := func(end func(*receivedCall)) {
 		t.Helper()
-		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
-		end(await(t, e.calls, "call"))
-		if r := await(t, got, "result"); r.outcome != logic.Delivered {
+		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+		end(receive(t, e.calls, "call"))
+		if r := receive(t, got, "result"); r.outcome != logic.Delivered {
 			t.Fatalf("got %+v, want a delivery", r)
 		}
 	}
-	call(func(in *inCall) { in.replyAndClose(200) })
-	for limit := time.Now().Add(patience); ; { // until the client has noticed the close
+	call(func(in *receivedCall) { in.replyAndClose(200) })
+	for limit := time.Now().Add(testTimeout); ; { // until the client has noticed the close
 		c.mu.Lock()
 		unusable := len(c.idle[1]) == 0 || !c.reusable(c.idle[1][0])
 		c.mu.Unlock()
@@ -158,14 +158,14 @@
 			t.Fatal("the closed connection is still considered reusable")
 		}
 	}
-	call(func(in *inCall) { in.reply(200) })
+	call(func(in *receivedCall) { in.reply(200) })
 	if n := len(e.conns); n != 2 {
 		t.Fatalf("%d connections, want a second after the first was closed", n)
 	}
 	c.mu.Lock()
 	c.idle[1][0].idleSince = time.Now().Add(200*time.Millisecond - time.Hour)
 	c.mu.Unlock()
-	call(func(in *inCall) { in.reply(200) })
+	call(func(in *receivedCall) { in.reply(200) })
 	if n := len(e.conns); n != 3 {
 		t.Fatalf("%d connections, want a third after the second reached its idle timeout", n)
 	}
@@ -186,50 +186,50 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 30 {
-		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "first", patience)) // leaves an idle connection
-		await(t, e.calls, "call").reply(200)
-		await(t, got, "result")
-		if r := c.do(ctx, newTestCall(t, e.addr(), "over", patience)); r.outcome != logic.ConnRefused {
+		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "first", testTimeout)) // leaves an idle connection
+		receive(t, e.calls, "call").reply(200)
+		receive(t, got, "result")
+		if r := c.do(ctx, newTestCall(t, e.addr(), "over", testTimeout)); r.outcome != logic.ConnRefused {
 			t.Fatalf("got %+v, want the outcome of a refused connection", r)
 		}
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // The endpoint must have seen the end of an aborted call before the outcome is
 // reported. Otherwise the next attempt would be a second copy.
 func TestAbort(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
-	c.abortGrace = 2 * patience // so only the endpoint can end the call earlier
+	c.abortGrace = 2 * testTimeout // so only the endpoint can end the call earlier
 	ctx, cancel := context.WithCancel(t.Context())
-	got := doAsync(ctx, c, newTestCall(t, e.addr(), "hello", patience))
-	in := await(t, e.calls, "call")
+	got := doAsync(ctx, c, newTestCall(t, e.addr(), "hello", testTimeout))
+	in := receive(t, e.calls, "call")
 	cancel()
 	in.awaitEnd(t)
 	in.reset()
-	if r := await(t, got, "result"); r.outcome != logic.Cancelled {
+	if r := receive(t, got, "result"); r.outcome != logic.Cancelled {
 		t.Errorf("cancelled: got %+v, want the outcome of a cancelled call", r)
 	}
 	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
-	in = await(t, e.calls, "call")
+	in = receive(t, e.calls, "call")
 	in.awaitEnd(t)
 	in.reset()
-	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
+	if r := receive(t, got, "result"); r.outcome != logic.TimedOut {
 		t.Errorf("timed out: got %+v, want the outcome of a timeout", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
-	got = doAsync(ctx, c, newTestCall(t, e.addr(), "hello", patience))
-	in = await(t, e.calls, "call")
+	got = doAsync(ctx, c, newTestCall(t, e.addr(), "hello", testTimeout))
+	in = receive(t, e.calls, "call")
 	cancel()
 	in.awaitEnd(t)
 	in.reply(200)
-	if r := await(t, got, "result"); r.outcome != logic.Delivered {
+	if r := receive(t, got, "result"); r.outcome != logic.Delivered {
 		t.Errorf("response during the grace period: got %+v, want a delivery", r)
 	}
 	c.abortGrace = time.Millisecond // an endpoint that does not react
 	got = doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
-	in = await(t, e.calls, "call")
-	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
+	in = receive(t, e.calls, "call")
+	if r := receive(t, got, "result"); r.outcome != logic.TimedOut {
 		t.Errorf("silent: got %+v, want the outcome of a timeout", r)
 	}
 	in.awaitEnd(t)
@@ -243,17 +243,17 @@
 	e, c := newEndpoint(t), newTestEndpointClient()
 	ctx, cancel := context.WithCancel(t.Context())
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
-	if r := c.do(ctx, newTestCall(t, e.addr(), "hello", patience)); r.outcome != logic.ConnRefused {
+	if r := c.do(ctx, newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want the outcome of a refused connection", r)
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // If the destination asks for a wait, or the endpoint starts to drain, while a call
 // is still connecting, the request must not be written.
 func TestAbortedWhileConnecting(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
-	in := newTestCall(t, e.addr(), "hello", patience)
+	in := newTestCall(t, e.addr(), "hello", testTimeout)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 		in.state.CompareAndSwap(callConnecting, callAborted)
 		return nil
@@ -261,29 +261,29 @@
 	if r := c.do(t.Context(), in); r.outcome != logic.Skipped {
 		t.Errorf("got %+v, want the outcome of a call that was never sent", r)
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // Connecting takes time. A retry must not be written after the destination has
 // forgotten the idempotency key.
 func TestWriteBy(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
-	in := newTestCall(t, e.addr(), "hello", patience)
+	in := newTestCall(t, e.addr(), "hello", testTimeout)
 	in.writeBy = time.Now().Add(-time.Millisecond)
 	if r := c.do(t.Context(), in); r.outcome != logic.Skipped {
 		t.Errorf("got %+v, want the outcome of a call that was never sent", r)
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // An interim (1xx) response is not the outcome.
 func TestInterimResponse(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
-	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", patience))
-	in := await(t, e.calls, "call")
+	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	in := receive(t, e.calls, "call")
 	io.WriteString(in.conn, "HTTP/1.1 102 Processing\r\n\r\n")
 	in.reply(200)
-	if r := await(t, got, "result"); r.outcome != logic.Delivered {
+	if r := receive(t, got, "result"); r.outcome != logic.Delivered {
 		t.Errorf("got %+v, want a delivery", r)
 	}
 }
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -12,72 +12,80 @@
 )
 
 const (
-	acceptPause   = 5 * time.Millisecond
-	maxPipelined  = 16 // requests of one connection that wait for their answers
-	smallRequest  = 4 << 10
-	largeRequest  = maxBulk + smallRequest
-	largeShare    = 8 // the part of the memory that large requests may take until they are answered
-	defaultMemory = 192
+	acceptRetryDelay   = 5 * time.Millisecond
+	maxPipelined       = 16      // requests of one connection that wait for their replies
+	smallRequestBytes  = 4 << 10 // a larger request needs a slot of its own
+	maxRequestBytes    = maxBulkBytes + smallRequestBytes
+	largeMemoryDivisor = 8 // large requests may use 1/8 of the memory until they are answered
+	defaultMemoryMB    = 192
 )
 
-// putEvent is a message that a client hands in. The loop sends its one answer.
+// putEvent is a message sent by a client. The loop sends exactly one reply.
 type putEvent struct {
-	msg    Message
-	answer chan<- string
+	msg   Message
+	reply chan<- string
 }
 
-// clients serves the RESP2 side: it accepts connections within the process's means
-// and closes the idlest to make room for new ones.
-type clients struct {
-	cfg      *Config
-	log      *slog.Logger
-	events   chan<- any
-	clock    *clock.Lasting // set before clients are served
-	figures  *metrics
-	most     int           // connections
-	large    chan struct{} // a place for each large request that is not answered
-	mu       sync.Mutex
-	sessions map[*session]struct{}
-	phase    phase
-	parting  bool          // a connection ends when no request is open on it
-	part     *time.Timer   // starts that
-	readBy   time.Time     // no request is taken after this; zero for no such time
-	accepted chan struct{} // closed when no more are accepted
-	wg       sync.WaitGroup
+// clientServer serves clients over RESP2. It accepts connections up to a limit and closes the one idle longest to make
+// room for a new one.
+type clientServer struct {
+	cfg            *Config
+	log            *slog.Logger
+	events         chan<- any
+	clock          *clock.Lasting // set before clients are served
+	metrics        *metrics
+	maxConns       int
+	largeSlots     chan struct{} // holds one element per large request that is not answered
+	mu             sync.Mutex
+	sessions       map[*session]struct{}
+	phase          phase
+	closingIdle    bool           // connections are closed as soon as no request is open on them
+	closeIdleTimer *time.Timer    // calls startClosingIdle
+	readCutoff     time.Time      // no request is accepted after this; zero for no limit
+	acceptDone     chan struct{}  // closed when no more connections are accepted
+	wg             sync.WaitGroup // sessions
 }
 
-func newClients(cfg *Config, log *slog.Logger, events chan<- any, figures *metrics) *clients {
-	memory := cfg.Limits.MemoryMB
-	if memory <= 0 {
-		memory = defaultMemory
+func newClientServer(cfg *Config, log *slog.Logger, events chan<- any, metrics *metrics) *clientServer {
+	memoryMB := cfg.Limits.MemoryMB
+	if memoryMB <= 0 {
+		memoryMB = defaultMemoryMB
 	}
-	c := &clients{cfg: cfg, log: log, events: events, most: shareOut(cfg).clients, sessions: map[*session]struct{}{},
-		clock: clock.New(), figures: figures, accepted: make(chan struct{}),
-		large: make(chan struct{}, max(int(memory*(1<<20)/largeShare/largeRequest), 8))}
-	c.part = time.AfterFunc(time.Hour, c.startParting)
-	c.part.Stop()
+	c := &clientServer{
+		cfg:        cfg,
+		log:        log,
+		events:     events,
+		maxConns:   newSocketBudget(cfg).clients,
+		sessions:   map[*session]struct{}{},
+		clock:      clock.New(),
+		metrics:    metrics,
+		acceptDone: make(chan struct{}),
+		largeSlots: make(chan struct{}, max(int(memoryMB*(1<<20)/largeMemoryDivisor/maxRequestBytes), 8)),
+	}
+	c.closeIdleTimer = time.AfterFunc(time.Hour, c.startClosingIdle)
+	c.closeIdleTimer.Stop()
 	return c
 }
 
 // serve accepts connections until the listener is closed.
-func (c *clients) serve(ln net.Listener) {
-	defer close(c.accepted)
-	failing := failureLog{log: c.log, operation: "accept"}
+func (c *clientServer) serve(ln net.Listener) {
+	defer close(c.acceptDone)
+	acceptFailures := failureLog{log: c.log, operation: "accept"}
 	for {
 		conn, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		failing.observe(err)
+		acceptFailures.observe(err)
 		if err != nil {
-			// Only where this process is out of descriptors does one that closes make room.
-			if !errors.Is(err, syscall.EMFILE) || !c.evict() {
-				time.Sleep(acceptPause)
+			// Closing a connection helps only if this process itself, not the system, is out of descriptors.
+			if !errors.Is(err, syscall.EMFILE) || !c.evictIdlest() {
+				time.Sleep(acceptRetryDelay)
 			}
 			continue
 		}
-		s := &session{c: c, conn: conn, opened: time.Now(), fresh: true}
-		s.since = s.opened
+		s := &session{server: c, conn: conn, openedAt: time.Now(), noRequestYet: true}
+		s.idleSince = s.openedAt
 		if !c.admit(s) {
 			conn.Close()
 			continue
@@ -91,67 +99,67 @@
 	}
 }
 
-// admit takes a connection on. When all places are taken, the idlest one without a
-// request under way goes; if there is none, the new one does.
-func (c *clients) admit(s *session) bool {
+// admit registers a connection. At the limit it closes the connection that has been idle longest; if each has a request
+// open, it returns false and the new connection is to be closed.
+func (c *clientServer) admit(s *session) bool {
 	for {
 		c.mu.Lock()
-		if c.phase == stopping && c.parting {
+		if c.phase == stopping && c.closingIdle {
 			c.mu.Unlock()
 			return false
 		}
-		if len(c.sessions) < c.most {
+		if len(c.sessions) < c.maxConns {
 			c.sessions[s] = struct{}{}
 			c.wg.Add(1)
 			c.mu.Unlock()
 			return true
 		}
 		c.mu.Unlock()
-		if !c.evict() {
+		if !c.evictIdlest() {
 			return false
 		}
 	}
 }
 
-// setMost bounds the connections anew; the idlest above the bound go.
-func (c *clients) setMost(most int) {
+// setMaxConns changes the limit on connections and closes those above it, the one idle longest first.
+func (c *clientServer) setMaxConns(maxConns int) {
 	c.mu.Lock()
-	c.most = most
-	over := len(c.sessions) - most
+	c.maxConns = maxConns
+	excess := len(c.sessions) - maxConns
 	c.mu.Unlock()
-	for ; over > 0 && c.evict(); over-- {
+	for ; excess > 0 && c.evictIdlest(); excess-- {
 	}
 }
 
-// evict closes the idlest connection; false if a request is under way on each.
-func (c *clients) evict() bool {
+// evictIdlest closes the connection that has been idle longest. It returns false if a request is open on each.
+func (c *clientServer) evictIdlest() bool {
 	c.mu.Lock()
 	var idlest *session
 	for s := range c.sessions {
-		if s.open == 0 && (idlest == nil || s.since.Before(idlest.since)) {
+		if s.openRequests == 0 && (idlest == nil || s.idleSince.Before(idlest.idleSince)) {
 			idlest = s
 		}
 	}
 	if idlest != nil {
-		idlest.gone = true
+		idlest.evicted = true
 		delete(c.sessions, idlest)
 	}
 	c.mu.Unlock()
 	if idlest == nil {
 		return false
 	}
-	c.figures.closed.inc(string(closedEvicted))
+	c.metrics.closed.inc(string(closedEvicted))
 	idlest.conn.Close()
 	return true
 }
 
-func (c *clients) remove(s *session) {
+func (c *clientServer) remove(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.sessions, s)
 }
 
-// awaitInput waits until something has come on a connection, and leaves it unread; false once the peer has closed it.
+// awaitInput waits until a connection has input, without reading it. data is false if the peer has closed the connection.
 func awaitInput(conn net.Conn) (data bool, err error) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -163,14 +171,14 @@
 	}
 	err = raw.Read(func(fd uintptr) bool {
 		n, err := peekByte(fd)
-		// An error of the moment says nothing of the connection: whoever reads it will see.
+		// A temporary error says nothing about the connection; the next read will show its state.
 		data = n > 0 || err != nil && isTransient(err)
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	return data, err
 }
 
-// peekByte looks whether a byte has come, without taking it.
+// peekByte checks for input without consuming it or blocking.
 func peekByte(fd uintptr) (n int, err error) {
 	var b [1]byte
 	for {
@@ -181,9 +189,9 @@
 	}
 }
 
-// peek looks at a connection without reading or waiting: whether the peer has it
-// open still, and whether something has come.
-func peek(conn net.Conn) (alive, data bool) {
+// peekConn reports, without reading or blocking, whether the peer still has the connection open and whether there is
+// input.
+func peekConn(conn net.Conn) (alive, data bool) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return false, false
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -358,7 +358,7 @@
 }
 
 func (w *listWatch) run(ctx context.Context) {
-	pause(ctx, time.Duration(w.client.randN(int64(w.startSpread)+1)))
+	sleepContext(ctx, time.Duration(w.client.randN(int64(w.startSpread)+1)))
 	healthy, logged := false, false // the last call returned a list; the current run of failures was logged
 	for ctx.Err() == nil {
 		url, timeout := w.baseURL, listTimeout
@@ -392,7 +392,7 @@
 		healthy, logged = true, false
 		w.client.events <- listEvent{list: list, epoch: w.epoch}
 		if len(list.Instances) == 0 && time.Since(start) < emptyResponsePause {
-			pause(ctx, jitter(emptyResponsePause))
+			sleepContext(ctx, jitter(emptyResponsePause))
 		}
 	}
 }
@@ -416,7 +416,7 @@
 	if w.retriesLeft < 0 && (gotStatus || !w.client.pushed) {
 		spread = max(min(w.client.fleetStartSpread(), remaining*2/3), shortRetryPause) // the pause is 0.5 to 1.5 times this
 	}
-	pause(ctx, spread/2+time.Duration(w.client.randN(int64(spread))))
+	sleepContext(ctx, spread/2+time.Duration(w.client.randN(int64(spread))))
 }
 
 func (d *discoveryClient) fetch(ctx context.Context, url string, timeout time.Duration) (EndpointList, error) {
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -71,11 +71,11 @@
 		return nil, syscall.ECONNREFUSED
 	case "unreachable":
 		s.faulted <- struct{}{}
-		pause(ctx, discoveryDialTimeout)
+		sleepContext(ctx, discoveryDialTimeout)
 		return nil, errors.Join(os.ErrDeadlineExceeded, ctx.Err())
 	case "slow and stalls": // each step is slow, and the last one never completes
 		s.faulted <- struct{}{}
-		pause(ctx, discoveryDialTimeout-100*time.Millisecond)
+		sleepContext(ctx, discoveryDialTimeout-100*time.Millisecond)
 		go func() {
 			defer serverConn.Close()
 			if _, err := http.ReadRequest(bufio.NewReader(serverConn)); err == nil {
@@ -132,12 +132,12 @@
 	case "refuses", "resets":
 		return false
 	case "slow and stalls":
-		pause(context.Background(), 300*time.Millisecond)
+		sleepContext(context.Background(), 300*time.Millisecond)
 		fallthrough
 	case "stalls": // in the middle of a list
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"generation\":2,")
 	case "late error status":
-		pause(context.Background(), 2*time.Second)
+		sleepContext(context.Background(), 2*time.Second)
 		fallthrough
 	case "error status":
 		_, err := io.WriteString(conn, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
@@ -194,7 +194,7 @@
 		instance("fresh", freshAddr, "up"),
 	}}
 	text := func(discovery string) string {
-		deploy := strings.Replace(settings, `"balancers":1`, `"balancers":300`, 1)
+		deploy := strings.Replace(testSettings, `"balancers":1`, `"balancers":300`, 1)
 		if p.pushed {
 			deploy = strings.Replace(deploy, "on_request", "pushed", 1)
 		}
@@ -232,13 +232,13 @@
 	ln, signals := &idleListener{closed: make(chan struct{})}, make(chan os.Signal)
 	var mu sync.Mutex
 	sent, toOld, start := map[string][]time.Time{}, make(chan struct{}, 4096), time.Now()
-	n := startWith(t, text("127.0.0.4:1"), dir, func(n *Node) {
-		n.ln = ln
+	n := startNodeWithConfig(t, text("127.0.0.4:1"), dir, func(n *Node) {
+		n.listener = ln
 		n.ReloadOn(signals, func() (*Config, error) { return ParseConfig([]byte(text("127.0.0.5:1"))) })
-		n.disc.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
+		n.discovery.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return servers[addr].dial(ctx)
 		}
-		n.disc.randN = func(n int64) int64 {
+		n.discovery.randN = func(n int64) int64 {
 			if n == int64(maxWatchHold/4) { // the reduction of the hold time
 				return 0
 			}
@@ -261,7 +261,7 @@
 	t.Cleanup(func() { // everything must end here, also after a failure: the bubble's clock stops afterwards
 		close(stopClient)
 		n.stop()
-		if err := await(t, n.done, "end of the sender"); err != nil {
+		if err := receive(t, n.done, "end of the sender"); err != nil {
 			t.Error(err)
 		}
 		for _, s := range servers {
@@ -288,7 +288,7 @@
 	}()
 
 	if p.phase != "first call" {
-		await(t, toOld, "attempt at the old endpoint")
+		receive(t, toOld, "attempt at the old endpoint")
 		for len(initial.requests) > 0 {
 			<-initial.requests
 		}
@@ -301,12 +301,12 @@
 	switch p.phase {
 	case "watch":
 		failing.set(p.fault, oldList)
-		await(t, failing.faulted, "held watch")
+		receive(t, failing.faulted, "held watch")
 	case "SIGHUP":
 		signals <- syscall.SIGHUP
 	}
 	for range p.failedCalls {
-		await(t, failing.faulted, "failing call")
+		receive(t, failing.faulted, "failing call")
 	}
 	failing.set("", newList)
 	recovered := time.Now()
@@ -384,7 +384,7 @@
 	t.Cleanup(func() { close(s.closed) })
 	synctest.Wait()
 	for range 2 * senders { // for each, the first list and the watch
-		await(t, s.requests, "call")
+		receive(t, s.requests, "call")
 	}
 }
 
@@ -410,7 +410,7 @@
 		startWatchers(t, s, 300)
 		s.set("", EndpointList{Generation: 2, Reset: true})
 		for range 300 {
-			await(t, s.requests, "watch after the change")
+			receive(t, s.requests, "watch after the change")
 		}
 		if peak, total := countPerInterval(s.requests, 100*time.Millisecond, 41); peak > 100 || total != 300 {
 			t.Errorf("%d watches, %d of them within 0.1 s", total, peak)
@@ -426,7 +426,7 @@
 		startWatchers(t, s, 300)
 		s.set("refuses", EndpointList{Generation: 1, Reset: true})
 		for range 600 {
-			await(t, s.faulted, "broken watch")
+			receive(t, s.faulted, "broken watch")
 		}
 		if peak, total := countPerInterval(s.faulted, time.Second, 6); peak > 150 || total != 300 {
 			t.Errorf("%d calls, %d of them within a second", total, peak)
@@ -445,7 +445,7 @@
 			draining[0].Lifecycle = "draining"
 			var calls atomic.Int32
 			silent, applied := make(chan time.Time, 1), make(chan struct{}, 64)
-			p := &platform{srv: httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			p := &testPlatform{srv: httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				switch calls.Add(1) {
 				case 1:
 					silent <- time.Now()
@@ -458,19 +458,19 @@
 				<-r.Context().Done()
 			}))}
 			t.Cleanup(func() { p.srv.CloseClientConnections(); p.srv.Close() })
-			n := startWith(t, strings.Replace(string(configText(p, known)), "on_request", mode, 1), t.TempDir())
-			at := await(t, silent, "watch")
-			await(t, applied, "watch after the new list")
+			n := startNodeWithConfig(t, strings.Replace(string(configText(p, known)), "on_request", mode, 1), t.TempDir())
+			at := receive(t, silent, "watch")
+			receive(t, applied, "watch after the new list")
 			if took := time.Since(at); took > changeDeadline+2*time.Second { // plus the grace period of a drain
 				t.Errorf("the change took effect after %v", took)
 			}
-			c := dial(t, n.addr)
+			c := dialClient(t, n.addr)
 			for i := range 4 {
 				c.put(fmt.Sprint("m-", i), "safe", "+OK")
-				await(t, fresh.calls, "call").reply(200)
+				receive(t, fresh.calls, "call").reply(200)
 			}
-			old.none(t)
-			stopClean(t, n)
+			old.expectNoCall(t)
+			stopAndCheckEmpty(t, n)
 		})
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -39,11 +39,11 @@
 			d.bodyTimeout = 50 * time.Millisecond
 		}
 		at := time.Now()
-		list, err := d.fetch(t.Context(), srv.URL, patience)
+		list, err := d.fetch(t.Context(), srv.URL, testTimeout)
 		if whole && (err != nil || list.Generation != 3) {
 			t.Errorf("%+v, %v", list, err)
 		}
-		if took := time.Since(at); !whole && (err == nil || took > patience/2) {
+		if took := time.Since(at); !whole && (err == nil || took > testTimeout/2) {
 			t.Errorf("after %v: %+v, %v", took, list, err)
 		}
 		srv.Close()
@@ -115,17 +115,17 @@
 				defer stop()
 				d.startWatch(ctx)
 				for _, want := range []EndpointList{one, two} {
-					ev := await(t, events, "list event").(listEvent)
+					ev := receive(t, events, "list event").(listEvent)
 					if ev.err != nil || ev.list.Generation != want.Generation || len(ev.list.Instances) != len(want.Instances) {
 						t.Fatalf("got %+v, want %+v", ev, want)
 					}
 				}
 				for i, want := range []string{"", "from=1&hold_ms=10", "from=1&hold_ms=10"} {
-					if q := await(t, queries, "call"); q != want {
+					if q := receive(t, queries, "call"); q != want {
 						t.Errorf("call %d: %q, want %q", i, q, want)
 					}
 				}
-				if ev := await(t, events, "event after the error status").(listEvent); (ev.err == nil) != pushed {
+				if ev := receive(t, events, "event after the error status").(listEvent); (ev.err == nil) != pushed {
 					t.Errorf("after the error status: %+v", ev)
 				}
 			})
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -6,123 +6,128 @@
 )
 
 const (
-	acceptOn  = 500 * time.Millisecond // after the first no, clients are served as before for so long
-	freshTime = time.Second            // then, for the first request on a new connection to begin
+	closeIdleDelay = 500 * time.Millisecond // from the first refused PING until idle connections are closed
+	newConnTimeout = time.Second            // from then on, for the first request on a new connection to begin
 )
 
-// phase is what a sender does about its clients. PING, the operators' ready, the
-// readers of clients and the shutdown all ask this one state.
+// phase is the state of client service. It is shared by PING, the operators' ready call, the readers of clients'
+// connections and the shutdown.
 type phase int
 
 const (
-	starting phase = iota // not served yet
-	waiting               // the same, but another process is about to hand over
+	starting phase = iota // clients are not served yet
+	waiting               // not served yet; another process is about to hand over
 	serving
-	draining // sent away, until resume
-	stopping // sent away for good
-	replaced // another process serves: connections go over to it
+	draining // clients are sent away until an operator resumes service
+	stopping // clients are sent away for good
+	replaced // another process serves, and clients reconnect to it
 )
 
 func (p phase) String() string {
 	return [...]string{"starting", "waiting", "serving", "draining", "stopping", "replaced"}[p]
 }
 
-func (c *clients) now() phase {
+func (c *clientServer) currentPhase() phase {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase
 }
 
-// operate goes over to p at an operator's word, and says what holds from here on: only a
-// sender that serves can be drained, and brought back.
-func (c *clients) operate(p phase) phase {
+// setPhaseByOperator sets the phase to p for an operator and returns the resulting phase. Only a serving sender can be
+// drained, and only a draining one resumed; in other phases nothing changes.
+func (c *clientServer) setPhaseByOperator(p phase) phase {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase == serving || c.phase == draining {
-		c.turnTo(p)
+		c.setPhaseLocked(p)
 	}
 	return c.phase
 }
 
-// turn goes over to p. What stops is not brought back.
-func (c *clients) turn(p phase) {
+// setPhase sets the phase to p. The phases stopping and replaced are final.
+func (c *clientServer) setPhase(p phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != stopping && c.phase != replaced {
-		c.turnTo(p)
+		c.setPhaseLocked(p)
 	}
 }
 
-// turnTo is turn, under the lock. Clients are sent away by degrees: PING says no from now on, and
-// connections part once those that the front still sends have come.
-func (c *clients) turnTo(p phase) {
-	was := c.phase
+// setPhaseLocked sets the phase; c.mu must be held. A draining or stopping sender sends its clients away gradually: PING
+// fails at once, but connections are closed only after closeIdleDelay, when those that the front end still routes here
+// have arrived.
+func (c *clientServer) setPhaseLocked(p phase) {
+	previous := c.phase
 	c.phase = p
-	if was != p {
-		c.log.Info("state", "from", was.String(), "to", p.String())
+	if previous != p {
+		c.log.Info("state", "from", previous.String(), "to", p.String())
 	}
 	switch {
 	case p == serving:
-		c.parting = false
-		c.part.Stop()
+		c.closingIdle = false
+		c.closeIdleTimer.Stop()
 	case p == replaced:
-		c.partNow()
-	case (p == draining || p == stopping) && was != draining: // else the time of grace began before
-		c.part.Reset(acceptOn)
+		c.closeIdleLocked()
+	case (p == draining || p == stopping) && previous != draining: // otherwise the delay has already started
+		c.closeIdleTimer.Reset(closeIdleDelay)
 	}
 }
 
-// startParting wakes the readers: from here on a connection ends when no request is open on it.
-func (c *clients) startParting() {
+// startClosingIdle begins to close connections without an open request, unless service was resumed in the meantime.
+func (c *clientServer) startClosingIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != serving { // not resumed in the meantime
-		c.partNow()
+	if c.phase != serving {
+		c.closeIdleLocked()
 	}
 }
 
-func (c *clients) partNow() {
-	c.parting = true
+// closeIdleLocked shortens the read deadlines of connections that have no request partly read; c.mu must be held.
+func (c *clientServer) closeIdleLocked() {
+	c.closingIdle = true
 	for s := range c.sessions {
-		if !s.reading { // what has come in part is read to its end
-			s.conn.SetReadDeadline(s.idleBy(time.Now()))
+		if !s.readingRequest { // a request that has begun to arrive is read to its end
+			s.conn.SetReadDeadline(s.idleDeadline(time.Now()))
 		}
 	}
 }
 
-// idleBy is until when a connection may stay without a request, under the lock of clients.
-func (s *session) idleBy(now time.Time) time.Time {
-	wait := idleClient
-	if s.fresh {
-		wait = firstRequest
+// idleDeadline returns the time until which a connection may stay without a request. The lock of clientServer must be
+// held.
+func (s *session) idleDeadline(now time.Time) time.Time {
+	timeout := clientIdleTimeout
+	if s.noRequestYet {
+		timeout = firstRequestTimeout
 	}
-	if s.c.parting {
-		if !s.fresh {
+	if s.server.closingIdle {
+		if !s.noRequestYet {
 			return now
 		}
-		wait = freshTime
+		timeout = newConnTimeout
 	}
-	if s.fresh {
-		return s.opened.Add(wait)
+	if s.noRequestYet {
+		return s.openedAt.Add(timeout)
 	}
-	return now.Add(wait)
+	return now.Add(timeout)
 }
 
-// stopReading sets the time after which no request is taken: what is answered by the loop must not come later than that
-// can answer, and clients go on sending on a connection as long as it is open.
-func (c *clients) stopReading(at time.Time) {
+// stopReadingAt sets the time after which no request is accepted. Clients keep sending for as long as a connection is
+// open, and a request must not arrive when the loop can no longer reply to it.
+func (c *clientServer) stopReadingAt(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readBy = at
+	c.readCutoff = at
 }
 
-// tooLate says whether it is after that time, under the lock.
-func (c *clients) tooLate() bool { return !c.readBy.IsZero() && !time.Now().Before(c.readBy) }
+// pastReadCutoff reports whether that time has passed; c.mu must be held.
+func (c *clientServer) pastReadCutoff() bool {
+	return !c.readCutoff.IsZero() && !time.Now().Before(c.readCutoff)
+}
 
-// gone waits until no client is left or ctx is over. The listener must be closed.
-func (c *clients) gone(ctx context.Context) {
+// awaitClosed waits until all clients' connections are closed or ctx is done. The listener must be closed before.
+func (c *clientServer) awaitClosed(ctx context.Context) {
 	done := make(chan struct{})
-	go func() { <-c.accepted; c.wg.Wait(); close(done) }()
+	go func() { <-c.acceptDone; c.wg.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-ctx.Done():
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -28,7 +28,7 @@
 })
 
 // startWithFaults starts the program with a fault plan. It does not wait.
-func startWithFaults(t *testing.T, p *platform, dir string, config []byte, plan faultinject.Plan) *process {
+func startWithFaults(t *testing.T, p *testPlatform, dir string, config []byte, plan faultinject.Plan) *process {
 	t.Helper()
 	path, err := faultyProgram()
 	if err != nil {
@@ -70,22 +70,22 @@
 
 // acceptHeld has a sender accept messages that it does not send yet, because its only endpoint has told it to wait. It
 // returns the ids of all messages that are owed.
-func acceptHeld(t *testing.T, proc *process, e *endpoint, ms, many int) (ids map[string]bool) {
+func acceptHeld(t *testing.T, proc *process, e *testEndpoint, ms, many int) (ids map[string]bool) {
 	t.Helper()
-	c := dial(t, proc.addr)
-	c.putFor("first", "safe", ms, "+OK")
-	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
+	c := dialClient(t, proc.addr)
+	c.putWithLifetime("first", "safe", ms, "+OK")
+	receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	ids = map[string]bool{"first": true}
 	for i := range many {
 		id := fmt.Sprint("held-", i)
-		c.putFor(id, []string{"safe", "unsafe"}[i%2], ms, "+OK")
+		c.putWithLifetime(id, []string{"safe", "unsafe"}[i%2], ms, "+OK")
 		ids[id] = true
 	}
 	return ids
 }
 
 // expectDelivered checks that all messages in ids are sent, no others, and that none is given up.
-func expectDelivered(t *testing.T, p *platform, e *endpoint, ids map[string]bool) {
+func expectDelivered(t *testing.T, p *testPlatform, e *testEndpoint, ids map[string]bool) {
 	t.Helper()
 	for left := len(ids); left > 0; left-- {
 		select {
@@ -96,7 +96,7 @@
 			in.reply(200)
 		case notice := <-p.notices:
 			t.Fatalf("with %d messages left, %s is %s", left, notice.ID, notice.State)
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("%d messages are neither sent nor ended", left)
 		}
 	}
@@ -108,35 +108,35 @@
 	for _, offset := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(offset.String(), func(t *testing.T) {
 			t.Parallel()
-			p, e, dir, known := oneEndpoint(t)
+			p, e, dir, known := newSingleEndpoint(t)
 			proc := startProcess(t, p, dir, known)
 			ids := acceptHeld(t, proc, e, 16000, 6)
 			proc.kill()
 			step := faultinject.Plan{Steps: []faultinject.Step{{At: faultTime(), Offset: offset}}}
 			proc = startWithFaults(t, p, dir, configText(p, known), step)
-			proc.addr = await(t, proc.ready, "ready program")
+			proc.addr = receive(t, proc.ready, "ready program")
 			expectDelivered(t, p, e, ids)
 			proc.kill()
-			e.none(t)
+			e.expectNoCall(t)
 			// A message without a usable endpoint must end by its deadline.
 			step.Steps[0].Offset = -offset
 			at := time.Now()
-			p.set(func() {
+			p.update(func() {
 				p.list = EndpointList{Generation: 2, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1", Zone: "a",
 					MachineType: "std", Dest: 2, Lifecycle: "draining"})}
 			})
 			proc = startWithFaults(t, p, dir, configText(p, p.list), step)
-			proc.addr = await(t, proc.ready, "ready program")
-			if got := dial(t, proc.addr).do("MSG.PUT", "0", "short", "c=unsafe,d=2500,dest=2", "x"); got != "+OK" {
+			proc.addr = receive(t, proc.ready, "ready program")
+			if got := dialClient(t, proc.addr).do("MSG.PUT", "0", "short", "c=unsafe,d=2500,dest=2", "x"); got != "+OK" {
 				t.Fatalf("got %q", got)
 			}
 			proc.kill()
 			step.Steps[0].Offset = 0
 			proc = startWithFaults(t, p, dir, configText(p, p.list), step)
-			await(t, proc.ready, "ready program")
-			notice := await(t, p.notices, "notice")
+			receive(t, proc.ready, "ready program")
+			notice := receive(t, p.notices, "notice")
 			for notice.ID != "short" { // after a kill right after a reply, unsafe messages may have run and fail
-				notice = await(t, p.notices, "notice")
+				notice = receive(t, p.notices, "notice")
 			}
 			if took := time.Since(at); took > 4*time.Second {
 				t.Errorf("ended after %v", took)
@@ -148,17 +148,17 @@
 
 // A transient read error must not be taken for the end of the journal: the messages in the records after it are owed.
 func TestReadErrorAtStartLosesNothing(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	proc := startProcess(t, p, dir, known)
 	ids := acceptHeld(t, proc, e, 16000, 6)
 	proc.kill()
 	proc = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{
 		Faults: faultsFor(1200*time.Millisecond, syscall.EIO, "read", "pread"),
 	})
-	proc.addr = await(t, proc.ready, "ready program")
+	proc.addr = receive(t, proc.ready, "ready program")
 	expectDelivered(t, p, e, ids)
 	proc.kill()
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // A transient error at the start may delay readiness for as long as it lasts, but must not end the process.
@@ -175,7 +175,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, e, dir, known := oneEndpoint(t)
+			p, e, dir, known := newSingleEndpoint(t)
 			proc := startProcess(t, p, dir, known)
 			ids := acceptHeld(t, proc, e, 16000, 2)
 			proc.kill()
@@ -206,7 +206,7 @@
 // After a failed write, appends to the journal must resume as soon as writing works again, even if no new file can be
 // created.
 func TestAppendsResumeAfterFailure(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	now := faultTime()
 	later := now + faultDelay
 	var faults []faultinject.Fault
@@ -229,8 +229,8 @@
 		Chance: 1,
 	})
 	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: faults})
-	proc.addr = await(t, proc.ready, "ready program")
-	c := dial(t, proc.addr)
+	proc.addr = receive(t, proc.ready, "ready program")
+	c := dialClient(t, proc.addr)
 	go func() {
 		for in := range e.calls {
 			in.reply(200)
@@ -256,13 +256,13 @@
 	now := faultTime()
 	proc := startWithFaults(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "open",
 		Errno: syscall.ENFILE, From: now + 800*time.Millisecond, To: now + 1800*time.Millisecond, Chance: 1}}})
-	await(t, proc.ready, "ready program")
+	receive(t, proc.ready, "ready program")
 	for faultinject.Now() < now+time.Second {
 		time.Sleep(10 * time.Millisecond)
 	}
 	proc.reload(configText(fresh, known))
 	select {
-	case <-fresh.asked:
+	case <-fresh.listRequests:
 	case <-time.After(3 * time.Second):
 		t.Error("discovery has not switched to the new address")
 	}
@@ -272,26 +272,26 @@
 // A returned message may be submitted again, so no later process may send it. The platform must therefore be notified
 // only after the journal has the record, or when the message's deadline has come.
 func TestReturnedIsNotSentAfterRestart(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	now := faultTime()
 	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", On: faultinject.StateFiles,
 		Errno: syscall.EIO, From: now + faultDelay, To: now + time.Minute, Chance: 1}}})
-	proc.addr = await(t, proc.ready, "ready program")
-	c := dial(t, proc.addr)
+	proc.addr = receive(t, proc.ready, "ready program")
+	c := dialClient(t, proc.addr)
 	const usual = time.Second // duration of a call; a message with less time left is returned
 	for i := range 5 {
 		c.put(fmt.Sprint("usual-", i), "safe", "+OK")
 	}
 	for range 5 {
-		in := await(t, e.calls, "call")
+		in := receive(t, e.calls, "call")
 		time.AfterFunc(usual-time.Since(in.at), func() { in.reply(200) })
 	}
 	time.Sleep(usual + 50*time.Millisecond)
 	c.put("told-to-wait", "safe", "+OK")
-	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
+	receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	const span = faultDelay + time.Second // the message is returned after the faults have begun
 	taken := time.Now()
-	c.putFor("held", "safe", int(span.Milliseconds()), "+OK")
+	c.putWithLifetime("held", "safe", int(span.Milliseconds()), "+OK")
 	returned := false
 	select {
 	case notice := <-p.notices:
@@ -317,15 +317,15 @@
 
 // A read interrupted by a signal must not close the connection: it stays open, and requests on it are answered.
 func TestInterruptedReadKeepsConnection(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	now := faultTime()
 	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "receive",
 		Errno: syscall.EINTR, From: now, To: now + time.Minute, Chance: 0.5}}})
-	proc.addr = await(t, proc.ready, "ready program")
-	c := dial(t, proc.addr)
+	proc.addr = receive(t, proc.ready, "ready program")
+	c := dialClient(t, proc.addr)
 	for i := range 40 {
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
-		await(t, e.calls, "call").reply(200)
+		receive(t, e.calls, "call").reply(200)
 	}
 	proc.kill()
 }
@@ -335,23 +335,23 @@
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EHOSTUNREACH, syscall.ECONNABORTED} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			p, e, dir, known := oneEndpoint(t)
+			p, e, dir, known := newSingleEndpoint(t)
 			now := faultTime()
 			proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "accept",
 				Errno: errno, From: now + 700*time.Millisecond, To: now + 1700*time.Millisecond, Chance: 0.9}}})
-			proc.addr = await(t, proc.ready, "ready program")
-			resting := dial(t, proc.addr)
+			proc.addr = receive(t, proc.ready, "ready program")
+			resting := dialClient(t, proc.addr)
 			resting.put("before", "safe", "+OK")
-			await(t, e.calls, "call").reply(200)
+			receive(t, e.calls, "call").reply(200)
 			for faultinject.Now() < now+700*time.Millisecond {
 				time.Sleep(10 * time.Millisecond)
 			}
 			for i := range 3 {
-				dial(t, proc.addr).put(fmt.Sprint("new-", i), "safe", "+OK")
-				await(t, e.calls, "call").reply(200)
+				dialClient(t, proc.addr).put(fmt.Sprint("new-", i), "safe", "+OK")
+				receive(t, e.calls, "call").reply(200)
 			}
 			resting.put("after", "safe", "+OK")
-			await(t, e.calls, "call").reply(200)
+			receive(t, e.calls, "call").reply(200)
 			proc.kill()
 		})
 	}
@@ -362,7 +362,7 @@
 	for name, closed := range map[string]bool{"reader stalls": false, "reader is gone": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, _, dir, known := oneEndpoint(t)
+			p, _, dir, known := newSingleEndpoint(t)
 			path, err := program()
 			if err != nil {
 				t.Fatal(err)
@@ -393,7 +393,7 @@
 			if closed {
 				r.Close()
 			}
-			for stop := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+			for stop := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 				if conn, err := net.Dial("tcp", addr); err == nil {
 					conn.Close()
 					break
@@ -402,8 +402,8 @@
 					t.Fatal("does not serve")
 				}
 			}
-			c := dial(t, addr)
-			c.conn.SetDeadline(time.Now().Add(patience))
+			c := dialClient(t, addr)
+			c.conn.SetDeadline(time.Now().Add(testTimeout))
 			for i := range 900 { // too late to be sent; each logs a line, together more than a pipe holds
 				if got := c.do("MSG.PUT", "0", fmt.Sprint("m-", i), "c=safe,d=1,dest=1", "x"); !strings.HasPrefix(got, "-BUSY") {
 					t.Fatalf("put %d: got %q", i, got)
@@ -425,7 +425,7 @@
 }
 
 func testRefusedPartialWrite(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	now := faultTime()
 	state := func(call string, errno syscall.Errno, most int, chance float64) faultinject.Fault {
 		return faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: errno, Most: most, Chance: chance,
@@ -433,14 +433,14 @@
 	}
 	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{
 		state("pwrite", 0, 400, 1), state("pwrite", syscall.ENOSPC, 0, 0.5), state("open", syscall.EIO, 0, 1)}})
-	proc.addr = await(t, proc.ready, "ready program")
-	c := dial(t, proc.addr)
-	c.putFor("first", "safe", 16000, "+OK")
-	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
+	proc.addr = receive(t, proc.ready, "ready program")
+	c := dialClient(t, proc.addr)
+	c.putWithLifetime("first", "safe", 16000, "+OK")
+	receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	for faultinject.Now() < now+faultDelay+100*time.Millisecond {
 		time.Sleep(10 * time.Millisecond)
 	}
-	c = dial(t, proc.addr) // the first connection may have been closed as idle
+	c = dialClient(t, proc.addr) // the first connection may have been closed as idle
 	refused := map[string]bool{}
 	var batch strings.Builder // sent together, so that one write has several records
 	const many = 6
@@ -451,7 +451,7 @@
 	}
 	io.WriteString(c.conn, batch.String())
 	for i := range many {
-		refused[fmt.Sprint("m-", i)] = strings.HasPrefix(c.line(), "-BUSY")
+		refused[fmt.Sprint("m-", i)] = strings.HasPrefix(c.readLine(), "-BUSY")
 	}
 	proc.kill()
 	j := openJournal(t, dir, 3e6)
@@ -471,8 +471,8 @@
 	p.list = old
 	text := []byte(strings.Replace(string(configText(p, old)), `"on_request"`, `"pushed"`, 1))
 	proc := execProcess(t, p, dir, text)
-	proc.admin, proc.addr = await(t, proc.adminReady, "operators' address"), await(t, proc.ready, "ready program")
-	p.set(func() {
+	proc.admin, proc.addr = receive(t, proc.adminReady, "operators' address"), receive(t, proc.ready, "ready program")
+	p.update(func() {
 		news := instances(stays, drains)
 		news[1].Lifecycle = "draining"
 		p.list = EndpointList{Generation: 2, Instances: news[1:]}
@@ -481,10 +481,10 @@
 	ids := acceptHeld(t, proc, stays, 16000, 6)
 	next := execProcess(t, p, dir, text)
 	next.awaitLog("stands by")
-	p.set(func() { p.silent = true })
+	p.update(func() { p.holdLists = true })
 	proc.kill()
-	time.AfterFunc(200*time.Millisecond, func() { p.set(func() { p.silent = false }) })
-	await(t, next.ready, "ready program")
+	time.AfterFunc(200*time.Millisecond, func() { p.update(func() { p.holdLists = false }) })
+	receive(t, next.ready, "ready program")
 	for left := len(ids); left > 0; {
 		select {
 		case in := <-stays.calls:
@@ -492,7 +492,7 @@
 			left--
 		case in := <-drains.calls:
 			t.Fatalf("%s sent to a draining endpoint", in.id())
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("%d messages are not sent", left)
 		}
 	}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -17,15 +17,15 @@
 // successor accepts it, and the owner releases its ownership. From then on the old process forwards what it receives
 // from clients and endpoints, and the new one sends answers and cancellations. One of the fields is set.
 type packet struct {
-	State    *handoverState `json:",omitempty"`
-	Accepted bool           `json:"Understood,omitempty"`
-	Refused  string         `json:",omitempty"` // why the successor cannot use the state
-	Released bool           `json:"Yours,omitempty"`
-	Put      *relayedPut    `json:",omitempty"` // old to new: a message submitted by a client
-	Answer   *relayedPut    `json:",omitempty"` // new to old: the answer to that client
-	Reply    *remoteReply   `json:",omitempty"` // old to new: the outcome of a call
-	Health   *healthEvent   `json:",omitempty"` // old to new: the outcome of a probe
-	Cancel   *remoteCall    `json:",omitempty"` // new to old: cancel a call
+	State    *handoverState    `json:",omitempty"`
+	Accepted bool              `json:"Understood,omitempty"`
+	Refused  string            `json:",omitempty"` // why the successor cannot use the state
+	Released bool              `json:"Yours,omitempty"`
+	Put      *relayedPut       `json:",omitempty"` // old to new: a message submitted by a client
+	Answer   *relayedPut       `json:",omitempty"` // new to old: the answer to that client
+	Reply    *remoteReply      `json:",omitempty"` // old to new: the outcome of a call
+	Health   *probeResultEvent `json:",omitempty"` // old to new: the outcome of a probe
+	Cancel   *remoteCall       `json:",omitempty"` // new to old: cancel a call
 }
 
 // handoverState is the part of the owner's state that is not in the journal.
@@ -119,12 +119,12 @@
 			return nil, err
 		}
 		if lock != nil {
-			n.lock = lock
+			n.stateLock = lock
 			n.shareLimits(1)
-			n.clients.turn(starting)
+			n.clients.setPhase(starting)
 			return nil, nil
 		}
-		n.stoodBy = n.stoodBy || err == nil
+		n.wasStandby = n.wasStandby || err == nil
 		var state *handoverState
 		if err == nil {
 			if state, err = n.awaitHandover(ctx); err == nil {
@@ -135,8 +135,8 @@
 			return nil, ctx.Err()
 		}
 		failures.observe(err)
-		n.clients.turn(starting)
-		pause(ctx, lockPollInterval)
+		n.clients.setPhase(starting)
+		sleepContext(ctx, lockPollInterval)
 	}
 }
 
@@ -152,12 +152,12 @@
 		l.close()
 		return nil, err
 	}
-	if n.ln != nil { // received from an earlier owner
-		n.ln.Close()
+	if n.listener != nil { // received from an earlier owner
+		n.listener.Close()
 	}
-	n.ln = ln
+	n.listener = ln
 	n.shareLimits(2)
-	n.clients.turn(waiting)
+	n.clients.setPhase(waiting)
 	n.log.Info("stands by", "addr", ln.Addr().String())
 	var p packet
 	if err := l.read(&p, time.Time{}); err != nil {
@@ -185,8 +185,8 @@
 		return nil, errors.Join(errors.New("the owner did not release its ownership"), err)
 	}
 	// The old process writes nothing more to the journal. It releases the lock as soon as it has closed the journal.
-	for deadline := time.Now().Add(linkTimeout); ; pause(ctx, time.Millisecond) {
-		if n.lock, err = tryLock(n.cfg.StateDir); n.lock != nil {
+	for deadline := time.Now().Add(linkTimeout); ; sleepContext(ctx, time.Millisecond) {
+		if n.stateLock, err = tryLock(n.cfg.StateDir); n.stateLock != nil {
 			break
 		}
 		if err != nil && !isTransient(err) || time.Now().After(deadline) {
@@ -194,22 +194,22 @@
 			return nil, errors.Join(errors.New("the lock was not released"), err)
 		}
 	}
-	n.sender, n.before = sender, &predecessor{link: l, calls: map[string]*call{}}
+	n.sender, n.predecessor = sender, &predecessor{link: l, calls: map[string]*call{}}
 	return state, nil
 }
 
 // restoreHandover restores the state that the old process has handed over. If that contradicts the journal, it changes
 // nothing and returns an error.
 func (n *Node) restoreHandover(state *handoverState) error {
-	all := map[string]*held{}
+	all := map[string]*activeMessage{}
 	open := 0
 	for i := range state.Held {
 		saved := &state.Held[i]
-		h := &held{
-			msg:   &saved.Message,
-			tries: saved.Attempts,
-			over:  saved.Ended,
-			trail: trail{n.clock.At(saved.ReceivedAt), []byte(saved.AttemptLog)},
+		h := &activeMessage{
+			msg:      &saved.Message,
+			attempts: saved.Attempts,
+			ended:    saved.Ended,
+			log:      attemptLog{n.clock.At(saved.ReceivedAt), []byte(saved.AttemptLog)},
 		}
 		if !saved.Ended {
 			e := n.journal.Entry(saved.Message.ID)
@@ -226,30 +226,30 @@
 		all[saved.Message.ID] = h
 	}
 	for _, e := range n.journal.Entries() {
-		if h := all[e.ID]; e.End == nil && (h == nil || h.over) {
+		if h := all[e.ID]; e.End == nil && (h == nil || h.ended) {
 			return fmt.Errorf("message %s was not handed over", e.ID)
 		}
 	}
 	for _, h := range all {
 		if h.call != nil {
-			n.before.calls[h.call.id] = h.call
-			n.goesOut(h, h.call, n.before.cancelFunc(h.call))
+			n.predecessor.calls[h.call.id] = h.call
+			n.attemptStarted(h, h.call, n.predecessor.cancelFunc(h.call))
 		}
 	}
-	n.held, n.open = all, open
-	maps.Copy(n.recent, state.Recent)
-	n.dir.restore(state, n.clock)
-	n.start = n.clock.At(state.ClockNow).Add(-span(state.Now))
+	n.active, n.openCount = all, open
+	maps.Copy(n.recentIDs, state.Recent)
+	n.directory.restore(state, n.clock)
+	n.moduleEpoch = n.clock.At(state.ClockNow).Add(-toDuration(state.Now))
 	for _, e := range n.journal.Entries() {
 		if e.End != nil {
 			n.notices.add(*e.End)
 		}
 	}
-	n.disc.receivedList, n.follow = state.DiscoveryAnswered, state.Watching
-	if state.Discovery == n.disc.addr { // generations of different addresses are unrelated
-		n.disc.generation, n.disc.hasList = state.Generation, state.HasList
+	n.discovery.receivedList, n.watchFromStart = state.DiscoveryAnswered, state.Watching
+	if state.Discovery == n.discovery.addr { // generations of different addresses are unrelated
+		n.discovery.generation, n.discovery.hasList = state.Generation, state.HasList
 	}
-	n.log.Info("handed over", "held", open, "calls", len(n.before.calls))
+	n.log.Info("handed over", "held", open, "calls", len(n.predecessor.calls))
 	return nil
 }
 
@@ -304,14 +304,14 @@
 
 // replies returns the outcomes of calls that follow from an event of the old process. If its connection is lost, all of
 // its calls are severed: they may have run.
-func (p *predecessor) replies(ev remoteEvent) (out []replyEvent) {
+func (p *predecessor) replies(ev remoteEvent) (out []attemptResultEvent) {
 	if r := ev.Reply; r != nil {
 		c := p.calls[r.Call.ID]
 		if c == nil || c.attempt != r.Call.Attempt {
 			return nil
 		}
 		delete(p.calls, c.id)
-		return []replyEvent{{
+		return []attemptResultEvent{{
 			c,
 			callResult{outcome: r.Outcome, retryAfter: r.RetryAfter, messageGone: r.MessageOver, loadReport: r.Load, idleTime: r.Idle},
 			r.Duration,
@@ -320,7 +320,7 @@
 	if ev.disconnected {
 		for id, c := range p.calls {
 			delete(p.calls, id)
-			out = append(out, replyEvent{c, callResult{outcome: logic.ConnLost}, 0})
+			out = append(out, attemptResultEvent{c, callResult{outcome: logic.ConnLost}, 0})
 		}
 	}
 	return out
@@ -330,14 +330,14 @@
 func (n *Node) handleRemote(ev remoteEvent) {
 	if ev.disconnected {
 		n.log.Info("predecessor disconnected", "calls", len(ev.from.calls))
-		n.before = nil
+		n.predecessor = nil
 		n.shareLimits(1)
 	}
 	for _, r := range ev.from.replies(ev) {
-		n.reply(r)
+		n.handleAttemptResult(r)
 	}
 	if ev.Health != nil {
-		n.next = append(n.next, logic.ProbeResult{Endpoint: ev.Health.Endpoint, Outcome: ev.Health.Outcome})
+		n.pendingEvents = append(n.pendingEvents, logic.ProbeResult{Endpoint: ev.Health.Endpoint, Outcome: ev.Health.Outcome})
 	}
 }
 
@@ -365,7 +365,7 @@
 // which clients are served. It runs until ctx is done.
 func (n *Node) acceptSuccessors(ctx context.Context, ln handoverListener, clients *net.TCPListener) {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
-	delay := acceptPause
+	delay := acceptRetryDelay
 	accepting := failureLog{log: n.log, operation: "handover: accept"} // lasts where the platform refuses Unix sockets
 	greeting := failureLog{log: n.log, operation: "handover: greeting"}
 	for {
@@ -375,11 +375,11 @@
 		}
 		accepting.observe(err)
 		if err != nil {
-			pause(ctx, delay)
+			sleepContext(ctx, delay)
 			delay = min(2*delay, maxAcceptRetryDelay)
 			continue
 		}
-		delay = acceptPause
+		delay = acceptRetryDelay
 		s := &successor{link: &link{conn: conn}, packets: make(chan packet, 64)}
 		stop := context.AfterFunc(ctx, s.link.close)
 		if err := s.link.readGreeting(); err == nil {
@@ -417,11 +417,11 @@
 	switch {
 	case !ev.disconnected:
 		n.log.Info("a successor stands by")
-		n.after = ev.successor
+		n.successor = ev.successor
 		n.shareLimits(2)
-	case n.after == ev.successor:
+	case n.successor == ev.successor:
 		n.log.Warn("the successor is gone")
-		n.after = nil
+		n.successor = nil
 		n.shareLimits(1)
 	}
 }
@@ -429,7 +429,7 @@
 // handOver transfers ownership of the journal and all messages to the successor. The event loop handles nothing else
 // meanwhile. On an error this process remains the owner.
 func (n *Node) handOver() error {
-	s := n.after
+	s := n.successor
 	state, err := n.collectHandoverState()
 	if err != nil {
 		return err
@@ -456,7 +456,7 @@
 		return err
 	}
 	// From here on the successor owns the journal, whatever else fails.
-	if err := errors.Join(n.journal.Close(), n.lock.Close()); err != nil {
+	if err := errors.Join(n.journal.Close(), n.stateLock.Close()); err != nil {
 		n.log.Error("handover: cannot close the journal or its lock", "err", err)
 	}
 	return nil
@@ -466,27 +466,27 @@
 func (n *Node) collectHandoverState() (*handoverState, error) {
 	now := time.Now()
 	state := &handoverState{
-		Now:               micros(now.Sub(n.start)),
+		Now:               toMicros(now.Sub(n.moduleEpoch)),
 		ClockNow:          n.clock.Of(now),
-		Recent:            maps.Clone(n.recent),
-		LastEndpoint:      n.dir.lastID,
-		Discovery:         n.disc.addr,
-		Generation:        n.disc.generation,
-		HasList:           n.disc.hasList,
-		DiscoveryAnswered: n.disc.receivedList,
-		Watching:          n.disc.watching,
+		Recent:            maps.Clone(n.recentIDs),
+		LastEndpoint:      n.directory.lastID,
+		Discovery:         n.discovery.addr,
+		Generation:        n.discovery.generation,
+		HasList:           n.discovery.hasList,
+		DiscoveryAnswered: n.discovery.receivedList,
+		Watching:          n.discovery.watching,
 	}
 	var err error
 	if state.Snapshot, err = n.sender.Snapshot(); err != nil {
 		return nil, err
 	}
-	for _, h := range n.held {
+	for _, h := range n.active {
 		entry := heldState{
 			Message:    *h.msg,
-			Attempts:   h.tries,
-			Ended:      h.over,
-			ReceivedAt: n.clock.Of(h.trail.came),
-			AttemptLog: string(h.trail.text),
+			Attempts:   h.attempts,
+			Ended:      h.ended,
+			ReceivedAt: n.clock.Of(h.log.receivedAt),
+			AttemptLog: string(h.log.text),
 		}
 		entry.Message.Body = nil
 		if h.call != nil {
@@ -495,7 +495,7 @@
 		}
 		state.Held = append(state.Held, entry)
 	}
-	for id, to := range n.dir.endpoints {
+	for id, to := range n.directory.endpoints {
 		entry := targetState{
 			ID:         id,
 			Name:       to.instanceID,
@@ -503,9 +503,9 @@
 			Zone:       to.zone,
 			Kind:       to.kind,
 			Dest:       to.dest,
-			NoNewCalls: n.dir.unavailable[id],
+			NoNewCalls: n.directory.unavailable[id],
 		}
-		if at, ok := n.dir.removedAt[id]; ok {
+		if at, ok := n.directory.removedAt[id]; ok {
 			entry.RemovedAt = n.clock.Of(at)
 		}
 		state.Targets = append(state.Targets, entry)
@@ -533,21 +533,21 @@
 // clients until all are closed, and the outcomes of the calls in flight. Whatever has not ended by the time limit after
 // SIGTERM is abandoned.
 func (n *Node) relayUntilIdle(work context.Context) {
-	n.ln.Close() // the successor shares the socket, so connections waiting to be accepted are not lost
-	n.disc.close()
+	n.listener.Close() // the successor shares the socket, so connections waiting to be accepted are not lost
+	n.discovery.close()
 	n.caller.closeAllIdle()
-	n.clients.stopReading(n.closing.Add(stopSends))
-	n.clients.turn(replaced)
-	n.figures.openMessages.Store(0)
-	grace, cancel := context.WithDeadline(work, n.closing.Add(stopAll))
+	n.clients.stopReadingAt(n.shutdownAt.Add(shutdownWorkTimeout))
+	n.clients.setPhase(replaced)
+	n.metrics.openMessages.Store(0)
+	grace, cancel := context.WithDeadline(work, n.shutdownAt.Add(shutdownTimeout))
 	defer cancel()
 	clientsGone := make(chan struct{})
 	go func() {
-		n.clients.gone(grace)
+		n.clients.awaitClosed(grace)
 		close(clientsGone)
 	}()
-	r := relay{node: n, successor: n.after, packets: n.after.packets, waiting: map[int]chan<- string{}}
-	for idle := false; !idle || len(r.waiting) > 0 || len(n.calls()) > 0; {
+	r := relay{node: n, successor: n.successor, packets: n.successor.packets, waiting: map[int]chan<- string{}}
+	for idle := false; !idle || len(r.waiting) > 0 || len(n.calledEndpoints()) > 0; {
 		select {
 		case ev := <-n.events:
 			r.forward(ev)
@@ -561,7 +561,7 @@
 		case <-clientsGone:
 			idle, clientsGone = true, nil
 		case <-grace.Done():
-			n.log.Warn("replaced, with calls out", "calls", len(n.calls()))
+			n.log.Warn("replaced, with calls out", "calls", len(n.calledEndpoints()))
 			return
 		}
 	}
@@ -581,7 +581,7 @@
 // accepted them is unknown.
 func (r *relay) failWaiting() {
 	for seq, answer := range r.waiting {
-		answer <- answerFailed
+		answer <- replyFailed
 		delete(r.waiting, seq)
 	}
 	r.packets = nil
@@ -593,21 +593,21 @@
 	switch ev := ev.(type) {
 	case putEvent:
 		if r.packets == nil {
-			ev.answer <- busy(0)
+			ev.reply <- busyReply(0)
 			return
 		}
 		r.lastSeq++
-		r.waiting[r.lastSeq] = ev.answer
+		r.waiting[r.lastSeq] = ev.reply
 		p.Put = &relayedPut{Seq: r.lastSeq, Message: &ev.msg}
 	case remoteEvent: // from a predecessor that still has calls in flight
 		for _, x := range ev.from.replies(ev) {
 			r.forward(x)
 		}
 		return
-	case replyEvent:
+	case attemptResultEvent:
 		c, x := ev.call, ev.result
-		if h := r.node.held[c.id]; h != nil && h.call == c {
-			r.node.landed(h)
+		if h := r.node.active[c.id]; h != nil && h.call == c {
+			r.node.attemptEnded(h)
 		}
 		p.Reply = &remoteReply{
 			Call:        newRemoteCall(c),
@@ -616,9 +616,9 @@
 			MessageOver: x.messageGone,
 			Load:        x.loadReport,
 			Idle:        x.idleTime,
-			Duration:    ev.took,
+			Duration:    ev.duration,
 		}
-	case healthEvent:
+	case probeResultEvent:
 		p.Health = &ev
 	default: // changes of the list and confirmed notices: the successor receives its own
 		return
@@ -637,24 +637,24 @@
 		}
 	}
 	if p.Cancel != nil {
-		h := r.node.held[p.Cancel.ID]
+		h := r.node.active[p.Cancel.ID]
 		if h == nil || h.call == nil || h.call.attempt != p.Cancel.Attempt {
 			return
 		}
 		if p.Cancel.State == callAborted {
 			h.call.state.CompareAndSwap(callConnecting, callAborted)
 		}
-		h.stop()
+		h.cancel()
 	}
 }
 
 // shareLimits restricts this process to its share of the resource limits, for a total of so many processes.
 func (n *Node) shareLimits(processes int) {
-	limits := n.cfg.Limits.among(processes)
-	limits.BindMemory()
+	limits := n.cfg.Limits.dividedBy(processes)
+	limits.ApplyMemoryLimit()
 	cfg := *n.cfg
 	cfg.Limits = limits
-	most := shareOut(&cfg)
-	n.clients.setMost(most.clients)
+	most := newSocketBudget(&cfg)
+	n.clients.setMaxConns(most.clients)
 	n.caller.setLimits(most)
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -22,8 +22,8 @@
 // upgradeFixture has what the processes of an upgrade test share: a platform, an endpoint and a state folder.
 type upgradeFixture struct {
 	t        *testing.T
-	platform *platform
-	endpoint *endpoint
+	platform *testPlatform
+	endpoint *testEndpoint
 	dir      string
 	known    EndpointList
 }
@@ -59,7 +59,7 @@
 // awaitReady waits until the process serves clients.
 func (p *process) awaitReady() {
 	p.t.Helper()
-	p.addr = await(p.t, p.ready, "ready program")
+	p.addr = receive(p.t, p.ready, "ready program")
 }
 
 // In an upgrade the old process keeps its connections and calls until they end, while the new one handles their
@@ -69,11 +69,11 @@
 	fixture := newUpgradeFixture(t)
 	proc := fixture.start()
 	for round := range 2 {
-		c := dial(t, proc.addr)
+		c := dialClient(t, proc.addr)
 		id := func(s string) string { return fmt.Sprint(s, round) }
 		c.put(id("charge"), "unsafe", "+OK")
-		charge := await(t, fixture.endpoint.calls, "call")
-		incomplete := dial(t, proc.addr)
+		charge := receive(t, fixture.endpoint.calls, "call")
+		incomplete := dialClient(t, proc.addr)
 		io.WriteString(incomplete.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$5\r\n"+id("half")+"\r\n")
 		next := fixture.startStandby()
 		if got := adminCall(t, next.admin, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
@@ -89,24 +89,24 @@
 		}
 		// Read by the old process, accepted by the new one.
 		io.WriteString(incomplete.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n")
-		if got := incomplete.line(); got != "+OK" {
+		if got := incomplete.readLine(); got != "+OK" {
 			t.Errorf("relayed: %q", got)
 		}
-		in := await(t, fixture.endpoint.calls, "call for the relayed message")
+		in := receive(t, fixture.endpoint.calls, "call for the relayed message")
 		if in.id() != id("half") {
 			t.Errorf("call with %s", in.id())
 		}
 		in.reply(200)
-		if got := c.line(); got != "" {
+		if got := c.readLine(); got != "" {
 			t.Errorf("got %q on an idle connection of the old process", got)
 		}
-		c = dial(t, next.addr)
+		c = dialClient(t, next.addr)
 		if got := c.do("PING"); got != "+PONG" {
 			t.Errorf("PING: %q", got)
 		}
 		c.put(id("charge"), "unsafe", "+OK") // a repeated put: the new process has the message already
 		c.put(id("new"), "unsafe", "+OK")
-		await(t, fixture.endpoint.calls, "call").reply(200)
+		receive(t, fixture.endpoint.calls, "call").reply(200)
 		text := adminCall(t, next.admin, "show-stat\n")
 		if n := metricValue(t, text, "edge_balancer.open_requests"); n < 1 || n > 3 {
 			t.Errorf("open_requests=%d", n)
@@ -114,7 +114,7 @@
 		charge.reply(200)
 		proc.awaitExit()
 		proc = next
-		for stop := time.Now().Add(patience); metricValue(t, text, "edge_balancer.operations.unsafe.fulfilled") < 2; {
+		for stop := time.Now().Add(testTimeout); metricValue(t, text, "edge_balancer.operations.unsafe.fulfilled") < 2; {
 			if time.Now().After(stop) {
 				t.Fatalf("the charge is not counted as delivered:\n%s", text)
 			}
@@ -123,11 +123,11 @@
 	}
 	proc.terminate()
 	proc.awaitExit()
-	fixture.endpoint.none(t)
+	fixture.endpoint.expectNoCall(t)
 	if len(fixture.platform.notices) != 0 {
 		t.Errorf("notice %+v", <-fixture.platform.notices)
 	}
-	if ids := owed(t, fixture.dir); ids != nil {
+	if ids := pendingMessageIDs(t, fixture.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
@@ -136,18 +136,18 @@
 func TestUpgradeKeepsWaits(t *testing.T) {
 	fixture := newUpgradeFixture(t)
 	proc := fixture.start()
-	dial(t, proc.addr).put("a", "unsafe", "+OK")
-	in := await(t, fixture.endpoint.calls, "call")
+	dialClient(t, proc.addr).put("a", "unsafe", "+OK")
+	in := receive(t, fixture.endpoint.calls, "call")
 	next := fixture.startStandby()
 	in.reply(429, "X-Come-Back-Ms: 1500")
 	told := time.Now()
 	awaitJournalText(t, fixture.dir, `"op":3`)
 	proc.terminate()
 	next.awaitReady()
-	c := dial(t, next.addr)
+	c := dialClient(t, next.addr)
 	c.put("b", "unsafe", "+OK")
 	for range 2 {
-		in := await(t, fixture.endpoint.calls, "call")
+		in := receive(t, fixture.endpoint.calls, "call")
 		if d := in.at.Sub(told); d < 1500*time.Millisecond {
 			t.Errorf("%s was sent %v after a wait of 1.5 s", in.id(), d)
 		}
@@ -161,7 +161,7 @@
 // awaitJournalText waits until the journal file contains a text.
 func awaitJournalText(t *testing.T, dir, op string) {
 	t.Helper()
-	for stop := time.Now().Add(patience); ; {
+	for stop := time.Now().Add(testTimeout); ; {
 		b, err := os.ReadFile(dir + "/" + journalFile)
 		if err != nil {
 			t.Fatal(err)
@@ -179,26 +179,26 @@
 func TestUpgradeThenKill(t *testing.T) {
 	fixture := newUpgradeFixture(t)
 	proc := fixture.start()
-	c := dial(t, proc.addr)
+	c := dialClient(t, proc.addr)
 	c.put("u", "unsafe", "+OK")
-	await(t, fixture.endpoint.calls, "call")
+	receive(t, fixture.endpoint.calls, "call")
 	c.put("s", "safe", "+OK")
-	await(t, fixture.endpoint.calls, "call")
+	receive(t, fixture.endpoint.calls, "call")
 	next := fixture.startStandby()
 	proc.terminate()
 	next.awaitReady()
 	proc.kill()
-	if notice := await(t, fixture.platform.notices, "notice"); notice != (Notice{ID: "u", State: "failed"}) {
+	if notice := receive(t, fixture.platform.notices, "notice"); notice != (Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", notice)
 	}
-	if in := await(t, fixture.endpoint.calls, "call again"); in.id() != "s" {
+	if in := receive(t, fixture.endpoint.calls, "call again"); in.id() != "s" {
 		t.Errorf("call with %s", in.id())
 	} else {
 		in.reply(200)
 	}
 	next.terminate()
 	next.awaitExit()
-	fixture.endpoint.none(t)
+	fixture.endpoint.expectNoCall(t)
 }
 
 // If a successor dies before the handover, the owner goes on as before, and SIGTERM ends it as without a successor.
@@ -207,12 +207,12 @@
 	proc := fixture.start()
 	fixture.startStandby().kill()
 	proc.awaitLog("the successor is gone")
-	c := dial(t, proc.addr)
+	c := dialClient(t, proc.addr)
 	c.put("a", "unsafe", "+OK")
-	await(t, fixture.endpoint.calls, "call").reply(200)
+	receive(t, fixture.endpoint.calls, "call").reply(200)
 	proc.terminate()
 	proc.awaitExit()
-	if ids := owed(t, fixture.dir); ids != nil {
+	if ids := pendingMessageIDs(t, fixture.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
@@ -222,16 +222,16 @@
 func TestOwnerDies(t *testing.T) {
 	fixture := newUpgradeFixture(t)
 	proc := fixture.start()
-	c := dial(t, proc.addr)
+	c := dialClient(t, proc.addr)
 	c.put("u", "unsafe", "+OK")
-	await(t, fixture.endpoint.calls, "call")
+	receive(t, fixture.endpoint.calls, "call")
 	next := fixture.startStandby()
 	proc.kill()
-	late := dial(t, proc.addr) // possibly before the new process serves
+	late := dialClient(t, proc.addr) // possibly before the new process serves
 	next.awaitReady()
 	late.put("b", "safe", "+OK")
-	await(t, fixture.endpoint.calls, "call").reply(200)
-	if notice := await(t, fixture.platform.notices, "notice"); notice != (Notice{ID: "u", State: "failed"}) {
+	receive(t, fixture.endpoint.calls, "call").reply(200)
+	if notice := receive(t, fixture.platform.notices, "notice"); notice != (Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", notice)
 	}
 	next.terminate()
@@ -245,18 +245,18 @@
 	fresh := newPlatform(t)
 	fresh.list = EndpointList{Generation: 7, Reset: true, Instances: instances(fixture.endpoint)}
 	proc := fixture.start()
-	c := dial(t, proc.addr)
+	c := dialClient(t, proc.addr)
 	c.put("u", "unsafe", "+OK")
-	in := await(t, fixture.endpoint.calls, "call")
+	in := receive(t, fixture.endpoint.calls, "call")
 	next := fixture.startStandby()
 	next.reload(configText(fresh, fixture.known))
 	proc.terminate()
 	next.awaitReady()
-	if q := await(t, fresh.asked, "call at the new address"); q != "" {
+	if q := receive(t, fresh.listRequests, "call at the new address"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
 	in.reply(500)
-	if notice := await(t, fresh.notices, "notice at the new address"); notice != (Notice{ID: "u", State: "failed"}) {
+	if notice := receive(t, fresh.notices, "notice at the new address"); notice != (Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", notice)
 	}
 	proc.awaitExit()
@@ -283,7 +283,7 @@
 	t.Cleanup(func() { lock.Close(); ln.Close(); clients.Close() })
 	return lock, func() *link {
 		t.Helper()
-		ln.SetDeadline(time.Now().Add(patience))
+		ln.SetDeadline(time.Now().Add(testTimeout))
 		conn, err := ln.AcceptUnix()
 		if err != nil {
 			t.Fatal(err)
@@ -332,7 +332,7 @@
 			proc.awaitLog("no handover")
 			lock.Close()
 			proc.awaitReady()
-			if in := await(t, fixture.endpoint.calls, "call"); in.id() != "kept" {
+			if in := receive(t, fixture.endpoint.calls, "call"); in.id() != "kept" {
 				t.Errorf("call with %s", in.id())
 			} else {
 				in.reply(200)
@@ -354,8 +354,8 @@
 		t.Run(name, func(t *testing.T) {
 			fixture := newUpgradeFixture(t)
 			proc := fixture.start()
-			dial(t, proc.addr).put("u", "unsafe", "+OK")
-			in := await(t, fixture.endpoint.calls, "call")
+			dialClient(t, proc.addr).put("u", "unsafe", "+OK")
+			in := receive(t, fixture.endpoint.calls, "call")
 			l, err := dialOwner(fixture.dir)
 			if err != nil {
 				t.Fatal(err)
@@ -368,7 +368,7 @@
 			proc.awaitLog("a successor stands by")
 			proc.terminate()
 			var p packet
-			if err := l.read(&p, time.Now().Add(patience)); err != nil || p.State == nil {
+			if err := l.read(&p, time.Now().Add(testTimeout)); err != nil || p.State == nil {
 				t.Fatal(p, err)
 			}
 			if err := respond(l); err != nil {
@@ -378,7 +378,7 @@
 			proc.awaitLog("the handover failed")
 			in.reply(200)
 			proc.awaitExit()
-			if ids := owed(t, fixture.dir); ids != nil {
+			if ids := pendingMessageIDs(t, fixture.dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
 		})
@@ -415,8 +415,8 @@
 		t.Fatal(err)
 	}
 	proc := fixture.start()
-	dial(t, proc.addr).put("m1", "safe", "+OK")
-	await(t, fixture.endpoint.calls, "call").reply(200)
+	dialClient(t, proc.addr).put("m1", "safe", "+OK")
+	receive(t, fixture.endpoint.calls, "call").reply(200)
 	proc.terminate()
 	proc.awaitExit()
 }
@@ -427,25 +427,25 @@
 	old, n := newStoppedNode(t, t.TempDir()), newStoppedNode(t, t.TempDir())
 	rec := acceptRecord("a", 10)
 	mustAppend(t, n.journal, rec)
-	old.held["a"] = &held{msg: &rec.Entry.Message}
-	old.goesOut(old.held["a"], &call{id: "a", endpoint: 7, state: new(atomic.Int32)}, func() {})
+	old.active["a"] = &activeMessage{msg: &rec.Entry.Message}
+	old.attemptStarted(old.active["a"], &call{id: "a", endpoint: 7, state: new(atomic.Int32)}, func() {})
 	st, err := old.collectHandoverState()
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.before = &predecessor{link: &link{conn: new(net.UnixConn)}, calls: map[string]*call{}}
+	n.predecessor = &predecessor{link: &link{conn: new(net.UnixConn)}, calls: map[string]*call{}}
 	if err := n.restoreHandover(st); err != nil {
 		t.Fatal(err)
 	}
-	c := n.before.calls["a"]
-	if c == nil || !n.calls()[7] {
-		t.Fatalf("call %v, endpoints in use %v", c, n.calls())
+	c := n.predecessor.calls["a"]
+	if c == nil || !n.calledEndpoints()[7] {
+		t.Fatalf("call %v, endpoints in use %v", c, n.calledEndpoints())
 	}
-	if n.holdWait(7); c.state.Load() != callAborted {
+	if n.abortForWait(7); c.state.Load() != callAborted {
 		t.Errorf("after a wait the call is in state %d", c.state.Load())
 	}
-	n.reply(replyEvent{call: c, result: callResult{outcome: logic.Skipped}})
-	if len(n.calls()) != 0 {
-		t.Errorf("endpoints in use after the end: %v", n.calls())
+	n.handleAttemptResult(attemptResultEvent{call: c, result: callResult{outcome: logic.Skipped}})
+	if len(n.calledEndpoints()) != 0 {
+		t.Errorf("endpoints in use after the end: %v", n.calledEndpoints())
 	}
 }
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -213,7 +213,7 @@
 // A message whose class has been removed from the settings must not be treated as one of another class: it fails if it
 // may have run, and is returned otherwise.
 func TestUnknownClassInJournal(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	j := openJournal(t, dir, 3e6)
 	for _, id := range []string{"ran", "waits"} {
 		mustAppend(t, j, record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, Class: "forgotten", Dest: 1,
@@ -223,12 +223,12 @@
 	n := startNode(t, p, dir, known)
 	ends := map[string]string{}
 	for range 2 {
-		notice := await(t, p.notices, "notice")
+		notice := receive(t, p.notices, "notice")
 		ends[notice.ID] = notice.State
 	}
 	if ends["ran"] != noticeFailed || ends["waits"] != noticeReturned {
 		t.Errorf("ended as %v", ends)
 	}
-	e.none(t)
-	stopClean(t, n)
+	e.expectNoCall(t)
+	stopAndCheckEmpty(t, n)
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -2,27 +2,27 @@
 
 import "runtime/debug"
 
-// The process's descriptors are shared out at the start, so that no side can take
-// those that another needs.
+// File descriptors are divided between clients and calls at startup, so that neither can use up those of the other.
 
 const (
-	otherSockets   = 20 + maxAdminConns + 2 // standard streams, listeners, poller, journal, discovery, notices; operators
-	defaultSockets = 1024
-	lingering      = 8 // calls that are given up and not closed yet, and probes
+	// Standard streams, listeners, poller, journal, discovery and notices; operators.
+	reservedSockets    = 20 + maxAdminConns + 2
+	defaultSockets     = 1024
+	closingCallSockets = 8 // for abandoned calls that are not closed yet, and for probes
 )
 
-// memoryPart is the part of the memory that the garbage collector may let the heap fill.
-const memoryPart = 0.7
+// heapMemoryFraction is the fraction of the memory limit that is set as the runtime's soft limit.
+const heapMemoryFraction = 0.7
 
-// BindMemory tells the garbage collector of the limit on memory.
-func (l Limits) BindMemory() {
+// ApplyMemoryLimit sets the Go runtime's memory limit from the configured one.
+func (l Limits) ApplyMemoryLimit() {
 	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(l.MemoryMB * memoryPart * (1 << 20)))
+		debug.SetMemoryLimit(int64(l.MemoryMB * heapMemoryFraction * (1 << 20)))
 	}
 }
 
-// among is what each of several processes of one sender may use.
-func (l Limits) among(processes int) Limits {
+// dividedBy returns the limits of each of several processes of one sender.
+func (l Limits) dividedBy(processes int) Limits {
 	if l.Sockets <= 0 {
 		l.Sockets = defaultSockets
 	}
@@ -31,25 +31,26 @@
 	return l
 }
 
-// shares says how many connections each side may hold.
-type shares struct {
-	clients int
-	calls   int // to endpoints, idle ones counted
-	idle    int // to endpoints, without a call
+// socketBudget limits the number of connections of each kind.
+type socketBudget struct {
+	clients int // from clients
+	calls   int // to endpoints, including idle ones
+	idle    int // to endpoints, kept without a call
 }
 
-// shareOut gives calls what the slots can use, and some to keep, and the rest to clients;
-// clients need a third for requests, and as much again as room for those that say nothing.
-func shareOut(cfg *Config) shares {
+// newSocketBudget gives calls half of the available sockets, or more if the call slots need them, and clients the rest.
+// Clients keep at least two fifths: they need a third for requests, and ideally as much again for connections that stay
+// silent.
+func newSocketBudget(cfg *Config) socketBudget {
 	sockets := cfg.Limits.Sockets
 	if sockets <= 0 {
 		sockets = defaultSockets
 	}
-	rest := max(sockets-otherSockets, 16)
-	clients := rest / 2
-	if need := cfg.Deployment.Settings.CallSlots + lingering; rest-clients < need {
-		clients = max(rest-need, rest*2/5)
+	available := max(sockets-reservedSockets, 16)
+	clients := available / 2
+	if callSockets := cfg.Deployment.Settings.CallSlots + closingCallSockets; available-clients < callSockets {
+		clients = max(available-callSockets, available*2/5)
 	}
-	calls := rest - clients
-	return shares{clients: clients, calls: calls, idle: max(calls*2/3, 1)}
+	calls := available - clients
+	return socketBudget{clients: clients, calls: calls, idle: max(calls*2/3, 1)}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -16,130 +16,151 @@
 )
 
 const (
-	stopSends  = 3200 * time.Millisecond // what is sent after SIGTERM must end by then
-	stopAll    = 3400 * time.Millisecond // and the process must be gone soon after this
-	sweepEvery = time.Second
-	retryPause = 250 * time.Millisecond // of an attempt that could not be written to the journal
-	listWait   = 500 * time.Millisecond // for the list, of a process that takes over without a handover
-	eventRoom  = 4096
+	shutdownWorkTimeout = 3200 * time.Millisecond // after SIGTERM: sends end and requests are read by then
+	shutdownTimeout     = 3400 * time.Millisecond // after SIGTERM: the process exits soon after this
+	sweepInterval       = time.Second
+	attemptRetryDelay   = 250 * time.Millisecond // before an attempt that failed locally is reported
+	initialListTimeout  = 500 * time.Millisecond // for the endpoint list, after a takeover without a handover
+	eventQueueSize      = 4096
 )
 
-// replyEvent is the one outcome of an attempt.
-type replyEvent struct {
-	call   *call
-	result callResult
-	took   time.Duration
+// attemptResultEvent reports the result of an attempt. Each attempt has exactly one.
+type attemptResultEvent struct {
+	call     *call
+	result   callResult
+	duration time.Duration
 }
 
-// healthEvent is the one outcome of a probe.
-type healthEvent struct {
+// probeResultEvent reports the outcome of a probe. Each probe has exactly one.
+type probeResultEvent struct {
 	Endpoint logic.EndpointID
 	Outcome  logic.Outcome
 }
 
-// closingEvent starts the shutdown, or the handover to another process.
-type closingEvent struct{ at time.Time } // when SIGTERM came
+// shutdownEvent starts the shutdown, or the handover to another process. at is the time of SIGTERM.
+type shutdownEvent struct{ at time.Time }
 
-// held is a message that the module has and that is not over.
-type held struct {
-	msg   *Message
-	tries int
-	over  bool               // ended; an attempt is still out
-	stop  context.CancelFunc // of the attempt that is out
-	call  *call              // that attempt
-	trail trail
+// activeMessage is a message that the decision module knows and that has not ended, or whose last attempt is in flight.
+type activeMessage struct {
+	msg      *Message
+	attempts int
+	ended    bool               // the message has ended while an attempt is still in flight
+	cancel   context.CancelFunc // cancels the attempt in flight; nil if there is none
+	call     *call              // the attempt in flight; nil if there is none
+	log      attemptLog
 
-	overdue bool // it was counted as such
+	overdueReported bool // already reported as a violation
 }
 
-// stages is what a start spends its time on, for the line that says that it is ready.
-type stages struct {
-	since time.Time
-	spent []any // names and milliseconds
+// startupTimer measures the stages of the startup for the "ready" log line.
+type startupTimer struct {
+	stageStart time.Time
+	attrs      []any // log attributes: stage names and milliseconds
 }
 
-func (s *stages) done(name string) {
+func (t *startupTimer) finishStage(name string) {
 	now := time.Now()
-	s.spent = append(s.spent, name, now.Sub(s.since).Milliseconds())
-	s.since = now
+	t.attrs = append(t.attrs, name, now.Sub(t.stageStart).Milliseconds())
+	t.stageStart = now
 }
 
-// Node is one sender.
+// Node is one sender process. It connects the decision module (package logic) with the clients, the journal, the
+// endpoints, discovery and the platform.
 type Node struct {
-	cfg     *Config
-	log     *slog.Logger
-	journal *Journal
-	sender  *logic.Sender
-	caller  *endpointClient
-	dir     *Directory
-	disc    *discoveryClient
-	notices *noticeQueue
-	clients *clients
-	admin   *adminServer
-	figures *metrics
-	events  chan any
-	ready   chan net.Addr // gets the address once clients are served
-	reload  <-chan os.Signal
-	load    func() (*Config, error)
-	again   chan struct{} // holds one token while the configuration is to be read without a signal
-	follow  bool          // watch discovery from the start
-	stoodBy bool          // another process owned the journal when this one began
-	lock    *os.File      // on the state folder; nil while another process owns it
-	ln      net.Listener  // clients'
-
-	// What follows belongs to the loop.
-	due     *time.Timer // the module's
-	token   uint64
-	began   time.Time // of the process
-	start   time.Time // when the module's clock was 0
-	stages  stages
-	held    map[string]*held
-	open    int              // of held, those not over
-	out     map[string]*held // of held, those with an attempt out
-	recent  map[string]int64 // ids that were taken on and are over, until their time is up, on the lasting clock
-	next    []logic.Event    // for the next step
-	closing time.Time        // when SIGTERM came; zero until then
-	before  *predecessor     // nil if there is none
-	after   *successor       // nil if there is none
-	puts    []putEvent
-	records []record
-	calling []pendingCall // calls of the step at hand
-	clock   *clock.Lasting
-	decided int64 // when the step at hand began, on the clock
-	permits *permits
-	unsaid  []delayedNotice // ends that the journal has not got yet
-	flush   *time.Timer     // tries again to write what the journal has not got
-	failing failureLog      // of the journal
-}
-
-// New makes a sender. It replays the journal, unless another process owns that.
+	cfg             *Config
+	log             *slog.Logger
+	journal         *Journal
+	sender          *logic.Sender
+	caller          *endpointClient
+	directory       *Directory
+	discovery       *discoveryClient
+	notices         *noticeQueue
+	clients         *clientServer
+	admin           *adminServer
+	metrics         *metrics
+	events          chan any
+	ready           chan net.Addr // receives the listen address once clients are served
+	reloadSignals   <-chan os.Signal
+	loadConfig      func() (*Config, error)
+	reloadRequested chan struct{} // holds one token while a reload without a signal is pending
+	watchFromStart  bool          // watch discovery without waiting for the module to ask
+	wasStandby      bool          // another process owned the journal when this one started
+	stateLock       *os.File      // lock on the state folder; nil while another process owns it
+	listener        net.Listener  // for clients
+
+	// The fields below are owned by the event loop.
+	wakeTimer       *time.Timer // set by the module's SetTimer action
+	wakeToken       uint64      // identifies that timer to the module
+	startedAt       time.Time   // start of the process
+	moduleEpoch     time.Time   // zero of the module's clock
+	startup         startupTimer
+	active          map[string]*activeMessage
+	openCount       int                       // active messages that have not ended
+	inFlight        map[string]*activeMessage // active messages with an attempt in flight
+	recentIDs       map[string]int64          // ended messages by id, with their deadlines on the persistent clock
+	pendingEvents   []logic.Event             // for the next step
+	shutdownAt      time.Time                 // time of SIGTERM; zero until then
+	predecessor     *predecessor              // process that handed over to this one; nil if there is none
+	successor       *successor                // process waiting to take over; nil if there is none
+	pendingPuts     []putEvent                // puts to be answered by the next step
+	pendingRecords  []record                  // journal records for the next step
+	pendingCalls    []pendingCall             // calls decided in the current step
+	clock           *clock.Lasting            // persistent clock, which continues across restarts
+	stepTime        int64                     // start of the current step on the persistent clock
+	guard           *protocolGuard
+	deferredNotices []delayedNotice // notices of ends that are not in the journal yet
+	flushTimer      *time.Timer     // retries journal writes that failed
+	journalFailures failureLog
+}
+
+// New creates a sender. It replays the journal unless another process owns it.
 func New(cfg *Config, log *slog.Logger) (*Node, error) {
-	set := cfg.Deployment.Settings
-	sender, err := logic.New(set, cfg.Seed)
+	settings := cfg.Deployment.Settings
+	sender, err := logic.New(settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	spent := stages{since: began}
-	lock, err := tryLock(cfg.StateDir)
+	startedAt := time.Now()
+	startup := startupTimer{stageStart: startedAt}
+	stateLock, err := tryLock(cfg.StateDir)
 	if err != nil && !isTransient(err) {
 		return nil, err
 	}
-	spent.done("lock")
-	figures := newMetrics(cfg)
-	// The module asks for the list only where it must, and anywhere after a failed call.
-	n := &Node{cfg: cfg, log: log, lock: lock, follow: !set.ListOnRequest, sender: sender, dir: NewDirectory(cfg), figures: figures,
-		caller: newEndpointClient(span(cfg.Deployment.ConnectTimeout), span(set.ConnIdleTimeout), set.CallSlots, shareOut(cfg), &figures.relayed),
-		events: make(chan any, eventRoom), ready: make(chan net.Addr, 1), again: make(chan struct{}, 1), began: began, start: time.Now(), stages: spent, due: time.NewTimer(time.Hour), held: map[string]*held{}, out: map[string]*held{}, recent: map[string]int64{},
-		clock: clock.New(), flush: time.NewTimer(time.Hour), failing: failureLog{log: log, operation: "journal"}}
-	n.permits = newPermits(n)
+	startup.finishStage("lock")
+	metrics := newMetrics(cfg)
+	// The module asks for the endpoint list only in on-request mode; in either mode it asks again after a failed call.
+	n := &Node{
+		cfg:            cfg,
+		log:            log,
+		stateLock:      stateLock,
+		watchFromStart: !settings.ListOnRequest,
+		sender:         sender,
+		directory:      NewDirectory(cfg),
+		metrics:        metrics,
+		caller: newEndpointClient(toDuration(cfg.Deployment.ConnectTimeout), toDuration(settings.ConnIdleTimeout), settings.CallSlots,
+			newSocketBudget(cfg), &metrics.relayed),
+		events:          make(chan any, eventQueueSize),
+		ready:           make(chan net.Addr, 1),
+		reloadRequested: make(chan struct{}, 1),
+		startedAt:       startedAt,
+		moduleEpoch:     time.Now(),
+		startup:         startup,
+		wakeTimer:       time.NewTimer(time.Hour),
+		active:          map[string]*activeMessage{},
+		inFlight:        map[string]*activeMessage{},
+		recentIDs:       map[string]int64{},
+		clock:           clock.New(),
+		flushTimer:      time.NewTimer(time.Hour),
+		journalFailures: failureLog{log: log, operation: "journal"},
+	}
+	n.guard = newProtocolGuard(n)
 	n.caller.allowSecondCopies = cfg.Deployment.SecondCopies
-	n.disc = newDiscoveryClient(cfg.DiscoveryAddr, set.Senders, log, n.events)
-	n.disc.pushed = !set.ListOnRequest
+	n.discovery = newDiscoveryClient(cfg.DiscoveryAddr, settings.Senders, log, n.events)
+	n.discovery.pushed = !settings.ListOnRequest
 	n.notices = newNoticeQueue(cfg.DiscoveryAddr, log, n.events)
-	n.clients = newClients(cfg, log, n.events, figures)
-	n.admin = newAdminServer(log, n.clients, figures)
-	if lock != nil {
+	n.clients = newClientServer(cfg, log, n.events, metrics)
+	n.admin = newAdminServer(log, n.clients, metrics)
+	if stateLock != nil {
 		if err := n.openJournal(); err != nil && !isTransient(err) {
 			return nil, err
 		}
@@ -147,14 +168,15 @@
 	return n, nil
 }
 
-func span(t logic.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
-func micros(d time.Duration) logic.Micros {
+func toDuration(t logic.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func toMicros(d time.Duration) logic.Micros {
 	return logic.Micros(d / time.Microsecond)
 }
 
-// openJournal replays the journal. The lock must be held. A read that fails is given some time to work again.
+// openJournal opens and replays the journal. The caller must hold the state lock. A read error is returned, so that the
+// caller can retry, until readPatience has passed since the start; after that the journal ends before the error.
 func (n *Node) openJournal() error {
-	lenient := time.Since(n.began) > journalReadTimeout
+	lenient := time.Since(n.startedAt) > journalReadTimeout
 	journal, err := OpenJournal(n.cfg.StateDir, int64(n.cfg.Limits.DiskMB*1e6), lenient)
 	if err != nil {
 		return err
@@ -165,73 +187,74 @@
 	}
 	n.journal = journal
 	n.clock, n.clients.clock = journal.clock, journal.clock
-	n.stages.done("journal")
+	n.startup.finishStage("journal")
 	return nil
 }
 
-// Run serves until ctx is cancelled, then shuts down in good order, or hands over to a process that stands by.
+// Run serves until ctx is cancelled. Then it hands over to a standby process if there is one, or else shuts down
+// gracefully.
 func (n *Node) Run(ctx context.Context) error {
-	work, cancel := context.WithCancel(context.Background())
-	defer cancel()
+	workCtx, cancelWork := context.WithCancel(context.Background())
+	defer cancelWork()
 	if n.cfg.AdminAddr != "" {
-		served, err := n.serveOperators(work)
+		operatorsDone, err := n.serveOperators(workCtx)
 		if err != nil {
 			return err
 		}
-		defer func() { cancel(); <-served }()
+		defer func() { cancelWork(); <-operatorsDone }()
 	}
-	go n.watchReloads(work)
-	if err := n.begin(ctx); err != nil {
-		if ctx.Err() != nil { // ended before it owned anything
+	go n.watchReloads(workCtx)
+	if err := n.takeOwnership(ctx); err != nil {
+		if ctx.Err() != nil { // cancelled before this process owned anything
 			return nil
 		}
 		return err
 	}
-	defer n.lock.Close()
+	defer n.stateLock.Close()
 	defer n.journal.Close()
-	if n.follow {
-		n.disc.startWatch(work)
+	if n.watchFromStart {
+		n.discovery.startWatch(workCtx)
 	}
-	if n.stoodBy && n.before == nil {
-		n.awaitList(work)
+	if n.wasStandby && n.predecessor == nil {
+		n.awaitInitialList(workCtx)
 	}
-	n.step(work) // what the journal holds comes first: its ends are due
-	n.stages.done("step")
-	notify, stopNotices := context.WithCancel(work)
+	n.step(workCtx) // handle journalled messages before new ones: some may be due to end
+	n.startup.finishStage("step")
+	noticesCtx, stopNotices := context.WithCancel(workCtx)
 	defer stopNotices()
-	go n.notices.run(notify)
-	if n.before != nil {
-		go n.before.receive(work, n.events)
+	go n.notices.run(noticesCtx)
+	if n.predecessor != nil {
+		go n.predecessor.receive(workCtx, n.events)
 	}
-	if err := n.listenForClients(work); err != nil {
+	if err := n.listenForClients(workCtx); err != nil {
 		return err
 	}
 	defer func() {
-		if n.ln != nil {
-			n.ln.Close()
+		if n.listener != nil {
+			n.listener.Close()
 		}
 	}()
 	go func() {
 		select {
 		case <-ctx.Done():
-			n.events <- closingEvent{time.Now()}
-		case <-work.Done():
+			n.events <- shutdownEvent{time.Now()}
+		case <-workCtx.Done():
 		}
 	}()
-	if n.loop(work) {
+	if n.loop(workCtx) {
 		stopNotices()
-		n.relayUntilIdle(work)
+		n.relayUntilIdle(workCtx)
 	}
 	return nil
 }
 
-// begin makes this process the owner of the journal and takes up what is owed: from the process before, if that hands
-// over, or else from the journal alone.
-func (n *Node) begin(ctx context.Context) error {
-	var st *handoverState
-	if n.lock == nil {
+// takeOwnership makes this process the owner of the journal and continues with the messages that have not ended: with
+// the state of the previous process if that hands over, or else from the journal alone.
+func (n *Node) takeOwnership(ctx context.Context) error {
+	var state *handoverState
+	if n.stateLock == nil {
 		var err error
-		if st, err = n.acquireOwnership(ctx); err != nil {
+		if state, err = n.acquireOwnership(ctx); err != nil {
 			return err
 		}
 	}
@@ -239,118 +262,120 @@
 		if err := RetryTransient(ctx, n.log, "journal", n.openJournal); err != nil {
 			return err
 		}
-		n.loadAnew()
+		n.reloadAfterTakeover()
 	}
-	if st != nil {
-		err := n.restoreHandover(st)
+	if state != nil {
+		err := n.restoreHandover(state)
 		if err == nil {
 			return nil
 		}
-		n.log.Error("the handover does not fit: the journal alone counts", "err", err)
+		n.log.Error("handed-over state does not match the journal; resuming from the journal alone", "err", err)
 		if n.sender, err = logic.New(n.cfg.Deployment.Settings, n.cfg.Seed); err != nil {
 			return err
 		}
 	}
-	n.resume()
+	n.resumeFromJournal()
 	return nil
 }
 
-// awaitList waits for the list, for a short while, where an agent of our own has it at once. A process that stood by and
-// was not handed over to goes on for a sender that may have been told of changes which its own list does not have.
-func (n *Node) awaitList(work context.Context) {
-	late := time.NewTimer(listWait)
-	defer late.Stop()
-	for n.follow && !n.disc.receivedList {
+// awaitInitialList waits up to initialListTimeout for the endpoint list if discovery is watched from the start, because
+// a local discovery agent then has the list at once. A standby process that takes over without a handover replaces one
+// that may have seen changes which are missing from the list in its own configuration.
+func (n *Node) awaitInitialList(workCtx context.Context) {
+	timeout := time.NewTimer(initialListTimeout)
+	defer timeout.Stop()
+	for n.watchFromStart && !n.discovery.receivedList {
 		select {
 		case ev := <-n.events:
-			n.take(work, ev)
-		case <-late.C:
+			n.handleEvent(workCtx, ev)
+		case <-timeout.C:
 			return
 		}
 	}
 }
 
-// loadAnew follows a configuration that may have been replaced while this process waited for its turn.
-func (n *Node) loadAnew() {
-	if n.load == nil {
+// reloadAfterTakeover applies a configuration that may have been replaced while this process waited to take over.
+func (n *Node) reloadAfterTakeover() {
+	if n.loadConfig == nil {
 		return
 	}
-	cfg, err := n.load()
+	cfg, err := n.loadConfig()
 	if err != nil {
-		n.log.Warn("the configuration of the start stands until it can be read", "err", err)
+		n.log.Warn("cannot read the configuration; keeping the one loaded at startup until it can be read", "err", err)
 		n.requestReload()
 		return
 	}
-	if cfg.DiscoveryAddr != n.disc.addr {
+	if cfg.DiscoveryAddr != n.discovery.addr {
 		n.notices.setAddr(cfg.DiscoveryAddr)
-		n.disc.setAddr(cfg.DiscoveryAddr)
+		n.discovery.setAddr(cfg.DiscoveryAddr)
 	}
 }
 
-// shutDown sends the clients away. The first channel is closed when none is left, the second when the time is up.
-func (n *Node) shutDown(work context.Context) (served, stopped <-chan struct{}) {
-	none, late := make(chan struct{}), make(chan struct{})
-	n.clients.stopReading(n.closing.Add(stopSends))
-	n.clients.turn(stopping)
-	grace, end := context.WithDeadline(work, n.closing.Add(stopAll))
-	ln := n.ln
-	if ln == nil { // it never served
-		close(n.clients.accepted)
+// shutDownClients closes the clients' connections gracefully. clientsClosed is closed when none is left, timedOut when
+// shutdownTimeout has passed since SIGTERM.
+func (n *Node) shutDownClients(workCtx context.Context) (clientsClosed, timedOut <-chan struct{}) {
+	closed, expired := make(chan struct{}), make(chan struct{})
+	n.clients.stopReadingAt(n.shutdownAt.Add(shutdownWorkTimeout))
+	n.clients.setPhase(stopping)
+	graceCtx, cancel := context.WithDeadline(workCtx, n.shutdownAt.Add(shutdownTimeout))
+	listener := n.listener
+	if listener == nil { // clients were never served
+		close(n.clients.acceptDone)
 	}
 	go func() {
-		defer end()
-		pause(grace, acceptOn)
-		if ln != nil {
-			ln.Close()
-		}
-		n.clients.gone(grace)
-		close(none)
-		<-grace.Done()
-		close(late)
+		defer cancel()
+		sleepContext(graceCtx, closeIdleDelay)
+		if listener != nil {
+			listener.Close()
+		}
+		n.clients.awaitClosed(graceCtx)
+		close(closed)
+		<-graceCtx.Done()
+		close(expired)
 	}()
-	return none, late
+	return closed, expired
 }
 
-// loop owns the module and all of the state: it takes what has come, lets the
-// module step, writes the journal and acts, at most once a tick.
+// loop is the event loop. It owns the decision module and all of the state: at most once per tick it takes the events
+// that have arrived, steps the module, writes the journal and performs the module's actions.
 //
-// It returns true when another process goes on.
-func (n *Node) loop(work context.Context) bool {
-	tick := max(span(n.cfg.Deployment.Settings.Tick), time.Millisecond)
-	sweep := time.NewTicker(sweepEvery)
-	defer sweep.Stop()
-	rest := time.NewTimer(0)
-	defer rest.Stop()
-	defer n.due.Stop()
-	defer n.flush.Stop()
-	var served, stopped <-chan struct{} // while shutting down
-	quiet := false                      // shutting down, and no client is left
+// It returns true once another process has taken over.
+func (n *Node) loop(workCtx context.Context) bool {
+	tick := max(toDuration(n.cfg.Deployment.Settings.Tick), time.Millisecond)
+	sweepTicker := time.NewTicker(sweepInterval)
+	defer sweepTicker.Stop()
+	tickTimer := time.NewTimer(0)
+	defer tickTimer.Stop()
+	defer n.wakeTimer.Stop()
+	defer n.flushTimer.Stop()
+	var clientsClosed, timedOut <-chan struct{} // nil unless shutting down
+	noClients := false                          // shutting down, and all clients' connections are closed
 	for {
-		if quiet && n.open == 0 && len(n.journal.entries) == 0 && n.journal.Flushed() {
+		if noClients && n.openCount == 0 && len(n.journal.entries) == 0 && n.journal.Flushed() {
 			n.log.Info("stopped", "owed", 0)
 			return false
 		}
 		select {
 		case ev := <-n.events:
-			n.take(work, ev)
-		case <-n.due.C:
-			n.next = append(n.next, logic.TimerFired{Token: n.token})
-		case <-n.flush.C:
+			n.handleEvent(workCtx, ev)
+		case <-n.wakeTimer.C:
+			n.pendingEvents = append(n.pendingEvents, logic.TimerFired{Token: n.wakeToken})
+		case <-n.flushTimer.C:
 			n.writeRecords(nil)
-		case <-sweep.C:
+		case <-sweepTicker.C:
 			n.caller.closeUnusable()
-			if len(n.dir.removedAt) > 0 {
-				n.dir.purgeRemoved(time.Now(), n.calls())
+			if len(n.directory.removedAt) > 0 {
+				n.directory.purgeRemoved(time.Now(), n.calledEndpoints())
 			}
-			n.forget()
-			n.permits.forget()
-			n.permits.overdue()
+			n.expireRecentIDs()
+			n.guard.expireWaits()
+			n.guard.checkOverdue()
 			continue
-		case <-served:
-			quiet, served = true, nil
+		case <-clientsClosed:
+			noClients, clientsClosed = true, nil
 			continue
-		case <-stopped:
-			// What is still out stays in the journal as it is.
+		case <-timedOut:
+			// Messages with an attempt in flight stay in the journal as they are.
 			n.writeRecords(nil)
 			n.log.Info("stopped", "owed", len(n.journal.entries))
 			return false
@@ -358,37 +383,40 @@
 		for more := true; more; {
 			select {
 			case ev := <-n.events:
-				n.take(work, ev)
+				n.handleEvent(workCtx, ev)
 			default:
 				more = false
 			}
 		}
-		n.step(work)
-		for len(n.next) > 0 {
-			n.step(work)
+		n.step(workCtx)
+		for len(n.pendingEvents) > 0 {
+			n.step(workCtx)
 		}
-		if !n.closing.IsZero() && stopped == nil {
-			if n.after != nil {
+		if !n.shutdownAt.IsZero() && timedOut == nil {
+			if n.successor != nil {
 				err := n.handOver()
 				if err == nil {
 					return true
 				}
 				n.log.Error("the handover failed: this process stays the owner until its end", "err", err)
 			}
-			served, stopped = n.shutDown(work)
-			n.next = append(n.next, logic.Shutdown{TimeLeft: micros(max(stopSends-time.Since(n.closing), 0))})
-			n.step(work)
+			clientsClosed, timedOut = n.shutDownClients(workCtx)
+			n.pendingEvents = append(n.pendingEvents, logic.Shutdown{TimeLeft: toMicros(max(shutdownWorkTimeout-time.Since(n.shutdownAt), 0))})
+			n.step(workCtx)
 		}
-		rest.Reset(tick)
-		<-rest.C
+		tickTimer.Reset(tick)
+		<-tickTimer.C
 	}
 }
 
-// resume hands the module what the journal holds, with what became of it so far.
-func (n *Node) resume() {
+// resumeFromJournal passes the journalled messages to the module, with the outcome of their attempts so far.
+func (n *Node) resumeFromJournal() {
 	if n.cfg.KnownList.Generation != 0 || len(n.cfg.KnownList.Instances) > 0 {
-		n.disc.generation, n.disc.hasList = n.cfg.KnownList.Generation, true
-		n.next = append(n.next, logic.EndpointUpdate{Kind: logic.UpdateCached, Entries: n.dir.Apply(n.cfg.KnownList, time.Now())})
+		n.discovery.generation, n.discovery.hasList = n.cfg.KnownList.Generation, true
+		n.pendingEvents = append(n.pendingEvents, logic.EndpointUpdate{
+			Kind:    logic.UpdateCached,
+			Entries: n.directory.Apply(n.cfg.KnownList, time.Now()),
+		})
 	}
 	for _, e := range n.journal.Entries() {
 		if e.End != nil {
@@ -396,36 +424,36 @@
 			continue
 		}
 		if _, known := n.cfg.Classes[e.Class]; !known {
-			n.endUnknown(e)
+			n.endUnknownClass(e)
 			continue
 		}
-		n.held[e.ID] = &held{msg: &e.Message, tries: e.Attempts, trail: trail{came: time.Now()}}
-		n.open++
-		c := n.callOf(&e.Message)
+		n.active[e.ID] = &activeMessage{msg: &e.Message, attempts: e.Attempts, log: attemptLog{receivedAt: time.Now()}}
+		n.openCount++
+		c := n.moduleCall(&e.Message)
 		c.History = logic.History{Accepted: true, Attempts: e.Attempts, MayHaveRun: e.MayHaveRun || e.InFlight}
 		if c.History.MayHaveRun {
 			c.History.Zone = e.FirstMayRunZone
 		}
-		if e.InFlight { // whoever reads the journal next must not take its outcome for a later one's
-			n.records = append(n.records, record{Op: opOutcome, ID: e.ID, MayHaveRun: true})
+		if e.InFlight { // the next reader of the journal must not attribute the outcome of a later attempt to this one
+			n.pendingRecords = append(n.pendingRecords, record{Op: opOutcome, ID: e.ID, MayHaveRun: true})
 		}
-		n.next = append(n.next, c)
+		n.pendingEvents = append(n.pendingEvents, c)
 	}
 }
 
-// endUnknown ends a message whose class the settings do not name any more.
-func (n *Node) endUnknown(e *Entry) {
-	x := Notice{ID: e.ID, State: noticeReturned}
+// endUnknownClass ends a message whose class is no longer in the settings.
+func (n *Node) endUnknownClass(e *Entry) {
+	notice := Notice{ID: e.ID, State: noticeReturned}
 	if e.MayHaveRun || e.InFlight {
-		x.State = noticeFailed
+		notice.State = noticeFailed
 	}
-	n.log.Warn("message of an unknown class", "id", e.ID, "class", e.Class, "end", x.State)
-	n.records = append(n.records, record{Op: opGiveUp, ID: e.ID, Notice: &x})
-	n.unsaid = append(n.unsaid, delayedNotice{x, e.Deadline})
+	n.log.Warn("message of an unknown class", "id", e.ID, "class", e.Class, "end", notice.State)
+	n.pendingRecords = append(n.pendingRecords, record{Op: opGiveUp, ID: e.ID, Notice: &notice})
+	n.deferredNotices = append(n.deferredNotices, delayedNotice{notice, e.Deadline})
 }
 
-// callOf is the module's view of a message, without its times: those are set at the step.
-func (n *Node) callOf(m *Message) logic.Message {
+// moduleCall returns the module's view of a message. Its times are set at the step, by setCallTimes.
+func (n *Node) moduleCall(m *Message) logic.Message {
 	c := logic.Message{ID: m.ID, OrderKey: m.OrderKey, Dest: m.Dest, Tenant: -1, Class: n.cfg.Classes[m.Class]}
 	if t, ok := n.cfg.Tenants[m.Tenant]; ok && m.Tenant != "" {
 		c.Tenant = t
@@ -433,30 +461,30 @@
 	return c
 }
 
-// take turns what has come into events for the next step.
-func (n *Node) take(work context.Context, ev any) {
+// handleEvent processes an event of the loop. Most become module events for the next step.
+func (n *Node) handleEvent(workCtx context.Context, ev any) {
 	switch ev := ev.(type) {
 	case putEvent:
-		n.put(ev)
-	case replyEvent:
-		n.reply(ev)
-	case healthEvent:
-		n.next = append(n.next, logic.ProbeResult{Endpoint: ev.Endpoint, Outcome: ev.Outcome})
+		n.handlePut(ev)
+	case attemptResultEvent:
+		n.handleAttemptResult(ev)
+	case probeResultEvent:
+		n.pendingEvents = append(n.pendingEvents, logic.ProbeResult{Endpoint: ev.Endpoint, Outcome: ev.Outcome})
 	case listEvent:
-		n.list(ev)
+		n.handleList(ev)
 	case noticesConfirmedEvent:
 		for _, id := range ev.ids {
-			n.records = append(n.records, record{Op: opNoticeConfirmed, ID: id})
+			n.pendingRecords = append(n.pendingRecords, record{Op: opNoticeConfirmed, ID: id})
 		}
-		records := n.records
-		n.records = nil
-		n.writeRecords(records) // at once: what is off the journal makes room
+		records := n.pendingRecords
+		n.pendingRecords = nil
+		n.writeRecords(records) // immediately: entries that are removed make room in the journal
 	case reloadEvent:
-		n.switchDiscovery(work, ev.cfg)
-	case closingEvent:
-		n.closing = ev.at
+		n.switchDiscovery(workCtx, ev.cfg)
+	case shutdownEvent:
+		n.shutdownAt = ev.at
 	case listenerEvent:
-		n.serveClients(work, ev.ln)
+		n.serveClients(workCtx, ev.ln)
 	case remoteEvent:
 		n.handleRemote(ev)
 	case successorEvent:
@@ -464,53 +492,54 @@
 	}
 }
 
-func (n *Node) put(ev putEvent) {
+// handlePut queues a new message for the next step, refuses it, or confirms one that was accepted before.
+func (n *Node) handlePut(ev putEvent) {
 	id := ev.msg.ID
-	_, over := n.recent[id]
-	if n.held[id] != nil || n.journal.Entry(id) != nil || over {
-		if n.waits(id) {
-			n.puts = append(n.puts, ev) // it gets the answer of the first
+	_, recentlyEnded := n.recentIDs[id]
+	if n.active[id] != nil || n.journal.Entry(id) != nil || recentlyEnded {
+		if n.isPendingPut(id) {
+			n.pendingPuts = append(n.pendingPuts, ev) // gets the same reply as the first put
 			return
 		}
-		ev.answer <- answerOK
+		ev.reply <- replyOK
 		return
 	}
-	if answer := n.admission(&ev.msg); answer != "" {
-		n.permits.refuse(id)
-		n.figures.countResult(ev.msg.Class, answer)
-		ev.answer <- answer
+	if reply := n.admissionReply(&ev.msg); reply != "" {
+		n.guard.checkRefusal(id)
+		n.metrics.countResult(ev.msg.Class, reply)
+		ev.reply <- reply
 		return
 	}
 	m := ev.msg
-	n.held[id] = &held{msg: &m, trail: trail{came: time.Now()}}
-	n.open++
-	n.puts = append(n.puts, ev)
-	n.next = append(n.next, n.callOf(&m))
+	n.active[id] = &activeMessage{msg: &m, log: attemptLog{receivedAt: time.Now()}}
+	n.openCount++
+	n.pendingPuts = append(n.pendingPuts, ev)
+	n.pendingEvents = append(n.pendingEvents, n.moduleCall(&m))
 }
 
-// admission is the answer to a message that is not let in; empty for one that is.
-func (n *Node) admission(m *Message) string {
-	most := n.cfg.Deployment.Settings.MaxOpen
+// admissionReply returns the reply to a message that is refused without asking the module, or "" to admit it.
+func (n *Node) admissionReply(m *Message) string {
+	maxOpen := n.cfg.Deployment.Settings.MaxOpen
 	switch {
-	case !n.dir.hasDest(m.Dest) && n.disc.receivedList:
-		n.figures.refused.inc(string(refusedUnknownDest))
-		return answerUnknown
-	case !n.dir.hasDest(m.Dest): // nobody has told yet what there is
-		n.figures.refused.inc(string(refusedNoList))
-		return busy(logic.Second)
-	case most > 0 && n.open >= most:
-		n.figures.refused.inc(string(refusedTooManyOpen))
-		return busy(0)
+	case !n.directory.hasDest(m.Dest) && n.discovery.receivedList:
+		n.metrics.refused.inc(string(refusedUnknownDest))
+		return replyUnknownDestination
+	case !n.directory.hasDest(m.Dest): // no list from discovery yet: the destination may exist
+		n.metrics.refused.inc(string(refusedNoList))
+		return busyReply(logic.Second)
+	case maxOpen > 0 && n.openCount >= maxOpen:
+		n.metrics.refused.inc(string(refusedTooManyOpen))
+		return busyReply(0)
 	case !n.journal.HasRoom(len(m.Body)):
-		n.figures.refused.inc(string(refusedJournalFull))
-		return busy(0)
+		n.metrics.refused.inc(string(refusedJournalFull))
+		return busyReply(0)
 	}
 	return ""
 }
 
-// waits says whether the message came since the last step.
-func (n *Node) waits(id string) bool {
-	for _, p := range n.puts {
+// isPendingPut reports whether the message arrived since the last step, so that its client still waits for the reply.
+func (n *Node) isPendingPut(id string) bool {
+	for _, p := range n.pendingPuts {
 		if p.msg.ID == id {
 			return true
 		}
@@ -518,77 +547,81 @@
 	return false
 }
 
-func busy(after logic.Micros) string {
+// busyReply returns the -BUSY reply, with the time after which to retry if there is one, rounded up to milliseconds.
+func busyReply(after logic.Micros) string {
 	if after <= 0 {
 		return "-BUSY\r\n"
 	}
 	return fmt.Sprintf("-BUSY %d\r\n", (after+999)/1000)
 }
 
-func (n *Node) list(ev listEvent) {
-	if !n.disc.accept(ev) {
+// handleList applies an answer of discovery. Calls that are still connecting to endpoints which are no longer ready are
+// aborted, and kept connections to those endpoints are closed.
+func (n *Node) handleList(ev listEvent) {
+	if !n.discovery.accept(ev) {
 		return
 	}
 	if ev.err != nil {
-		n.next = append(n.next, logic.EndpointUpdate{Kind: logic.UpdateFailed, RequestTime: micros(ev.elapsed)})
+		n.pendingEvents = append(n.pendingEvents, logic.EndpointUpdate{Kind: logic.UpdateFailed, RequestTime: toMicros(ev.elapsed)})
 		return
 	}
 	form := logic.UpdateDelta
 	if ev.list.Reset {
 		form = logic.UpdateFull
 	}
-	rows := n.dir.Apply(ev.list, time.Now())
-	if ev.list.Reset || len(rows) > 0 { // not each watch that ends without news
+	rows := n.directory.Apply(ev.list, time.Now())
+	if ev.list.Reset || len(rows) > 0 { // not logged for watches that end without changes
 		n.log.Info("list", "generation", ev.list.Generation, "whole", ev.list.Reset, "entries", len(ev.list.Instances))
 	}
 	ready := make(map[logic.EndpointID]bool, len(rows))
 	for _, row := range rows {
 		ready[row.Endpoint] = row.State == logic.Ready
 	}
-	n.hold(func(ep logic.EndpointID) bool {
-		is, told := ready[ep]
-		return !is && (told || ev.list.Reset)
+	n.abortConnecting(func(ep logic.EndpointID) bool {
+		isReady, listed := ready[ep]
+		return !isReady && (listed || ev.list.Reset)
 	})
-	for ep, is := range ready {
-		if !is {
+	for ep, isReady := range ready {
+		if !isReady {
 			n.caller.closeIdleTo(ep)
 		}
 	}
-	if ev.list.Reset { // it leaves out what is gone
-		for id := range n.dir.removedAt {
+	if ev.list.Reset { // a full list omits removed endpoints, so they have no row
+		for id := range n.directory.removedAt {
 			n.caller.closeIdleTo(id)
 		}
 	}
-	n.next = append(n.next, logic.EndpointUpdate{Kind: form, Entries: rows})
+	n.pendingEvents = append(n.pendingEvents, logic.EndpointUpdate{Kind: form, Entries: rows})
 }
 
-// calls lists the endpoints that calls are out to.
-func (n *Node) calls() map[logic.EndpointID]bool {
-	out := map[logic.EndpointID]bool{}
-	for _, h := range n.out {
-		out[h.call.endpoint] = true
+// calledEndpoints returns the endpoints with a call in flight.
+func (n *Node) calledEndpoints() map[logic.EndpointID]bool {
+	endpoints := map[logic.EndpointID]bool{}
+	for _, m := range n.inFlight {
+		endpoints[m.call.endpoint] = true
 	}
-	return out
+	return endpoints
 }
 
-// goesOut notes that an attempt is out, and how it is ended.
-func (n *Node) goesOut(h *held, c *call, stop context.CancelFunc) {
-	h.call, h.stop = c, stop
-	n.out[c.id] = h
+// attemptStarted records an attempt in flight and how to cancel it.
+func (n *Node) attemptStarted(m *activeMessage, c *call, cancel context.CancelFunc) {
+	m.call, m.cancel = c, cancel
+	n.inFlight[c.id] = m
 }
 
-// landed notes that the attempt has had its outcome.
-func (n *Node) landed(h *held) {
-	h.stop()
-	delete(n.out, h.call.id)
-	h.call, h.stop = nil, nil
+// attemptEnded records that the attempt in flight has ended.
+func (n *Node) attemptEnded(m *activeMessage) {
+	m.cancel()
+	delete(n.inFlight, m.call.id)
+	m.call, m.cancel = nil, nil
 }
 
-// jitter is d, give or take half: what fails for many senders at once must not be tried again by all at once.
+// jitter returns a random duration from d/2 to 3d/2, so that a failure that hits many senders at once is not retried by
+// all of them at once.
 func jitter(d time.Duration) time.Duration { return d/2 + time.Duration(rand.Int64N(int64(d))) }
 
-// pause waits for d or until ctx is over.
-func pause(ctx context.Context, d time.Duration) {
+// sleepContext waits for d or until ctx is done.
+func sleepContext(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -600,187 +633,200 @@
 	}
 }
 
-func (n *Node) reply(ev replyEvent) {
-	h := n.held[ev.call.id]
-	if h == nil {
+// handleAttemptResult records the result of an attempt and passes it to the module.
+func (n *Node) handleAttemptResult(ev attemptResultEvent) {
+	m := n.active[ev.call.id]
+	if m == nil {
 		return
 	}
-	if h.call != nil {
-		n.landed(h)
+	if m.call != nil {
+		n.attemptEnded(m)
 	}
 	r := ev.result
 	if r.outcome == logic.LocalFailure {
-		h.tries--
+		m.attempts--
 	}
-	h.trail.heard(r)
-	n.figures.attempts.inc(outcomeNames[r.outcome])
+	m.log.addOutcome(r)
+	n.metrics.attempts.inc(outcomeNames[r.outcome])
 	if r.retryAfter > 0 {
-		n.permits.told(ev.call.endpoint, r.retryAfter)
-		n.holdWait(ev.call.endpoint)
+		n.guard.noteWait(ev.call.endpoint, r.retryAfter)
+		n.abortForWait(ev.call.endpoint)
 	}
-	ended := h.over
+	alreadyEnded := m.ended
 	done := r.outcome == logic.Delivered || r.messageGone
 	switch {
-	case ended:
+	case alreadyEnded:
 	case done:
-		n.records = append(n.records, record{Op: opDone, ID: ev.call.id})
-		if late := time.Since(h.trail.came) > span(n.cfg.classOf(h.msg).TargetLatency); late || r.messageGone {
-			n.badEnd(h, map[bool]string{true: "over", false: "late"}[r.messageGone])
+		n.pendingRecords = append(n.pendingRecords, record{Op: opDone, ID: ev.call.id})
+		if late := time.Since(m.log.receivedAt) > toDuration(n.cfg.classOf(m.msg).TargetLatency); late || r.messageGone {
+			n.logAttempts(m, map[bool]string{true: "over", false: "late"}[r.messageGone])
 		}
 		if r.outcome == logic.Delivered {
-			n.figures.countFulfilled(h.msg.Class)
+			n.metrics.countFulfilled(m.msg.Class)
 		}
-		n.finish(ev.call.id, h)
-	case r.outcome == logic.LocalFailure && !ev.call.journaled: // the journal knows nothing of it
+		n.endMessage(ev.call.id, m)
+	case r.outcome == logic.LocalFailure && !ev.call.journaled: // the attempt is not in the journal
 	default:
-		n.records = append(n.records, record{Op: opOutcome, ID: ev.call.id, MayHaveRun: mayHaveRun(r.outcome), Unsent: r.outcome == logic.LocalFailure})
-	}
-	if h.over {
-		delete(n.held, ev.call.id)
-	}
-	n.next = append(n.next, logic.AttemptResult{ID: ev.call.id, Final: ended || done, Endpoint: ev.call.endpoint,
-		Attempt: ev.call.attempt, Outcome: r.outcome, Latency: micros(ev.took), RetryAfter: micros(r.retryAfter), Load: parseLoadReport(r.loadReport, n.cfg.Deployment.Reports)})
+		n.pendingRecords = append(n.pendingRecords, record{Op: opOutcome, ID: ev.call.id,
+			MayHaveRun: mayHaveRun(r.outcome), Unsent: r.outcome == logic.LocalFailure})
+	}
+	if m.ended {
+		delete(n.active, ev.call.id)
+	}
+	n.pendingEvents = append(n.pendingEvents, logic.AttemptResult{
+		ID:         ev.call.id,
+		Final:      alreadyEnded || done,
+		Endpoint:   ev.call.endpoint,
+		Attempt:    ev.call.attempt,
+		Outcome:    r.outcome,
+		Latency:    toMicros(ev.duration),
+		RetryAfter: toMicros(r.retryAfter),
+		Load:       parseLoadReport(r.loadReport, n.cfg.Deployment.Reports),
+	})
 }
 
-// badEnd logs the course of a message that was not delivered in the time wanted.
-func (n *Node) badEnd(h *held, end string) {
-	n.log.Info("message", "id", h.msg.ID, "class", h.msg.Class, "dest", h.msg.Dest, "end", end, "ms", h.trail.ms(),
-		"attempts", string(h.trail.text))
+// logAttempts logs the attempts of a message that was not delivered within the target time of its class.
+func (n *Node) logAttempts(m *activeMessage, outcome string) {
+	n.log.Info("message", "id", m.msg.ID, "class", m.msg.Class, "dest", m.msg.Dest, "end", outcome, "ms", m.log.elapsedMS(),
+		"attempts", string(m.log.text))
 }
 
-// mayHaveRun says what an outcome leaves open.
+// mayHaveRun reports whether the endpoint may have processed the message after an attempt with this outcome.
 func mayHaveRun(o logic.Outcome) bool {
 	return o != logic.Refused && o != logic.ConnRefused && o != logic.Skipped && o != logic.LocalFailure
 }
 
-// finish takes a message off the books; its id is remembered until its time is up.
-func (n *Node) finish(id string, h *held) {
-	h.over = true
-	n.open--
-	n.recent[id] = h.msg.Deadline
-	if h.stop == nil {
-		delete(n.held, id)
+// endMessage ends a message. Its id is remembered until its deadline, to recognize repeated puts.
+func (n *Node) endMessage(id string, m *activeMessage) {
+	m.ended = true
+	n.openCount--
+	n.recentIDs[id] = m.msg.Deadline
+	if m.cancel == nil {
+		delete(n.active, id)
 	}
 }
 
-// forget drops ids that nobody can hand in any more.
-func (n *Node) forget() {
+// expireRecentIDs forgets the ids of ended messages whose deadline has passed.
+func (n *Node) expireRecentIDs() {
 	now := n.clock.Now()
-	for id, until := range n.recent {
+	for id, until := range n.recentIDs {
 		if now > until {
-			delete(n.recent, id)
+			delete(n.recentIDs, id)
 		}
 	}
 }
 
-// setTimes sets the times of the messages that the step at hand is told of. The module counts from the step, and they may
-// have waited for it, for the list of a start say.
-func (n *Node) setTimes(events []logic.Event) {
+// setCallTimes sets the times of new messages relative to the current step, which is what the module counts from. The
+// messages may have waited for the step, for example for the endpoint list at startup.
+func (n *Node) setCallTimes(events []logic.Event) {
 	for i, ev := range events {
 		c, ok := ev.(logic.Message)
 		if !ok {
 			continue
 		}
-		if h := n.held[c.ID]; h != nil {
-			c.TimeLeft = logic.Micros(h.msg.Deadline - n.decided)
+		if m := n.active[c.ID]; m != nil {
+			c.TimeLeft = logic.Micros(m.msg.Deadline - n.stepTime)
 		}
 		if c.History.MayHaveRun {
-			c.History.Age = logic.Micros(max(n.decided-n.journal.Entry(c.ID).FirstMayRunAt, 0))
+			c.History.Age = logic.Micros(max(n.stepTime-n.journal.Entry(c.ID).FirstMayRunAt, 0))
 		}
 		events[i] = c
 	}
 }
 
-// step lets the module decide, writes the journal, and then acts, in order.
-func (n *Node) step(work context.Context) {
-	events := n.next
-	n.next = nil
-	n.decided = n.clock.Now()
-	n.setTimes(events)
-	actions := n.sender.Step(micros(time.Since(n.start)), events)
-	answers := n.answers(actions)
-	for i, p := range n.puts {
-		if answers[p.msg.ID] == "" && !n.repeats(i) {
+// step lets the module decide on the pending events, writes the journal, replies to clients and then performs the
+// module's actions, in that order: nothing takes effect before it is in the journal.
+func (n *Node) step(workCtx context.Context) {
+	events := n.pendingEvents
+	n.pendingEvents = nil
+	n.stepTime = n.clock.Now()
+	n.setCallTimes(events)
+	actions := n.sender.Step(toMicros(time.Since(n.moduleEpoch)), events)
+	replies := n.immediateReplies(actions)
+	for i, p := range n.pendingPuts {
+		if replies[p.msg.ID] == "" && !n.isRepeatedPut(i) {
 			m := p.msg
-			n.records = append(n.records, record{Op: opAccept, Entry: &Entry{Message: m}})
+			n.pendingRecords = append(n.pendingRecords, record{Op: opAccept, Entry: &Entry{Message: m}})
 		}
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.Send:
-			n.records = append(n.records, record{Op: opSend, ID: a.ID, At: n.decided, Zone: n.dir.endpoints[a.Endpoint].zone})
+			n.pendingRecords = append(n.pendingRecords, record{Op: opSend, ID: a.ID, At: n.stepTime,
+				Zone: n.directory.endpoints[a.Endpoint].zone})
 		case logic.Reject, logic.Fail:
-			x := noticeOf(a)
-			if answers[x.ID] == "" && n.journal.Entry(x.ID) != nil {
-				n.records = append(n.records, record{Op: opGiveUp, ID: x.ID, Notice: &x})
+			notice := noticeFor(a)
+			if replies[notice.ID] == "" && n.journal.Entry(notice.ID) != nil {
+				n.pendingRecords = append(n.pendingRecords, record{Op: opGiveUp, ID: notice.ID, Notice: &notice})
 			}
 		}
 	}
-	records := n.records
-	n.records = nil
+	records := n.pendingRecords
+	n.pendingRecords = nil
 	err := n.writeRecords(records)
-	for i, p := range n.puts {
-		answer := answers[p.msg.ID]
+	for i, p := range n.pendingPuts {
+		reply := replies[p.msg.ID]
 		switch {
-		case answer != "":
-			n.figures.refused.inc(string(refusedBySender))
-			n.permits.refuse(p.msg.ID)
-		case err != nil: // not written, so not taken on
-			n.figures.refused.inc(string(refusedJournalFailed))
-			answer = answerNotJournaled(err)
-			n.drop(p.msg.ID)
-			n.next = append(n.next, logic.ClientGone{ID: p.msg.ID})
+		case reply != "":
+			n.metrics.refused.inc(string(refusedBySender))
+			n.guard.checkRefusal(p.msg.ID)
+		case err != nil: // not in the journal, so not accepted
+			n.metrics.refused.inc(string(refusedJournalFailed))
+			reply = answerNotJournaled(err)
+			n.dropMessage(p.msg.ID)
+			n.pendingEvents = append(n.pendingEvents, logic.ClientGone{ID: p.msg.ID})
 		default:
-			answer = answerOK
+			reply = replyOK
 		}
-		if !n.repeats(i) {
-			n.figures.countResult(p.msg.Class, answer)
+		if !n.isRepeatedPut(i) {
+			n.metrics.countResult(p.msg.Class, reply)
 		}
-		p.answer <- answer
+		p.reply <- reply
 	}
-	n.puts = nil
+	n.pendingPuts = nil
 	for _, a := range actions {
-		n.act(work, a, answers, err == nil)
+		n.perform(workCtx, a, replies, err == nil)
 	}
-	n.launch(work)
-	n.show()
+	n.sendPendingCalls(workCtx)
+	n.updateGauges()
 }
 
-// repeats says whether the message of a put stands earlier among the puts of the step.
-func (n *Node) repeats(i int) bool {
-	return slices.ContainsFunc(n.puts[:i], func(x putEvent) bool { return x.msg.ID == n.puts[i].msg.ID })
+// isRepeatedPut reports whether an earlier pending put has the same message id as the i-th.
+func (n *Node) isRepeatedPut(i int) bool {
+	return slices.ContainsFunc(n.pendingPuts[:i], func(x putEvent) bool { return x.msg.ID == n.pendingPuts[i].msg.ID })
 }
 
-// show brings the operators' figures up to date.
-func (n *Node) show() {
-	n.figures.openMessages.Store(int64(n.open))
-	n.figures.listedEndpoints.Store(int64(n.dir.listedCount()))
-	n.figures.outOfRotation.Store(int64(n.sender.OutOfRotation()))
+// updateGauges updates the gauges that operators read.
+func (n *Node) updateGauges() {
+	n.metrics.openMessages.Store(int64(n.openCount))
+	n.metrics.listedEndpoints.Store(int64(n.directory.listedCount()))
+	n.metrics.outOfRotation.Store(int64(n.sender.OutOfRotation()))
 }
 
-// answers finds the messages that the module ends in the step in which they came:
-// their clients are told at once.
-func (n *Node) answers(actions []logic.Action) map[string]string {
-	out := map[string]string{}
-	if len(n.puts) == 0 {
-		return out
+// immediateReplies returns the replies, by message id, to puts that the module ends in the step in which they arrived.
+// Their clients get the result as the reply to the put instead of a notice.
+func (n *Node) immediateReplies(actions []logic.Action) map[string]string {
+	replies := map[string]string{}
+	if len(n.pendingPuts) == 0 {
+		return replies
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.Reject:
-			if n.waits(a.ID) {
-				out[a.ID] = busy(a.RetryAfter)
+			if n.isPendingPut(a.ID) {
+				replies[a.ID] = busyReply(a.RetryAfter)
 			}
 		case logic.Fail:
-			if n.waits(a.ID) {
-				out[a.ID] = answerFailed
+			if n.isPendingPut(a.ID) {
+				replies[a.ID] = replyFailed
 			}
 		}
 	}
-	return out
+	return replies
 }
 
-func noticeOf(a logic.Action) Notice {
+// noticeFor returns the notice for a Refuse or Fail action.
+func noticeFor(a logic.Action) Notice {
 	switch a := a.(type) {
 	case logic.Reject:
 		return Notice{ID: a.ID, State: noticeReturned, AfterMS: int64((a.RetryAfter + 999) / 1000)}
@@ -790,144 +836,169 @@
 	return Notice{}
 }
 
-// drop forgets a message that was never taken on.
-func (n *Node) drop(id string) {
-	if h := n.held[id]; h != nil && !h.over {
-		n.open--
-		delete(n.held, id)
+// dropMessage removes a message that was not accepted.
+func (n *Node) dropMessage(id string) {
+	if m := n.active[id]; m != nil && !m.ended {
+		n.openCount--
+		delete(n.active, id)
 	}
 }
 
-func (n *Node) act(work context.Context, a logic.Action, answers map[string]string, written bool) {
+// perform carries out an action of the module. replies are those of immediateReplies; written tells whether the records
+// of the step are in the journal.
+func (n *Node) perform(workCtx context.Context, a logic.Action, replies map[string]string, written bool) {
 	switch a := a.(type) {
 	case logic.Send:
-		n.callOut(work, a, written)
+		n.startAttempt(workCtx, a, written)
 	case logic.Cancel:
-		if h := n.held[a.ID]; h != nil && h.stop != nil && h.tries-1 == a.Attempt {
-			h.stop()
+		if m := n.active[a.ID]; m != nil && m.cancel != nil && m.attempts-1 == a.Attempt {
+			m.cancel()
 		}
 	case logic.Reject, logic.Fail:
-		x := noticeOf(a)
-		if h := n.held[x.ID]; h != nil && !h.over {
-			n.badEnd(h, x.State)
+		notice := noticeFor(a)
+		if m := n.active[notice.ID]; m != nil && !m.ended {
+			n.logAttempts(m, notice.State)
 		}
-		if answers[x.ID] != "" {
-			n.drop(x.ID)
+		if replies[notice.ID] != "" {
+			n.dropMessage(notice.ID)
 			return
 		}
-		if h := n.held[x.ID]; h != nil && !h.over {
-			n.figures.countResult(h.msg.Class, x.State)
-			n.permits.giveUp(h, x)
-			n.finish(x.ID, h)
-			n.queueNotice(x, h.msg.Deadline)
+		if m := n.active[notice.ID]; m != nil && !m.ended {
+			n.metrics.countResult(m.msg.Class, notice.State)
+			n.guard.checkEnd(m, notice)
+			n.endMessage(notice.ID, m)
+			n.queueNotice(notice, m.msg.Deadline)
 		}
 	case logic.SetTimer:
-		n.due.Reset(span(a.Wait)) // it goes off no later than the one before
-		n.token = a.Token
+		n.wakeTimer.Reset(toDuration(a.Wait)) // replaces the previous timer, which was set for the same time or later
+		n.wakeToken = a.Token
 	case logic.Probe:
-		n.probe(work, a.Endpoint)
+		n.probe(workCtx, a.Endpoint)
 	case logic.ReleaseConns:
 		n.caller.closeIdleTo(a.Endpoint)
 	case logic.Subscribe:
-		n.disc.startWatch(work)
+		n.discovery.startWatch(workCtx)
 	case logic.Log:
 		n.log.Info(a.Text)
 	}
 }
 
-// callOut makes an attempt. Without its record in the journal it is not made.
-func (n *Node) callOut(work context.Context, a logic.Send, written bool) {
-	h := n.held[a.ID]
-	if h == nil { // never taken on; the module is still owed its one outcome
-		n.next = append(n.next, logic.AttemptResult{ID: a.ID, Final: true, Endpoint: a.Endpoint, Outcome: logic.Skipped})
+// startAttempt prepares an attempt for sendPendingCalls. An attempt whose record could not be written to the journal, or
+// that the guard denies, is not sent but reported as such.
+func (n *Node) startAttempt(workCtx context.Context, a logic.Send, written bool) {
+	m := n.active[a.ID]
+	if m == nil { // not accepted; the module still expects exactly one outcome
+		n.pendingEvents = append(n.pendingEvents, logic.AttemptResult{ID: a.ID, Final: true, Endpoint: a.Endpoint, Outcome: logic.Skipped})
 		return
 	}
-	permitted := !written || n.permits.send(h, a.Endpoint)
-	attempt := h.tries
-	h.tries++
-	h.trail.sent(a.Endpoint)
-	to := n.dir.endpoints[a.Endpoint]
-	in := &call{id: a.ID, attempt: attempt, endpoint: a.Endpoint, addr: to.addr, timeout: span(a.Timeout), msg: h.msg, state: new(atomic.Int32), messageCount: 1}
-	c := n.cfg.classOf(h.msg)
-	in.nonRetryable = c.Idempotency == logic.NonIdempotent
-	if e := n.journal.Entry(a.ID); e != nil && e.MayHaveRun && c.Idempotency == logic.IdempotentByKey { // a repeat: by the end of the window it must be written
-		in.writeBy = n.clock.At(e.FirstMayRunAt).Add(span(c.DedupWindow))
-	}
-	ctx, stop := context.WithCancel(work)
-	n.goesOut(h, in, stop)
+	permitted := !written || n.guard.allowSend(m, a.Endpoint)
+	attempt := m.attempts
+	m.attempts++
+	m.log.addSend(a.Endpoint)
+	target := n.directory.endpoints[a.Endpoint]
+	c := &call{
+		id:           a.ID,
+		attempt:      attempt,
+		endpoint:     a.Endpoint,
+		addr:         target.addr,
+		timeout:      toDuration(a.Timeout),
+		msg:          m.msg,
+		state:        new(atomic.Int32),
+		messageCount: 1,
+	}
+	class := n.cfg.classOf(m.msg)
+	c.nonRetryable = class.Idempotency == logic.NonIdempotent
+	if entry := n.journal.Entry(a.ID); entry != nil && entry.MayHaveRun && class.Idempotency == logic.IdempotentByKey {
+		// A repeat must be written before the deduplication window ends.
+		c.writeBy = n.clock.At(entry.FirstMayRunAt).Add(toDuration(class.DedupWindow))
+	}
+	ctx, cancel := context.WithCancel(workCtx)
+	n.attemptStarted(m, c, cancel)
 	var err error
-	in.journaled = written
-	if in.request, err = newDeliveryRequest(h.msg, to.addr, in.timeout); err != nil || !written || !permitted {
+	c.journaled = written
+	if c.request, err = newDeliveryRequest(m.msg, target.addr, c.timeout); err != nil || !written || !permitted {
 		if err != nil {
-			n.log.Error("call", "err", err)
+			n.log.Error("cannot build the delivery request", "err", err)
 		}
-		ev := replyEvent{in, callResult{outcome: logic.LocalFailure}, 0}
-		if written { // it will not work later either
+		ev := attemptResultEvent{c, callResult{outcome: logic.LocalFailure}, 0}
+		if written { // a request that cannot be built, or that the guard denies, would fail again
 			ev.result.outcome = logic.Skipped
 		}
-		time.AfterFunc(jitter(retryPause), func() { n.events <- ev }) // a full disk, say: room may come
+		// The delay gives the cause, such as a full disk, time to clear.
+		time.AfterFunc(jitter(attemptRetryDelay), func() { n.events <- ev })
 		return
 	}
-	n.calling = append(n.calling, pendingCall{ctx, in})
+	n.pendingCalls = append(n.pendingCalls, pendingCall{ctx, c})
 }
 
-// launch makes the calls that the step has decided on. Those to one endpoint go as one, as far as its kind allows:
-// so the module counts them, and so does the endpoint.
-func (n *Node) launch(work context.Context) {
+// sendPendingCalls sends the calls of the current step. Calls to one endpoint are sent as one batch, up to the batch
+// size of its kind: both the module and the endpoint count a batch as one call.
+func (n *Node) sendPendingCalls(workCtx context.Context) {
 	var group []pendingCall
-	for rest := n.calling; len(rest) > 0; {
-		group, rest = splitBulk(rest, n.batch(rest[0].endpoint))
-		go n.call(work, group)
+	for remaining := n.pendingCalls; len(remaining) > 0; {
+		group, remaining = splitBulk(remaining, n.batchSize(remaining[0].endpoint))
+		go n.sendCalls(workCtx, group)
 	}
-	n.calling = nil
+	n.pendingCalls = nil
 }
 
-// batch is how many messages one call to ep may carry.
-func (n *Node) batch(ep logic.EndpointID) int {
+// batchSize returns how many messages one call to ep may carry.
+func (n *Node) batchSize(ep logic.EndpointID) int {
 	kinds := n.cfg.Deployment.Settings.Kinds
-	if kind := n.dir.endpoints[ep].kind; kind >= 0 && kind < len(kinds) {
+	if kind := n.directory.endpoints[ep].kind; kind >= 0 && kind < len(kinds) {
 		return kinds[kind].MaxBatch
 	}
 	return 1
 }
 
-func (n *Node) call(work context.Context, group []pendingCall) {
-	at := time.Now()
+// sendCalls makes the calls of a batch and reports their results to the loop.
+func (n *Node) sendCalls(workCtx context.Context, group []pendingCall) {
+	startedAt := time.Now()
 	if len(group) > 1 {
-		n.caller.doBulk(work, group, func(in *call, r callResult) { n.events <- replyEvent{in, r, time.Since(at)} })
+		n.caller.doBulk(workCtx, group, func(c *call, r callResult) { n.events <- attemptResultEvent{c, r, time.Since(startedAt)} })
 		return
 	}
 	r := n.caller.do(group[0].ctx, group[0].call)
-	took := time.Since(at)
+	duration := time.Since(startedAt)
 	if r.localFailure {
-		pause(group[0].ctx, jitter(retryPause)) // descriptors, say: room may come
+		sleepContext(group[0].ctx, jitter(attemptRetryDelay)) // gives a local shortage, e.g. of descriptors, time to clear
 	}
-	n.events <- replyEvent{group[0].call, r, took}
+	n.events <- attemptResultEvent{group[0].call, r, duration}
 }
 
-// hold keeps calls that are still connecting from being written: what the module decided before it knew better
-// would reach the endpoint long after. They end as never sent.
-func (n *Node) hold(match func(ep logic.EndpointID) bool) {
-	for _, h := range n.out {
-		if match(h.call.endpoint) && h.call.state.CompareAndSwap(callConnecting, callAborted) {
-			h.stop()
+// abortConnecting ends matching calls that are still connecting, so that they are never written. They were decided
+// before the module learned of the change and would reach the endpoint long after it. They end as not sent.
+func (n *Node) abortConnecting(match func(ep logic.EndpointID) bool) {
+	for _, m := range n.inFlight {
+		if match(m.call.endpoint) && m.call.state.CompareAndSwap(callConnecting, callAborted) {
+			m.cancel()
 		}
 	}
 }
 
-// holdWait holds calls to where a wait was told: the destination, or the one route where routes are apart.
-func (n *Node) holdWait(ep logic.EndpointID) {
-	to, apart := n.dir.endpoints[ep], n.dir.separateRoute(ep)
-	n.hold(func(x logic.EndpointID) bool { return x == ep || !apart && n.dir.endpoints[x].dest == to.dest })
+// abortForWait aborts connecting calls that fall under a wait requested by ep: those to its whole destination, or only
+// to ep where routes are limited separately.
+func (n *Node) abortForWait(ep logic.EndpointID) {
+	target, separateRoutes := n.directory.endpoints[ep], n.directory.separateRoute(ep)
+	n.abortConnecting(func(x logic.EndpointID) bool {
+		return x == ep || !separateRoutes && n.directory.endpoints[x].dest == target.dest
+	})
 }
 
-func (n *Node) probe(work context.Context, ep logic.EndpointID) {
-	addr := n.dir.endpoints[ep].addr
+// probe checks the health of an endpoint in the background and reports the outcome to the loop.
+func (n *Node) probe(workCtx context.Context, ep logic.EndpointID) {
+	addr := n.directory.endpoints[ep].addr
 	go func() {
-		out := logic.ConnRefused
+		outcome := logic.ConnRefused
 		if req, err := newProbeRequest(addr); err == nil {
-			out = n.caller.do(work, &call{endpoint: ep, addr: addr, timeout: probeTimeout, request: req, state: new(atomic.Int32)}).outcome
-		}
-		n.events <- healthEvent{ep, out}
+			outcome = n.caller.do(workCtx, &call{
+				endpoint: ep,
+				addr:     addr,
+				timeout:  probeTimeout,
+				request:  req,
+				state:    new(atomic.Int32),
+			}).outcome
+		}
+		n.events <- probeResultEvent{ep, outcome}
 	}()
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -112,7 +112,7 @@
 	}
 	m := &metrics{
 		byClass:    map[string]*classCounters{},
-		violations: newCounterSet(violations),
+		violations: newCounterSet(allViolations),
 		refused:    newCounterSet(refusalReasons),
 		closed:     newCounterSet(closeReasons),
 		attempts:   newCounterSet(outcomes),
@@ -132,7 +132,7 @@
 // notice.
 func (m *metrics) countResult(class, result string) {
 	switch {
-	case result == answerFailed, result == answerUnknown, result == noticeFailed:
+	case result == replyFailed, result == replyUnknownDestination, result == noticeFailed:
 		m.countFaulted(class)
 	case strings.HasPrefix(result, "-BUSY"), result == noticeReturned:
 		m.countThrottled(class)
