--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,8 +15,8 @@
 	"rundeal/logic"
 )
 
-// owed lists what a stopped sender has left in its journal.
-func owed(t *testing.T, dir string) (ids []string) {
+// pendingMessageIDs returns the ids of the messages that a stopped sender has left in its journal.
+func pendingMessageIDs(t *testing.T, dir string) (ids []string) {
 	t.Helper()
 	for _, e := range openJournal(t, dir, 3e6).Entries() {
 		ids = append(ids, e.ID)
@@ -24,68 +24,71 @@
 	return ids
 }
 
-// stopClean shuts a sender down and checks that it owes nothing.
-func stopClean(t *testing.T, n *testNode) {
+// stopAndCheckEmpty shuts a sender down and checks that its journal is empty.
+func stopAndCheckEmpty(t *testing.T, n *testNode) {
 	t.Helper()
 	n.stop()
-	if err := await(t, n.done, "end of the sender"); err != nil {
+	if err := receive(t, n.done, "end of the sender"); err != nil {
 		t.Fatal(err)
 	}
-	if ids := owed(t, n.cfg.StateDir); ids != nil {
-		t.Errorf("still owed: %v", ids)
+	if ids := pendingMessageIDs(t, n.cfg.StateDir); ids != nil {
+		t.Errorf("still in the journal: %v", ids)
 	}
 }
 
+// A delivered message must reach the endpoint unchanged, with its id and idempotency key.
 func TestDeliver(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	if got := c.do("PING"); got != "+PONG" {
 		t.Fatalf("PING: %q", got)
 	}
 	c.put("a", "keyed", "+OK")
-	in := await(t, e[0].calls, "call")
+	in := receive(t, e[0].calls, "call")
 	if in.body != "body of a" || in.id() != "a" || in.req.Header.Get("Idempotency-Key") != "key-a" {
-		t.Errorf("went out changed: %v %q", in.req.Header, in.body)
+		t.Errorf("delivered with changes: %v %q", in.req.Header, in.body)
 	}
 	in.reply(200)
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
-// A client may hand an id in once more when its connection was closed: that is one message, held or delivered.
+// A client whose connection was closed may put the same message id again. That must not create a second message, whether
+// the first one is pending or delivered.
 func TestSameIDTwice(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	c.send("MSG.PUT", "0", "a", "c=safe,d=9000,dest=1", "x")
-	c2 := dial(t, n.addr)
+	c2 := dialClient(t, n.addr)
 	c2.put("a", "safe", "+OK")
-	if got := c.line(); got != "+OK" {
+	if got := c.readLine(); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
-	in := await(t, e[0].calls, "call")
+	in := receive(t, e[0].calls, "call")
 	c.put("a", "safe", "+OK")
 	in.reply(200)
 	c.put("a", "safe", "+OK")
 	c.put("b", "safe", "+OK")
-	if in := await(t, e[0].calls, "call"); in.id() != "b" {
+	if in := receive(t, e[0].calls, "call"); in.id() != "b" {
 		t.Fatalf("call with %s, want b", in.id())
 	} else {
 		in.reply(200)
 	}
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
-// What the module gives up is answered at once, with the time to come again.
-func TestGivenUpAtOnce(t *testing.T) {
-	n, c, p, e := world(t, 1)
-	c.putFor("late", "safe", 1, "-BUSY 2000")
+// A message that the module refuses in the step in which it arrives must be refused in the reply, with a time to retry
+// after, and without a notice.
+func TestImmediateRefusal(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
+	c.putWithLifetime("late", "safe", 1, "-BUSY 2000")
 	c.put("b", "safe", "+OK")
-	await(t, e[0].calls, "call").reply(200)
-	stopClean(t, n)
+	receive(t, e[0].calls, "call").reply(200)
+	stopAndCheckEmpty(t, n)
 	if len(p.notices) != 0 {
-		t.Errorf("a notice for a message that was never taken on: %v", <-p.notices)
+		t.Errorf("a notice for a message that was not accepted: %v", <-p.notices)
 	}
 }
 
-// The hold has a limit; what comes above it is turned away, and so is what the journal has no room for.
-func TestDoor(t *testing.T) {
+// Messages above max_open, or for which the journal has no room, must be refused.
+func TestAdmissionLimits(t *testing.T) {
 	p := newPlatform(t)
 	cfg, err := ParseConfig(configText(p, EndpointList{}))
 	if err != nil {
@@ -97,76 +100,77 @@
 		t.Fatal(err)
 	}
 	defer n.journal.Close()
-	n.dir.Apply(EndpointList{Reset: true, Instances: []Instance{{ID: "s", HostPort: "127.0.0.1:1", Dest: 1, Lifecycle: "up"}}}, time.Now())
+	n.directory.Apply(EndpointList{Reset: true, Instances: []Instance{{ID: "s", HostPort: "127.0.0.1:1", Dest: 1, Lifecycle: "up"}}}, time.Now())
 	answer := make(chan string, 1)
 	put := putEvent{Message{ID: "a", Class: "safe", Dest: 1, Body: make([]byte, 100)}, answer}
-	n.open = cfg.Deployment.Settings.MaxOpen
-	if n.put(put); await(t, answer, "answer") != "-BUSY\r\n" {
-		t.Error("taken on above max_open")
+	n.openCount = cfg.Deployment.Settings.MaxOpen
+	if n.handlePut(put); receive(t, answer, "answer") != "-BUSY\r\n" {
+		t.Error("accepted above max_open")
 	}
-	n.open = 0
+	n.openCount = 0
 	n.journal.maxBytes = 500
-	if n.put(put); await(t, answer, "answer") != "-BUSY\r\n" {
-		t.Error("taken on without room in the journal")
+	if n.handlePut(put); receive(t, answer, "answer") != "-BUSY\r\n" {
+		t.Error("accepted without room in the journal")
 	}
 }
 
-// A message that can't be journalled is not taken on: it would be lost with the process. Nothing of it is sent,
-// and the module gets the outcome of what it wanted to send, or a slot would be lost for good.
+// A message that cannot be journalled must not be accepted: it would be lost with the process. It must not be sent
+// either, and the module must still get an outcome for the attempt, or one of its call slots would be lost forever.
 func TestJournalFails(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
-	n, c, _, e := world(t, 1, func(n *Node) {
-		bad, err := os.Open(n.journal.file.Name()) // can't be written
+	n, c, _, e := startNodeWithEndpoints(t, 1, func(n *Node) {
+		bad, err := os.Open(n.journal.file.Name()) // opened read-only
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.journal.file.Close()
-		n.journal.file, n.journal.dir, n.cfg.StateDir = bad, dir, dir // nor rewritten, as long as dir is not there
+		n.journal.file, n.journal.dir, n.cfg.StateDir = bad, dir, dir // cannot be rewritten either until dir exists
 	})
 	for i := range 10 { // more than there are slots
 		c.put(fmt.Sprint("x", i), "safe", "-BUSY")
 	}
-	e[0].none(t)
+	e[0].expectNoCall(t)
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	c.put("a", "safe", "+OK")
-	in := await(t, e[0].calls, "call")
+	in := receive(t, e[0].calls, "call")
 	if in.id() != "a" {
 		t.Fatalf("call with %s, want a", in.id())
 	}
 	in.reply(200)
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
-// Told to wait, the sender sends nothing there, for any message, until the wait is over.
-func TestWaitIsHeeded(t *testing.T) {
-	n, c, _, e := world(t, 1)
+// After an endpoint has requested a wait, no message may be sent there until the wait is over.
+func TestWaitIsHonoured(t *testing.T) {
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "safe", "+OK")
-	in := await(t, e[0].calls, "call")
+	in := receive(t, e[0].calls, "call")
 	const wait = 400 * time.Millisecond
 	told := time.Now()
 	in.reply(429, "X-Come-Back-Ms: 400")
 	c.put("b", "safe", "+OK")
 	for range 2 {
-		in := await(t, e[0].calls, "call")
+		in := receive(t, e[0].calls, "call")
 		if in.at.Sub(told) < wait {
-			// b may have gone before the answer was read; that is excused for 100 ms.
+			// b may have been sent before the response was read; 100 ms are allowed for that.
 			if in.at.Sub(told) > 100*time.Millisecond {
-				t.Errorf("%s was sent %v after a wait of %v was told", in.id(), in.at.Sub(told), wait)
+				t.Errorf("%s was sent %v after a wait of %v was requested", in.id(), in.at.Sub(told), wait)
 			}
 		}
 		in.reply(200)
 	}
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
-// Refusals prove that nothing ran: also an unsafe message is sent again, and returned once its attempts are used up.
-func TestNeverRan(t *testing.T) {
-	n, c, p, e := world(t, 1)
+// A refusal proves that the message was not processed. Even an unsafe message must be sent again, and returned once its
+// attempts are used up.
+func TestRefusedAttemptsRetried(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("full", "unsafe", "+OK")
-	await(t, e[0].calls, "call").reply(503)
-	await(t, e[0].calls, "second call").reply(200)
+	receive(t, e[0].calls, "call").reply(503)
+	receive(t, e[0].calls, "second call").reply(200)
 	for _, answer := range [][]string{{"503", "X-Line-Busy: 1"}, {"504"}} {
 		c.put("moot"+answer[0], "unsafe", "+OK")
 		status := 503
@@ -174,172 +178,175 @@
 			status = 504
 		}
 		for range 3 { // max_attempts
-			await(t, e[0].calls, "call").reply(status, answer[1:]...)
+			receive(t, e[0].calls, "call").reply(status, answer[1:]...)
 		}
-		if x := await(t, p.notices, "notice"); x.ID != "moot"+answer[0] || x.State != "returned" || x.AfterMS != 2000 {
+		if x := receive(t, p.notices, "notice"); x.ID != "moot"+answer[0] || x.State != "returned" || x.AfterMS != 2000 {
 			t.Errorf("notice %+v", x)
 		}
 	}
-	stopClean(t, n)
-	e[0].none(t)
+	stopAndCheckEmpty(t, n)
+	e[0].expectNoCall(t)
 }
 
-// The endpoint says that the message is over: nothing is owed, not even a notice.
-func TestOver(t *testing.T) {
-	n, c, p, e := world(t, 1)
+// When an endpoint reports that the message is over (410), the message ends without a retry or a notice.
+func TestEndpointReportsMessageOver(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "unsafe", "+OK")
-	await(t, e[0].calls, "call").reply(410)
-	stopClean(t, n)
-	e[0].none(t)
+	receive(t, e[0].calls, "call").reply(410)
+	stopAndCheckEmpty(t, n)
+	e[0].expectNoCall(t)
 	if len(p.notices) != 0 {
 		t.Errorf("notice %+v", <-p.notices)
 	}
 }
 
-// After an error or a reset it may have run: an unsafe message fails, others are sent again.
+// After an error or a reset the endpoint may have processed the message: an unsafe message must fail, others are sent
+// again.
 func TestMayHaveRun(t *testing.T) {
-	for _, how := range []string{"500", "reset"} {
-		t.Run(how, func(t *testing.T) {
-			n, c, p, e := world(t, 1)
-			end := func(in *inCall) {
-				if how == "500" {
+	for _, ending := range []string{"500", "reset"} {
+		t.Run(ending, func(t *testing.T) {
+			n, c, p, e := startNodeWithEndpoints(t, 1)
+			end := func(in *receivedCall) {
+				if ending == "500" {
 					in.reply(500)
 				} else {
 					in.reset()
 				}
 			}
 			c.put("u", "unsafe", "+OK")
-			end(await(t, e[0].calls, "call"))
-			if x := await(t, p.notices, "notice"); x != (Notice{ID: "u", State: "failed"}) {
+			end(receive(t, e[0].calls, "call"))
+			if x := receive(t, p.notices, "notice"); x != (Notice{ID: "u", State: "failed"}) {
 				t.Errorf("notice %+v", x)
 			}
 			c.put("k", "keyed", "+OK")
-			end(await(t, e[0].calls, "call"))
-			in := await(t, e[0].calls, "call again")
+			end(receive(t, e[0].calls, "call"))
+			in := receive(t, e[0].calls, "call again")
 			if in.id() != "k" || in.req.Header.Get("Idempotency-Key") != "key-k" {
 				t.Errorf("call with %v", in.req.Header)
 			}
 			in.reply(200)
-			stopClean(t, n)
-			e[0].none(t)
+			stopAndCheckEmpty(t, n)
+			e[0].expectNoCall(t)
 		})
 	}
 }
 
-// An endpoint that answers nothing: an unsafe message fails when its time is up, and the call is ended.
-func TestSilentUntilDeadline(t *testing.T) {
-	n, c, p, e := world(t, 1)
-	c.putFor("u", "unsafe", 300, "+OK")
-	in := await(t, e[0].calls, "call")
-	if x := await(t, p.notices, "notice"); x != (Notice{ID: "u", State: "failed"}) {
+// An unsafe message at an endpoint that never responds must fail at its deadline, and the call must be ended.
+func TestSilentEndpointUntilDeadline(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
+	c.putWithLifetime("u", "unsafe", 300, "+OK")
+	in := receive(t, e[0].calls, "call")
+	if x := receive(t, p.notices, "notice"); x != (Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", x)
 	}
 	in.awaitEnd(t)
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
-// A safe message is called off at an endpoint that hangs and goes to another; the first call must have ended for
-// the endpoint before the second begins, or there are two copies.
-func TestSilentGoesElsewhere(t *testing.T) {
-	n, c, _, e := world(t, 2)
+// A safe message at an endpoint that hangs is cancelled there and sent to another one. The endpoint must see the end of
+// the first call before the second begins, or there would be two copies.
+func TestSilentEndpointRetriedElsewhere(t *testing.T) {
+	n, c, _, e := startNodeWithEndpoints(t, 2)
 	c.put("s", "safe", "+OK")
-	var first, second *inCall
+	var first, second *receivedCall
 	next := e[1]
 	select {
 	case first = <-e[0].calls:
 	case first = <-e[1].calls:
 		next = e[0]
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no call")
 	}
-	second = await(t, next.calls, "call elsewhere")
+	second = receive(t, next.calls, "call elsewhere")
 	first.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 	if _, err := first.reader.Read(make([]byte, 1)); err == nil || isTimeout(err) {
 		t.Errorf("the first call is still open: %v", err)
 	}
 	second.reply(200)
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
-// taken waits until the sender has the list of a generation: it asks from there on.
-func taken(t *testing.T, p *platform, generation int) {
+// awaitListGeneration waits until the sender has the list of a generation, which shows in its next request.
+func awaitListGeneration(t *testing.T, p *testPlatform, generation int) {
 	t.Helper()
-	for !strings.HasPrefix(await(t, p.asked, "call for the list"), fmt.Sprintf("from=%d&", generation)) {
+	for !strings.HasPrefix(receive(t, p.listRequests, "call for the list"), fmt.Sprintf("from=%d&", generation)) {
 	}
 }
 
-// Nothing new goes to an endpoint that drains; an address may change under the same name.
+// A draining endpoint must get no new calls. An endpoint whose address changes under the same id must be called at the
+// new one.
 func TestDrainAndMove(t *testing.T) {
-	n, c, p, e := world(t, 2)
+	n, c, p, e := startNodeWithEndpoints(t, 2)
 	list := instances(e...)
 	list[0].Lifecycle = "draining"
-	p.set(func() { p.list = EndpointList{Generation: 2, Instances: list[:1]} })
-	taken(t, p, 2)
+	p.update(func() { p.list = EndpointList{Generation: 2, Instances: list[:1]} })
+	awaitListGeneration(t, p, 2)
 	for i := range 4 {
 		c.put(fmt.Sprint("m", i), "safe", "+OK")
-		await(t, e[1].calls, "call").reply(200)
+		receive(t, e[1].calls, "call").reply(200)
 	}
-	e[0].none(t)
+	e[0].expectNoCall(t)
 	moved := newEndpoint(t)
 	list[1].HostPort = moved.addr()
-	p.set(func() { p.list = EndpointList{Generation: 3, Instances: list[1:]} })
-	taken(t, p, 3)
+	p.update(func() { p.list = EndpointList{Generation: 3, Instances: list[1:]} })
+	awaitListGeneration(t, p, 3)
 	c.put("m", "safe", "+OK")
-	await(t, moved.calls, "call").reply(200)
-	stopClean(t, n)
-	e[1].none(t)
+	receive(t, moved.calls, "call").reply(200)
+	stopAndCheckEmpty(t, n)
+	e[1].expectNoCall(t)
 }
 
-// While discovery is down the last list serves, and the sender asks again until it hears.
+// While discovery is down the sender must use the last list and retry until discovery responds.
 func TestDiscoveryDown(t *testing.T) {
 	p := newPlatform(t)
 	p.down = true
 	e := newEndpoint(t)
 	n := startNode(t, p, t.TempDir(), EndpointList{Generation: 1, Reset: true, Instances: instances(e)})
-	dial(t, n.addr).put("a", "safe", "+OK")
-	await(t, e.calls, "call").reply(200)
-	taken(t, p, 1)
-	taken(t, p, 1)
+	dialClient(t, n.addr).put("a", "safe", "+OK")
+	receive(t, e.calls, "call").reply(200)
+	awaitListGeneration(t, p, 1)
+	awaitListGeneration(t, p, 1)
 	moved := newEndpoint(t)
-	p.set(func() { p.down, p.list = false, EndpointList{Generation: 2, Reset: true, Instances: instances(moved)} })
-	taken(t, p, 2)
-	dial(t, n.addr).put("b", "safe", "+OK")
-	await(t, moved.calls, "call").reply(200)
-	stopClean(t, n)
+	p.update(func() { p.down, p.list = false, EndpointList{Generation: 2, Reset: true, Instances: instances(moved)} })
+	awaitListGeneration(t, p, 2)
+	dialClient(t, n.addr).put("b", "safe", "+OK")
+	receive(t, moved.calls, "call").reply(200)
+	stopAndCheckEmpty(t, n)
 }
 
+// While discovery does not respond the sender must use the list of its configuration.
 func TestDiscoverySilent(t *testing.T) {
 	p := newPlatform(t)
-	p.silent = true
+	p.holdLists = true
 	e := newEndpoint(t)
 	n := startNode(t, p, t.TempDir(), EndpointList{Generation: 1, Reset: true, Instances: instances(e)})
-	await(t, p.asked, "call for the list")
-	dial(t, n.addr).put("a", "safe", "+OK")
-	await(t, e.calls, "call").reply(200)
-	stopClean(t, n)
+	receive(t, p.listRequests, "call for the list")
+	dialClient(t, n.addr).put("a", "safe", "+OK")
+	receive(t, e.calls, "call").reply(200)
+	stopAndCheckEmpty(t, n)
 }
 
-// A notice counts once the platform has confirmed it, and is sent until then.
+// A notice must be resent until the platform has confirmed it.
 func TestNoticesDown(t *testing.T) {
-	n, c, p, e := world(t, 1)
-	p.set(func() { p.deaf = true })
+	n, c, p, e := startNodeWithEndpoints(t, 1)
+	p.update(func() { p.refuseNotices = true })
 	c.put("u", "unsafe", "+OK")
-	await(t, e[0].calls, "call").reply(500)
-	await(t, p.refused, "notice")
-	await(t, p.refused, "second notice")
-	p.set(func() { p.deaf = false })
-	if x := await(t, p.notices, "notice"); x.ID != "u" || x.State != "failed" {
+	receive(t, e[0].calls, "call").reply(500)
+	receive(t, p.refusedNotices, "notice")
+	receive(t, p.refusedNotices, "second notice")
+	p.update(func() { p.refuseNotices = false })
+	if x := receive(t, p.notices, "notice"); x.ID != "u" || x.State != "failed" {
 		t.Errorf("notice %+v", x)
 	}
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
-// Whatever a client sends, it gets an error line and nobody else is hurt.
+// A malformed request must get an error reply and must not affect other clients or later requests.
 func TestMalformedRequests(t *testing.T) {
-	n, c, p, e := world(t, 1)
-	taken(t, p, 1) // an unknown destination is one that discovery does not know
-	p.set(func() { p.list.Generation = 2 })
-	taken(t, p, 2)
+	n, c, p, e := startNodeWithEndpoints(t, 1)
+	awaitListGeneration(t, p, 1) // a destination counts as unknown only once discovery has responded
+	p.update(func() { p.list.Generation = 2 })
+	awaitListGeneration(t, p, 2)
 	const good = "c=safe,t=acme,d=9000,dest=1"
 	for i, args := range [][]string{
 		{"NONSENSE"}, {""}, {"MSG.PUT"}, {"MSG.PUT", "0", "a", good}, {"MSG.PUT", "0", "", good, "x"},
@@ -354,8 +361,8 @@
 		{"MSG.PUT", "0", "a", "c=keyed,d=9000,dest=1", "x"}, {"MSG.PUT", "0", "a", good + ",d=9000", "x"},
 		{"MSG.PUT", "0", "a", "c=safe,d=9000000,dest=1", "x"}, {"MSG.PUT", "0", "a", "c=safe,d=9000,dest=77", "x"},
 	} {
-		if i%8 == 7 { // before there are too many errors on one connection
-			c = dial(t, n.addr)
+		if i%8 == 7 { // a new connection before there are too many errors on this one
+			c = dialClient(t, n.addr)
 		}
 		if got := c.do(args...); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%q: got %q", args, got)
@@ -365,91 +372,92 @@
 		t.Errorf("afterwards: %q", got)
 	}
 	for _, raw := range []string{"*1\r\n$9223372036854775807\r\n", "*1000000000\r\n", "GET / HTTP/1.1\r\n\r\n", "*1\r\n$65537\r\n"} {
-		bad := dial(t, n.addr)
+		bad := dialClient(t, n.addr)
 		bad.conn.Write([]byte(raw))
-		if got := bad.line(); !strings.HasPrefix(got, "-ERR ") {
+		if got := bad.readLine(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%q: got %q", raw, got)
 		}
-		if got := bad.line(); got != "" {
-			t.Errorf("%q: the connection goes on with %q", raw, got)
+		if got := bad.readLine(); got != "" {
+			t.Errorf("%q: the connection continues with %q", raw, got)
 		}
 	}
-	half := dial(t, n.addr)
-	half.conn.Write([]byte("*5\r\n$7\r\nMSG"))
-	half.conn.Close()
-	body := strings.Repeat("\x00\r\n", 1<<14) // bodies hold any bytes
+	partial := dialClient(t, n.addr)
+	partial.conn.Write([]byte("*5\r\n$7\r\nMSG"))
+	partial.conn.Close()
+	body := strings.Repeat("\x00\r\n", 1<<14) // a body may contain any bytes
 	if got := c.do("MSG.PUT", "0", "a", good, body); got != "+OK" {
 		t.Errorf("got %q", got)
 	}
-	in := await(t, e[0].calls, "call")
+	in := receive(t, e[0].calls, "call")
 	if in.body != body {
-		t.Errorf("body went out changed: %d bytes of %d", len(in.body), len(body))
+		t.Errorf("body delivered with changes: %d bytes of %d", len(in.body), len(body))
 	}
 	in.reply(200)
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
-// A request that came just before the sender closes its connections is answered: its client counts on that.
-func TestRequestCrossesShutdown(t *testing.T) {
+// A request that arrives just before the sender closes its connections must be answered.
+func TestRequestArrivesDuringShutdown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	c := dial(t, ln.Addr().String())
+	c := dialClient(t, ln.Addr().String())
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	c.send("PING")
-	for stop := time.Now().Add(patience); ; {
-		if _, data := peek(conn); data {
+	for stop := time.Now().Add(testTimeout); ; {
+		if _, data := peekConn(conn); data {
 			break
 		}
 		if time.Now().After(stop) {
-			t.Fatal("the request does not come")
+			t.Fatal("the request did not arrive")
 		}
 	}
-	served := newClients(&Config{}, slog.New(slog.DiscardHandler), nil, newMetrics(&Config{}))
-	served.phase, served.parting = stopping, true
-	(&session{c: served, conn: conn, opened: time.Now()}).handle()
+	server := newClientServer(&Config{}, slog.New(slog.DiscardHandler), nil, newMetrics(&Config{}))
+	server.phase, server.closingIdle = stopping, true
+	(&session{server: server, conn: conn, openedAt: time.Now()}).handle()
 	conn.Close()
-	if got := c.line(); got != "-ERR stopping" {
+	if got := c.readLine(); got != "-ERR stopping" {
 		t.Errorf("got %q", got)
 	}
-	if got := c.line(); got != "" {
-		t.Errorf("the connection goes on with %q", got)
+	if got := c.readLine(); got != "" {
+		t.Errorf("the connection continues with %q", got)
 	}
 }
 
-// A probe that is asked for has its one result.
+// A probe must be sent as a request for /alive.
 func TestProbe(t *testing.T) {
-	n, _, _, e := world(t, 1)
+	n, _, _, e := startNodeWithEndpoints(t, 1)
 	n.probe(t.Context(), 1)
-	in := await(t, e[0].calls, "probe")
+	in := receive(t, e[0].calls, "probe")
 	if in.req.URL.Path != "/alive" || in.req.Method != "GET" {
 		t.Errorf("probe %s %s", in.req.Method, in.req.URL)
 	}
 	in.reply(200)
-	stopClean(t, n)
+	stopAndCheckEmpty(t, n)
 }
 
-// A wait or a drain holds the calls that still connect there, and no others.
-func TestHoldReachesConnectingCalls(t *testing.T) {
-	for _, x := range []struct {
+// A requested wait or a change of the list must abort the calls that are still connecting to the endpoints concerned, and
+// no others.
+func TestAbortConnectingCalls(t *testing.T) {
+	for _, test := range []struct {
 		name  string
 		apart bool
 		learn func(n *Node)
-		held  [4]bool // connecting to endpoints 1 and 2 of destination 1 and 3 of destination 2; written to 1
+		held  [4]bool // calls connecting to endpoints 1 and 2 of destination 1 and 3 of destination 2, and one written to 1
 	}{
-		{"wait, one limit", false, func(n *Node) { n.holdWait(1) }, [4]bool{true, true, false, false}},
-		{"wait, routes apart", true, func(n *Node) { n.holdWait(1) }, [4]bool{true, false, false, false}},
+		{"wait, one limit", false, func(n *Node) { n.abortForWait(1) }, [4]bool{true, true, false, false}},
+		{"wait, routes apart", true, func(n *Node) { n.abortForWait(1) }, [4]bool{true, false, false, false}},
 		{"drain", false, func(n *Node) {
-			n.list(listEvent{list: EndpointList{Instances: []Instance{{ID: "b", Dest: 1, Lifecycle: "draining"}}}})
+			n.handleList(listEvent{list: EndpointList{Instances: []Instance{{ID: "b", Dest: 1, Lifecycle: "draining"}}}})
 		}, [4]bool{false, true, false, false}},
 		{"whole list", false, func(n *Node) {
-			n.list(listEvent{list: EndpointList{Reset: true, Instances: []Instance{{ID: "a", Dest: 1, Lifecycle: "up"}}}})
+			n.handleList(listEvent{list: EndpointList{Reset: true, Instances: []Instance{{ID: "a", Dest: 1, Lifecycle: "up"}}}})
 		}, [4]bool{false, true, true, false}},
 	} {
 		cfg, err := ParseConfig(configText(newPlatform(t), EndpointList{}))
@@ -457,32 +465,32 @@
 			t.Fatal(err)
 		}
 		cfg.StateDir = t.TempDir()
-		cfg.Deployment.Settings.Kinds[0].SeparateRoutes = x.apart
+		cfg.Deployment.Settings.Kinds[0].SeparateRoutes = test.apart
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer n.journal.Close()
-		n.dir.Apply(EndpointList{Instances: []Instance{{ID: "a", HostPort: "h:1", MachineType: "std", Dest: 1},
+		n.directory.Apply(EndpointList{Instances: []Instance{{ID: "a", HostPort: "h:1", MachineType: "std", Dest: 1},
 			{ID: "b", HostPort: "h:2", MachineType: "std", Dest: 1}, {ID: "c", HostPort: "h:3", MachineType: "std", Dest: 2}}}, time.Now())
 		var calls []*call
 		for i, ep := range []logic.EndpointID{1, 2, 3, 1} {
 			calls = append(calls, &call{endpoint: ep, state: new(atomic.Int32)})
 			calls[i].id = fmt.Sprint("m", i)
-			n.held[calls[i].id] = new(held)
-			n.goesOut(n.held[calls[i].id], calls[i], func() {})
+			n.active[calls[i].id] = new(activeMessage)
+			n.attemptStarted(n.active[calls[i].id], calls[i], func() {})
 		}
 		calls[3].state.Store(callWritten)
-		x.learn(n)
+		test.learn(n)
 		for i, c := range calls {
-			if got := c.state.Load() == callAborted; got != x.held[i] {
-				t.Errorf("%s: call %d held: %v", x.name, i, got)
+			if got := c.state.Load() == callAborted; got != test.held[i] {
+				t.Errorf("%s: call %d held: %v", test.name, i, got)
 			}
 		}
 	}
 }
 
-// Whether an attempt may have run decides after a restart whether an unsafe message is sent again.
+// Whether an attempt may have run decides whether an unsafe message is sent again after a restart.
 func TestMayHaveRunByOutcome(t *testing.T) {
 	for o, want := range map[logic.Outcome]bool{logic.Delivered: true, logic.Errored: true, logic.TimedOut: true,
 		logic.ConnLost: true, logic.Cancelled: true, logic.Refused: false, logic.ConnRefused: false, logic.Skipped: false} {
@@ -492,41 +500,41 @@
 	}
 }
 
-// Where the list is pushed the module does not ask for it: the sender follows it all the same, and again after a
-// call that failed.
+// In pushed mode the module does not ask for the list. The sender must watch it all the same, also after a failed
+// request.
 func TestPushedListIsFollowed(t *testing.T) {
-	p, old, fresh := newPlatform(t), newEndpoint(t), newEndpoint(t)
+	p, old, added := newPlatform(t), newEndpoint(t), newEndpoint(t)
 	known := EndpointList{Generation: 1, Reset: true, Instances: instances(old)}
 	p.list = known
 	n := newNode(t, []byte(strings.Replace(string(configText(p, known)), "on_request", "pushed", 1)))
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
-	addr := await(t, n.ready, "ready sender").String()
-	if q := await(t, p.asked, "watch"); !strings.Contains(q, "from=1") {
+	addr := receive(t, n.ready, "ready sender").String()
+	if q := receive(t, p.listRequests, "watch"); !strings.Contains(q, "from=1") {
 		t.Errorf("asked %q", q)
 	}
-	p.set(func() { p.down = true })
-	await(t, p.asked, "watch after a failed call")
-	both := instances(old, fresh)
+	p.update(func() { p.down = true })
+	receive(t, p.listRequests, "watch after a failed call")
+	both := instances(old, added)
 	both[0].Lifecycle = "draining"
-	p.set(func() { p.down, p.list = false, EndpointList{Generation: 2, Instances: both} })
-	for q := ""; !strings.Contains(q, "from=2"); { // the news has been read
-		q = await(t, p.asked, "watch from the new list")
+	p.update(func() { p.down, p.list = false, EndpointList{Generation: 2, Instances: both} })
+	for q := ""; !strings.Contains(q, "from=2"); { // until the new list has been read
+		q = receive(t, p.listRequests, "watch from the new list")
 	}
-	c := dial(t, addr)
+	c := dialClient(t, addr)
 	for i := range 4 {
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
-		await(t, fresh.calls, "call").reply(200)
+		receive(t, added.calls, "call").reply(200)
 	}
-	old.none(t)
+	old.expectNoCall(t)
 	stop()
-	if err := await(t, done, "end of the sender"); err != nil {
+	if err := receive(t, done, "end of the sender"); err != nil {
 		t.Error(err)
 	}
 }
 
-// Retries are spread: what fails for many senders at one moment is not tried again by all at one.
+// Retry delays must be spread, so that a failure that hits many senders at once is not retried by all of them at once.
 func TestJitter(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for range 200 {
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -106,7 +106,7 @@
 			failing = true
 			timeout = min(2*timeout, maxNoticeTimeout)
 			if !errors.Is(err, context.DeadlineExceeded) { // a timeout has been delay enough
-				pause(ctx, jitter(noticeRetryDelay))
+				sleepContext(ctx, jitter(noticeRetryDelay))
 			}
 			continue
 		case n > 0:
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -36,13 +36,13 @@
 	go q.run(t.Context())
 	confirmed := 0
 	for confirmed < count {
-		for _, id := range await(t, events, "confirmation").(noticesConfirmedEvent).ids {
+		for _, id := range receive(t, events, "confirmation").(noticesConfirmedEvent).ids {
 			if want := fmt.Sprintf("%064d", confirmed); id != want {
 				t.Fatalf("confirmed %s, want %s", id, want)
 			}
 			confirmed++
 		}
-		b := await(t, bodies, "body")
+		b := receive(t, bodies, "body")
 		if len(b) > 64<<10 {
 			t.Errorf("body of %d bytes", len(b))
 		}
@@ -72,9 +72,9 @@
 	q := newNoticeQueue(strings.TrimPrefix(silent.URL, "http://"), slog.New(slog.DiscardHandler), make(chan any, 1))
 	go q.run(t.Context())
 	q.add(Notice{ID: "a", State: "failed"})
-	await(t, asked, "post")
+	receive(t, asked, "post")
 	q.setAddr(strings.TrimPrefix(p.srv.URL, "http://"))
-	if notice := await(t, p.notices, "notice"); notice.ID != "a" {
+	if notice := receive(t, p.notices, "notice"); notice.ID != "a" {
 		t.Errorf("notice %+v", notice)
 	}
 }
@@ -99,8 +99,8 @@
 	go q.run(t.Context())
 	begun := time.Now()
 	q.add(Notice{ID: "a", State: noticeFailed})
-	if took := await(t, heard, "notice").Sub(begun); took > 300*time.Millisecond {
+	if took := receive(t, heard, "notice").Sub(begun); took > 300*time.Millisecond {
 		t.Errorf("notice arrived after %v", took)
 	}
-	await(t, events, "confirmation")
+	receive(t, events, "confirmation")
 }
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -53,23 +53,23 @@
 }
 
 // startProcess starts the program and waits until it serves clients.
-func startProcess(t *testing.T, p *platform, dir string, known EndpointList) *process {
+func startProcess(t *testing.T, p *testPlatform, dir string, known EndpointList) *process {
 	t.Helper()
 	proc := launchProcess(t, p, dir, known)
-	proc.addr = await(t, proc.ready, "ready program")
+	proc.addr = receive(t, proc.ready, "ready program")
 	return proc
 }
 
 // launchProcess starts the program as the platform does, and waits until it serves operators and handles signals.
-func launchProcess(t *testing.T, p *platform, dir string, known EndpointList) *process {
+func launchProcess(t *testing.T, p *testPlatform, dir string, known EndpointList) *process {
 	t.Helper()
 	proc := execProcess(t, p, dir, configText(p, known))
-	proc.admin = await(t, proc.adminReady, "operators' address")
+	proc.admin = receive(t, proc.adminReady, "operators' address")
 	return proc
 }
 
 // execProcess starts the program with the text of a configuration. It does not wait.
-func execProcess(t *testing.T, p *platform, dir string, config []byte) *process {
+func execProcess(t *testing.T, p *testPlatform, dir string, config []byte) *process {
 	t.Helper()
 	path, err := program()
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // execProgram starts the program at path, with additional environment variables.
-func execProgram(t *testing.T, path string, p *platform, dir string, text []byte, env ...string) *process {
+func execProgram(t *testing.T, path string, p *testPlatform, dir string, text []byte, env ...string) *process {
 	t.Helper()
 	config := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(config, text, 0o600); err != nil {
@@ -121,7 +121,7 @@
 func (p *process) kill() {
 	p.t.Helper()
 	p.cmd.Process.Kill()
-	await(p.t, p.exited, "end of the program")
+	receive(p.t, p.exited, "end of the program")
 }
 
 // terminate sends SIGTERM.
@@ -130,7 +130,7 @@
 // awaitExit checks that the program exits without an error.
 func (p *process) awaitExit() {
 	p.t.Helper()
-	if err := await(p.t, p.exited, "end of the program"); err != nil {
+	if err := receive(p.t, p.exited, "end of the program"); err != nil {
 		p.t.Errorf("ended with %v", err)
 	}
 }
@@ -138,53 +138,53 @@
 // A call in flight at a crash may have run. Clients do not submit the message again, so the sender must repeat it after
 // the restart if that is harmless, and must fail it otherwise.
 func TestKillWithCallInFlight(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	proc := startProcess(t, p, dir, known)
-	c := dial(t, proc.addr)
+	c := dialClient(t, proc.addr)
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		c.put("m-"+class, class, "+OK")
-		await(t, e.calls, "call")
+		receive(t, e.calls, "call")
 	}
 	proc.kill()
 	proc = startProcess(t, p, dir, known)
 	again := map[string]string{}
 	for range 2 {
-		in := await(t, e.calls, "call again")
+		in := receive(t, e.calls, "call again")
 		again[in.id()] = in.req.Header.Get("Idempotency-Key") + " " + in.body
 		in.reply(200)
 	}
 	if again["m-safe"] != "key-m-safe body of m-safe" || again["m-keyed"] != "key-m-keyed body of m-keyed" {
 		t.Errorf("sent again: %v", again)
 	}
-	if notice := await(t, p.notices, "notice"); notice != (Notice{ID: "m-unsafe", State: "failed"}) {
+	if notice := receive(t, p.notices, "notice"); notice != (Notice{ID: "m-unsafe", State: "failed"}) {
 		t.Errorf("notice %+v", notice)
 	}
 	proc.terminate()
 	proc.awaitExit()
-	e.none(t)
-	if ids := owed(t, dir); ids != nil {
+	e.expectNoCall(t)
+	if ids := pendingMessageIDs(t, dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
 
 // Attempts before a crash must count: otherwise a message that crashes the process would be sent forever.
 func TestKillCountsAttempts(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	for i := range 3 { // max_attempts
 		proc := startProcess(t, p, dir, known)
 		if i == 0 {
-			dial(t, proc.addr).putFor("a", "safe", 16000, "+OK")
+			dialClient(t, proc.addr).putWithLifetime("a", "safe", 16000, "+OK")
 		}
-		await(t, e.calls, "call")
+		receive(t, e.calls, "call")
 		proc.kill()
 	}
 	proc := startProcess(t, p, dir, known)
-	if notice := await(t, p.notices, "notice"); notice != (Notice{ID: "a", State: "failed"}) {
+	if notice := receive(t, p.notices, "notice"); notice != (Notice{ID: "a", State: "failed"}) {
 		t.Errorf("notice %+v", notice)
 	}
 	proc.terminate()
 	proc.awaitExit()
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // A restarted process, which knows no latencies yet, must send all accepted messages that have not been tried: after a
@@ -196,23 +196,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, e, dir, known := oneEndpoint(t)
+			p, e, dir, known := newSingleEndpoint(t)
 			proc := startProcess(t, p, dir, known)
-			c := dial(t, proc.addr)
-			c.putFor("first", "unsafe", 16000, "+OK")
-			await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
+			c := dialClient(t, proc.addr)
+			c.putWithLifetime("first", "unsafe", 16000, "+OK")
+			receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 			var want []string
 			for i, class := range []string{"safe", "keyed", "unsafe", "safe", "unsafe", "keyed"} { // not sent because of the wait
 				id := fmt.Sprintf("untried-%d", i)
 				want = append(want, id)
-				c.putFor(id, class, 16000, "+OK")
+				c.putWithLifetime(id, class, 16000, "+OK")
 			}
 			stop(proc)
-			e.none(t)
+			e.expectNoCall(t)
 			proc = startProcess(t, p, dir, known)
 			refused := false
 			for got := map[string]bool{}; len(got) < len(want); {
-				in := await(t, e.calls, "call")
+				in := receive(t, e.calls, "call")
 				if slices.Contains(want, in.id()) {
 					got[in.id()] = true
 				}
@@ -233,10 +233,10 @@
 
 // A damaged journal must be replayed up to the damage. The sender logs this and serves clients.
 func TestDamagedJournal(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	proc := startProcess(t, p, dir, known)
-	dial(t, proc.addr).put("whole", "safe", "+OK")
-	await(t, e.calls, "call")
+	dialClient(t, proc.addr).put("whole", "safe", "+OK")
+	receive(t, e.calls, "call")
 	proc.kill()
 	f, err := os.OpenFile(filepath.Join(dir, journalFile), os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
@@ -250,14 +250,14 @@
 	}
 	proc = launchProcess(t, p, dir, known)
 	proc.awaitLog("the end cannot be read")
-	proc.addr = await(t, proc.ready, "ready program")
-	if in := await(t, e.calls, "call"); in.id() != "whole" {
+	proc.addr = receive(t, proc.ready, "ready program")
+	if in := receive(t, e.calls, "call"); in.id() != "whole" {
 		t.Errorf("call with %s", in.id())
 	} else {
 		in.reply(200)
 	}
-	dial(t, proc.addr).put("next", "safe", "+OK")
-	await(t, e.calls, "call").reply(200)
+	dialClient(t, proc.addr).put("next", "safe", "+OK")
+	receive(t, e.calls, "call").reply(200)
 	proc.terminate()
 	proc.awaitExit()
 }
@@ -285,19 +285,19 @@
 	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
 	known := EndpointList{Generation: 1, Reset: true, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1",
 		Zone: "a", MachineType: "std", Dest: 2, Lifecycle: "draining"})}
-	p.list, p.deaf = known, true
+	p.list, p.refuseNotices = known, true
 	proc := startProcess(t, p, dir, known)
-	c := dial(t, proc.addr)
+	c := dialClient(t, proc.addr)
 	c.put("failed", "unsafe", "+OK")
-	await(t, e.calls, "call").reply(500)
-	await(t, p.refused, "notice")
+	receive(t, e.calls, "call").reply(500)
+	receive(t, p.refusedNotices, "notice")
 	c.put("refused", "unsafe", "+OK")
-	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
+	receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	if got := c.do("MSG.PUT", "0", "short", "c=unsafe,d=600,dest=2", "x"); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
 	over := time.Now().Add(600 * time.Millisecond)
-	for stop := time.Now().Add(patience); ; {
+	for stop := time.Now().Add(testTimeout); ; {
 		b, err := os.ReadFile(filepath.Join(dir, journalFile))
 		if err != nil {
 			t.Fatal(err)
@@ -312,11 +312,11 @@
 	c.put("unsent", "unsafe", "+OK") // not sent: the endpoint has told the sender to wait
 	proc.kill()
 	time.Sleep(time.Until(over))
-	p.set(func() { p.deaf = false })
+	p.update(func() { p.refuseNotices = false })
 	proc = startProcess(t, p, dir, known)
 	got := map[string]bool{}
 	for range 2 {
-		in := await(t, e.calls, "call")
+		in := receive(t, e.calls, "call")
 		got[in.id()] = true
 		in.reply(200)
 	}
@@ -325,7 +325,7 @@
 	}
 	ends := map[string]string{}
 	for range 2 {
-		notice := await(t, p.notices, "notice")
+		notice := receive(t, p.notices, "notice")
 		ends[notice.ID] = notice.State
 	}
 	if ends["failed"] != "failed" || ends["short"] != "returned" {
@@ -333,7 +333,7 @@
 	}
 	proc.terminate()
 	proc.awaitExit()
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // At SIGTERM the sender must close connections between requests, let calls in flight end and write their outcomes to the
@@ -342,18 +342,18 @@
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			p, e, dir, known := oneEndpoint(t)
+			p, e, dir, known := newSingleEndpoint(t)
 			proc := startProcess(t, p, dir, known)
-			c := dial(t, proc.addr)
+			c := dialClient(t, proc.addr)
 			c.put("a", class, "+OK")
-			in := await(t, e.calls, "call")
+			in := receive(t, e.calls, "call")
 			proc.terminate()
-			if got := c.line(); got != "" { // the connection is closed between requests
+			if got := c.readLine(); got != "" { // the connection is closed between requests
 				t.Errorf("got %q", got)
 			}
 			in.reply(200)
 			proc.awaitExit()
-			if ids := owed(t, dir); ids != nil {
+			if ids := pendingMessageIDs(t, dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
 			if len(p.notices) != 0 {
@@ -365,21 +365,21 @@
 
 // A call that does not end must not delay the exit after SIGTERM. It stays in the journal as in flight.
 func TestTermWithSilentCall(t *testing.T) {
-	p, e, dir, known := oneEndpoint(t)
+	p, e, dir, known := newSingleEndpoint(t)
 	proc := startProcess(t, p, dir, known)
-	dial(t, proc.addr).put("a", "unsafe", "+OK")
-	await(t, e.calls, "call")
+	dialClient(t, proc.addr).put("a", "unsafe", "+OK")
+	receive(t, e.calls, "call")
 	at := time.Now()
 	proc.terminate()
 	proc.awaitExit()
-	if d := time.Since(at); d > stopAll+2*time.Second {
+	if d := time.Since(at); d > shutdownTimeout+2*time.Second {
 		t.Errorf("ended after %v", d)
 	}
-	if ids := owed(t, dir); len(ids) != 1 {
+	if ids := pendingMessageIDs(t, dir); len(ids) != 1 {
 		t.Errorf("owed: %v", ids)
 	}
 	proc = startProcess(t, p, dir, known)
-	if notice := await(t, p.notices, "notice"); notice != (Notice{ID: "a", State: "failed"}) {
+	if notice := receive(t, p.notices, "notice"); notice != (Notice{ID: "a", State: "failed"}) {
 		t.Errorf("notice %+v", notice)
 	}
 	proc.kill()
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -15,7 +15,7 @@
 const maxReadyTime = 10 * time.Second
 
 // configWithDisk returns a configuration with a disk limit of mb megabytes.
-func configWithDisk(t *testing.T, p *platform, known EndpointList, mb float64) []byte {
+func configWithDisk(t *testing.T, p *testPlatform, known EndpointList, mb float64) []byte {
 	t.Helper()
 	var text map[string]any
 	if err := json.Unmarshal(configText(p, known), &text); err != nil {
@@ -33,7 +33,7 @@
 func fillJournal(t *testing.T, dir string, mb float64) {
 	t.Helper()
 	j := openJournal(t, dir, int64(mb*1e6))
-	deadline := time.Now().Add(2 * patience).UnixMicro()
+	deadline := time.Now().Add(2 * testTimeout).UnixMicro()
 	for i := 0; j.HasRoom(300); i++ {
 		rec := acceptRecord(fmt.Sprint("m-", i), 300)
 		rec.Entry.Deadline = deadline
@@ -52,13 +52,13 @@
 		name      string
 		disk      float64
 		processes int
-		leave     func(t *testing.T, dir string, p *platform) // prepares the state folder
-		served    string                                      // id prefix of a message that must be sent; empty for none
+		leave     func(t *testing.T, dir string, p *testPlatform) // prepares the state folder
+		served    string                                          // id prefix of a message that must be sent; empty for none
 	}{
-		{"nothing", 3, 1, func(*testing.T, string, *platform) {}, ""},
-		{"full journal", 3, 1, func(t *testing.T, dir string, _ *platform) { fillJournal(t, dir, 3) }, "m-"},
-		{"full journal of the maximum size", 40, 1, func(t *testing.T, dir string, _ *platform) { fillJournal(t, dir, 40) }, "m-"},
-		{"torn journal", 3, 1, func(t *testing.T, dir string, _ *platform) {
+		{"nothing", 3, 1, func(*testing.T, string, *testPlatform) {}, ""},
+		{"full journal", 3, 1, func(t *testing.T, dir string, _ *testPlatform) { fillJournal(t, dir, 3) }, "m-"},
+		{"full journal of the maximum size", 40, 1, func(t *testing.T, dir string, _ *testPlatform) { fillJournal(t, dir, 40) }, "m-"},
+		{"torn journal", 3, 1, func(t *testing.T, dir string, _ *testPlatform) {
 			fillJournal(t, dir, 3)
 			path := filepath.Join(dir, journalFile)
 			info, err := os.Stat(path)
@@ -69,9 +69,9 @@
 				t.Fatal(err)
 			}
 		}, "m-"},
-		{"discovery down", 3, 1, func(_ *testing.T, _ string, p *platform) { p.set(func() { p.silent = true }) }, ""},
-		{"discovery down, 16 at once with full journals", 3, 16, func(t *testing.T, dir string, p *platform) {
-			p.set(func() { p.silent = true })
+		{"discovery down", 3, 1, func(_ *testing.T, _ string, p *testPlatform) { p.update(func() { p.holdLists = true }) }, ""},
+		{"discovery down, 16 at once with full journals", 3, 16, func(t *testing.T, dir string, p *testPlatform) {
+			p.update(func() { p.holdLists = true })
 			fillJournal(t, dir, 3)
 		}, "m-"},
 	} {
@@ -85,7 +85,7 @@
 				dir := t.TempDir()
 				dirs = append(dirs, dir)
 				first := execProcess(t, p, dir, config)
-				await(t, first.ready, "ready program")
+				receive(t, first.ready, "ready program")
 				first.kill()
 				test.leave(t, dir, p)
 			}
@@ -95,14 +95,14 @@
 			}
 			var times []time.Duration
 			for _, proc := range procs {
-				proc.addr = await(t, proc.ready, "ready program")
+				proc.addr = receive(t, proc.ready, "ready program")
 				times = append(times, proc.startupTime)
-				if got := dial(t, proc.addr).do("PING"); got != "+PONG" {
+				if got := dialClient(t, proc.addr).do("PING"); got != "+PONG" {
 					t.Errorf("PING to a ready process: %q", got)
 				}
 			}
 			if test.served != "" {
-				if in := await(t, e.calls, "call"); !strings.HasPrefix(in.id(), test.served) {
+				if in := receive(t, e.calls, "call"); !strings.HasPrefix(in.id(), test.served) {
 					t.Errorf("call with %s", in.id())
 				}
 			}
--- a/internal/node/record.go
+++ b/internal/node/record.go
@@ -18,7 +18,7 @@
 		return nil
 	}
 	err := n.journal.Append(records)
-	n.failing.observe(err)
+	n.journalFailures.observe(err)
 	n.queueDelayedNotices()
 	return err
 }
@@ -31,7 +31,7 @@
 		n.notices.add(notice)
 		return
 	}
-	n.unsaid = append(n.unsaid, delayedNotice{notice, deadline})
+	n.deferredNotices = append(n.deferredNotices, delayedNotice{notice, deadline})
 }
 
 // delayedNotice is a notice whose record is not in the journal yet.
@@ -46,13 +46,13 @@
 // queueDelayedNotices queues the delayed notices that need not wait any longer, and schedules another write of the
 // journal if records are still pending.
 func (n *Node) queueDelayedNotices() {
-	waiting := n.unsaid
-	n.unsaid = nil
+	waiting := n.deferredNotices
+	n.deferredNotices = nil
 	for _, delayed := range waiting {
 		n.queueNotice(delayed.notice, delayed.deadline)
 	}
 	if !n.journal.Flushed() {
-		n.flush.Reset(flushRetryDelay)
+		n.flushTimer.Reset(flushRetryDelay)
 	}
 }
 
@@ -60,7 +60,7 @@
 // later process can find the message in the file.
 func answerNotJournaled(err error) string {
 	if errors.Is(err, errTruncateFailed) {
-		return answerFailed
+		return replyFailed
 	}
-	return busy(0)
+	return busyReply(0)
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -13,7 +13,7 @@
 // configuration only the address of discovery and notices takes effect; all other
 // changes need a restart.
 func (n *Node) ReloadOn(signals <-chan os.Signal, load func() (*Config, error)) {
-	n.reload, n.load = signals, load
+	n.reloadSignals, n.loadConfig = signals, load
 }
 
 const (
@@ -24,7 +24,7 @@
 // requestReload requests a reload without a signal.
 func (n *Node) requestReload() {
 	select {
-	case n.again <- struct{}{}:
+	case n.reloadRequested <- struct{}{}:
 	default: // already requested
 	}
 }
@@ -35,8 +35,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.reload:
-		case <-n.again:
+		case <-n.reloadSignals:
+		case <-n.reloadRequested:
 		}
 		if cfg := n.loadWithRetry(ctx); cfg != nil {
 			n.events <- reloadEvent{cfg}
@@ -51,7 +51,7 @@
 	logged := false
 	start := time.Now()
 	for {
-		cfg, err := n.load()
+		cfg, err := n.loadConfig()
 		if err == nil {
 			return cfg
 		}
@@ -64,7 +64,7 @@
 		}
 		select {
 		case <-time.After(jitter(reloadRetryDelay)):
-		case <-n.reload: // the file has been replaced again
+		case <-n.reloadSignals: // the file has been replaced again
 			logged, start = false, time.Now()
 		case <-ctx.Done():
 			return nil
@@ -74,12 +74,12 @@
 
 // switchDiscovery switches discovery and notices to the address in cfg.
 func (n *Node) switchDiscovery(work context.Context, cfg *Config) {
-	if cfg.DiscoveryAddr == n.disc.addr {
+	if cfg.DiscoveryAddr == n.discovery.addr {
 		n.log.Info("reload: same discovery", "addr", cfg.DiscoveryAddr)
 		return
 	}
-	n.log.Info("reload: discovery moves", "from", n.disc.addr, "to", cfg.DiscoveryAddr)
+	n.log.Info("reload: discovery moves", "from", n.discovery.addr, "to", cfg.DiscoveryAddr)
 	n.notices.setAddr(cfg.DiscoveryAddr)
-	n.disc.setAddr(cfg.DiscoveryAddr)
-	n.disc.startWatch(work) // at once: this sender is soon expected to follow what the new address announces
+	n.discovery.setAddr(cfg.DiscoveryAddr)
+	n.discovery.startWatch(work) // at once: this sender is soon expected to follow what the new address announces
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -23,7 +23,7 @@
 // awaitLog waits for a log line that contains a text.
 func (p *process) awaitLog(part string) {
 	p.t.Helper()
-	for !strings.Contains(await(p.t, p.logLines, "line with "+part), part) {
+	for !strings.Contains(receive(p.t, p.logLines, "line with "+part), part) {
 	}
 }
 
@@ -35,10 +35,10 @@
 	known := EndpointList{Generation: 5, Reset: true, Instances: instances(e)}
 	old.list = known
 	proc := startProcess(t, old, t.TempDir(), known)
-	await(t, old.asked, "watch")
-	c := dial(t, proc.addr)
+	receive(t, old.listRequests, "watch")
+	c := dialClient(t, proc.addr)
 	c.put("under-way", "safe", "+OK")
-	underWay := await(t, e.calls, "call")
+	underWay := receive(t, e.calls, "call")
 
 	for i, bad := range []string{
 		"{",
@@ -49,32 +49,32 @@
 		proc.awaitLog("old configuration stands")
 		id := fmt.Sprint("bad-", i)
 		c.put(id, "safe", "+OK")
-		in := await(t, e.calls, "call")
+		in := receive(t, e.calls, "call")
 		if in.id() != id {
 			t.Errorf("call with %s", in.id())
 		}
 		in.reply(200)
 	}
 
-	old.set(func() { old.deaf = true })
+	old.update(func() { old.refuseNotices = true })
 	c.put("fails", "unsafe", "+OK")
-	await(t, e.calls, "call").reply(500)
-	await(t, old.refused, "notice")
+	receive(t, e.calls, "call").reply(500)
+	receive(t, old.refusedNotices, "notice")
 	// The new address has its own generation numbers: a watch from the old generation would wait forever.
 	fresh.list = EndpointList{Generation: 2, Reset: true, Instances: instances(e, added)}
 	proc.reload(configText(fresh, known))
-	if notice := await(t, fresh.notices, "notice at the new address"); notice != (Notice{ID: "fails", State: "failed"}) {
+	if notice := receive(t, fresh.notices, "notice at the new address"); notice != (Notice{ID: "fails", State: "failed"}) {
 		t.Errorf("notice %+v", notice)
 	}
-	if q := await(t, fresh.asked, "call at the new address"); q != "" {
+	if q := receive(t, fresh.listRequests, "call at the new address"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
-	await(t, fresh.asked, "watch at the new address") // the list has been read by then
+	receive(t, fresh.listRequests, "watch at the new address") // the list has been read by then
 	old.srv.CloseClientConnections()
 	underWay.reply(200)
 	for i := 0; ; i++ { // until the endpoint that only the new address lists gets a call
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
-		var in *inCall
+		var in *receivedCall
 		select {
 		case in = <-e.calls:
 		case in = <-added.calls:
--- a/internal/node/resp.go
+++ b/internal/node/resp.go
@@ -8,20 +8,19 @@
 	"strconv"
 )
 
-// Bounds of a request. A longer one is a protocol error.
+// Limits of a request. Exceeding one is a protocol error.
 const (
-	maxArgs = 16
-	maxBulk = 64 << 10 // body
-	maxLine = 64       // length lines
+	maxArgs      = 16
+	maxBulkBytes = 64 << 10 // per bulk string, so also the body of a message
+	maxLineBytes = 64       // per line with a length
 )
 
-// errProtocol marks what is not a RESP2 request; the connection cannot go on.
+// errProtocol marks input that is not a RESP2 request. The connection cannot be used any further.
 var errProtocol = errors.New("protocol error")
 
-// readCommand reads one request: an array of bulk strings. All lengths are
-// checked before memory is taken for them; large is asked once before a request
-// takes more than a small one's.
-func readCommand(r *bufio.Reader, large func() error) ([][]byte, error) {
+// readCommand reads one request: an array of bulk strings. Each length is checked before memory is allocated for it.
+// acquireLarge is called once, before a request exceeds smallRequestBytes.
+func readCommand(r *bufio.Reader, acquireLarge func() error) ([][]byte, error) {
 	n, err := readLength(r, '*', maxArgs)
 	if err != nil {
 		return nil, err
@@ -30,24 +29,24 @@
 		return nil, fmt.Errorf("%w: empty request", errProtocol)
 	}
 	args := make([][]byte, n)
-	sum, asked := 0, false
+	total, acquired := 0, false
 	for i := range args {
-		size, err := readLength(r, '$', maxBulk)
+		size, err := readLength(r, '$', maxBulkBytes)
 		if err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
-		if sum += size; sum > largeRequest {
-			return nil, fmt.Errorf("%w: request over %d", errProtocol, largeRequest)
+		if total += size; total > maxRequestBytes {
+			return nil, fmt.Errorf("%w: request over %d", errProtocol, maxRequestBytes)
 		}
-		if sum > smallRequest && !asked {
-			asked = true
-			if err := large(); err != nil {
+		if total > smallRequestBytes && !acquired {
+			acquired = true
+			if err := acquireLarge(); err != nil {
 				return nil, err
 			}
 		}
 		b := make([]byte, size+2)
 		if _, err := io.ReadFull(r, b); err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 		if b[size] != '\r' || b[size+1] != '\n' {
 			return nil, fmt.Errorf("%w: bulk string without its end", errProtocol)
@@ -57,13 +56,14 @@
 	return args, nil
 }
 
-func readLength(r *bufio.Reader, mark byte, most int) (int, error) {
+// readLength reads a line that consists of prefix and a length of at most maxLength.
+func readLength(r *bufio.Reader, prefix byte, maxLength int) (int, error) {
 	var line []byte
 	for {
 		c, err := r.ReadByte()
 		if err != nil {
 			if len(line) > 0 {
-				err = unexpected(err)
+				err = unexpectedEOF(err)
 			}
 			return 0, err
 		}
@@ -71,25 +71,25 @@
 		if c == '\n' {
 			break
 		}
-		if len(line) >= maxLine {
+		if len(line) >= maxLineBytes {
 			return 0, fmt.Errorf("%w: length line too long", errProtocol)
 		}
 	}
-	if len(line) < 4 || line[0] != mark || line[len(line)-2] != '\r' {
-		return 0, fmt.Errorf("%w: want a line of %q and a length", errProtocol, mark)
+	if len(line) < 4 || line[0] != prefix || line[len(line)-2] != '\r' {
+		return 0, fmt.Errorf("%w: want a line of %q and a length", errProtocol, prefix)
 	}
 	n, err := strconv.ParseUint(string(line[1:len(line)-2]), 10, 31)
 	if err != nil {
 		return 0, fmt.Errorf("%w: bad length", errProtocol)
 	}
-	if n > uint64(most) {
-		return 0, fmt.Errorf("%w: length over %d", errProtocol, most)
+	if n > uint64(maxLength) {
+		return 0, fmt.Errorf("%w: length over %d", errProtocol, maxLength)
 	}
 	return int(n), nil
 }
 
-// unexpected turns the end of the input into one inside a request.
-func unexpected(err error) error {
+// unexpectedEOF replaces io.EOF, which is expected only between requests.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -54,10 +54,10 @@
 		text := listJSON(n)
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(text) }))
 		d := newDiscoveryClient("", 1, slog.New(slog.DiscardHandler), nil)
-		d.bodyTimeout = patience
+		d.bodyTimeout = testTimeout
 		var list EndpointList
 		var err error
-		perEndpoint := allocatedBytes(func() { list, err = d.fetch(t.Context(), srv.URL, patience) }) / uint64(n)
+		perEndpoint := allocatedBytes(func() { list, err = d.fetch(t.Context(), srv.URL, testTimeout) }) / uint64(n)
 		srv.Close()
 		if err != nil {
 			t.Errorf("%d endpoints, %d bytes: %v", n, len(text), err)
@@ -119,14 +119,14 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	n.list(listEvent{list: list})
+	n.handleList(listEvent{list: list})
 	n.step(tb.Context())
 	return n
 }
 
 func newStoppedNode(tb testing.TB, dir string) *Node {
 	tb.Helper()
-	cfg, err := ParseConfig(configText(&platform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, EndpointList{}))
+	cfg, err := ParseConfig(configText(&testPlatform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, EndpointList{}))
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 	}
 	tb.Cleanup(func() {
 		n.journal.Close()
-		n.lock.Close()
+		n.stateLock.Close()
 	})
 	return n
 }
@@ -172,12 +172,12 @@
 	for _, size := range listSizes {
 		n := newNodeWithList(t, size)
 		changed[size] = shortestRun(50, func(i int) {
-			n.list(endpointChange(i))
+			n.handleList(endpointChange(i))
 			n.step(t.Context())
 		})
-		swept[size] = shortestRun(50, func(int) { n.dir.purgeRemoved(time.Now(), nil) })
-		if n.dir.listedCount() != size {
-			t.Errorf("%d endpoints are listed, want %d", n.dir.listedCount(), size)
+		swept[size] = shortestRun(50, func(int) { n.directory.purgeRemoved(time.Now(), nil) })
+		if n.directory.listedCount() != size {
+			t.Errorf("%d endpoints are listed, want %d", n.directory.listedCount(), size)
 		}
 	}
 	checkConstantCost(t, "a change", listSizes, changed)
@@ -192,7 +192,7 @@
 	tb.Helper()
 	n := newNodeWithList(tb, listSizes[0])
 	for i := range size {
-		n.held[fmt.Sprint(i)] = &held{msg: new(Message)}
+		n.active[fmt.Sprint(i)] = &activeMessage{msg: new(Message)}
 	}
 	return n
 }
@@ -204,11 +204,11 @@
 	for _, size := range backlogSizes {
 		n := newNodeWithBacklog(t, size)
 		changed[size] = shortestRun(50, func(i int) {
-			n.list(endpointChange(i))
-			n.next = nil
+			n.handleList(endpointChange(i))
+			n.pendingEvents = nil
 		})
-		waited[size] = shortestRun(50, func(int) { n.holdWait(1) })
-		used[size] = shortestRun(50, func(int) { n.calls() })
+		waited[size] = shortestRun(50, func(int) { n.abortForWait(1) })
+		used[size] = shortestRun(50, func(int) { n.calledEndpoints() })
 	}
 	checkConstantCost(t, "a change", backlogSizes, changed)
 	checkConstantCost(t, "a requested wait", backlogSizes, waited)
@@ -317,8 +317,8 @@
 		b.Run(name, func(b *testing.B) {
 			i := 0
 			for b.Loop() {
-				n.list(endpointChange(i))
-				n.next = nil
+				n.handleList(endpointChange(i))
+				n.pendingEvents = nil
 				i++
 			}
 		})
@@ -404,7 +404,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if err := n.begin(b.Context()); err != nil {
+		if err := n.takeOwnership(b.Context()); err != nil {
 			b.Fatal(err)
 		}
 		n.step(b.Context())
@@ -416,16 +416,16 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			text := configText(&platform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, list)
+			text := configText(&testPlatform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, list)
 			before := heapBytes()
 			n := start(b, text, dir)
-			kept, messages := heapBytes()-before, n.open
+			kept, messages := heapBytes()-before, n.openCount
 			n.journal.Close()
-			n.lock.Close()
+			n.stateLock.Close()
 			for b.Loop() {
 				n := start(b, text, dir)
 				n.journal.Close()
-				n.lock.Close()
+				n.stateLock.Close()
 			}
 			b.ReportMetric(float64(kept), "heap-B")
 			b.ReportMetric(float64(messages), "messages")
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -13,175 +13,179 @@
 )
 
 const (
-	firstRequest = 2300 * time.Millisecond // for the first request to have come whole
-	requestTime  = 2 * time.Second         // for a later one, once it has begun
-	idleClient   = 4 * time.Second         // between requests
-	answerTime   = 2 * time.Second
-	lastRequest  = 200 * time.Millisecond // least time for a request that has begun to come
-	maxErrors    = 16                     // errors in a row after which a connection is closed
-	errorPause   = 5 * time.Millisecond   // before the next request is read, for each error in a row
-	lingerClient = 500 * time.Millisecond // after the end of our side, for the client to close its own
-	lingerBytes  = 1 << 20
+	firstRequestTimeout  = 2300 * time.Millisecond // from the connection to the end of the first request
+	requestTimeout       = 2 * time.Second         // from the start to the end of a later request
+	clientIdleTimeout    = 4 * time.Second         // between requests
+	replyWriteTimeout    = 2 * time.Second
+	minRequestTime       = 200 * time.Millisecond // least time for a request that has begun to arrive, or to get a slot
+	maxConsecutiveErrors = 16                     // a connection with this many errors in a row is closed
+	errorDelay           = 5 * time.Millisecond   // before the next request is read, times the errors in a row
+	clientLingerTimeout  = 500 * time.Millisecond // for the client to close its side after we have closed ours
+	maxLingerBytes       = 1 << 20                // read and discarded during that time
 
-	answerOK      = "+OK\r\n"
-	answerFailed  = "-ERR failed\r\n"
-	answerUnknown = "-ERR unknown destination\r\n"
-	answerTimeout = "-ERR request not complete in time\r\n"
-	answerTooMany = "-ERR too many errors\r\n"
+	replyOK                 = "+OK\r\n"
+	replyFailed             = "-ERR failed\r\n"
+	replyUnknownDestination = "-ERR unknown destination\r\n"
+	replyRequestTimeout     = "-ERR request not complete in time\r\n"
+	replyTooManyErrors      = "-ERR too many errors\r\n"
 )
 
-// session is one client's connection. Requests may be pipelined: a reader hands
-// them on as they come, a writer answers them in their order.
+// session is one client's connection. Requests may be pipelined: a reader passes them on as they arrive, and a writer
+// sends the replies in the order of the requests.
 type session struct {
-	c      *clients
-	conn   net.Conn
-	opened time.Time
-	errors atomic.Int32 // in a row
+	server            *clientServer
+	conn              net.Conn
+	openedAt          time.Time
+	consecutiveErrors atomic.Int32
 
-	// Under the lock of clients.
-	open    int       // requests that have begun to come and are not answered
-	reading bool      // one of them has not come whole
-	fresh   bool      // none has begun to come
-	since   time.Time // when the last one was answered
-	gone    bool      // closed to make room
+	// Guarded by clientServer.mu.
+	openRequests   int       // requests that have begun to arrive and are not answered
+	readingRequest bool      // one of them has not arrived completely
+	noRequestYet   bool      // no request has begun to arrive on this connection
+	idleSince      time.Time // when the last request was answered
+	evicted        bool      // closed to make room for another connection
 }
 
-// answer is the answer to a request: at once, or as soon as it is there.
-type answer struct {
-	line  string
-	later <-chan string
-	large bool // the request holds a place among the large ones
+// clientReply is the reply to a request.
+type clientReply struct {
+	line    string        // the reply, unless pending is set
+	pending <-chan string // delivers a reply that is not ready yet
+	large   bool          // the request holds a large-request slot
 }
 
+// handle serves the connection until it ends. The caller closes it.
 func (s *session) handle() {
-	queue, written := make(chan answer, maxPipelined), make(chan struct{})
+	replies, writerDone := make(chan clientReply, maxPipelined), make(chan struct{})
 	go func() {
-		defer close(written)
-		s.write(queue)
+		defer close(writerDone)
+		s.writeReplies(replies)
 	}()
-	why := s.read(bufio.NewReader(s.conn), queue)
-	close(queue)
-	<-written
-	s.closes(why)
+	reason := s.readRequests(bufio.NewReader(s.conn), replies)
+	close(replies)
+	<-writerDone
+	s.recordClose(reason)
 	s.lingeringClose()
 }
 
-// closes counts the end of a connection, and checks that no request is left without its answer.
-func (s *session) closes(why closeReason) {
-	s.c.mu.Lock()
-	open, gone := s.open, s.gone
-	s.c.mu.Unlock()
-	if !gone { // else it was counted where it was closed
-		s.c.figures.closed.inc(string(why))
+// recordClose counts the end of a connection by its reason and checks that every request was answered.
+func (s *session) recordClose(reason closeReason) {
+	s.server.mu.Lock()
+	openRequests, evicted := s.openRequests, s.evicted
+	s.server.mu.Unlock()
+	if !evicted { // evictIdlest has counted it
+		s.server.metrics.closed.inc(string(reason))
 	}
-	if open > 0 {
-		report(s.c.log, s.c.figures, closedOpen, "", "requests", open, "why", string(why))
+	if openRequests > 0 {
+		reportViolation(s.server.log, s.server.metrics, violationClosedWithRequests, "",
+			"requests", openRequests, "why", string(reason))
 	}
 }
 
-// read takes requests until the connection ends, and says why it does.
-func (s *session) read(r *bufio.Reader, queue chan<- answer) closeReason {
+// readRequests reads and executes requests until the connection ends, and returns the reason for its end.
+func (s *session) readRequests(r *bufio.Reader, replies chan<- clientReply) closeReason {
 	first := true
 	for {
-		if why, ok := s.await(r); !ok {
-			return why
+		if reason, ok := s.awaitRequest(r); !ok {
+			return reason
 		}
-		if n := s.errors.Load(); n >= maxErrors {
-			queue <- answer{line: answerTooMany}
+		if n := s.consecutiveErrors.Load(); n >= maxConsecutiveErrors {
+			replies <- clientReply{line: replyTooManyErrors}
 			return closedErrors
 		} else if n > 0 {
-			time.Sleep(time.Duration(n) * errorPause)
+			time.Sleep(time.Duration(n) * errorDelay)
 		}
-		s.conn.SetReadDeadline(s.requestBy(first))
+		s.conn.SetReadDeadline(s.requestDeadline(first))
 		large := false
 		args, err := readCommand(r, func() error {
-			err := s.takeLarge()
+			err := s.acquireLargeSlot()
 			large = err == nil
 			return err
 		})
-		s.whole(err == nil && r.Buffered() > 0)
+		s.requestDone(err == nil && r.Buffered() > 0)
 		switch {
 		case err == nil:
-			a := s.c.answer(args)
+			a := s.server.execute(args)
 			a.large = large
-			queue <- a
+			replies <- a
 			first = false
 			continue
 		case errors.Is(err, errProtocol):
-			queue <- answer{line: fmt.Sprintf("-ERR %v\r\n", err), large: large}
+			replies <- clientReply{line: fmt.Sprintf("-ERR %v\r\n", err), large: large}
 			return closedProtocol
-		case errors.Is(err, errNoPlace):
-			queue <- answer{line: busy(0)}
+		case errors.Is(err, errLargeRequestLimit):
+			replies <- clientReply{line: busyReply(0)}
 			return closedNoCapacity
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			queue <- answer{line: answerTimeout, large: large}
+			replies <- clientReply{line: replyRequestTimeout, large: large}
 			return closedTimeout
 		}
-		queue <- answer{large: large}
+		replies <- clientReply{large: large}
 		return closedByClient
 	}
 }
 
-// requestBy is when the request that has begun to come must be whole.
-func (s *session) requestBy(first bool) time.Time {
-	by := time.Now().Add(requestTime)
+// requestDeadline returns the time by which the request that has begun to arrive must be complete.
+func (s *session) requestDeadline(first bool) time.Time {
+	deadline := time.Now().Add(requestTimeout)
 	if first {
-		by = s.opened.Add(firstRequest)
-		if least := time.Now().Add(lastRequest); by.Before(least) {
-			by = least
+		deadline = s.openedAt.Add(firstRequestTimeout)
+		if earliest := time.Now().Add(minRequestTime); deadline.Before(earliest) {
+			deadline = earliest
 		}
 	}
-	s.c.mu.Lock()
-	defer s.c.mu.Unlock()
-	if last := s.c.readBy; !last.IsZero() && last.Before(by) {
-		return last
+	s.server.mu.Lock()
+	defer s.server.mu.Unlock()
+	if cutoff := s.server.readCutoff; !cutoff.IsZero() && cutoff.Before(deadline) {
+		return cutoff
 	}
-	return by
+	return deadline
 }
 
-// errNoPlace says that too many large requests are under way.
-var errNoPlace = errors.New("no place for a large request")
+// errLargeRequestLimit is returned when too many large requests are open.
+var errLargeRequestLimit = errors.New("too many large requests")
 
-func (s *session) takeLarge() error {
-	t := time.NewTimer(lastRequest)
+// acquireLargeSlot waits up to minRequestTime for a large-request slot.
+func (s *session) acquireLargeSlot() error {
+	t := time.NewTimer(minRequestTime)
 	defer t.Stop()
 	select {
-	case s.c.large <- struct{}{}:
+	case s.server.largeSlots <- struct{}{}:
 		return nil
 	case <-t.C:
-		return errNoPlace
+		return errLargeRequestLimit
 	}
 }
 
-// await waits for the first byte of a request; false ends the connection, for the reason given. A request counts as open before anything of it
-// is read: until then the connection may be closed, and its client sends the request again elsewhere.
-func (s *session) await(r *bufio.Reader) (closeReason, bool) {
+// awaitRequest waits for the first byte of a request. If it returns false the connection ends, for the reason returned.
+// A request counts as open before any of it is read: until then the connection may be closed, and the client resends the
+// request on another one.
+func (s *session) awaitRequest(r *bufio.Reader) (closeReason, bool) {
 	if r.Buffered() > 0 {
-		return "", true // counted with the one before
+		return "", true // counted by requestDone of the previous request
 	}
-	s.c.mu.Lock()
-	s.conn.SetReadDeadline(s.idleBy(time.Now())) // under the lock: startParting may be about to set its own
-	s.c.mu.Unlock()
+	s.server.mu.Lock()
+	s.conn.SetReadDeadline(s.idleDeadline(time.Now())) // under the lock, so as not to override the deadline of startClosingIdle
+	s.server.mu.Unlock()
 	data, err := awaitInput(s.conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		_, data = peek(s.conn) // it may have come just before: its client counts on an answer
+		_, data = peekConn(s.conn) // a request that arrived just before the deadline must be answered
 	}
-	s.c.mu.Lock()
-	defer s.c.mu.Unlock()
-	if !data || s.gone || s.c.tooLate() {
-		return s.whyEnded(data, err), false
+	s.server.mu.Lock()
+	defer s.server.mu.Unlock()
+	if !data || s.evicted || s.server.pastReadCutoff() {
+		return s.endReason(data, err), false
 	}
-	s.open++
-	s.reading, s.fresh = true, false
+	s.openRequests++
+	s.readingRequest, s.noRequestYet = true, false
 	return "", true
 }
 
-// whyEnded says why no request is awaited any more, under the lock of clients.
-func (s *session) whyEnded(data bool, err error) closeReason {
+// endReason returns why no further request is awaited. The lock of clientServer must be held.
+func (s *session) endReason(data bool, err error) closeReason {
 	switch {
-	case s.gone, !data && err == nil:
+	case s.evicted, !data && err == nil:
 		return closedByClient
-	case s.c.parting, s.c.tooLate():
+	case s.server.closingIdle, s.server.pastReadCutoff():
 		return closedDraining
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return closedIdle
@@ -189,45 +193,46 @@
 	return closedByClient
 }
 
-// whole notes that the request at hand has come to its end, good or bad, and whether some of the next has come with it.
-func (s *session) whole(more bool) {
-	s.c.mu.Lock()
-	defer s.c.mu.Unlock()
-	if s.reading = more; more {
-		s.open++
+// requestDone records that the current request was read or has failed. nextBuffered tells whether the start of the next
+// request has already been read.
+func (s *session) requestDone(nextBuffered bool) {
+	s.server.mu.Lock()
+	defer s.server.mu.Unlock()
+	if s.readingRequest = nextBuffered; nextBuffered {
+		s.openRequests++
 	}
 }
 
-// write sends the answers in the order of their requests, those that are ready together.
-func (s *session) write(queue <-chan answer) {
+// writeReplies sends the replies in the order of their requests. Replies that are ready are written together.
+func (s *session) writeReplies(replies <-chan clientReply) {
 	w := bufio.NewWriterSize(s.conn, 512)
 	var err error
-	for a := range queue {
-		line := a.line
-		if a.later != nil {
+	for reply := range replies {
+		line := reply.line
+		if reply.pending != nil {
 			select {
-			case line = <-a.later:
-			default: // what is ready must not wait for what is not
+			case line = <-reply.pending:
+			default: // replies that are ready must not wait for this one
 				err = errors.Join(err, s.flush(w))
-				line = <-a.later
+				line = <-reply.pending
 			}
 		}
-		if a.large {
-			<-s.c.large
+		if reply.large {
+			<-s.server.largeSlots
 		}
 		if strings.HasPrefix(line, "-ERR") {
-			s.errors.Add(1)
+			s.consecutiveErrors.Add(1)
 		} else {
-			s.errors.Store(0)
+			s.consecutiveErrors.Store(0)
 		}
 		if err == nil {
-			s.conn.SetWriteDeadline(time.Now().Add(answerTime))
+			s.conn.SetWriteDeadline(time.Now().Add(replyWriteTimeout))
 			_, err = w.WriteString(line)
 		}
-		if len(queue) == 0 {
+		if len(replies) == 0 {
 			err = errors.Join(err, s.flush(w))
 		}
-		s.answered()
+		s.replySent()
 	}
 }
 
@@ -235,60 +240,61 @@
 	if w.Buffered() == 0 {
 		return nil
 	}
-	s.conn.SetWriteDeadline(time.Now().Add(answerTime))
+	s.conn.SetWriteDeadline(time.Now().Add(replyWriteTimeout))
 	return w.Flush()
 }
 
-func (s *session) answered() {
-	s.c.mu.Lock()
-	defer s.c.mu.Unlock()
-	s.open--
-	s.since = time.Now()
+// replySent records that a request has been answered.
+func (s *session) replySent() {
+	s.server.mu.Lock()
+	defer s.server.mu.Unlock()
+	s.openRequests--
+	s.idleSince = time.Now()
 }
 
-// lingeringClose ends the sending side and reads on until the client has closed too, for a while at most: a close over
-// unread input would be a reset, which destroys answers that are on their way. What is read here goes nowhere: the client
-// has been told that the connection is at its end.
+// lingeringClose closes the sending side and then reads until the client has closed its side, within limits. Closing a
+// connection with unread input would send a reset, which destroys replies in transit. The input read here is discarded:
+// the client has already been told that the connection is closing.
 func (s *session) lingeringClose() {
-	s.c.mu.Lock()
-	s.since = time.Time{} // the first to go
-	s.c.mu.Unlock()
-	if half, ok := s.conn.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
-		return // gone already
+	s.server.mu.Lock()
+	s.idleSince = time.Time{} // evicted before any other
+	s.server.mu.Unlock()
+	if halfCloser, ok := s.conn.(interface{ CloseWrite() error }); !ok || halfCloser.CloseWrite() != nil {
+		return // already closed
 	}
-	s.conn.SetReadDeadline(time.Now().Add(lingerClient))
-	io.Copy(io.Discard, io.LimitReader(s.conn, lingerBytes))
+	s.conn.SetReadDeadline(time.Now().Add(clientLingerTimeout))
+	io.Copy(io.Discard, io.LimitReader(s.conn, maxLingerBytes))
 }
 
-// answer carries a request out.
-func (c *clients) answer(args [][]byte) answer {
+// execute carries out a request.
+func (c *clientServer) execute(args [][]byte) clientReply {
 	switch cmd := strings.ToUpper(string(args[0])); cmd {
 	case "PING":
-		if p := c.now(); p != serving && p != replaced {
-			return answer{line: "-ERR " + p.String() + "\r\n"}
+		if phase := c.currentPhase(); phase != serving && phase != replaced {
+			return clientReply{line: "-ERR " + phase.String() + "\r\n"}
 		}
 		switch {
 		case len(args) == 1:
-			return answer{line: "+PONG\r\n"}
-		case len(args) == 2 && len(args[1]) <= smallRequest:
-			return answer{line: fmt.Sprintf("$%d\r\n%s\r\n", len(args[1]), args[1])}
+			return clientReply{line: "+PONG\r\n"}
+		case len(args) == 2 && len(args[1]) <= smallRequestBytes:
+			return clientReply{line: fmt.Sprintf("$%d\r\n%s\r\n", len(args[1]), args[1])}
 		}
-		return answer{line: "-ERR PING takes one short argument at most\r\n"}
+		return clientReply{line: "-ERR PING takes one short argument at most\r\n"}
 	case "MSG.PUT":
 		msg, err := c.parsePut(args[1:], c.clock.Now())
 		if err != nil {
-			return answer{line: "-ERR " + err.Error() + "\r\n"}
+			return clientReply{line: "-ERR " + err.Error() + "\r\n"}
 		}
 		c.mu.Lock()
-		late := c.tooLate()
+		afterCutoff := c.pastReadCutoff()
 		c.mu.Unlock()
-		if late { // it came behind others that were read in time
-			c.figures.refused.inc(string(refusedStopping))
-			return answer{line: busy(0)}
+		if afterCutoff { // the request was pipelined behind others that were read in time
+			c.metrics.refused.inc(string(refusedStopping))
+			return clientReply{line: busyReply(0)}
 		}
-		later := make(chan string, 1)
-		c.events <- putEvent{msg, later}
-		return answer{later: later}
+		pending := make(chan string, 1)
+		c.events <- putEvent{msg, pending}
+		return clientReply{pending: pending}
 	}
-	return answer{line: "-ERR unknown command\r\n"}
+	return clientReply{line: "-ERR unknown command\r\n"}
 }
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -81,7 +81,7 @@
 		if err == nil {
 			return nil
 		}
-		pause(ctx, jitter(startRetryDelay))
+		sleepContext(ctx, jitter(startRetryDelay))
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -95,14 +95,14 @@
 // the delivery of accepted messages does not wait for the listener.
 func (n *Node) listenForClients(work context.Context) error {
 	open := func() (err error) {
-		if n.ln == nil {
-			n.ln, err = net.Listen("tcp", n.cfg.ListenAddr)
+		if n.listener == nil {
+			n.listener, err = net.Listen("tcp", n.cfg.ListenAddr)
 		}
 		return err
 	}
 	err := open()
 	if err == nil {
-		n.serveClients(work, n.ln)
+		n.serveClients(work, n.listener)
 		return nil
 	}
 	if !isTransient(err) {
@@ -126,20 +126,20 @@
 
 // serveClients starts serving clients on ln, unless this process is shutting down.
 func (n *Node) serveClients(work context.Context, ln net.Listener) {
-	if !n.closing.IsZero() {
+	if !n.shutdownAt.IsZero() {
 		ln.Close()
 		return
 	}
-	if n.lock == nil || n.journal == nil {
-		report(n.log, n.figures, notOwner, "")
+	if n.stateLock == nil || n.journal == nil {
+		reportViolation(n.log, n.metrics, violationNotOwner, "")
 	}
-	n.ln = ln
+	n.listener = ln
 	go n.serveSuccessors(work, ln)
-	n.clients.turn(serving)
+	n.clients.setPhase(serving)
 	go n.clients.serve(ln)
-	n.stages.done("listen")
-	n.log.Info("ready", "name", n.cfg.Name, "addr", ln.Addr().String(), "held", len(n.held),
-		slog.Group("ms", n.stages.spent...))
+	n.startup.finishStage("listen")
+	n.log.Info("ready", "name", n.cfg.Name, "addr", ln.Addr().String(), "held", len(n.active),
+		slog.Group("ms", n.startup.attrs...))
 	n.ready <- ln.Addr()
 }
 
--- a/internal/node/window_test.go
+++ b/internal/node/window_test.go
@@ -10,12 +10,12 @@
 )
 
 // shortWindowConfig returns a configuration whose keyed class drops duplicates for one second, separately in each zone.
-func shortWindowConfig(p *platform, known EndpointList) string {
+func shortWindowConfig(p *testPlatform, known EndpointList) string {
 	return strings.Replace(string(configText(p, known)), `"group":"all","window_s":25`, `"group":"zone","window_s":1`, 1)
 }
 
 // twoZoneList returns a list with one endpoint in each of two zones.
-func twoZoneList(a, b *endpoint) EndpointList {
+func twoZoneList(a, b *testEndpoint) EndpointList {
 	list := EndpointList{Generation: 1, Reset: true, Instances: instances(a, b)}
 	list.Instances[1].Zone = "b"
 	return list
@@ -31,12 +31,12 @@
 	now := time.Now()
 	accepted := func(id, class string) record {
 		return record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, IdempotencyKey: "key-" + id, Class: class, Dest: 1,
-			Deadline: now.Add(2 * patience).UnixMicro()}}}
+			Deadline: now.Add(2 * testTimeout).UnixMicro()}}}
 	}
 	sent := func(id string, at time.Time) record {
 		return record{Op: opSend, ID: id, At: at.UnixMicro(), Zone: 1}
 	}
-	firstSend := now.Add(patience) // in the future, so that the window is open however long the start takes
+	firstSend := now.Add(testTimeout) // in the future, so that the window is open however long the start takes
 	mustAppend(t, j, accepted("open", "keyed"), accepted("over", "keyed"), accepted("answered late", "keyed"), accepted("never ran", "keyed"),
 		accepted("untried", "keyed"), accepted("unsafe", "unsafe"),
 		sent("open", firstSend), sent("over", now.Add(-1001*time.Millisecond)),
@@ -47,10 +47,10 @@
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	n := startWith(t, shortWindowConfig(p, p.list), dir)
+	n := startNodeWithConfig(t, shortWindowConfig(p, p.list), dir)
 	failed := map[string]bool{"over": true, "answered late": true, "unsafe": true}
 	for len(failed) > 0 { // before any call is answered, and long before the deadlines
-		x := await(t, p.notices, "notice")
+		x := receive(t, p.notices, "notice")
 		if !failed[x.ID] || x.State != "failed" {
 			t.Fatalf("notice %+v", x)
 		}
@@ -58,14 +58,14 @@
 	}
 	expected := map[string]bool{"open": true, "never ran": true, "untried": true}
 	for len(expected) > 0 {
-		var in *inCall
+		var in *receivedCall
 		select {
 		case in = <-a.calls:
 			if in.id() == "open" {
 				t.Error("retried in another zone than the first send")
 			}
 		case in = <-b.calls:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("not sent: %v", expected)
 		}
 		if !expected[in.id()] {
@@ -74,9 +74,9 @@
 		delete(expected, in.id())
 		in.reply(200)
 	}
-	stopClean(t, n)
-	a.none(t)
-	b.none(t)
+	stopAndCheckEmpty(t, n)
+	a.expectNoCall(t)
+	b.expectNoCall(t)
 }
 
 // A retry must be written before the end of the window that began before the restart; the restart does not begin a new
@@ -89,30 +89,30 @@
 	}
 	cfg.StateDir = t.TempDir()
 	j := openJournal(t, cfg.StateDir, 3e6)
-	first := time.Now().Add(patience)
+	first := time.Now().Add(testTimeout)
 	mustAppend(t, j, record{Op: opAccept, Entry: &Entry{Message: Message{ID: "m", IdempotencyKey: "k", Class: "keyed", Dest: 1,
-		Deadline: first.Add(patience).UnixMicro()}}}, record{Op: opSend, ID: "m", At: first.UnixMicro()},
+		Deadline: first.Add(testTimeout).UnixMicro()}}}, record{Op: opSend, ID: "m", At: first.UnixMicro()},
 		record{Op: opAccept, Entry: &Entry{Message: Message{ID: "over", IdempotencyKey: "l", Class: "keyed", Dest: 1,
 			Deadline: first.UnixMicro()}}}, record{Op: opSend, ID: "over", At: time.Now().Add(-1001 * time.Millisecond).UnixMicro()})
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.lock.Close()
+	defer n.stateLock.Close()
 	defer n.journal.Close()
-	n.resume()
+	n.resumeFromJournal()
 	n.step(t.Context())
 	if e := n.journal.Entry("over"); e.Attempts != 1 || e.End == nil || e.End.State != "failed" {
 		t.Errorf("window over, after the first step: %+v", e)
 	}
-	for n.held["m"].call == nil { // the rate limit admits it shortly after the start
+	for n.active["m"].call == nil { // the rate limit admits it shortly after the start
 		n.step(t.Context())
-		if time.Since(n.start) > patience {
+		if time.Since(n.moduleEpoch) > testTimeout {
 			t.Fatal("not retried")
 		}
 	}
-	await(t, a.calls, "call").reply(200)
-	if got, want := n.held["m"].call.writeBy, n.clock.At(first.UnixMicro()).Add(time.Second); !got.Equal(want) {
+	receive(t, a.calls, "call").reply(200)
+	if got, want := n.active["m"].call.writeBy, n.clock.At(first.UnixMicro()).Add(time.Second); !got.Equal(want) {
 		t.Errorf("to be written before %v, want %v", got, want)
 	}
 	if e := n.journal.Entry("m"); e.Attempts != 2 || e.FirstMayRunAt != first.UnixMicro() {
@@ -128,20 +128,20 @@
 		p.list = twoZoneList(a, b)
 		text := []byte(shortWindowConfig(p, p.list))
 		killed := execProcess(t, p, dir, text)
-		dial(t, await(t, killed.ready, "ready program")).put("m", "keyed", "+OK")
-		var first *inCall
+		dialClient(t, receive(t, killed.ready, "ready program")).put("m", "keyed", "+OK")
+		var first *receivedCall
 		calls, others := a.calls, b.calls
 		select {
 		case first = <-calls:
 		case first = <-others:
 			calls, others = others, calls
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("no call")
 		}
 		killed.kill()
 		firstSend := openJournal(t, dir, 3e6).Entry("m").FirstMayRunAt
 		restarted := execProcess(t, p, dir, text)
-		await(t, restarted.ready, "ready program")
+		receive(t, restarted.ready, "ready program")
 		select {
 		case in := <-calls:
 			e := openJournal(t, copyJournal(t, dir), 3e6).Entry("m")
@@ -156,12 +156,12 @@
 			}
 		case <-others:
 			t.Error("retried in another zone than the first send")
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("neither retried nor failed")
 		}
 		restarted.terminate()
 		restarted.awaitExit()
-		if ids := owed(t, dir); ids != nil {
+		if ids := pendingMessageIDs(t, dir); ids != nil {
 			t.Errorf("unfinished messages: %v", ids)
 		}
 		if len(calls)+len(others)+len(p.notices) != 0 {
