--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -103,7 +103,7 @@
 		if err != nil {
 			return fmt.Errorf("%d %s: %w", n, axis, err)
 		}
-		if r.Cut {
+		if r.Interrupted {
 			fmt.Fprintf(env.out, "CUT SHORT at %d %s: the sizes before are whole\n", n, axis)
 			break
 		}
--- a/cmd/hollow/main_test.go
+++ b/cmd/hollow/main_test.go
@@ -66,7 +66,7 @@
 	if err == nil {
 		err = json.Unmarshal(text, &r)
 	}
-	if err != nil || r.Offered == 0 || r.Senders != 2 || r.Until.String() != "3s" {
+	if err != nil || r.Offered == 0 || r.Senders != 2 || r.VirtualTime.String() != "3s" {
 		t.Errorf("report %+v, %v", r, err)
 	}
 }
--- a/internal/hollow/clock.go
+++ b/internal/hollow/clock.go
@@ -12,7 +12,7 @@
 type event struct {
 	at  logic.Micros
 	seq uint64
-	do  func()
+	run func()
 }
 
 // eventQueue is a heap of events, the next one first.
@@ -35,39 +35,39 @@
 
 // clock is the virtual time and what is to happen.
 type clock struct {
-	now    logic.Micros // since the start of the run
-	seq    uint64
-	events eventQueue
+	now     logic.Micros // since the start of the run
+	lastSeq uint64
+	events  eventQueue
 }
 
 // at sets do for a time, or for now if that is past.
-func (c *clock) at(t logic.Micros, do func()) {
-	c.seq++
-	heap.Push(&c.events, event{max(t, c.now), c.seq, do})
+func (c *clock) scheduleAt(t logic.Micros, do func()) {
+	c.lastSeq++
+	heap.Push(&c.events, event{max(t, c.now), c.lastSeq, do})
 }
 
 // forever is later than any run lasts.
-const forever = 1e15
+const maxDelay = 1e15
 
 // span turns microseconds into a span that a time can be moved by.
-func span(micros float64) logic.Micros { return logic.Micros(min(micros, forever)) }
+func clampDelay(micros float64) logic.Micros { return logic.Micros(min(micros, maxDelay)) }
 
-func (c *clock) after(d logic.Micros, do func()) { c.at(c.now+d, do) }
+func (c *clock) scheduleAfter(d logic.Micros, do func()) { c.scheduleAt(c.now+d, do) }
 
 // next moves on to the next event up to a time and runs it; false if there is none.
-func (c *clock) next(until logic.Micros) bool {
+func (c *clock) runNext(until logic.Micros) bool {
 	if len(c.events) == 0 || c.events[0].at > until {
 		c.now = max(c.now, until)
 		return false
 	}
 	e := heap.Pop(&c.events).(event)
 	c.now = e.at
-	e.do()
+	e.run()
 	return true
 }
 
 // derive makes the seed of the n-th component of a name.
-func derive(seed uint64, name string, n int) uint64 {
+func deriveSeed(seed uint64, name string, n int) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	for _, x := range []uint64{seed, uint64(n)} {
@@ -79,7 +79,7 @@
 }
 
 // stream is the random source of the n-th component of a name.
-func stream(seed uint64, name string, n int) *rand.Rand {
-	s := derive(seed, name, n)
+func newRand(seed uint64, name string, n int) *rand.Rand {
+	s := deriveSeed(seed, name, n)
 	return rand.New(rand.NewPCG(s, ^s))
 }
--- a/internal/hollow/discovery.go
+++ b/internal/hollow/discovery.go
@@ -10,7 +10,7 @@
 )
 
 // kindName is the machine type of all endpoints.
-const kindName = "hollow"
+const machineType = "hollow"
 
 // instance is an entry of the list as discovery sends it.
 type instance struct {
@@ -19,14 +19,14 @@
 }
 
 // list is discovery's answer; see "Discovery" of the protocol page.
-type list struct {
+type listResponse struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []instance `json:"instances"`
 }
 
 // size is the length of the answer's body in bytes.
-func (l list) size() int64 {
+func (l listResponse) encodedSize() int64 {
 	b, err := json.Marshal(l)
 	if err != nil {
 		panic(err) // there is nothing in it that JSON cannot hold
@@ -35,7 +35,7 @@
 }
 
 // known is the list as the directory reads it.
-func (l list) known() node.List {
+func (l listResponse) toNodeList() node.List {
 	out := node.List{Generation: l.Generation, Reset: l.Reset, Instances: make([]node.Instance, len(l.Instances))}
 	for i, x := range l.Instances {
 		out.Instances[i] = x.Instance
@@ -44,19 +44,19 @@
 }
 
 // row is an instance with the generations in which it came, began to drain and went; 0 if it has not.
-type row struct {
+type listEntry struct {
 	instance
-	ep                      *endpoint
-	added, draining, closed int64
+	endpoint                       *endpoint
+	addedIn, drainingIn, removedIn int64
 }
 
 // at is the row as it stands in a generation in which it is on the list.
-func (r *row) at(g int64) instance {
+func (r *listEntry) instanceAt(g int64) instance {
 	x := r.instance
 	switch {
-	case r.closed != 0 && r.closed <= g:
+	case r.removedIn != 0 && r.removedIn <= g:
 		x.Lifecycle = "removed"
-	case r.draining != 0 && r.draining <= g:
+	case r.drainingIn != 0 && r.drainingIn <= g:
 		x.Lifecycle = "draining"
 	default:
 		x.Lifecycle = "up"
@@ -66,184 +66,184 @@
 
 // ListBytes counts the bytes of discovery's answers.
 type ListBytes struct {
-	Whole   int64 `json:"whole"`
+	Full    int64 `json:"whole"`
 	Changes int64 `json:"changes"`
 	Empty   int64 `json:"empty"` // of watches that ended with nothing
 }
 
-func (b ListBytes) total() int64 { return b.Whole + b.Changes + b.Empty }
+func (b ListBytes) total() int64 { return b.Full + b.Changes + b.Empty }
 
 // discovery holds the list and tells it to the agents.
 type discovery struct {
-	f       *fleet
-	zones   []string
-	rows    []*row
-	up      []*row   // neither draining nor gone
-	changed [][]*row // by generation
-	at      []logic.Micros
-	lag     []logic.Micros // of a generation, the longest time to its being in force at a sender
-	behind  []int          // of a generation, senders where it is not in force
-
-	last      node.List // the whole list that was built last
-	lastBytes int64
-	delta     list // the changes that were built last, and from where
-	deltaFrom int64
-	deltaSize int64
+	fleet          *fleet
+	zoneNames      []string
+	entries        []*listEntry
+	active         []*listEntry   // neither draining nor gone
+	changedEntries [][]*listEntry // by generation
+	changedAt      []logic.Micros
+	maxLag         []logic.Micros // of a generation, the longest time to its being in force at a sender
+	pendingSenders []int          // of a generation, senders where it is not in force
+
+	lastFullList      node.List // the whole list that was built last
+	lastFullListBytes int64
+	delta             listResponse // the changes that were built last, and from where
+	deltaFrom         int64
+	deltaBytes        int64
 }
 
 func newDiscovery(f *fleet) *discovery {
-	d := &discovery{f: f, changed: make([][]*row, 2), at: make([]logic.Micros, 2), lag: make([]logic.Micros, 2), behind: make([]int, 2)}
-	for z := range f.sc.Fleet.Zones {
-		d.zones = append(d.zones, fmt.Sprint("z", z))
+	d := &discovery{fleet: f, changedEntries: make([][]*listEntry, 2), changedAt: make([]logic.Micros, 2), maxLag: make([]logic.Micros, 2), pendingSenders: make([]int, 2)}
+	for z := range f.scenario.Fleet.Zones {
+		d.zoneNames = append(d.zoneNames, fmt.Sprint("z", z))
 	}
 	return d
 }
 
-func (d *discovery) generation() int64 { return int64(len(d.at)) - 1 }
+func (d *discovery) generation() int64 { return int64(len(d.changedAt)) - 1 }
 
 // add puts an endpoint on the list.
-func (d *discovery) add(e *endpoint, g int64) *row {
-	r := &row{ep: e, added: g, instance: instance{Instance: node.Instance{ID: fmt.Sprintf("s-%08x", e.number), HostPort: e.addr,
-		Zone: d.zones[e.machine.zone], Kind: kindName, Dest: int64(e.dest.id), Weight: 1}}}
-	if d.f.sc.Destinations.Nominal {
-		r.Weight = d.f.sc.Destinations.Rate
+func (d *discovery) add(e *endpoint, g int64) *listEntry {
+	r := &listEntry{endpoint: e, addedIn: g, instance: instance{Instance: node.Instance{ID: fmt.Sprintf("s-%08x", e.number), HostPort: e.addr,
+		Zone: d.zoneNames[e.machine.zone], Kind: machineType, Dest: int64(e.destination.id), Weight: 1}}}
+	if d.fleet.scenario.Destinations.NominalWeights {
+		r.Weight = d.fleet.scenario.Destinations.Rate
 	}
 	if g > 1 {
-		r.StartedAtMs = int64(d.f.now / 1000)
+		r.StartedAtMs = int64(d.fleet.now / 1000)
 	}
-	d.rows = append(d.rows, r)
-	d.up = append(d.up, r)
+	d.entries = append(d.entries, r)
+	d.active = append(d.active, r)
 	return r
 }
 
 // whole is the list of a generation.
-func (d *discovery) whole(g int64) node.List {
-	if d.last.Generation != g {
-		l := list{Generation: g, Reset: true}
-		for _, r := range d.rows {
-			if r.added <= g && (r.closed == 0 || r.closed > g) {
-				l.Instances = append(l.Instances, r.at(g))
+func (d *discovery) fullList(g int64) node.List {
+	if d.lastFullList.Generation != g {
+		l := listResponse{Generation: g, Reset: true}
+		for _, r := range d.entries {
+			if r.addedIn <= g && (r.removedIn == 0 || r.removedIn > g) {
+				l.Instances = append(l.Instances, r.instanceAt(g))
 			}
 		}
-		d.last, d.lastBytes = l.known(), l.size()
+		d.lastFullList, d.lastFullListBytes = l.toNodeList(), l.encodedSize()
 	}
-	return d.last
+	return d.lastFullList
 }
 
 // between is what a watch from one generation is told in another.
-func (d *discovery) between(from, to int64) (node.List, int64) {
+func (d *discovery) changesBetween(from, to int64) (node.List, int64) {
 	if d.delta.Generation != to || d.deltaFrom != from {
-		seen := map[*row]bool{}
-		d.delta, d.deltaFrom = list{Generation: to}, from
+		seen := map[*listEntry]bool{}
+		d.delta, d.deltaFrom = listResponse{Generation: to}, from
 		for g := from + 1; g <= to; g++ {
-			for _, r := range d.changed[g] {
+			for _, r := range d.changedEntries[g] {
 				if !seen[r] {
 					seen[r] = true
-					d.delta.Instances = append(d.delta.Instances, r.at(to))
+					d.delta.Instances = append(d.delta.Instances, r.instanceAt(to))
 				}
 			}
 		}
-		d.deltaSize = d.delta.size()
+		d.deltaBytes = d.delta.encodedSize()
 	}
-	return d.delta.known(), d.deltaSize
+	return d.delta.toNodeList(), d.deltaBytes
 }
 
 // emptySize is the length of an answer with nothing.
-func (d *discovery) emptySize(g int64) int64 {
-	return list{Generation: g, Instances: []instance{}}.size()
+func (d *discovery) emptyResponseSize(g int64) int64 {
+	return listResponse{Generation: g, Instances: []instance{}}.encodedSize()
 }
 
 // change makes a generation of some rows and tells it to all agents.
-func (d *discovery) change(rows ...*row) {
-	f := d.f
-	d.changed, d.at, d.lag = append(d.changed, rows), append(d.at, f.now), append(d.lag, 0)
-	d.behind = append(d.behind, len(f.senders))
-	f.traceEvent(traceList, int(d.generation()), len(rows), 0)
+func (d *discovery) publish(rows ...*listEntry) {
+	f := d.fleet
+	d.changedEntries, d.changedAt, d.maxLag = append(d.changedEntries, rows), append(d.changedAt, f.now), append(d.maxLag, 0)
+	d.pendingSenders = append(d.pendingSenders, len(f.senders))
+	f.traceEvent(traceListChange, int(d.generation()), len(rows), 0)
 	for _, s := range f.senders {
-		spread := logic.Micros(float64(f.sc.Discovery.Spread.Micros) * s.spread.Float64())
-		f.after(spread, func() { d.tell(s) })
+		spread := logic.Micros(float64(f.scenario.Discovery.Spread.Micros) * s.spreadRand.Float64())
+		f.scheduleAfter(spread, func() { d.notifyAgent(s) })
 	}
 }
 
 // home is a zone of the region where discovery is.
-func (d *discovery) home() int {
+func (d *discovery) homeZone() int {
 	z := 0
-	for d.f.top.region(z) != d.f.sc.Discovery.Region {
+	for d.fleet.topology.region(z) != d.fleet.scenario.Discovery.Region {
 		z++
 	}
 	return z
 }
 
 // tell brings a sender's agent up to date, if it can be reached.
-func (d *discovery) tell(s *sender) {
-	f, zone := d.f, s.machine.zone
-	if !f.top.open(d.home(), zone, f.now) || s.machine.gone != nil {
-		f.after(logic.Second, func() { d.tell(s) })
+func (d *discovery) notifyAgent(s *sender) {
+	f, zone := d.fleet, s.machine.zone
+	if !f.topology.reachable(d.homeZone(), zone, f.now) || s.machine.outage != nil {
+		f.scheduleAfter(logic.Second, func() { d.notifyAgent(s) })
 		return
 	}
-	f.after(f.top.delay(d.home(), zone, s.spread), func() {
+	f.scheduleAfter(f.topology.delay(d.homeZone(), zone, s.spreadRand), func() {
 		to := d.generation()
-		if s.agent >= to || s.machine.gone != nil {
+		if s.agentGeneration >= to || s.machine.outage != nil {
 			return // told already; a new machine asks for the whole list
 		}
-		news, size := d.between(s.agent, to)
-		s.agent = to
-		s.bytes.Changes += size
+		news, size := d.changesBetween(s.agentGeneration, to)
+		s.agentGeneration = to
+		s.listBytes.Changes += size
 		if s.up {
-			s.watchEnd = f.now + f.sc.Discovery.Hold.Micros
-			s.list(news)
+			s.watchDeadline = f.now + f.scenario.Discovery.WatchTimeout.Micros
+			s.applyList(news)
 		}
 	})
 }
 
 // ask gives a machine with nothing the whole list.
-func (d *discovery) ask(s *sender) {
-	s.agent = d.generation()
-	d.whole(s.agent)
-	s.bytes.Whole += d.lastBytes
+func (d *discovery) sendFullList(s *sender) {
+	s.agentGeneration = d.generation()
+	d.fullList(s.agentGeneration)
+	s.listBytes.Full += d.lastFullListBytes
 }
 
 // inForce notes that a sender's process acts on the list that its agent has.
-func (d *discovery) inForce(s *sender) {
-	for g := s.inForce + 1; g <= s.agent; g++ {
-		d.lag[g] = max(d.lag[g], d.f.now-max(d.at[g], s.upAt))
-		d.behind[g]--
+func (d *discovery) markApplied(s *sender) {
+	for g := s.appliedGeneration + 1; g <= s.agentGeneration; g++ {
+		d.maxLag[g] = max(d.maxLag[g], d.fleet.now-max(d.changedAt[g], s.startedAt))
+		d.pendingSenders[g]--
 	}
-	s.inForce = s.agent
+	s.appliedGeneration = s.agentGeneration
 }
 
 // replace lists a new endpoint in place of one that drains and then goes.
-func (d *discovery) replace() {
-	f := d.f
-	i := f.changes.IntN(len(d.up))
-	old := d.up[i]
-	d.up = append(d.up[:i], d.up[i+1:]...)
+func (d *discovery) replaceEndpoint() {
+	f := d.fleet
+	i := f.changesRand.IntN(len(d.active))
+	old := d.active[i]
+	d.active = append(d.active[:i], d.active[i+1:]...)
 	g := d.generation() + 1
-	old.draining = g
-	fresh := d.add(f.newEndpoint(old.ep.dest, old.ep.machine.zone), g)
-	d.change(old, fresh)
-	f.after(f.sc.Discovery.Drain.Micros, func() {
-		old.closed = d.generation() + 1
-		d.change(old)
-		f.reset(old.ep)
-		old.ep.closed = true
+	old.drainingIn = g
+	fresh := d.add(f.newEndpoint(old.endpoint.destination, old.endpoint.machine.zone), g)
+	d.publish(old, fresh)
+	f.scheduleAfter(f.scenario.Discovery.DrainTime.Micros, func() {
+		old.removedIn = d.generation() + 1
+		d.publish(old)
+		f.resetConnections(old.endpoint)
+		old.endpoint.closed = true
 	})
 }
 
 // inForceFigures are the longest time from a change to its being in force, and how many changes are not yet in force
 // everywhere.
-func (d *discovery) inForceFigures() (x InForce) {
+func (d *discovery) propagation() (x Propagation) {
 	sum := 0.0
-	for g := 2; g < len(d.at); g++ {
+	for g := 2; g < len(d.changedAt); g++ {
 		x.Changes++
-		if d.behind[g] > 0 {
-			x.Open++
+		if d.pendingSenders[g] > 0 {
+			x.Pending++
 			continue
 		}
-		lag := float64(d.lag[g]) / 1e6
-		sum, x.Worst = sum+lag, math.Max(x.Worst, lag)
+		lag := float64(d.maxLag[g]) / 1e6
+		sum, x.Max = sum+lag, math.Max(x.Max, lag)
 	}
-	if n := x.Changes - x.Open; n > 0 {
+	if n := x.Changes - x.Pending; n > 0 {
 		x.Mean = sum / float64(n)
 	}
 	return x
--- a/internal/hollow/faults.go
+++ b/internal/hollow/faults.go
@@ -5,42 +5,42 @@
 )
 
 // inject begins a fault of the timeline.
-func (f *fleet) inject(x FaultPart) {
-	lasts := x.For.Micros
-	switch x.What {
+func (f *fleet) injectFault(x FaultConfig) {
+	lasts := x.Duration.Micros
+	switch x.Kind {
 	case faultOutage:
-		for _, d := range f.dests[x.Number : x.Number+x.Count] {
-			f.startOutage(d, x.How, lasts)
+		for _, d := range f.destinations[x.First : x.First+x.Count] {
+			f.startOutage(d, x.OutageMode, lasts)
 		}
 	case faultLimit:
-		for _, d := range f.dests[x.Number : x.Number+x.Count] {
-			d.factor *= x.Factor
-			f.after(lasts, func() { d.factor /= x.Factor })
+		for _, d := range f.destinations[x.First : x.First+x.Count] {
+			d.limitFactor *= x.Factor
+			f.scheduleAfter(lasts, func() { d.limitFactor /= x.Factor })
 		}
 	case faultRestart:
-		for _, s := range f.senders[x.Number : x.Number+x.Count] {
-			f.restart(s)
+		for _, s := range f.senders[x.First : x.First+x.Count] {
+			f.restartSender(s)
 		}
 	case faultLoss:
-		for _, s := range f.senders[x.Number : x.Number+x.Count] {
-			f.failMachines([]*machine{s.machine}, max(lasts, f.sc.Fleet.Start.Micros))
+		for _, s := range f.senders[x.First : x.First+x.Count] {
+			f.failMachines([]*machine{s.machine}, max(lasts, f.scenario.Fleet.RestartTime.Micros))
 		}
 	case faultRack:
-		f.failMachines(f.machines(func(m *machine) bool { return m.rack == x.Number }), lasts)
+		f.failMachines(f.matchingMachines(func(m *machine) bool { return m.rack == x.First }), lasts)
 	case faultZone:
-		f.failMachines(f.machines(func(m *machine) bool { return m.zone == x.Number }), lasts)
+		f.failMachines(f.matchingMachines(func(m *machine) bool { return m.zone == x.First }), lasts)
 	case faultLink:
-		f.top.cut[link(x.Number, x.Other)] = max(f.top.cut[link(x.Number, x.Other)], f.now+lasts)
+		f.topology.cutUntil[linkKey(x.First, x.Other)] = max(f.topology.cutUntil[linkKey(x.First, x.Other)], f.now+lasts)
 	}
 }
 
-func (f *fleet) machines(match func(*machine) bool) (list []*machine) {
+func (f *fleet) matchingMachines(match func(*machine) bool) (list []*machine) {
 	for _, s := range f.senders {
 		if match(s.machine) {
 			list = append(list, s.machine)
 		}
 	}
-	for _, e := range f.eps {
+	for _, e := range f.endpoints {
 		if !e.closed && match(e.machine) {
 			list = append(list, e.machine)
 		}
@@ -49,15 +49,15 @@
 }
 
 // restart kills a sender's process; it starts again with its journal.
-func (f *fleet) restart(s *sender) {
+func (f *fleet) restartSender(s *sender) {
 	if !s.up {
 		return
 	}
-	f.rec.Restarts++
+	f.stats.Restarts++
 	s.kill(false)
-	life := s.life
-	f.after(f.sc.Fleet.Start.Micros, func() {
-		if !s.up && s.life == life && s.machine.gone == nil {
+	life := s.incarnation
+	f.scheduleAfter(f.scenario.Fleet.RestartTime.Micros, func() {
+		if !s.up && s.incarnation == life && s.machine.outage == nil {
 			s.start()
 		}
 	})
@@ -65,94 +65,94 @@
 
 // failMachines takes machines away for a while. Senders come back with nothing, endpoints with no connections.
 func (f *fleet) failMachines(list []*machine, lasts logic.Micros) {
-	o := &outage{how: downSilent, from: f.now}
+	o := &outage{mode: outageSilent, startedAt: f.now}
 	struck := map[*machine]bool{}
 	for _, m := range list {
-		m.until = max(m.until, f.now+lasts)
-		if m.gone == nil {
-			m.gone = o
+		m.outageEnd = max(m.outageEnd, f.now+lasts)
+		if m.outage == nil {
+			m.outage = o
 			struck[m] = true
 		}
 	}
 	for _, s := range f.senders {
 		if struck[s.machine] {
-			f.rec.Losses++
+			f.stats.Losses++
 			s.kill(true)
-			f.after(lasts, func() { f.senderBack(s) })
+			f.scheduleAfter(lasts, func() { f.recoverSender(s) })
 		}
 	}
-	for _, e := range f.eps {
+	for _, e := range f.endpoints {
 		if struck[e.machine] {
 			e.serving = nil // these never run
-			f.after(lasts, func() { f.endpointBack(e, o) })
+			f.scheduleAfter(lasts, func() { f.recoverEndpoint(e, o) })
 		}
 	}
 }
 
 // senderBack starts a sender on a machine with nothing, once no failure holds it.
-func (f *fleet) senderBack(s *sender) {
-	if f.now < s.machine.until {
-		f.at(s.machine.until, func() { f.senderBack(s) })
+func (f *fleet) recoverSender(s *sender) {
+	if f.now < s.machine.outageEnd {
+		f.scheduleAt(s.machine.outageEnd, func() { f.recoverSender(s) })
 		return
 	}
-	s.machine.gone = nil
-	f.disc.ask(s)
+	s.machine.outage = nil
+	f.discovery.sendFullList(s)
 	s.start()
 }
 
-func (f *fleet) endpointBack(e *endpoint, o *outage) {
-	if f.now < e.machine.until {
-		f.at(e.machine.until, func() { f.endpointBack(e, o) })
+func (f *fleet) recoverEndpoint(e *endpoint, o *outage) {
+	if f.now < e.machine.outageEnd {
+		f.scheduleAt(e.machine.outageEnd, func() { f.recoverEndpoint(e, o) })
 		return
 	}
-	e.machine.gone = nil
-	f.reset(e)
+	e.machine.outage = nil
+	f.resetConnections(e)
 	f.forgetOutage(o)
 }
 
 // reset ends all connections to an endpoint; calls under way are cut off.
-func (f *fleet) reset(e *endpoint) {
+func (f *fleet) resetConnections(e *endpoint) {
 	e.epoch++
-	e.conns = 0
+	e.connCount = 0
 	cut := e.serving
 	e.serving = nil
 	for _, c := range cut {
-		c.answer(logic.Severed, 0, nil)
+		c.respond(logic.Severed, 0, nil)
 	}
 }
 
 // startOutage takes a destination down. If it is down already, the later end counts.
 func (f *fleet) startOutage(d *destination, how string, lasts logic.Micros) {
-	d.until = max(d.until, f.now+lasts)
-	if d.down != nil {
+	d.outageEnd = max(d.outageEnd, f.now+lasts)
+	if d.outage != nil {
 		return
 	}
-	f.traceEvent(traceDown, d.id, int(lasts), 0)
-	f.rec.Outages++
-	d.down, d.told = &outage{how: how, from: f.now}, map[int]bool{}
-	f.rec.window(d.worst)
-	d.worst = ColdWindow{}
-	if how == downRefused {
-		for _, e := range d.eps {
-			f.reset(e)
+	f.traceEvent(traceOutageStart, d.id, int(lasts), 0)
+	f.stats.Outages++
+	d.outage, d.informed = &outage{mode: how, startedAt: f.now}, map[int]bool{}
+	f.stats.recordColdWindow(d.worstWindow)
+	d.worstWindow = ColdWindow{}
+	if how == outageRefused {
+		for _, e := range d.endpoints {
+			f.resetConnections(e)
 		}
 	}
-	f.at(d.until, func() { f.endOutage(d) })
+	f.scheduleAt(d.outageEnd, func() { f.endOutage(d) })
 }
 
 // endOutage brings a destination back, cold, once its time is up.
 func (f *fleet) endOutage(d *destination) {
-	if f.now < d.until {
-		f.at(d.until, func() { f.endOutage(d) })
+	if f.now < d.outageEnd {
+		f.scheduleAt(d.outageEnd, func() { f.endOutage(d) })
 		return
 	}
-	f.traceEvent(traceUp, d.id, 0, 0)
-	o := d.down
-	d.down, d.backAt, d.lately = nil, f.now, nil
-	d.limit.tokens, d.limit.filled = 0, f.now
-	if o.how == downSilent { // kept connections lead nowhere
-		for _, e := range d.eps {
-			f.reset(e)
+	f.traceEvent(traceOutageEnd, d.id, 0, 0)
+	o := d.outage
+	d.outage, d.recoveredAt, d.recentArrivals = nil, f.now, nil
+	d.bucket.tokens, d.bucket.refilledAt = 0, f.now
+	if o.mode == outageSilent { // kept connections lead nowhere
+		for _, e := range d.endpoints {
+			f.resetConnections(e)
 		}
 	}
 	f.forgetOutage(o)
@@ -161,14 +161,14 @@
 // forgetOutage drops what senders make of an outage that has ended.
 func (f *fleet) forgetOutage(o *outage) {
 	for _, s := range f.senders {
-		if s.noticed[o] == nil {
+		if s.detections[o] == nil {
 			continue
 		}
-		delete(s.noticed, o)
-		for i, n := range s.unseen {
-			if n.out == o {
-				f.rec.Unnoticed++
-				s.unseen = append(s.unseen[:i], s.unseen[i+1:]...)
+		delete(s.detections, o)
+		for i, n := range s.undetected {
+			if n.outage == o {
+				f.stats.Undetected++
+				s.undetected = append(s.undetected[:i], s.undetected[i+1:]...)
 				break
 			}
 		}
@@ -177,25 +177,25 @@
 
 // randomOutages takes a destination down and up at random, so that the share that is down holds from the start.
 func (f *fleet) randomOutages(d *destination) {
-	set := &f.sc.Destinations
+	set := &f.scenario.Destinations
 	if set.DownShare == 0 {
 		return
 	}
-	r := stream(f.sc.Seed, "outages", d.id)
-	mean := float64(set.DownFor.Micros)
+	r := newRand(f.scenario.Seed, "outages", d.id)
+	mean := float64(set.MeanOutage.Micros)
 	var down func()
 	down = func() {
-		how := set.DownHow
+		how := set.OutageMode
 		if how == "mixed" {
-			how = outageNames[r.IntN(len(outageNames))]
+			how = outageModes[r.IntN(len(outageModes))]
 		}
 		lasts := mean * r.ExpFloat64()
-		f.startOutage(d, how, span(lasts))
-		f.after(span(lasts+mean*(1-set.DownShare)/set.DownShare*r.ExpFloat64()), down)
+		f.startOutage(d, how, clampDelay(lasts))
+		f.scheduleAfter(clampDelay(lasts+mean*(1-set.DownShare)/set.DownShare*r.ExpFloat64()), down)
 	}
 	if r.Float64() < set.DownShare {
 		down()
 		return
 	}
-	f.after(span(mean*(1-set.DownShare)/set.DownShare*r.ExpFloat64()), down)
+	f.scheduleAfter(clampDelay(mean*(1-set.DownShare)/set.DownShare*r.ExpFloat64()), down)
 }
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -18,34 +18,34 @@
 
 // What the trace notes.
 const (
-	traceOffer = iota
+	traceArrival = iota
 	traceCall
-	traceReply
-	traceEnd
-	traceStart
-	traceKill
-	traceList
-	traceDown
-	traceUp
+	traceOutcome
+	traceMessageEnd
+	traceSenderStart
+	traceSenderKill
+	traceListChange
+	traceOutageStart
+	traceOutageEnd
 )
 
 // fleet is a run under way.
 type fleet struct {
 	clock
-	sc      *Scenario
-	top     *topology
-	dests   []*destination
-	byAddr  map[string]*endpoint
-	eps     []*endpoint
-	disc    *discovery
-	senders []*sender
-	popular []float64 // of destinations, summed up; nil if even
-	shares  []float64 // of classes, summed up
-	changes *rand.Rand
-	offers  uint64
-	rec     *record
-	digest  hash.Hash64
-	err     error
+	scenario        *Scenario
+	topology        *topology
+	destinations    []*destination
+	endpointsByAddr map[string]*endpoint
+	endpoints       []*endpoint
+	discovery       *discovery
+	senders         []*sender
+	popularitySums  []float64 // of destinations, summed up; nil if even
+	classShareSums  []float64 // of classes, summed up
+	changesRand     *rand.Rand
+	messageCount    uint64
+	stats           *stats
+	digest          hash.Hash64
+	err             error
 }
 
 // traceEvent adds to the digest of the trace: what, when and three numbers.
@@ -72,14 +72,14 @@
 }
 
 const (
-	checkEvery    = 4096 // events between two looks at the time and the context
-	progressAfter = 10 * time.Second
-	progressEvery = 5 * time.Second
+	eventsPerCheck = 4096 // events between two looks at the time and the context
+	progressAfter  = 10 * time.Second
+	progressEvery  = 5 * time.Second
 )
 
 // Run plays a scenario. If ctx ends before it does, the report says so and holds what was measured.
 func Run(ctx context.Context, sc *Scenario, opt Options) (*Report, error) {
-	if err := sc.check("scenario", nil); err != nil { // what was set beside the file
+	if err := sc.validate("scenario", nil); err != nil { // what was set beside the file
 		return nil, err
 	}
 	if need := sc.MemoryMB(); opt.MemoryMB > 0 && need > opt.MemoryMB {
@@ -94,16 +94,16 @@
 		now := time.Now()
 		if opt.Progress != nil && now.Sub(began) > progressAfter && now.Sub(said) > progressEvery {
 			said = now
-			opt.Progress(Progress{Span{f.now}, Span{end}, f.rec.Offered})
+			opt.Progress(Progress{Span{f.now}, Span{end}, f.stats.Offered})
 		}
 		cut = ctx.Err() != nil
 		return !cut
 	}
 	before := heapBytes()
 	f.start(look)
-	f.rec.heap = heapBytes() - before
-	for n := 1; !cut && f.err == nil && f.next(end); n++ {
-		if n%checkEvery == 0 {
+	f.stats.heapBytes = heapBytes() - before
+	for n := 1; !cut && f.err == nil && f.runNext(end); n++ {
+		if n%eventsPerCheck == 0 {
 			look()
 		}
 	}
@@ -122,27 +122,27 @@
 }
 
 func newFleet(sc *Scenario) *fleet {
-	f := &fleet{sc: sc, top: newTopology(sc), byAddr: map[string]*endpoint{}, changes: stream(sc.Seed, "changes", 0),
-		rec: newRecord(), digest: fnv.New64a()}
-	f.disc = newDiscovery(f)
+	f := &fleet{scenario: sc, topology: newTopology(sc), endpointsByAddr: map[string]*endpoint{}, changesRand: newRand(sc.Seed, "changes", 0),
+		stats: newStats(), digest: fnv.New64a()}
+	f.discovery = newDiscovery(f)
 	for i := range sc.Destinations.Count {
 		d := newDestination(i, sc)
-		f.dests = append(f.dests, d)
+		f.destinations = append(f.destinations, d)
 		for k := range sc.Destinations.Endpoints {
 			zone := (i + k*max(sc.Fleet.Zones/sc.Destinations.Endpoints, 1)) % sc.Fleet.Zones
-			f.disc.add(f.newEndpoint(d, zone), 1)
+			f.discovery.add(f.newEndpoint(d, zone), 1)
 		}
 	}
 	sum := 0.0
 	for _, c := range sc.Classes {
 		sum += c.Share
-		f.shares = append(f.shares, sum)
+		f.classShareSums = append(f.classShareSums, sum)
 	}
 	if sc.Traffic.Popularity == "zipf" {
 		sum = 0
-		for i := range f.dests {
-			sum += math.Pow(float64(i+1), -sc.Traffic.Exponent)
-			f.popular = append(f.popular, sum)
+		for i := range f.destinations {
+			sum += math.Pow(float64(i+1), -sc.Traffic.ZipfExponent)
+			f.popularitySums = append(f.popularitySums, sum)
 		}
 	}
 	for i := range sc.Fleet.Senders {
@@ -153,12 +153,12 @@
 
 // newEndpoint sets up an endpoint on a machine of its own.
 func (f *fleet) newEndpoint(d *destination, zone int) *endpoint {
-	n, racks := len(f.eps), f.sc.Fleet.Racks
-	e := &endpoint{dest: d, number: n, addr: fmt.Sprintf("10.%d.%d.%d:6379", n>>16, n>>8&255, n&255),
-		machine: &machine{zone: zone, rack: zone*racks + n/f.sc.Fleet.Zones%racks}}
-	f.eps = append(f.eps, e)
-	d.eps = append(d.eps, e)
-	f.byAddr[e.addr] = e
+	n, racks := len(f.endpoints), f.scenario.Fleet.RacksPerZone
+	e := &endpoint{destination: d, number: n, addr: fmt.Sprintf("10.%d.%d.%d:6379", n>>16, n>>8&255, n&255),
+		machine: &machine{zone: zone, rack: zone*racks + n/f.scenario.Fleet.Zones%racks}}
+	f.endpoints = append(f.endpoints, e)
+	d.endpoints = append(d.endpoints, e)
+	f.endpointsByAddr[e.addr] = e
 	return e
 }
 
@@ -168,78 +168,78 @@
 		if !look() {
 			return
 		}
-		f.disc.ask(s)
-		s.inForce = s.agent // it is the list of the start, no change
+		f.discovery.sendFullList(s)
+		s.appliedGeneration = s.agentGeneration // it is the list of the start, no change
 		s.start()
-		f.arrivals(s)
+		f.generateArrivals(s)
 	}
-	for _, d := range f.dests {
+	for _, d := range f.destinations {
 		f.randomOutages(d)
 	}
-	f.daily(f.changes, f.sc.Discovery.Changes/2, f.disc.replace) // each makes two changes
-	restarts, losses := stream(f.sc.Seed, "restarts", 0), stream(f.sc.Seed, "losses", 0)
-	f.daily(restarts, f.sc.Fleet.Restarts, func() { f.restart(f.senders[restarts.IntN(len(f.senders))]) })
-	f.daily(losses, f.sc.Fleet.Losses, func() {
-		f.failMachines([]*machine{f.senders[losses.IntN(len(f.senders))].machine}, f.sc.Fleet.Start.Micros)
+	f.scheduleDaily(f.changesRand, f.scenario.Discovery.ChangesPerDay/2, f.discovery.replaceEndpoint) // each makes two changes
+	restarts, losses := newRand(f.scenario.Seed, "restarts", 0), newRand(f.scenario.Seed, "losses", 0)
+	f.scheduleDaily(restarts, f.scenario.Fleet.RestartsPerDay, func() { f.restartSender(f.senders[restarts.IntN(len(f.senders))]) })
+	f.scheduleDaily(losses, f.scenario.Fleet.LossesPerDay, func() {
+		f.failMachines([]*machine{f.senders[losses.IntN(len(f.senders))].machine}, f.scenario.Fleet.RestartTime.Micros)
 	})
-	for _, x := range f.sc.Faults {
-		f.at(x.At.Micros, func() { f.inject(x) })
+	for _, x := range f.scenario.Faults {
+		f.scheduleAt(x.At.Micros, func() { f.injectFault(x) })
 	}
-	for i := range samples {
-		f.at(f.sc.Length().Micros*logic.Micros(i+1)/samples, f.sample)
+	for i := range sampleCount {
+		f.scheduleAt(f.scenario.Length().Micros*logic.Micros(i+1)/sampleCount, f.sample)
 	}
 }
 
 // daily has something happen at random, so many times a day on average, while clients send.
-func (f *fleet) daily(r *rand.Rand, perDay float64, do func()) {
+func (f *fleet) scheduleDaily(r *rand.Rand, perDay float64, do func()) {
 	if perDay <= 0 {
 		return
 	}
-	gap := func() logic.Micros { return span(float64(f.sc.Day.Micros) / perDay * r.ExpFloat64()) }
+	gap := func() logic.Micros { return clampDelay(float64(f.scenario.Day.Micros) / perDay * r.ExpFloat64()) }
 	var again func()
 	again = func() {
-		if f.now < f.sc.Duration.Micros {
+		if f.now < f.scenario.Duration.Micros {
 			do()
-			f.after(gap(), again)
+			f.scheduleAfter(gap(), again)
 		}
 	}
-	f.after(gap(), again)
+	f.scheduleAfter(gap(), again)
 }
 
 // arrivals has clients hand messages to a sender.
-func (f *fleet) arrivals(s *sender) {
-	r := s.clients
-	mean := float64(len(f.senders)) / f.sc.Traffic.Rate * float64(logic.Second)
+func (f *fleet) generateArrivals(s *sender) {
+	r := s.clientRand
+	mean := float64(len(f.senders)) / f.scenario.Traffic.Rate * float64(logic.Second)
 	var next func()
 	next = func() {
-		if f.now >= f.sc.Duration.Micros {
+		if f.now >= f.scenario.Duration.Micros {
 			return
 		}
-		f.offers++
-		o := &offer{number: f.offers, born: f.now, class: pick(f.shares, r)}
-		if f.popular == nil {
-			o.dest = r.IntN(len(f.dests))
+		f.messageCount++
+		o := &clientMessage{number: f.messageCount, createdAt: f.now, class: pickWeighted(f.classShareSums, r)}
+		if f.popularitySums == nil {
+			o.dest = r.IntN(len(f.destinations))
 		} else {
-			o.dest = pick(f.popular, r)
+			o.dest = pickWeighted(f.popularitySums, r)
 		}
-		f.rec.Offered++
-		f.traceEvent(traceOffer, s.number, o.class, o.dest)
-		if n := f.rec.open(); n > f.rec.peak {
-			f.rec.peak, f.rec.peakAt = n, f.now
+		f.stats.Offered++
+		f.traceEvent(traceArrival, s.number, o.class, o.dest)
+		if n := f.stats.open(); n > f.stats.peakHeld {
+			f.stats.peakHeld, f.stats.peakAt = n, f.now
 		}
 		zone := s.machine.zone
-		f.rec.waiting++
-		f.after(f.top.delay(zone, zone, r), func() {
-			f.rec.waiting--
-			f.handIn(s, o)
+		f.stats.withClients++
+		f.scheduleAfter(f.topology.delay(zone, zone, r), func() {
+			f.stats.withClients--
+			f.submit(s, o)
 		})
-		f.after(span(mean*r.ExpFloat64()), next)
+		f.scheduleAfter(clampDelay(mean*r.ExpFloat64()), next)
 	}
-	f.after(span(mean*r.ExpFloat64()), next)
+	f.scheduleAfter(clampDelay(mean*r.ExpFloat64()), next)
 }
 
 // pick draws a place by weights that are summed up.
-func pick(sums []float64, r *rand.Rand) int {
+func pickWeighted(sums []float64, r *rand.Rand) int {
 	i, found := slices.BinarySearch(sums, r.Float64()*sums[len(sums)-1])
 	if found { // on a bound: it belongs to the next
 		i++
@@ -248,65 +248,65 @@
 }
 
 // handIn gives a message to a sender, or to another one if that is not up.
-func (f *fleet) handIn(s *sender, o *offer) {
+func (f *fleet) submit(s *sender, o *clientMessage) {
 	switch {
 	case s.up:
 		s.put(o)
-	case s.machine.gone != nil:
-		f.redirect(s, o, frontNotices)
+	case s.machine.outage != nil:
+		f.redirect(s, o, clientTimeout)
 	default:
 		f.redirect(s, o, 0)
 	}
 }
 
 // redirect hands a message to any sender that is up, after a while.
-func (f *fleet) redirect(s *sender, o *offer, wait logic.Micros) {
-	f.rec.waiting++
-	f.after(wait, func() {
-		f.rec.waiting--
-		if f.now >= o.born+f.sc.Classes[o.class].Deadline.Micros {
-			f.end(o, failed)
+func (f *fleet) redirect(s *sender, o *clientMessage, wait logic.Micros) {
+	f.stats.withClients++
+	f.scheduleAfter(wait, func() {
+		f.stats.withClients--
+		if f.now >= o.createdAt+f.scenario.Classes[o.class].Deadline.Micros {
+			f.endMessage(o, failed)
 			return
 		}
-		from := s.front.IntN(len(f.senders))
+		from := s.failoverRand.IntN(len(f.senders))
 		for k := range f.senders {
 			if x := f.senders[(from+k)%len(f.senders)]; x.up {
 				x.put(o)
 				return
 			}
 		}
-		f.redirect(s, o, clientRest)
+		f.redirect(s, o, clientRetryDelay)
 	})
 }
 
 // ending is how an offer ends.
-type ending int
+type endState int
 
 const (
-	delivered ending = iota
+	delivered endState = iota
 	returned
 	failed
 )
 
 // end ends an offer, once.
-func (f *fleet) end(o *offer, e ending) {
+func (f *fleet) endMessage(o *clientMessage, e endState) {
 	if o.ended {
 		f.fail(fmt.Errorf("event %d ended twice", o.number))
 		return
 	}
 	o.ended = true
-	f.traceEvent(traceEnd, int(o.number), int(e), 0)
-	f.rec.end(f.now-o.born, e, &f.sc.Classes[o.class])
+	f.traceEvent(traceMessageEnd, int(o.number), int(e), 0)
+	f.stats.countEnd(f.now-o.createdAt, e, &f.scenario.Classes[o.class])
 }
 
 // held counts the events that have not ended: at senders, and with clients.
-func (f *fleet) held() (n int64) {
+func (f *fleet) heldCount() (n int64) {
 	for _, s := range f.senders {
-		for _, m := range s.held {
-			if !m.over {
+		for _, m := range s.messages {
+			if !m.closed {
 				n++
 			}
 		}
 	}
-	return n + f.rec.waiting
+	return n + f.stats.withClients
 }
--- a/internal/hollow/fleet_test.go
+++ b/internal/hollow/fleet_test.go
@@ -12,24 +12,24 @@
 )
 
 // small is a short scenario with all that can go wrong.
-func small() *Scenario {
+func smallScenario() *Scenario {
 	sc := Default()
 	sc.Duration, sc.Drain, sc.Day = seconds(20), seconds(16), seconds(20)
-	sc.Fleet.Senders, sc.Fleet.Regions, sc.Fleet.Zones, sc.Fleet.Restarts, sc.Fleet.Losses = 6, 2, 3, 8, 3
+	sc.Fleet.Senders, sc.Fleet.Regions, sc.Fleet.Zones, sc.Fleet.RestartsPerDay, sc.Fleet.LossesPerDay = 6, 2, 3, 8, 3
 	sc.Traffic.Rate, sc.Traffic.Popularity = 60, "zipf"
-	sc.Classes = []ClassPart{defaultClass,
-		{Name: "keyed", Share: 0.5, Aim: seconds(1), Deadline: seconds(8), Worth: 1, Effect: "keyed", Window: seconds(6)},
-		{Name: "unsafe", Share: 0.5, Aim: seconds(1), Deadline: seconds(8), Worth: 1, Effect: "unsafe"}}
-	sc.Destinations.Count, sc.Destinations.Rate, sc.Destinations.Reports, sc.Destinations.DownShare = 6, 20, true, 0.1
-	sc.Destinations.Refuse, sc.Destinations.ComeBack, sc.Destinations.DownHow = "429", seconds(0.3), "mixed"
-	sc.Destinations.Connections, sc.Destinations.DownFor = 8, seconds(3)
-	sc.Discovery.Changes, sc.Discovery.Drain = 10, seconds(3)
-	sc.Faults = []FaultPart{{What: faultZone, At: seconds(8), For: seconds(3), Number: 1, Count: 1},
-		{What: faultLink, At: seconds(12), For: seconds(4), Other: 1, Count: 1}}
+	sc.Classes = []ClassConfig{defaultClass,
+		{Name: "keyed", Share: 0.5, LatencyTarget: seconds(1), Deadline: seconds(8), Worth: 1, Effect: "keyed", Window: seconds(6)},
+		{Name: "unsafe", Share: 0.5, LatencyTarget: seconds(1), Deadline: seconds(8), Worth: 1, Effect: "unsafe"}}
+	sc.Destinations.Count, sc.Destinations.Rate, sc.Destinations.ReportsLoad, sc.Destinations.DownShare = 6, 20, true, 0.1
+	sc.Destinations.RefusalStatus, sc.Destinations.RetryAfter, sc.Destinations.OutageMode = "429", seconds(0.3), "mixed"
+	sc.Destinations.MaxConnections, sc.Destinations.MeanOutage = 8, seconds(3)
+	sc.Discovery.ChangesPerDay, sc.Discovery.DrainTime = 10, seconds(3)
+	sc.Faults = []FaultConfig{{Kind: faultZone, At: seconds(8), Duration: seconds(3), First: 1, Count: 1},
+		{Kind: faultLink, At: seconds(12), Duration: seconds(4), Other: 1, Count: 1}}
 	return &sc
 }
 
-func play(t interface{ Fatal(...any) }, sc *Scenario) *Report {
+func mustRun(t interface{ Fatal(...any) }, sc *Scenario) *Report {
 	r, err := Run(context.Background(), sc, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -38,26 +38,26 @@
 }
 
 func TestSameSeedSameRun(t *testing.T) {
-	a, b := play(t, small()), play(t, small())
-	a.Machine, b.Machine = Machine{}, Machine{}
+	a, b := mustRun(t, smallScenario()), mustRun(t, smallScenario())
+	a.Host, b.Host = HostUsage{}, HostUsage{}
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("two runs of one seed differ:\n%+v\n%+v", a, b)
 	}
-	if a.Delivered == 0 || a.Restarts == 0 || a.Losses == 0 || a.IntoOutages == 0 || a.InForce.Changes == 0 {
+	if a.Delivered == 0 || a.Restarts == 0 || a.Losses == 0 || a.IntoOutages == 0 || a.Propagation.Changes == 0 {
 		t.Errorf("the run has not met all that it should: %+v", a)
 	}
-	sc := small()
+	sc := smallScenario()
 	sc.Seed++
-	if c := play(t, sc); c.Digest == a.Digest {
+	if c := mustRun(t, sc); c.Digest == a.Digest {
 		t.Errorf("digest %s with two seeds", c.Digest)
 	}
 }
 
 // Each event ends exactly once, whatever fails, or is still held; and once the longest deadline is over nothing is.
 // A second end of an event is an error of the run.
-func TestEachEventEndsOnce(t *testing.T) {
+func TestEachMessageEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sc := small()
+		sc := smallScenario()
 		sc.Seed = rapid.Uint64().Draw(t, "seed")
 		sc.Duration, sc.Day = seconds(6), seconds(6)
 		cut := rapid.Bool().Draw(t, "cut")
@@ -66,21 +66,21 @@
 		}
 		sc.Fleet.Senders = rapid.IntRange(1, 20).Draw(t, "senders")
 		sc.Fleet.MaxOpen = rapid.SampledFrom([]int{0, 5, 2000}).Draw(t, "max_open")
-		sc.Fleet.Restarts = rapid.Float64Range(0, 30).Draw(t, "restarts")
-		sc.Fleet.Losses = rapid.Float64Range(0, 10).Draw(t, "losses")
+		sc.Fleet.RestartsPerDay = rapid.Float64Range(0, 30).Draw(t, "restarts")
+		sc.Fleet.LossesPerDay = rapid.Float64Range(0, 10).Draw(t, "losses")
 		sc.Destinations.Rate = rapid.Float64Range(2, 60).Draw(t, "rate")
-		sc.Destinations.Connections = rapid.IntRange(0, 8).Draw(t, "connections")
+		sc.Destinations.MaxConnections = rapid.IntRange(0, 8).Draw(t, "connections")
 		sc.Destinations.DownShare = rapid.Float64Range(0, 0.5).Draw(t, "down")
-		sc.Faults = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) FaultPart {
-			x := FaultPart{What: rapid.SampledFrom(faultNames).Draw(t, "what"), At: Span{logic.Micros(rapid.IntRange(0, 6e6).Draw(t, "at"))},
-				For: Span{logic.Micros(rapid.IntRange(1, 4e6).Draw(t, "for"))}, Count: 1, Factor: 0.2}
-			x.How = rapid.SampledFrom(outageNames).Draw(t, "how")
-			if x.What == faultLink {
+		sc.Faults = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) FaultConfig {
+			x := FaultConfig{Kind: rapid.SampledFrom(faultKinds).Draw(t, "what"), At: Span{logic.Micros(rapid.IntRange(0, 6e6).Draw(t, "at"))},
+				Duration: Span{logic.Micros(rapid.IntRange(1, 4e6).Draw(t, "for"))}, Count: 1, Factor: 0.2}
+			x.OutageMode = rapid.SampledFrom(outageModes).Draw(t, "how")
+			if x.Kind == faultLink {
 				x.Other = 1
 			}
 			return x
 		}), 0, 4).Draw(t, "faults")
-		r := play(t, sc)
+		r := mustRun(t, sc)
 		if sum := r.Delivered + r.Returned + r.Failed + r.Held; sum != r.Offered {
 			t.Fatalf("%d events offered, %d accounted for: %+v", r.Offered, sum, r.Counts)
 		}
@@ -91,52 +91,52 @@
 }
 
 // A process that is killed leaves its journal: what it held is tried again, and what may have run binds.
-func TestRestartKeepsTheJournal(t *testing.T) {
+func TestRestartKeepsJournal(t *testing.T) {
 	sc := Default()
-	sc.Fleet.Senders, sc.Destinations.Count, sc.Classes = 1, 1, []ClassPart{defaultClass}
+	sc.Fleet.Senders, sc.Destinations.Count, sc.Classes = 1, 1, []ClassConfig{defaultClass}
 	f := newFleet(&sc)
 	s := f.senders[0]
-	f.disc.ask(s)
-	s.inForce = s.agent
+	f.discovery.sendFullList(s)
+	s.appliedGeneration = s.agentGeneration
 	s.start()
-	for f.next(logic.Second) {
+	for f.runNext(logic.Second) {
 	}
-	f.rec.Offered = 2
-	o := &offer{number: 1, born: f.now}
-	f.handIn(s, o)
-	f.next(f.now) // the step
-	m := s.held["1-0"]
+	f.stats.Offered = 2
+	o := &clientMessage{number: 1, createdAt: f.now}
+	f.submit(s, o)
+	f.runNext(f.now) // the step
+	m := s.messages["1-0"]
 	if m == nil || m.call == nil {
 		t.Fatal("the message is not out")
 	}
-	late := &offer{number: 2, born: f.now}
-	f.handIn(s, late)
-	f.restart(s)
-	if s.up || m.call != nil || !m.mayRun || s.held["1-0"] != m {
+	late := &clientMessage{number: 2, createdAt: f.now}
+	f.submit(s, late)
+	f.restartSender(s)
+	if s.up || m.call != nil || !m.mayHaveRun || s.messages["1-0"] != m {
 		t.Errorf("after the kill: up %v, %+v", s.up, m)
 	}
-	if s.held["2-0"] != nil || f.rec.waiting != 1 {
+	if s.messages["2-0"] != nil || f.stats.withClients != 1 {
 		t.Error("what was not taken on is not with its client")
 	}
-	for f.next(5 * logic.Second) {
+	for f.runNext(5 * logic.Second) {
 	}
-	if !o.ended || !late.ended || f.rec.Delivered != 2 {
-		t.Errorf("%d delivered of 2", f.rec.Delivered)
+	if !o.ended || !late.ended || f.stats.Delivered != 2 {
+		t.Errorf("%d delivered of 2", f.stats.Delivered)
 	}
 }
 
-func TestCutShort(t *testing.T) {
+func TestInterruptedRun(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	r, err := Run(ctx, small(), Options{})
-	if err != nil || !r.Cut || r.Offered != r.Delivered+r.Returned+r.Failed+r.Held {
+	r, err := Run(ctx, smallScenario(), Options{})
+	if err != nil || !r.Interrupted || r.Offered != r.Delivered+r.Returned+r.Failed+r.Held {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
 
-func TestRunThatDoesNotFit(t *testing.T) {
+func TestMemoryLimit(t *testing.T) {
 	sc := Default()
-	sc.Fleet.Senders, sc.Destinations.Count, sc.Classes = 580, 35_000, []ClassPart{defaultClass}
+	sc.Fleet.Senders, sc.Destinations.Count, sc.Classes = 580, 35_000, []ClassConfig{defaultClass}
 	if _, err := Run(context.Background(), &sc, Options{MemoryMB: 12_000}); err == nil {
 		t.Error("25 GB of modules are let into 12 GB")
 	}
--- a/internal/hollow/live.go
+++ b/internal/hollow/live.go
@@ -25,55 +25,55 @@
 )
 
 const (
-	liveReady  = 30 * time.Second       // a process has so long until it serves
-	liveEnd    = 5 * time.Second        // and so long from SIGTERM to its end
-	liveAnswer = 400 * time.Millisecond // a client waits so long ("Clients to senders")
-	liveBody   = 64 << 10               // most bytes of a body (the protocol's bound)
-	clockTick  = 100                    // of /proc/PID/stat, a second (USER_HZ on Linux)
-	mostLive   = 200                    // processes
-	mostPorts  = 2000                   // endpoints, each with a listener of its own
+	readyTimeout       = 30 * time.Second       // a process has so long until it serves
+	stopTimeout        = 5 * time.Second        // and so long from SIGTERM to its end
+	liveClientTimeout  = 400 * time.Millisecond // a client waits so long ("Clients to senders")
+	maxBodyBytes       = 64 << 10               // most bytes of a body (the protocol's bound)
+	procTicksPerSecond = 100                    // of /proc/PID/stat, a second (USER_HZ on Linux)
+	maxLiveSenders     = 200                    // processes
+	maxLiveEndpoints   = 2000                   // endpoints, each with a listener of its own
 )
 
 // LiveReport is what a run with real processes measured. It differs from run to run.
 type LiveReport struct {
 	Senders int `json:"senders"`
 	Counts
-	NotHeard    int64     `json:"not_heard"` // events whose client got no answer in its time
-	Latency     Quantiles `json:"latency_ms"`
-	WholeBytes  int64     `json:"whole_list_bytes_per_sender"` // bodies
-	EmptyBytes  int64     `json:"empty_list_bytes_per_sender"`
-	CPUMicros   float64   `json:"cpu_us_per_event"` // user and system time of the senders
-	PeakMB      float64   `json:"peak_mb"`          // resident memory of a sender at its peak, mean
-	WorstPeakMB float64   `json:"worst_peak_mb"`
-	ReadyS      float64   `json:"ready_s"` // until the last of them served and had the list
+	Unanswered          int64     `json:"not_heard"` // events whose client got no answer in its time
+	Latency             Quantiles `json:"latency_ms"`
+	FullListBytes       int64     `json:"whole_list_bytes_per_sender"` // bodies
+	EmptyListBytes      int64     `json:"empty_list_bytes_per_sender"`
+	CPUMicrosPerMessage float64   `json:"cpu_us_per_event"` // user and system time of the senders
+	MeanPeakMB          float64   `json:"peak_mb"`          // resident memory of a sender at its peak, mean
+	MaxPeakMB           float64   `json:"worst_peak_mb"`
+	ReadySeconds        float64   `json:"ready_s"` // until the last of them served and had the list
 }
 
 // live is a run of real processes against the stand-ins of the simulation, in real time.
-type live struct {
-	sc     *Scenario
-	began  time.Time
-	wholes []byte // the list as discovery sends it
-
-	mu     sync.Mutex // over all below, and over the destinations
-	dests  []*destination
-	rec    *record
-	offers map[string]*liveOffer // by message id
-	listed ListBytes
-	err    error
+type liveRun struct {
+	scenario  *Scenario
+	startedAt time.Time
+	fullList  []byte // the list as discovery sends it
+
+	mu           sync.Mutex // over all below, and over the destinations
+	destinations []*destination
+	stats        *stats
+	messages     map[string]*liveMessage // by message id
+	listBytes    ListBytes
+	err          error
 }
 
 // liveOffer is an event of a live run.
-type liveOffer struct {
-	sender int
-	born   time.Time
-	class  int
-	runs   int
-	ended  bool
+type liveMessage struct {
+	sender     int
+	createdAt  time.Time
+	class      int
+	executions int
+	ended      bool
 }
 
-func (l *live) now() logic.Micros { return logic.Micros(time.Since(l.began) / time.Microsecond) }
+func (l *liveRun) now() logic.Micros { return logic.Micros(time.Since(l.startedAt) / time.Microsecond) }
 
-func (l *live) fail(err error) {
+func (l *liveRun) fail(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.err = errors.Join(l.err, err)
@@ -83,7 +83,7 @@
 // [Run]: same limits, same times, same traffic. Of faults it plays outages that answer 503. The network is loopback,
 // so that a call has no delay and no handshake but the machine's own.
 func Live(ctx context.Context, sc *Scenario, program string) (*LiveReport, error) {
-	if err := liveProblem(sc); err != nil {
+	if err := validateLive(sc); err != nil {
 		return nil, err
 	}
 	dir, err := os.MkdirTemp("", "live")
@@ -94,14 +94,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
-	l := &live{sc: sc, began: time.Now(), rec: newRecord(), offers: map[string]*liveOffer{}}
+	l := &liveRun{scenario: sc, startedAt: time.Now(), stats: newStats(), messages: map[string]*liveMessage{}}
 	var servers sync.WaitGroup
 	defer servers.Wait()
 	defer cancel()
 	if err := l.serveDestinations(ctx, &servers); err != nil {
 		return nil, err
 	}
-	discovery, err := l.serve(ctx, &servers, l.platform(), 0, nil)
+	discovery, err := l.serve(ctx, &servers, l.platformHandler(), 0, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -124,13 +124,13 @@
 			return nil, err
 		}
 	}
-	out := &LiveReport{Senders: len(senders), ReadyS: time.Since(began).Seconds()}
-	before, err := cpuOf(senders)
+	out := &LiveReport{Senders: len(senders), ReadySeconds: time.Since(began).Seconds()}
+	before, err := cpuSeconds(senders)
 	if err != nil {
 		return nil, err
 	}
 	l.play(ctx, senders)
-	after, err := cpuOf(senders)
+	after, err := cpuSeconds(senders)
 	if err != nil {
 		return nil, err
 	}
@@ -139,36 +139,36 @@
 		if err != nil {
 			return nil, err
 		}
-		out.PeakMB += mb / float64(len(senders))
-		out.WorstPeakMB = max(out.WorstPeakMB, mb)
+		out.MeanPeakMB += mb / float64(len(senders))
+		out.MaxPeakMB = max(out.MaxPeakMB, mb)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out.Counts = l.rec.Counts
-	out.Held = l.rec.open() - l.rec.waiting
-	out.NotHeard = l.rec.waiting
-	out.Latency = quantilesOf(l.rec.latency)
+	out.Counts = l.stats.Counts
+	out.Held = l.stats.open() - l.stats.withClients
+	out.Unanswered = l.stats.withClients
+	out.Latency = latencyQuantiles(l.stats.latency)
 	n := int64(len(senders))
-	out.WholeBytes, out.EmptyBytes = l.listed.Whole/n, l.listed.Empty/n
+	out.FullListBytes, out.EmptyListBytes = l.listBytes.Full/n, l.listBytes.Empty/n
 	if out.Offered > 0 {
-		out.CPUMicros = (after - before) * 1e6 / float64(out.Offered)
+		out.CPUMicrosPerMessage = (after - before) * 1e6 / float64(out.Offered)
 	}
 	return out, l.err
 }
 
 // liveProblem says what of a scenario cannot be played live.
-func liveProblem(sc *Scenario) error {
+func validateLive(sc *Scenario) error {
 	eps := sc.Destinations.Count * sc.Destinations.Endpoints
 	switch {
-	case sc.Fleet.Senders > mostLive:
-		return fmt.Errorf("fleet.senders: want %d or less for real processes, not %d", mostLive, sc.Fleet.Senders)
-	case eps > mostPorts:
-		return fmt.Errorf("destinations: want %d endpoints or less for real listeners, not %d", mostPorts, eps)
-	case sc.Discovery.Changes > 0 || sc.Fleet.Restarts > 0 || sc.Fleet.Losses > 0 || sc.Destinations.DownShare > 0:
+	case sc.Fleet.Senders > maxLiveSenders:
+		return fmt.Errorf("fleet.senders: want %d or less for real processes, not %d", maxLiveSenders, sc.Fleet.Senders)
+	case eps > maxLiveEndpoints:
+		return fmt.Errorf("destinations: want %d endpoints or less for real listeners, not %d", maxLiveEndpoints, eps)
+	case sc.Discovery.ChangesPerDay > 0 || sc.Fleet.RestartsPerDay > 0 || sc.Fleet.LossesPerDay > 0 || sc.Destinations.DownShare > 0:
 		return errors.New("changes, restarts, losses and shares that are down are not played live: want 0 of each")
 	}
 	for i, x := range sc.Faults {
-		if x.What != faultOutage || x.How != downShut {
+		if x.Kind != faultOutage || x.OutageMode != outageUnavailable {
 			return fmt.Errorf("fault[%d]: want an outage that answers 503: no other is played live", i)
 		}
 	}
@@ -176,12 +176,12 @@
 }
 
 // serve runs a server on an address of its own until ctx is over, and says where.
-func (l *live) serve(ctx context.Context, all *sync.WaitGroup, h http.Handler, idle time.Duration, state func(net.Conn, http.ConnState)) (string, error) {
+func (l *liveRun) serve(ctx context.Context, all *sync.WaitGroup, h http.Handler, idle time.Duration, state func(net.Conn, http.ConnState)) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	srv := &http.Server{Handler: h, IdleTimeout: idle, ReadHeaderTimeout: liveReady, ConnState: state,
+	srv := &http.Server{Handler: h, IdleTimeout: idle, ReadHeaderTimeout: readyTimeout, ConnState: state,
 		BaseContext: func(net.Listener) context.Context { return ctx }}
 	all.Add(2)
 	go func() {
@@ -199,19 +199,19 @@
 }
 
 // serveDestinations opens a listener for each endpoint and writes the list of them.
-func (l *live) serveDestinations(ctx context.Context, all *sync.WaitGroup) error {
-	whole := list{Generation: 1, Reset: true}
-	for i := range l.sc.Destinations.Count {
-		d := newDestination(i, l.sc)
-		l.dests = append(l.dests, d)
-		for k := range l.sc.Destinations.Endpoints {
-			zone := (i + k*max(l.sc.Fleet.Zones/l.sc.Destinations.Endpoints, 1)) % l.sc.Fleet.Zones
+func (l *liveRun) serveDestinations(ctx context.Context, all *sync.WaitGroup) error {
+	whole := listResponse{Generation: 1, Reset: true}
+	for i := range l.scenario.Destinations.Count {
+		d := newDestination(i, l.scenario)
+		l.destinations = append(l.destinations, d)
+		for k := range l.scenario.Destinations.Endpoints {
+			zone := (i + k*max(l.scenario.Fleet.Zones/l.scenario.Destinations.Endpoints, 1)) % l.scenario.Fleet.Zones
 			mux := http.NewServeMux()
-			mux.HandleFunc("POST /inbox", func(w http.ResponseWriter, r *http.Request) { l.inbox(w, r, d) })
-			addr, err := l.serve(ctx, all, mux, spanOf(l.sc.Destinations.ConnIdle), func(_ net.Conn, s http.ConnState) {
+			mux.HandleFunc("POST /inbox", func(w http.ResponseWriter, r *http.Request) { l.handleInbox(w, r, d) })
+			addr, err := l.serve(ctx, all, mux, toDuration(l.scenario.Destinations.ConnIdleTimeout), func(_ net.Conn, s http.ConnState) {
 				if s == http.StateNew {
 					l.mu.Lock()
-					l.rec.Connections++
+					l.stats.Connections++
 					l.mu.Unlock()
 				}
 			})
@@ -219,50 +219,50 @@
 				return err
 			}
 			x := node.Instance{ID: fmt.Sprintf("s-%08x", len(whole.Instances)), HostPort: addr, Zone: fmt.Sprint("z", zone),
-				Kind: kindName, Dest: int64(i), Lifecycle: "up", Weight: 1}
-			if l.sc.Destinations.Nominal {
-				x.Weight = l.sc.Destinations.Rate
+				Kind: machineType, Dest: int64(i), Lifecycle: "up", Weight: 1}
+			if l.scenario.Destinations.NominalWeights {
+				x.Weight = l.scenario.Destinations.Rate
 			}
 			whole.Instances = append(whole.Instances, instance{Instance: x})
 		}
 	}
 	var err error
-	l.wholes, err = json.Marshal(whole)
+	l.fullList, err = json.Marshal(whole)
 	return err
 }
 
-func spanOf(s Span) time.Duration { return time.Duration(s.Micros) * time.Microsecond }
+func toDuration(s Span) time.Duration { return time.Duration(s.Micros) * time.Microsecond }
 
 // inbox answers a call as the destination of the simulation would ("Senders to endpoints").
-func (l *live) inbox(w http.ResponseWriter, r *http.Request, d *destination) {
-	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, liveBody)); err != nil {
+func (l *liveRun) handleInbox(w http.ResponseWriter, r *http.Request, d *destination) {
+	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)); err != nil {
 		return // it broke off: not a call
 	}
 	l.mu.Lock()
-	now, set := l.now(), &l.sc.Destinations
-	o := l.offers[r.Header.Get("X-Trace-Id")]
-	l.rec.Calls++
-	l.back(d, now)
+	now, set := l.now(), &l.scenario.Destinations
+	o := l.messages[r.Header.Get("X-Trace-Id")]
+	l.stats.Calls++
+	l.endExpiredOutage(d, now)
 	status, takes := http.StatusServiceUnavailable, logic.Micros(0)
 	switch {
 	case o == nil:
 		status = http.StatusBadRequest
 		l.err = errors.Join(l.err, fmt.Errorf("a call with a message that no client handed in: %q", r.Header.Get("X-Trace-Id")))
-	case d.down != nil:
-		l.rec.IntoOutages++
-		l.report(w, d, now)
-	case d.arrives(now, o.sender):
-		l.rec.Falls++
-		l.down(d, spanOf(l.sc.Cold.FallFor))
-	case !d.admits(now):
-		l.rec.OverLimit++
-		if set.Refuse == "429" {
+	case d.outage != nil:
+		l.stats.IntoOutages++
+		l.setLoadHeader(w, d, now)
+	case d.recordArrival(now, o.sender):
+		l.stats.Relapses++
+		l.startOutage(d, toDuration(l.scenario.Recovery.RelapseDuration))
+	case !d.admit(now):
+		l.stats.OverLimit++
+		if set.RefusalStatus == "429" {
 			status = http.StatusTooManyRequests
-			w.Header().Set("X-Come-Back-Ms", strconv.FormatInt(int64(set.ComeBack.Micros)/1000, 10))
+			w.Header().Set("X-Come-Back-Ms", strconv.FormatInt(int64(set.RetryAfter.Micros)/1000, 10))
 		}
-		l.report(w, d, now)
+		l.setLoadHeader(w, d, now)
 	default:
-		status, takes = http.StatusOK, d.takes()
+		status, takes = http.StatusOK, d.drawServiceTime()
 	}
 	l.mu.Unlock()
 	if status != http.StatusOK {
@@ -277,49 +277,49 @@
 		return
 	}
 	l.mu.Lock()
-	if o.runs++; o.runs > 1 {
-		l.rec.Repeats++
+	if o.executions++; o.executions > 1 {
+		l.stats.Repeats++
 	}
-	l.end(o, delivered)
-	l.report(w, d, l.now())
+	l.endMessage(o, delivered)
+	l.setLoadHeader(w, d, l.now())
 	l.mu.Unlock()
 	w.WriteHeader(http.StatusOK)
 }
 
 // report adds what answers tell, where they do. The lock is held.
-func (l *live) report(w http.ResponseWriter, d *destination, now logic.Micros) {
-	if load := d.report(now); load != nil {
+func (l *liveRun) setLoadHeader(w http.ResponseWriter, d *destination, now logic.Micros) {
+	if load := d.loadReport(now); load != nil {
 		w.Header().Set("Endpoint-Load-Metrics", fmt.Sprintf("x0=%.3f,x1=%.3f", load[0], load[1]))
 	}
 }
 
 // end counts the first end of an event. The lock is held.
-func (l *live) end(o *liveOffer, e ending) {
+func (l *liveRun) endMessage(o *liveMessage, e endState) {
 	if !o.ended {
 		o.ended = true
-		l.rec.end(logic.Micros(time.Since(o.born)/time.Microsecond), e, &l.sc.Classes[o.class])
+		l.stats.countEnd(logic.Micros(time.Since(o.createdAt)/time.Microsecond), e, &l.scenario.Classes[o.class])
 	}
 }
 
 // down takes a destination down for a while, after which it is cold. The lock is held.
-func (l *live) down(d *destination, span time.Duration) {
-	l.rec.Outages++
-	d.down, d.until = &outage{how: downShut, from: l.now()}, l.now()+logic.Micros(span/time.Microsecond)
+func (l *liveRun) startOutage(d *destination, span time.Duration) {
+	l.stats.Outages++
+	d.outage, d.outageEnd = &outage{mode: outageUnavailable, startedAt: l.now()}, l.now()+logic.Micros(span/time.Microsecond)
 }
 
 // back ends an outage whose time is up. The lock is held.
-func (l *live) back(d *destination, now logic.Micros) {
-	if d.down != nil && now >= d.until {
-		d.down, d.backAt, d.lately = nil, d.until, nil
-		d.limit.tokens, d.limit.filled = 0, d.until
+func (l *liveRun) endExpiredOutage(d *destination, now logic.Micros) {
+	if d.outage != nil && now >= d.outageEnd {
+		d.outage, d.recoveredAt, d.recentArrivals = nil, d.outageEnd, nil
+		d.bucket.tokens, d.bucket.refilledAt = 0, d.outageEnd
 	}
 }
 
 // platform is discovery's agent of all senders, and hears of ends ("Discovery", "Notices").
-func (l *live) platform() http.Handler {
+func (l *liveRun) platformHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /discovery/hosts", func(w http.ResponseWriter, r *http.Request) {
-		body, empty := l.wholes, r.URL.Query().Get("from") != ""
+		body, empty := l.fullList, r.URL.Query().Get("from") != ""
 		if empty {
 			ms, err := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 			if err != nil {
@@ -337,9 +337,9 @@
 		}
 		l.mu.Lock()
 		if empty {
-			l.listed.Empty += int64(len(body))
+			l.listBytes.Empty += int64(len(body))
 		} else {
-			l.listed.Whole += int64(len(body))
+			l.listBytes.Full += int64(len(body))
 		}
 		l.mu.Unlock()
 		if _, err := w.Write(body); err != nil {
@@ -358,8 +358,8 @@
 				e = returned
 			}
 			l.mu.Lock()
-			if o := l.offers[x.ID]; o != nil {
-				l.end(o, e)
+			if o := l.messages[x.ID]; o != nil {
+				l.endMessage(o, e)
 			}
 			l.mu.Unlock()
 		}
@@ -369,32 +369,32 @@
 }
 
 // play has clients hand messages to all senders, and the outages of the timeline happen, for the scenario's time.
-func (l *live) play(ctx context.Context, senders []*liveSender) {
+func (l *liveRun) play(ctx context.Context, senders []*liveSender) {
 	l.mu.Lock()
-	l.began = time.Now()
+	l.startedAt = time.Now()
 	l.mu.Unlock()
 	var all sync.WaitGroup
 	for _, s := range senders {
-		all.Go(func() { l.arrivals(ctx, s) })
+		all.Go(func() { l.generateArrivals(ctx, s) })
 	}
-	for _, x := range l.sc.Faults {
+	for _, x := range l.scenario.Faults {
 		all.Go(func() {
-			rest(ctx, spanOf(x.At))
+			sleep(ctx, toDuration(x.At))
 			if ctx.Err() == nil {
 				l.mu.Lock()
-				for _, d := range l.dests[x.Number : x.Number+x.Count] {
-					l.down(d, spanOf(x.For))
+				for _, d := range l.destinations[x.First : x.First+x.Count] {
+					l.startOutage(d, toDuration(x.Duration))
 				}
 				l.mu.Unlock()
 			}
 		})
 	}
 	all.Wait()
-	rest(ctx, spanOf(l.sc.Drain))
+	sleep(ctx, toDuration(l.scenario.Drain))
 }
 
 // rest waits for d or until ctx is over.
-func rest(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -404,63 +404,63 @@
 }
 
 // arrivals has clients hand messages to a sender, drawn as in the simulation.
-func (l *live) arrivals(ctx context.Context, s *liveSender) {
-	r := stream(l.sc.Seed, "clients", s.number)
+func (l *liveRun) generateArrivals(ctx context.Context, s *liveSender) {
+	r := newRand(l.scenario.Seed, "clients", s.number)
 	shares, sum := []float64(nil), 0.0
-	for _, c := range l.sc.Classes {
+	for _, c := range l.scenario.Classes {
 		sum += c.Share
 		shares = append(shares, sum)
 	}
 	gap := func() time.Duration {
-		return time.Duration(float64(l.sc.Fleet.Senders) / l.sc.Traffic.Rate * float64(time.Second) * r.ExpFloat64())
+		return time.Duration(float64(l.scenario.Fleet.Senders) / l.scenario.Traffic.Rate * float64(time.Second) * r.ExpFloat64())
 	}
 	var puts sync.WaitGroup
 	defer puts.Wait()
-	end, next := l.began.Add(spanOf(l.sc.Duration)), l.began
+	end, next := l.startedAt.Add(toDuration(l.scenario.Duration)), l.startedAt
 	for n := 0; ; n++ {
 		next = next.Add(gap())
-		rest(ctx, time.Until(next))
+		sleep(ctx, time.Until(next))
 		if ctx.Err() != nil || next.After(end) {
 			return
 		}
-		o := &liveOffer{sender: s.number, born: time.Now(), class: pick(shares, r)}
-		id, dest := fmt.Sprintf("m-%d-%d", s.number, n), r.IntN(l.sc.Destinations.Count)
+		o := &liveMessage{sender: s.number, createdAt: time.Now(), class: pickWeighted(shares, r)}
+		id, dest := fmt.Sprintf("m-%d-%d", s.number, n), r.IntN(l.scenario.Destinations.Count)
 		l.mu.Lock()
-		l.rec.Offered++
-		l.offers[id] = o
+		l.stats.Offered++
+		l.messages[id] = o
 		l.mu.Unlock()
 		puts.Go(func() { l.put(s, id, o, dest) })
 	}
 }
 
 // put hands a message in and takes the answer. One that is not taken on has ended.
-func (l *live) put(s *liveSender, id string, o *liveOffer, dest int) {
-	c := &l.sc.Classes[o.class]
+func (l *liveRun) put(s *liveSender, id string, o *liveMessage, dest int) {
+	c := &l.scenario.Classes[o.class]
 	opts := fmt.Sprintf("c=%s,d=%d,dest=%d,k=%s", c.Name, int64(c.Deadline.Micros)/1000, dest, id)
 	text := "*5\r\n"
 	for _, a := range []string{"MSG.PUT", "0000", id, opts, "body of " + id} {
 		text += fmt.Sprintf("$%d\r\n%s\r\n", len(a), a)
 	}
-	answer, err := s.do(text)
+	answer, err := s.command(text)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case err != nil:
-		l.rec.waiting++
+		l.stats.withClients++
 	case strings.HasPrefix(answer, "-BUSY"):
-		l.end(o, returned)
+		l.endMessage(o, returned)
 	case !strings.HasPrefix(answer, "+OK"):
-		l.end(o, failed)
+		l.endMessage(o, failed)
 	}
 }
 
 // liveSender is a process of the program.
 type liveSender struct {
-	number int
-	cmd    *exec.Cmd
-	addr   chan string // of clients; one value, once it serves and has the list
-	listen string
-	ended  chan struct{} // closed when its log and the process have ended
+	number    int
+	cmd       *exec.Cmd
+	readyAddr chan string // of clients; one value, once it serves and has the list
+	addr      string
+	exited    chan struct{} // closed when its log and the process have ended
 
 	mu   sync.Mutex
 	idle []*liveConn
@@ -468,18 +468,18 @@
 
 type liveConn struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 // startSender starts a process with what the platform would tell it.
-func (l *live) startSender(number int, program, dir, discovery string) (*liveSender, error) {
+func (l *liveRun) startSender(number int, program, dir, discovery string) (*liveSender, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
 	config := filepath.Join(dir, "config.json")
 	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", number), "listen": "127.0.0.1:0", "discovery": discovery,
-		"seed": strconv.FormatUint(derive(l.sc.Seed, "module", number<<16), 16), "limits": node.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 32},
-		"settings": l.sc.wireSettings(number)})
+		"seed": strconv.FormatUint(deriveSeed(l.scenario.Seed, "module", number<<16), 16), "limits": node.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 32},
+		"settings": l.scenario.wireSettings(number)})
 	if err != nil {
 		return nil, err
 	}
@@ -490,7 +490,7 @@
 	if err := os.Mkdir(state, 0o700); err != nil {
 		return nil, err
 	}
-	s := &liveSender{number: number, cmd: exec.Command(program), addr: make(chan string, 1), ended: make(chan struct{})}
+	s := &liveSender{number: number, cmd: exec.Command(program), readyAddr: make(chan string, 1), exited: make(chan struct{})}
 	s.cmd.Env = append(os.Environ(), "BALANCER_NAME="+fmt.Sprint("n", number), "BALANCER_LISTEN=127.0.0.1:0",
 		"BALANCER_DISCOVERY="+discovery, "BALANCER_STATE="+state, "BALANCER_CONFIG="+config)
 	logs, err := s.cmd.StderrPipe()
@@ -501,7 +501,7 @@
 		return nil, err
 	}
 	go func() {
-		defer close(s.ended)
+		defer close(s.exited)
 		addr, listed, told := "", false, false
 		for lines := bufio.NewScanner(logs); lines.Scan(); {
 			if _, rest, ok := strings.Cut(lines.Text(), "msg=ready "); ok {
@@ -511,7 +511,7 @@
 			listed = listed || strings.Contains(lines.Text(), "msg=list ")
 			if addr != "" && listed && !told {
 				told = true
-				s.addr <- addr
+				s.readyAddr <- addr
 			}
 		}
 		var status *exec.ExitError
@@ -525,12 +525,12 @@
 // awaitReady waits until the sender serves.
 func (s *liveSender) awaitReady(ctx context.Context) error {
 	select {
-	case s.listen = <-s.addr:
+	case s.addr = <-s.readyAddr:
 		return nil
-	case <-s.ended:
+	case <-s.exited:
 		return fmt.Errorf("sender %d ended before it served", s.number)
-	case <-time.After(liveReady):
-		return fmt.Errorf("sender %d did not serve within %v", s.number, liveReady)
+	case <-time.After(readyTimeout):
+		return fmt.Errorf("sender %d did not serve within %v", s.number, readyTimeout)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -546,16 +546,16 @@
 	s.mu.Unlock()
 	_ = s.cmd.Process.Signal(syscall.SIGTERM) // it may have ended by itself
 	select {
-	case <-s.ended:
-	case <-time.After(liveEnd):
+	case <-s.exited:
+	case <-time.After(stopTimeout):
 		_ = s.cmd.Process.Kill()
-		<-s.ended
+		<-s.exited
 	}
 }
 
 // do sends a command over an idle connection or a new one, and reads one line. A sender may close a connection between
 // requests: what crosses that is sent once more, on a new one ("Clients to senders").
-func (s *liveSender) do(text string) (string, error) {
+func (s *liveSender) command(text string) (string, error) {
 	s.mu.Lock()
 	var c *liveConn
 	if n := len(s.idle); n > 0 {
@@ -564,22 +564,22 @@
 	}
 	s.mu.Unlock()
 	if c != nil {
-		if line, err := s.ask(c, text); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		if line, err := s.exchange(c, text); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			return line, err
 		}
 	}
-	conn, err := net.DialTimeout("tcp", s.listen, liveAnswer)
+	conn, err := net.DialTimeout("tcp", s.addr, liveClientTimeout)
 	if err != nil {
 		return "", err
 	}
-	return s.ask(&liveConn{conn, bufio.NewReader(conn)}, text)
+	return s.exchange(&liveConn{conn, bufio.NewReader(conn)}, text)
 }
 
 // ask sends a command and keeps the connection if the answer comes in time.
-func (s *liveSender) ask(c *liveConn, text string) (line string, err error) {
-	if err = c.SetDeadline(time.Now().Add(liveAnswer)); err == nil {
+func (s *liveSender) exchange(c *liveConn, text string) (line string, err error) {
+	if err = c.SetDeadline(time.Now().Add(liveClientTimeout)); err == nil {
 		if _, err = io.WriteString(c, text); err == nil {
-			line, err = c.r.ReadString('\n')
+			line, err = c.reader.ReadString('\n')
 		}
 	}
 	if err != nil {
@@ -592,7 +592,7 @@
 }
 
 // cpuOf sums up the processor time of the senders so far, in seconds.
-func cpuOf(senders []*liveSender) (sum float64, err error) {
+func cpuSeconds(senders []*liveSender) (sum float64, err error) {
 	for _, s := range senders {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.cmd.Process.Pid))
 		if err != nil {
@@ -608,7 +608,7 @@
 			if err != nil {
 				return 0, err
 			}
-			sum += ticks / clockTick
+			sum += ticks / procTicksPerSecond
 		}
 	}
 	return sum, nil
@@ -631,7 +631,7 @@
 
 // wireSettings are the settings of a sender in the form of its configuration.
 func (sc *Scenario) wireSettings(number int) map[string]any {
-	d, c := &sc.Destinations, &sc.Cold
+	d, c := &sc.Destinations, &sc.Recovery
 	s := func(x Span) float64 { return float64(x.Micros) / 1e6 }
 	zones := make([]string, sc.Fleet.Zones)
 	for i := range zones {
@@ -640,24 +640,24 @@
 	classes := []map[string]any{}
 	for _, x := range sc.Classes {
 		effect := []string{"retryable", "dedup", "fragile"}[slices.Index(effectNames, x.Effect)]
-		classes = append(classes, map[string]any{"name": x.Name, "aim_s": s(x.Aim), "deadline_s": s(x.Deadline), "worth": x.Worth,
+		classes = append(classes, map[string]any{"name": x.Name, "aim_s": s(x.LatencyTarget), "deadline_s": s(x.Deadline), "worth": x.Worth,
 			"late_worth": x.LateWorth, "idempotency": effect, "group": "all", "window_s": s(x.Window)})
 	}
 	load := map[string]any{"how": "off"}
-	if d.Reports {
+	if d.ReportsLoad {
 		load = map[string]any{"how": "answers", "names": []string{"x0", "x1"}}
 	}
 	weights := "off"
-	if d.Nominal {
+	if d.NominalWeights {
 		weights = "nominal"
 	}
 	return map[string]any{"balancers": sc.Fleet.Senders, "me": number, "zone": number % sc.Fleet.Zones, "zones": zones,
-		"tick_s": s(sc.Fleet.Tick), "membership_mode": "pushed", "weights": weights, "machine_types": []string{kindName},
+		"tick_s": s(sc.Fleet.Tick), "membership_mode": "pushed", "weights": weights, "machine_types": []string{machineType},
 		"classes": classes, "load_info": load,
-		"limits": map[string]any{"conn_idle_s": s(d.ConnIdle), "connect_timeout_s": s(d.ConnTimeout), "max_attempts": sc.Fleet.MaxTries,
+		"limits": map[string]any{"conn_idle_s": s(d.ConnIdleTimeout), "connect_timeout_s": s(d.ConnectTimeout), "max_attempts": sc.Fleet.MaxAttempts,
 			"max_open": sc.Fleet.MaxOpen, "max_retry_after_s": 2, "multiplex": 1, "may_cancel": true, "retry_after": true},
-		"rules": map[string]any{"cold_from": c.From, "drain_grace_s": 1, "fall_multiple": c.FallMultiple, "fall_s": s(c.FallWindow),
-			"warm_after_s": s(c.WarmAfter)},
+		"rules": map[string]any{"cold_from": c.InitialShare, "drain_grace_s": 1, "fall_multiple": c.RelapseMultiple, "fall_s": s(c.RelapseWindow),
+			"warm_after_s": s(c.WarmUpTime)},
 		"specifics": map[string]any{"batch_by_kind": []int{1}, "call_slots": sc.Fleet.Slots, "late": "even", "separate_routes": []bool{false}}}
 }
 
@@ -671,17 +671,17 @@
 	row("delivered, share", per(real.Delivered, real.Offered), per(model.Delivered, model.Offered))
 	row("returned, share", per(real.Returned, real.Offered), per(model.Returned, model.Offered))
 	row("failed, share", per(real.Failed, real.Offered), per(model.Failed, model.Offered))
-	row("no answer to the client, share", per(real.NotHeard, real.Offered), 0)
+	row("no answer to the client, share", per(real.Unanswered, real.Offered), 0)
 	row("calls an event", per(real.Calls, real.Offered), per(model.Calls, model.Offered))
 	row("calls into outages", float64(real.IntoOutages), float64(model.IntoOutages))
 	row("connections an event", per(real.Connections, real.Offered), per(model.Connections, model.Offered))
 	row("latency p50, ms", real.Latency.P50, model.Latency.P50)
 	row("latency p99, ms", real.Latency.P99, model.Latency.P99)
-	row("whole list, bytes a sender", float64(real.WholeBytes), float64(model.List.Whole))
-	row("watches without news, bytes a sender", float64(real.EmptyBytes), float64(model.List.Empty))
-	row("processor time an event, us (hollow: module alone)", real.CPUMicros, model.Machine.Step*per(model.Steps, model.Offered))
-	row("memory a sender, MB (real: peak resident; hollow: heap after the start)", real.PeakMB, float64(model.Machine.HeapPerSender)/1e6)
-	row("worst peak resident, MB", real.WorstPeakMB, 0)
-	row("all ready after, s", real.ReadyS, 0)
+	row("whole list, bytes a sender", float64(real.FullListBytes), float64(model.ListBytes.Full))
+	row("watches without news, bytes a sender", float64(real.EmptyListBytes), float64(model.ListBytes.Empty))
+	row("processor time an event, us (hollow: module alone)", real.CPUMicrosPerMessage, model.Host.StepMicros*per(model.Steps, model.Offered))
+	row("memory a sender, MB (real: peak resident; hollow: heap after the start)", real.MeanPeakMB, float64(model.Host.HeapPerSender)/1e6)
+	row("worst peak resident, MB", real.MaxPeakMB, 0)
+	row("all ready after, s", real.ReadySeconds, 0)
 	return t.Flush()
 }
--- a/internal/hollow/live_test.go
+++ b/internal/hollow/live_test.go
@@ -23,10 +23,10 @@
 }
 
 // Real processes and hollow senders do the same with the same events where nothing goes wrong.
-func TestLiveMatchesHollow(t *testing.T) {
+func TestLiveMatchesSimulation(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	sc := Default()
-	sc.Classes = []ClassPart{defaultClass}
+	sc.Classes = []ClassConfig{defaultClass}
 	sc.Duration, sc.Drain, sc.Fleet.Senders, sc.Traffic.Rate = seconds(3), seconds(2), 3, 100
 	real, err := Live(t.Context(), &sc, buildSender(t))
 	if err != nil {
@@ -43,18 +43,18 @@
 		t.Errorf("of %d events %d were delivered, %d twice", real.Offered, real.Delivered, real.Repeats)
 	}
 	// Each asks for the whole list once. Addresses differ in length by a few bytes for each of 20 endpoints.
-	if d := real.WholeBytes - model.List.Whole; d < -100 || d > 100 {
-		t.Errorf("whole list: %d bytes real, %d hollow", real.WholeBytes, model.List.Whole)
+	if d := real.FullListBytes - model.ListBytes.Full; d < -100 || d > 100 {
+		t.Errorf("whole list: %d bytes real, %d hollow", real.FullListBytes, model.ListBytes.Full)
 	}
 }
 
 // What cannot be played live is refused before anything starts.
-func TestLiveRefuses(t *testing.T) {
+func TestLiveRejectsUnsupported(t *testing.T) {
 	for want, change := range map[string]func(*Scenario){
-		"fleet.senders":   func(sc *Scenario) { sc.Fleet.Senders = mostLive + 1 },
-		"destinations":    func(sc *Scenario) { sc.Destinations.Count = mostPorts },
-		"changes":         func(sc *Scenario) { sc.Discovery.Changes = 1 },
-		"fault[0]":        func(sc *Scenario) { sc.Faults = []FaultPart{{What: faultOutage, How: downSilent}} },
+		"fleet.senders":   func(sc *Scenario) { sc.Fleet.Senders = maxLiveSenders + 1 },
+		"destinations":    func(sc *Scenario) { sc.Destinations.Count = maxLiveEndpoints },
+		"changes":         func(sc *Scenario) { sc.Discovery.ChangesPerDay = 1 },
+		"fault[0]":        func(sc *Scenario) { sc.Faults = []FaultConfig{{Kind: faultOutage, OutageMode: outageSilent}} },
 		"no such program": func(*Scenario) {},
 	} {
 		sc := Default()
--- a/internal/hollow/memory.go
+++ b/internal/hollow/memory.go
@@ -3,11 +3,11 @@
 // Bytes of heap that a sender takes with its share of the model, a little above what runs measured: 0.59, 5.9 and 63.7 MB
 // with 350, 3,500 and 35,000 destinations of two endpoints. Room for the collector comes on top.
 const (
-	perSender      = 100_000
-	perDestination = 800
-	perEndpoint    = 550
-	perMessage     = 2500 // held
-	spare          = 1.8  // of what is in use, at the most
+	bytesPerSender      = 100_000
+	bytesPerDestination = 800
+	bytesPerEndpoint    = 550
+	bytesPerMessage     = 2500 // held
+	gcHeadroom          = 1.8  // of what is in use, at the most
 )
 
 // MemoryMB is a rough guess of the memory that a run needs.
@@ -22,5 +22,5 @@
 	if sc.Fleet.MaxOpen > 0 {
 		held = min(held, senders*float64(sc.Fleet.MaxOpen))
 	}
-	return spare * (senders*(perSender+dests*perDestination+eps*perEndpoint) + held*perMessage) / 1e6
+	return gcHeadroom * (senders*(bytesPerSender+dests*bytesPerDestination+eps*bytesPerEndpoint) + held*bytesPerMessage) / 1e6
 }
--- a/internal/hollow/standin_test.go
+++ b/internal/hollow/model_test.go
@@ -11,7 +11,7 @@
 
 // Depth 3, two tokens a second: 3 at once, one more each half second, and never more than 3 saved up.
 func TestTokenBucket(t *testing.T) {
-	b := bucket{depth: 3, tokens: 3}
+	b := tokenBucket{capacity: 3, tokens: 3}
 	for i, x := range []struct {
 		at float64
 		ok bool
@@ -24,17 +24,17 @@
 }
 
 // coldOne is a destination of 40 calls a second that is back at 100 s with a quarter of that, and has all after 10 s.
-func coldOne() *destination {
+func newColdDestination() *destination {
 	sc := Default()
 	sc.Destinations.Rate = 40
-	sc.Cold = ColdPart{From: 0.25, WarmAfter: seconds(10), FallMultiple: 1.25, FallWindow: seconds(2), FallFor: seconds(5)}
+	sc.Recovery = RecoveryConfig{InitialShare: 0.25, WarmUpTime: seconds(10), RelapseMultiple: 1.25, RelapseWindow: seconds(2), RelapseDuration: seconds(5)}
 	d := newDestination(0, &sc)
-	d.backAt, d.told = micros(100), map[int]bool{1: true}
+	d.recoveredAt, d.informed = micros(100), map[int]bool{1: true}
 	return d
 }
 
 func TestColdDestinationWarmsLinearly(t *testing.T) {
-	d := coldOne()
+	d := newColdDestination()
 	for _, x := range []struct{ at, rate float64 }{{100, 10}, {105, 25}, {109, 37}, {110, 40}, {500, 40}} {
 		if got := d.rate(micros(x.at)); math.Abs(got-x.rate) > 1e-9 {
 			t.Errorf("at %v s: %v calls a second, want %v", x.at, got, x.rate)
@@ -43,85 +43,85 @@
 }
 
 // At its return it is allowed 1.25 x 10 calls a second x 2 s = 25 calls; with chance 25 + 2 x 5 + 2 = 37.
-func TestColdDestinationFalls(t *testing.T) {
-	if got := fallBound(25); got != 37 {
+func TestColdDestinationRelapses(t *testing.T) {
+	if got := maxWindowCalls(25); got != 37 {
 		t.Fatalf("bound for 25 calls: %v", got)
 	}
-	if got := fallBound(100); got != 122 {
+	if got := maxWindowCalls(100); got != 122 {
 		t.Fatalf("bound for 100 calls: %v", got)
 	}
-	d := coldOne()
+	d := newColdDestination()
 	for i := range 37 {
-		if d.arrives(micros(100), 0) {
+		if d.recordArrival(micros(100), 0) {
 			t.Fatalf("falls of call %d", i+1)
 		}
 	}
-	if !d.arrives(micros(100), 0) {
+	if !d.recordArrival(micros(100), 0) {
 		t.Error("does not fall of call 38")
 	}
-	if d.worst.Calls != 38 || d.worst.Allowed != 37 {
-		t.Errorf("worst window %+v", d.worst)
+	if d.worstWindow.Calls != 38 || d.worstWindow.Allowed != 37 {
+		t.Errorf("worst window %+v", d.worstWindow)
 	}
 	// Two seconds on, those of the return are out of the window. It is allowed 1.25 x 16 x 2 = 40 then, 54.6 with chance.
-	d = coldOne()
+	d = newColdDestination()
 	for range 37 {
-		d.arrives(micros(100), 0)
+		d.recordArrival(micros(100), 0)
 	}
 	for i := range 54 {
-		if d.arrives(micros(102), 0) {
+		if d.recordArrival(micros(102), 0) {
 			t.Fatalf("falls of call %d in the second window", i+1)
 		}
 	}
-	if !d.arrives(micros(102), 0) {
+	if !d.recordArrival(micros(102), 0) {
 		t.Error("does not fall of call 55 in the second window")
 	}
 	// Of ten calls six, then seven, of senders that were told: over two thirds with the seventh.
-	d = coldOne()
+	d = newColdDestination()
 	for i := range 10 {
-		d.arrives(micros(100), min(i/4, 1))
+		d.recordArrival(micros(100), min(i/4, 1))
 	}
-	if d.blamed() {
+	if d.mostlyInformed() {
 		t.Error("blamed with six of ten")
 	}
-	d.lately[0].told = true
-	if !d.blamed() {
+	d.recentArrivals[0].informed = true
+	if !d.mostlyInformed() {
 		t.Error("not blamed with seven of ten")
 	}
 	for range 1000 { // warm
-		if d.arrives(micros(110), 0) {
+		if d.recordArrival(micros(110), 0) {
 			t.Fatal("a warm destination falls")
 		}
 	}
 }
 
 // one is a fleet of one sender and one destination with one endpoint, up since 1 s, with no jitter: 1 ms there and back.
-func one(t *testing.T) (*fleet, *sender) {
+func newSingleSenderFleet(t *testing.T) (*fleet, *sender) {
 	t.Helper()
 	sc := Default()
-	sc.Fleet.Senders, sc.Destinations.Count, sc.Destinations.Endpoints, sc.Classes = 1, 1, 1, []ClassPart{defaultClass}
-	sc.Destinations.Reports, sc.Destinations.Sigma, sc.Network.Jitter = true, 0, 0
-	sc.Destinations.Refuse, sc.Destinations.ComeBack = "429", seconds(0.3)
+	sc.Fleet.Senders, sc.Destinations.Count, sc.Destinations.Endpoints, sc.Classes = 1, 1, 1, []ClassConfig{defaultClass}
+	sc.Destinations.ReportsLoad, sc.Destinations.Sigma, sc.Network.Jitter = true, 0, 0
+	sc.Destinations.RefusalStatus, sc.Destinations.RetryAfter = "429", seconds(0.3)
 	f := newFleet(&sc)
-	f.disc.ask(f.senders[0])
-	f.senders[0].inForce = f.senders[0].agent
+	f.discovery.sendFullList(f.senders[0])
+	f.senders[0].appliedGeneration = f.senders[0].agentGeneration
 	f.senders[0].start()
-	for f.next(logic.Second) {
+	for f.runNext(logic.Second) {
 	}
 	return f, f.senders[0]
 }
 
 // reply hands a message in and returns its first outcome.
-func reply(t *testing.T, f *fleet, s *sender, during func()) logic.Reply {
+func firstReply(t *testing.T, f *fleet, s *sender, during func()) logic.Reply {
 	t.Helper()
-	f.offers++
-	f.rec.Offered++
-	f.handIn(s, &offer{number: f.offers, born: f.now})
-	for f.next(f.now + 20*logic.Second) {
-		if during != nil && len(f.eps[0].serving) > 0 {
+	f.messageCount++
+	f.stats.Offered++
+	f.submit(s, &clientMessage{number: f.messageCount, createdAt: f.now})
+	for f.runNext(f.now + 20*logic.Second) {
+		if during != nil && len(f.endpoints[0].serving) > 0 {
 			during()
 			during = nil
 		}
-		for _, ev := range s.next {
+		for _, ev := range s.pendingEvents {
 			if r, ok := ev.(logic.Reply); ok {
 				return r
 			}
@@ -146,34 +146,37 @@
 	}{
 		{name: "served", want: logic.Completed, took: 47_000, load: 2}, // 1 + 5 ms of handshake, 1 ms, 40 ms
 		{name: "served, kept", kept: true, want: logic.Completed, took: 41_000, load: 2},
-		{name: "refused", how: downRefused, want: logic.RefusedConn, took: 1000},
-		{name: "503", how: downShut, want: logic.Full, took: 7000, load: 2},
-		{name: "503, kept", how: downShut, kept: true, want: logic.Full, took: 1000, load: 2},
-		{name: "silent", how: downSilent, want: logic.RefusedConn, took: 1500_000},
-		{name: "silent, kept", how: downSilent, kept: true, want: logic.Recalled, took: -1},
-		{name: "over the limit", before: func(f *fleet) { f.dests[0].limit = bucket{depth: 1, filled: f.now}; f.dests[0].factor = 1e-3 },
+		{name: "refused", how: outageRefused, want: logic.RefusedConn, took: 1000},
+		{name: "503", how: outageUnavailable, want: logic.Full, took: 7000, load: 2},
+		{name: "503, kept", how: outageUnavailable, kept: true, want: logic.Full, took: 1000, load: 2},
+		{name: "silent", how: outageSilent, want: logic.RefusedConn, took: 1500_000},
+		{name: "silent, kept", how: outageSilent, kept: true, want: logic.Recalled, took: -1},
+		{name: "over the limit", before: func(f *fleet) {
+			f.destinations[0].bucket = tokenBucket{capacity: 1, refilledAt: f.now}
+			f.destinations[0].limitFactor = 1e-3
+		},
 			want: logic.Full, took: 7000, wait: 300_000, load: 2},
-		{name: "no place", before: func(f *fleet) { f.sc.Destinations.Connections, f.eps[0].conns = 1, 1 }, want: logic.Full, took: 6000},
-		{name: "killed under it", during: func(f *fleet) { f.startOutage(f.dests[0], downRefused, logic.Second) }, want: logic.Severed, took: 7000},
-		{name: "machine gone under it", during: func(f *fleet) { f.failMachines([]*machine{f.eps[0].machine}, 30*logic.Second) }, want: logic.Recalled, took: -1},
+		{name: "no place", before: func(f *fleet) { f.scenario.Destinations.MaxConnections, f.endpoints[0].connCount = 1, 1 }, want: logic.Full, took: 6000},
+		{name: "killed under it", during: func(f *fleet) { f.startOutage(f.destinations[0], outageRefused, logic.Second) }, want: logic.Severed, took: 7000},
+		{name: "machine gone under it", during: func(f *fleet) { f.failMachines([]*machine{f.endpoints[0].machine}, 30*logic.Second) }, want: logic.Recalled, took: -1},
 	} {
-		f, s := one(t)
+		f, s := newSingleSenderFleet(t)
 		if x.kept {
-			reply(t, f, s, nil)
-			for f.next(f.now + logic.Second) {
+			firstReply(t, f, s, nil)
+			for f.runNext(f.now + logic.Second) {
 			}
 		}
 		if x.before != nil {
 			x.before(f)
 		}
 		if x.how != "" {
-			f.startOutage(f.dests[0], x.how, 60*logic.Second)
+			f.startOutage(f.destinations[0], x.how, 60*logic.Second)
 		}
 		during := func() {}
 		if x.during != nil {
 			during = func() { x.during(f) }
 		}
-		r := reply(t, f, s, during)
+		r := firstReply(t, f, s, during)
 		if r.Outcome != x.want || r.Wait != x.wait || len(r.Load) != x.load || x.took >= 0 && r.Took != x.took {
 			t.Errorf("%s: %+v, want outcome %d after %d with a wait of %d", x.name, r, x.want, x.took, x.wait)
 		}
@@ -190,7 +193,7 @@
 			t.Errorf("zone %d lies in region %d, want %d", zone, got, want)
 		}
 	}
-	r := stream(1, "test", 0)
+	r := newRand(1, "test", 0)
 	for _, x := range []struct {
 		a, b int
 		want logic.Micros
@@ -199,51 +202,51 @@
 			t.Errorf("from zone %d to %d: %d us, want %d", x.a, x.b, got, x.want)
 		}
 	}
-	top.cut[link(2, 0)] = 50
-	if top.open(7, 0, 49) || top.open(0, 7, 49) || !top.open(0, 7, 50) || !top.open(0, 3, 49) || !top.open(6, 7, 49) {
+	top.cutUntil[linkKey(2, 0)] = 50
+	if top.reachable(7, 0, 49) || top.reachable(0, 7, 49) || !top.reachable(0, 7, 50) || !top.reachable(0, 3, 49) || !top.reachable(6, 7, 49) {
 		t.Error("a cut between two regions cuts something else")
 	}
 }
 
 // The bytes of a list are those of the JSON of the protocol page.
 func TestListBytes(t *testing.T) {
-	f, s := one(t)
+	f, s := newSingleSenderFleet(t)
 	const whole = `{"generation":1,"reset":true,"instances":[{"instanceId":"s-00000000","hostPort":"10.0.0.0:6379","zone":"z0",` +
 		`"machineType":"hollow","cell":0,"lifecycle":"up","weight":1,"startedAtMs":0}]}`
-	if s.bytes.Whole != int64(len(whole)) {
-		t.Errorf("whole list of %d bytes, want %d", s.bytes.Whole, len(whole))
+	if s.listBytes.Full != int64(len(whole)) {
+		t.Errorf("whole list of %d bytes, want %d", s.listBytes.Full, len(whole))
 	}
-	for f.next(13 * logic.Second) { // three watches of 4 s have ended
+	for f.runNext(13 * logic.Second) { // three watches of 4 s have ended
 	}
-	if want := 3 * len(`{"generation":1,"reset":false,"instances":[]}`); s.bytes.Empty != int64(want) {
-		t.Errorf("%d bytes with nothing, want %d", s.bytes.Empty, want)
+	if want := 3 * len(`{"generation":1,"reset":false,"instances":[]}`); s.listBytes.Empty != int64(want) {
+		t.Errorf("%d bytes with nothing, want %d", s.listBytes.Empty, want)
 	}
-	f.disc.replace()
-	for f.next(20 * logic.Second) {
+	f.discovery.replaceEndpoint()
+	for f.runNext(20 * logic.Second) {
 	}
 	const change = `{"generation":2,"reset":false,"instances":[{"instanceId":"s-00000000","hostPort":"10.0.0.0:6379","zone":"z0",` +
 		`"machineType":"hollow","cell":0,"lifecycle":"draining","weight":1,"startedAtMs":0},` +
 		`{"instanceId":"s-00000001","hostPort":"10.0.0.1:6379","zone":"z0",` +
 		`"machineType":"hollow","cell":0,"lifecycle":"up","weight":1,"startedAtMs":13000}]}`
-	if s.bytes.Changes != int64(len(change)) {
-		t.Errorf("change of %d bytes, want %d", s.bytes.Changes, len(change))
+	if s.listBytes.Changes != int64(len(change)) {
+		t.Errorf("change of %d bytes, want %d", s.listBytes.Changes, len(change))
 	}
-	if r := reply(t, f, s, nil); r.Outcome != logic.Completed || s.dir.Addr(r.Endpoint) != "10.0.0.1:6379" {
+	if r := firstReply(t, f, s, nil); r.Outcome != logic.Completed || s.directory.Addr(r.Endpoint) != "10.0.0.1:6379" {
 		t.Errorf("after the change: %+v", r)
 	}
-	for f.next(40 * logic.Second) {
+	for f.runNext(40 * logic.Second) {
 	}
 	// In force with the delay, the spread and the rest of a tick.
-	if x := f.disc.inForceFigures(); x.Changes != 2 || x.Open != 0 || x.Worst <= 0 || x.Worst > 2.006 {
+	if x := f.discovery.propagation(); x.Changes != 2 || x.Pending != 0 || x.Max <= 0 || x.Max > 2.006 {
 		t.Errorf("in force: %+v", x)
 	}
 }
 
 // What clients send does not depend on what else there is.
-func TestStreamsAreApart(t *testing.T) {
-	a, sc := play(t, small()), small()
-	sc.Faults, sc.Fleet.Restarts, sc.Fleet.Losses, sc.Discovery.Changes, sc.Destinations.DownShare = nil, 0, 0, 0, 0
-	b := play(t, sc)
+func TestRandomStreamsAreIndependent(t *testing.T) {
+	a, sc := mustRun(t, smallScenario()), smallScenario()
+	sc.Faults, sc.Fleet.RestartsPerDay, sc.Fleet.LossesPerDay, sc.Discovery.ChangesPerDay, sc.Destinations.DownShare = nil, 0, 0, 0, 0
+	b := mustRun(t, sc)
 	if a.Offered != b.Offered {
 		t.Errorf("%d events offered with faults, %d without", a.Offered, b.Offered)
 	}
@@ -251,7 +254,7 @@
 	if x := math.Abs(float64(b.Offered) - 1200); x > 5*math.Sqrt(1200) {
 		t.Errorf("%d events offered, want about 1200", b.Offered)
 	}
-	if b.IntoOutages != 0 || b.Outages != b.Falls || b.List.Changes != 0 {
+	if b.IntoOutages != 0 || b.Outages != b.Relapses || b.ListBytes.Changes != 0 {
 		t.Errorf("faults without any: %+v", b)
 	}
 }
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	samples    = 20                  // of the course of a run
-	mostMicros = int64(3600_000_000) // longest latency that is told apart
+	sampleCount      = 20                  // of the course of a run
+	maxLatencyMicros = int64(3600_000_000) // longest latency that is told apart
 )
 
 // Counts are what happened, counted over the run.
 type Counts struct {
-	Offered     int64 `json:"offered"` // events
-	Delivered   int64 `json:"delivered"`
-	Returned    int64 `json:"returned"` // refused, at the door or later
-	Failed      int64 `json:"failed"`
-	Late        int64 `json:"late"`    // of those delivered, after the aim
-	Held        int64 `json:"held"`    // not ended when the run did
-	Repeats     int64 `json:"repeats"` // runs at an endpoint beyond the first of an event
-	Calls       int64 `json:"calls"`
-	OverLimit   int64 `json:"over_limit"`   // calls that a limit turned away
-	NoPlace     int64 `json:"no_place"`     // connections that an endpoint did not take
-	IntoOutages int64 `json:"into_outages"` // calls made while their endpoint served nothing
-	Connections int64 `json:"connections"`  // opened
-	Outages     int64 `json:"outages"`      // of destinations, falls counted
-	Falls       int64 `json:"falls"`        // of cold destinations
-	Blamed      int64 `json:"blamed"`       // falls of which over two thirds came from senders that had an outcome of the outage
-	Unnoticed   int64 `json:"unnoticed"`    // outages times senders that sent into them and never took an endpoint out
-	Restarts    int64 `json:"restarts"`     // of processes
-	Losses      int64 `json:"losses"`       // of senders' machines
-	Steps       int64 `json:"steps"`        // of modules
+	Offered          int64 `json:"offered"` // events
+	Delivered        int64 `json:"delivered"`
+	Returned         int64 `json:"returned"` // refused, at the door or later
+	Failed           int64 `json:"failed"`
+	Late             int64 `json:"late"`    // of those delivered, after the aim
+	Held             int64 `json:"held"`    // not ended when the run did
+	Repeats          int64 `json:"repeats"` // runs at an endpoint beyond the first of an event
+	Calls            int64 `json:"calls"`
+	OverLimit        int64 `json:"over_limit"`   // calls that a limit turned away
+	ConnsRejected    int64 `json:"no_place"`     // connections that an endpoint did not take
+	IntoOutages      int64 `json:"into_outages"` // calls made while their endpoint served nothing
+	Connections      int64 `json:"connections"`  // opened
+	Outages          int64 `json:"outages"`      // of destinations, falls counted
+	Relapses         int64 `json:"falls"`        // of cold destinations
+	InformedRelapses int64 `json:"blamed"`       // falls of which over two thirds came from senders that had an outcome of the outage
+	Undetected       int64 `json:"unnoticed"`    // outages times senders that sent into them and never took an endpoint out
+	Restarts         int64 `json:"restarts"`     // of processes
+	Losses           int64 `json:"losses"`       // of senders' machines
+	Steps            int64 `json:"steps"`        // of modules
 }
 
 // Quantiles are latencies of delivered events in milliseconds, from their birth to their end.
@@ -50,53 +50,55 @@
 
 // Notice is the time in seconds from a sender's first send into an outage to its having one of the endpoints sent to
 // out, from when on it tries the destination singly.
-type Notice struct {
+type Detection struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_s"`
-	Worst float64 `json:"worst_s"`
+	Max   float64 `json:"worst_s"`
 }
 
 // InForce is the time in seconds from a change at discovery until the last sender that is up acts on it.
-type InForce struct {
+type Propagation struct {
 	Changes int     `json:"changes"`
-	Open    int     `json:"open"` // not in force everywhere when the run ended
+	Pending int     `json:"open"` // not in force everywhere when the run ended
 	Mean    float64 `json:"mean_s"`
-	Worst   float64 `json:"worst_s"`
+	Max     float64 `json:"worst_s"`
 }
 
 // Sample is the state at one time.
 type Sample struct {
-	At        Span  `json:"at"`
-	Offered   int64 `json:"offered"`
-	Delivered int64 `json:"delivered"`
-	Held      int64 `json:"held"`
-	Down      int   `json:"down"` // destinations
-	Up        int   `json:"up"`   // senders
+	At               Span  `json:"at"`
+	Offered          int64 `json:"offered"`
+	Delivered        int64 `json:"delivered"`
+	Held             int64 `json:"held"`
+	DownDestinations int   `json:"down"` // destinations
+	UpSenders        int   `json:"up"`   // senders
 }
 
 // Machine is what the run cost this machine. It differs from run to run.
-type Machine struct {
-	HeapPerSender int64   `json:"heap_per_sender_bytes"` // module, directory and the model's share, after the start
-	CPU           float64 `json:"cpu_s"`                 // of the whole process
-	Wall          float64 `json:"wall_s"`
-	Step          float64 `json:"step_us"`  // mean time of a module's step, but for a start's first, on this machine's clock
-	Take          float64 `json:"take_us"`  // of the directory's taking a change of the list
-	Start         float64 `json:"start_us"` // of a process taking the whole list and its journal
+type HostUsage struct {
+	HeapPerSender    int64   `json:"heap_per_sender_bytes"` // module, directory and the model's share, after the start
+	CPUSeconds       float64 `json:"cpu_s"`                 // of the whole process
+	WallSeconds      float64 `json:"wall_s"`
+	StepMicros       float64 `json:"step_us"`  // mean time of a module's step, but for a start's first, on this machine's clock
+	ListUpdateMicros float64 `json:"take_us"`  // of the directory's taking a change of the list
+	StartMicros      float64 `json:"start_us"` // of a process taking the whole list and its journal
 }
 
 // stopwatch adds up what parts of the real program take on this machine.
 type stopwatch struct {
-	n    int64
-	time time.Duration
+	count int64
+	total time.Duration
 }
 
 func (s *stopwatch) add(began time.Time) {
-	s.n++
-	s.time += time.Since(began)
+	s.count++
+	s.total += time.Since(began)
 }
 
 // mean is in microseconds.
-func (s *stopwatch) mean() float64 { return float64(s.time.Nanoseconds()) / 1e3 / float64(max(s.n, 1)) }
+func (s *stopwatch) meanMicros() float64 {
+	return float64(s.total.Nanoseconds()) / 1e3 / float64(max(s.count, 1))
+}
 
 // Report is what a run measured. All but Machine is the same for the same scenario and seed.
 type Report struct {
@@ -104,44 +106,44 @@
 	Seed         uint64 `json:"seed"`
 	Senders      int    `json:"senders"`
 	Destinations int    `json:"destinations"`
-	Until        Span   `json:"until"` // virtual time that was played
-	Cut          bool   `json:"cut"`   // it ended before its time
+	VirtualTime  Span   `json:"until"` // virtual time that was played
+	Interrupted  bool   `json:"cut"`   // it ended before its time
 	Counts
-	Latency   Quantiles  `json:"latency_ms"`
-	Notice    Notice     `json:"notice"`
-	Cold      ColdWindow `json:"cold_worst_window"`
-	List      ListBytes  `json:"list_bytes_per_sender"`
-	ListWorst int64      `json:"list_bytes_worst_sender"`
-	ListRate  float64    `json:"list_bytes_per_sender_second"` // without the whole list of the start
-	InForce   InForce    `json:"in_force"`
-	PeakHeld  int64      `json:"peak_held"`
-	PeakAt    Span       `json:"peak_at"`
-	Course    []Sample   `json:"course"`
-	Digest    string     `json:"digest"` // of the trace of events
-	Machine   Machine    `json:"machine"`
+	Latency            Quantiles   `json:"latency_ms"`
+	Detection          Detection   `json:"notice"`
+	WorstColdWindow    ColdWindow  `json:"cold_worst_window"`
+	ListBytes          ListBytes   `json:"list_bytes_per_sender"`
+	MaxListBytes       int64       `json:"list_bytes_worst_sender"`
+	ListBytesPerSecond float64     `json:"list_bytes_per_sender_second"` // without the whole list of the start
+	Propagation        Propagation `json:"in_force"`
+	PeakHeld           int64       `json:"peak_held"`
+	PeakAt             Span        `json:"peak_at"`
+	Samples            []Sample    `json:"course"`
+	Digest             string      `json:"digest"` // of the trace of events
+	Host               HostUsage   `json:"machine"`
 }
 
 // record is what a run notes as it goes.
-type record struct {
+type stats struct {
 	Counts
-	waiting int64 // events with clients
-	latency *hdrhistogram.Histogram
-	noticed int64
-	notices logic.Micros
-	longest logic.Micros
-	cold    ColdWindow
-	peak    int64
-	peakAt  logic.Micros
-	course  []Sample
-	heap    int64
+	withClients     int64 // events with clients
+	latency         *hdrhistogram.Histogram
+	detections      int64
+	detectionTotal  logic.Micros
+	detectionMax    logic.Micros
+	worstColdWindow ColdWindow
+	peakHeld        int64
+	peakAt          logic.Micros
+	samples         []Sample
+	heapBytes       int64
 
-	steps, takes, starts stopwatch
+	stepTimes, listUpdateTimes, startTimes stopwatch
 }
 
-func newRecord() *record { return &record{latency: hdrhistogram.New(1, mostMicros, 3)} }
+func newStats() *stats { return &stats{latency: hdrhistogram.New(1, maxLatencyMicros, 3)} }
 
 // end counts an event that has ended, so long after its birth.
-func (r *record) end(took logic.Micros, e ending, c *ClassPart) {
+func (r *stats) countEnd(took logic.Micros, e endState, c *ClassConfig) {
 	switch e {
 	case returned:
 		r.Returned++
@@ -149,75 +151,75 @@
 		r.Failed++
 	case delivered:
 		r.Delivered++
-		if took > c.Aim.Micros {
+		if took > c.LatencyTarget.Micros {
 			r.Late++
 		}
-		_ = r.latency.RecordValue(min(max(int64(took), 1), mostMicros)) // within its bounds
+		_ = r.latency.RecordValue(min(max(int64(took), 1), maxLatencyMicros)) // within its bounds
 	}
 }
 
 // open is the number of events that have not ended.
-func (r *record) open() int64 { return r.Offered - r.Delivered - r.Returned - r.Failed }
+func (r *stats) open() int64 { return r.Offered - r.Delivered - r.Returned - r.Failed }
 
-func (r *record) notice(d logic.Micros) {
-	r.noticed++
-	r.notices += d
-	r.longest = max(r.longest, d)
+func (r *stats) recordDetection(d logic.Micros) {
+	r.detections++
+	r.detectionTotal += d
+	r.detectionMax = max(r.detectionMax, d)
 }
 
 // window takes the worst window of one cold return.
-func (r *record) window(w ColdWindow) {
-	if w.part() > r.cold.part() {
-		r.cold = w
+func (r *stats) recordColdWindow(w ColdWindow) {
+	if w.ratio() > r.worstColdWindow.ratio() {
+		r.worstColdWindow = w
 	}
 }
 
 // sample notes the course of the run.
 func (f *fleet) sample() {
-	x := Sample{At: Span{f.now}, Offered: f.rec.Offered, Delivered: f.rec.Delivered, Held: f.rec.open()}
-	for _, d := range f.dests {
-		if d.down != nil {
-			x.Down++
+	x := Sample{At: Span{f.now}, Offered: f.stats.Offered, Delivered: f.stats.Delivered, Held: f.stats.open()}
+	for _, d := range f.destinations {
+		if d.outage != nil {
+			x.DownDestinations++
 		}
 	}
 	for _, s := range f.senders {
 		if s.up {
-			x.Up++
+			x.UpSenders++
 		}
 	}
-	f.rec.course = append(f.rec.course, x)
+	f.stats.samples = append(f.stats.samples, x)
 }
 
 func (f *fleet) report(cut bool, wall, cpu time.Duration) *Report {
-	r := f.rec
-	r.Held = f.held()
-	for _, d := range f.dests {
-		r.window(d.worst)
+	r := f.stats
+	r.Held = f.heldCount()
+	for _, d := range f.destinations {
+		r.recordColdWindow(d.worstWindow)
 	}
-	out := &Report{Title: f.sc.Title, Seed: f.sc.Seed, Senders: len(f.senders), Destinations: len(f.dests), Until: Span{f.now},
-		Cut: cut, Counts: r.Counts, Cold: r.cold, InForce: f.disc.inForceFigures(), PeakHeld: r.peak, PeakAt: Span{r.peakAt},
-		Course: r.course, Digest: fmt.Sprintf("%016x", f.digest.Sum64())}
-	out.Latency = quantilesOf(r.latency)
-	if r.noticed > 0 {
-		out.Notice = Notice{r.noticed, float64(r.notices) / float64(r.noticed) / 1e6, float64(r.longest) / 1e6}
+	out := &Report{Title: f.scenario.Title, Seed: f.scenario.Seed, Senders: len(f.senders), Destinations: len(f.destinations), VirtualTime: Span{f.now},
+		Interrupted: cut, Counts: r.Counts, WorstColdWindow: r.worstColdWindow, Propagation: f.discovery.propagation(), PeakHeld: r.peakHeld, PeakAt: Span{r.peakAt},
+		Samples: r.samples, Digest: fmt.Sprintf("%016x", f.digest.Sum64())}
+	out.Latency = latencyQuantiles(r.latency)
+	if r.detections > 0 {
+		out.Detection = Detection{r.detections, float64(r.detectionTotal) / float64(r.detections) / 1e6, float64(r.detectionMax) / 1e6}
 	}
 	n := int64(len(f.senders))
 	for _, s := range f.senders {
-		out.List.Whole += s.bytes.Whole
-		out.List.Changes += s.bytes.Changes
-		out.List.Empty += s.bytes.Empty
-		out.ListWorst = max(out.ListWorst, s.bytes.total())
+		out.ListBytes.Full += s.listBytes.Full
+		out.ListBytes.Changes += s.listBytes.Changes
+		out.ListBytes.Empty += s.listBytes.Empty
+		out.MaxListBytes = max(out.MaxListBytes, s.listBytes.total())
 	}
-	out.List = ListBytes{out.List.Whole / n, out.List.Changes / n, out.List.Empty / n}
+	out.ListBytes = ListBytes{out.ListBytes.Full / n, out.ListBytes.Changes / n, out.ListBytes.Empty / n}
 	if f.now > 0 {
-		out.ListRate = float64(out.List.Changes+out.List.Empty) / (float64(f.now) / 1e6)
+		out.ListBytesPerSecond = float64(out.ListBytes.Changes+out.ListBytes.Empty) / (float64(f.now) / 1e6)
 	}
-	out.Machine = Machine{HeapPerSender: r.heap / n, CPU: cpu.Seconds(), Wall: wall.Seconds(), Step: r.steps.mean(),
-		Take: r.takes.mean(), Start: r.starts.mean()}
+	out.Host = HostUsage{HeapPerSender: r.heapBytes / n, CPUSeconds: cpu.Seconds(), WallSeconds: wall.Seconds(), StepMicros: r.stepTimes.meanMicros(),
+		ListUpdateMicros: r.listUpdateTimes.meanMicros(), StartMicros: r.startTimes.meanMicros()}
 	return out
 }
 
-func quantilesOf(h *hdrhistogram.Histogram) Quantiles {
+func latencyQuantiles(h *hdrhistogram.Histogram) Quantiles {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e3 }
 	return Quantiles{ms(50), ms(90), ms(99), float64(h.Max()) / 1e3}
 }
@@ -235,28 +237,28 @@
 func (r *Report) WriteText(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	line := func(name, format string, args ...any) { fmt.Fprintf(t, name+"\t"+format+"\n", args...) }
-	if r.Cut {
+	if r.Interrupted {
 		line("CUT SHORT", "what follows was measured up to then")
 	}
 	line("scenario", "%s, seed %d", r.Title, r.Seed)
-	line("size", "%d senders, %d destinations, %s played", r.Senders, r.Destinations, r.Until)
+	line("size", "%d senders, %d destinations, %s played", r.Senders, r.Destinations, r.VirtualTime)
 	line("events", "%d offered, %d delivered (%d late), %d returned, %d failed, %d held", r.Offered, r.Delivered, r.Late, r.Returned,
 		r.Failed, r.Held)
 	line("latency", "p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, max %.1f ms", r.Latency.P50, r.Latency.P90, r.Latency.P99, r.Latency.Max)
-	line("calls", "%d, %d over a limit, %d with no place, %d into outages; %d connections, %d repeats", r.Calls, r.OverLimit, r.NoPlace,
+	line("calls", "%d, %d over a limit, %d with no place, %d into outages; %d connections, %d repeats", r.Calls, r.OverLimit, r.ConnsRejected,
 		r.IntoOutages, r.Connections, r.Repeats)
-	line("outages", "%d, of them %d falls, %d of senders that were told", r.Outages, r.Falls, r.Blamed)
-	line("notice", "mean %.3f s, worst %.3f s, over %d; %d never noticed", r.Notice.Mean, r.Notice.Worst, r.Notice.Count, r.Unnoticed)
-	line("cold return", "worst window %d calls, %.1f allowed", r.Cold.Calls, r.Cold.Allowed)
+	line("outages", "%d, of them %d falls, %d of senders that were told", r.Outages, r.Relapses, r.InformedRelapses)
+	line("notice", "mean %.3f s, worst %.3f s, over %d; %d never noticed", r.Detection.Mean, r.Detection.Max, r.Detection.Count, r.Undetected)
+	line("cold return", "worst window %d calls, %.1f allowed", r.WorstColdWindow.Calls, r.WorstColdWindow.Allowed)
 	line("senders", "%d restarts, %d machines lost", r.Restarts, r.Losses)
-	line("list", "a sender: %d bytes whole, %d of changes, %d empty; %.1f bytes a second; worst sender %d bytes", r.List.Whole,
-		r.List.Changes, r.List.Empty, r.ListRate, r.ListWorst)
-	line("in force", "mean %.3f s, worst %.3f s, of %d changes; %d not everywhere at the end", r.InForce.Mean, r.InForce.Worst,
-		r.InForce.Changes, r.InForce.Open)
+	line("list", "a sender: %d bytes whole, %d of changes, %d empty; %.1f bytes a second; worst sender %d bytes", r.ListBytes.Full,
+		r.ListBytes.Changes, r.ListBytes.Empty, r.ListBytesPerSecond, r.MaxListBytes)
+	line("in force", "mean %.3f s, worst %.3f s, of %d changes; %d not everywhere at the end", r.Propagation.Mean, r.Propagation.Max,
+		r.Propagation.Changes, r.Propagation.Pending)
 	line("backlog", "peak %d at %s", r.PeakHeld, r.PeakAt)
 	line("modules", "%d steps; digest %s", r.Steps, r.Digest)
-	m := &r.Machine
-	line("machine", "%.1f s CPU, %.1f s; a step %.1f us, a change of the list %.1f us, a start %.0f us; %d bytes of heap a sender", m.CPU,
-		m.Wall, m.Step, m.Take, m.Start, m.HeapPerSender)
+	m := &r.Host
+	line("machine", "%.1f s CPU, %.1f s; a step %.1f us, a change of the list %.1f us, a start %.0f us; %d bytes of heap a sender", m.CPUSeconds,
+		m.WallSeconds, m.StepMicros, m.ListUpdateMicros, m.StartMicros, m.HeapPerSender)
 	return t.Flush()
 }
--- a/internal/hollow/scenario_test.go
+++ b/internal/hollow/scenario_test.go
@@ -38,7 +38,7 @@
 			t.Errorf("%s: %v", x.name, err)
 			continue
 		}
-		if bad.File != "x.toml" || bad.Line != x.line || bad.Field != x.field || !strings.Contains(bad.Want, x.want) {
+		if bad.File != "x.toml" || bad.Line != x.line || bad.Field != x.field || !strings.Contains(bad.Reason, x.want) {
 			t.Errorf("%s: %v, want line %d, field %s: %s", x.name, err, x.line, x.field, x.want)
 		}
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestScenariosOfTheRepository(t *testing.T) {
+func TestRepositoryScenarios(t *testing.T) {
 	files, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d scenarios, %v", len(files), err)
@@ -60,9 +60,9 @@
 	}
 }
 
-func TestSlope(t *testing.T) {
+func TestSweepSlope(t *testing.T) {
 	var b strings.Builder
-	r := func(calls, falls int64) *Report { return &Report{Counts: Counts{IntoOutages: calls, Falls: falls}} }
+	r := func(calls, falls int64) *Report { return &Report{Counts: Counts{IntoOutages: calls, Relapses: falls}} }
 	if err := WriteSweep(&b, "senders", []int{2, 20, 200}, []*Report{r(4, 0), r(400, 0), r(40_000, 5)}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hollow/sweep.go
+++ b/internal/hollow/sweep.go
@@ -22,24 +22,24 @@
 	{"failed", func(r *Report) float64 { return float64(r.Failed) }},
 	{"p99_ms", func(r *Report) float64 { return r.Latency.P99 }},
 	{"into_outages", func(r *Report) float64 { return float64(r.IntoOutages) }},
-	{"notice_mean_s", func(r *Report) float64 { return r.Notice.Mean }},
-	{"notice_worst_s", func(r *Report) float64 { return r.Notice.Worst }},
-	{"unnoticed", func(r *Report) float64 { return float64(r.Unnoticed) }},
-	{"cold_calls", func(r *Report) float64 { return float64(r.Cold.Calls) }},
-	{"cold_allowed", func(r *Report) float64 { return r.Cold.Allowed }},
-	{"falls", func(r *Report) float64 { return float64(r.Falls) }},
-	{"falls_blamed", func(r *Report) float64 { return float64(r.Blamed) }},
+	{"notice_mean_s", func(r *Report) float64 { return r.Detection.Mean }},
+	{"notice_worst_s", func(r *Report) float64 { return r.Detection.Max }},
+	{"unnoticed", func(r *Report) float64 { return float64(r.Undetected) }},
+	{"cold_calls", func(r *Report) float64 { return float64(r.WorstColdWindow.Calls) }},
+	{"cold_allowed", func(r *Report) float64 { return r.WorstColdWindow.Allowed }},
+	{"falls", func(r *Report) float64 { return float64(r.Relapses) }},
+	{"falls_blamed", func(r *Report) float64 { return float64(r.InformedRelapses) }},
 	{"connections", func(r *Report) float64 { return float64(r.Connections) }},
-	{"list_bytes", func(r *Report) float64 { return float64(r.List.Whole) }},
-	{"list_bytes_per_s", func(r *Report) float64 { return r.ListRate }},
-	{"in_force_mean_s", func(r *Report) float64 { return r.InForce.Mean }},
-	{"in_force_worst_s", func(r *Report) float64 { return r.InForce.Worst }},
+	{"list_bytes", func(r *Report) float64 { return float64(r.ListBytes.Full) }},
+	{"list_bytes_per_s", func(r *Report) float64 { return r.ListBytesPerSecond }},
+	{"in_force_mean_s", func(r *Report) float64 { return r.Propagation.Mean }},
+	{"in_force_worst_s", func(r *Report) float64 { return r.Propagation.Max }},
 	{"steps", func(r *Report) float64 { return float64(r.Steps) }},
-	{"heap_per_sender", func(r *Report) float64 { return float64(r.Machine.HeapPerSender) }},
-	{"step_us", func(r *Report) float64 { return r.Machine.Step }},
-	{"take_us", func(r *Report) float64 { return r.Machine.Take }},
-	{"start_us", func(r *Report) float64 { return r.Machine.Start }},
-	{"cpu_s", func(r *Report) float64 { return r.Machine.CPU }},
+	{"heap_per_sender", func(r *Report) float64 { return float64(r.Host.HeapPerSender) }},
+	{"step_us", func(r *Report) float64 { return r.Host.StepMicros }},
+	{"take_us", func(r *Report) float64 { return r.Host.ListUpdateMicros }},
+	{"start_us", func(r *Report) float64 { return r.Host.StartMicros }},
+	{"cpu_s", func(r *Report) float64 { return r.Host.CPUSeconds }},
 }
 
 // WriteSweep writes a table with a column for each report, by the size along an axis, and the slope of each figure: the
@@ -56,7 +56,7 @@
 		var xs, ys []float64
 		for i, r := range reports {
 			y := c.value(r)
-			line = append(line, number(y))
+			line = append(line, formatNumber(y))
 			if y > 0 {
 				xs, ys = append(xs, math.Log(float64(sizes[i]))), append(ys, math.Log(y))
 			}
@@ -71,7 +71,7 @@
 	return t.Flush()
 }
 
-func number(x float64) string {
+func formatNumber(x float64) string {
 	if x == math.Trunc(x) {
 		return fmt.Sprintf("%.0f", x)
 	}
