--- a/internal/hollow/call.go
+++ b/internal/hollow/call.go
@@ -6,7 +6,7 @@
 	"rundeal/logic"
 )
 
-// call is one attempt at an endpoint, as the sender and the endpoint have it.
+// call is one delivery attempt, shared by the sender and the endpoint.
 type call struct {
 	sender         *sender
 	message        *message
@@ -15,15 +15,16 @@
 	attempt        int
 	startedAt      logic.Micros
 	conn           *conn
-	requestSent    bool // its last byte is on the way
-	ended          bool // for the sender
-	sentIntoOutage bool // made while the destination was down
+	requestSent    bool // the whole request was written
+	ended          bool // the sender has its outcome
+	sentIntoOutage bool // started during an outage of the destination
 }
 
-// call makes an attempt.
+// startCall starts the attempt that the module asked for.
 func (s *sender) startCall(a logic.CallOut) {
 	f, m := s.fleet, s.messages[a.ID]
-	c := &call{sender: s, message: m, endpointID: a.Endpoint, endpoint: f.endpointsByAddr[s.directory.Addr(a.Endpoint)], attempt: m.attempts, startedAt: f.now}
+	c := &call{sender: s, message: m, endpointID: a.Endpoint, endpoint: f.endpointsByAddr[s.directory.Addr(a.Endpoint)],
+		attempt: m.attempts, startedAt: f.now}
 	m.call = c
 	m.attempts++
 	if !m.mayHaveRun {
@@ -41,7 +42,8 @@
 	c.connect()
 }
 
-// sendsInto notes a call that is made while its endpoint serves nothing.
+// recordOutageSend counts a call whose endpoint is in an outage, and starts timing how long the sender takes to detect
+// that outage.
 func (s *sender) recordOutageSend(c *call) {
 	o := c.endpoint.currentOutage()
 	if o == nil {
@@ -49,24 +51,24 @@
 	}
 	s.fleet.stats.IntoOutages++
 	c.sentIntoOutage = o == c.endpoint.destination.outage
-	n := s.detections[o]
-	if n == nil {
-		n = &detection{outage: o, firstSentAt: s.fleet.now}
-		s.detections[o] = n
-		s.undetected = append(s.undetected, n)
+	d := s.detections[o]
+	if d == nil {
+		d = &detection{outage: o, firstSentAt: s.fleet.now}
+		s.detections[o] = d
+		s.undetected = append(s.undetected, d)
 	}
-	if !slices.Contains(n.endpoints, c.endpointID) {
-		n.endpoints = append(n.endpoints, c.endpointID)
+	if !slices.Contains(d.endpoints, c.endpointID) {
+		d.endpoints = append(d.endpoints, c.endpointID)
 	}
 }
 
-// kept takes the idle connection that was used last, if one is good.
+// takeIdleConn returns the most recently used idle connection that is still usable, or nil.
 func (s *sender) takeIdleConn(id logic.EndpointID) *conn {
-	list := s.idleConns[id]
-	for len(list) > 0 {
-		c := list[len(list)-1]
-		list = list[:len(list)-1]
-		s.idleConns[id] = list
+	conns := s.idleConns[id]
+	for len(conns) > 0 {
+		c := conns[len(conns)-1]
+		conns = conns[:len(conns)-1]
+		s.idleConns[id] = conns
 		if c.usable(s.fleet.now, s.fleet.scenario.Destinations.ConnIdleTimeout.Micros) {
 			return c
 		}
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// reaches says whether what is sent between the two ends now arrives.
+// linkUp reports whether data sent now between the sender and the endpoint arrives.
 func (c *call) linkUp() bool {
 	return c.sender.fleet.topology.reachable(c.sender.machine.zone, c.endpoint.machine.zone, c.sender.fleet.now)
 }
@@ -83,7 +85,7 @@
 	return c.sender.fleet.topology.delay(c.sender.machine.zone, c.endpoint.machine.zone, c.sender.networkRand)
 }
 
-// connect opens a connection: a round trip, and what the handshake takes.
+// connect opens a connection, which costs one round trip plus the handshake time.
 func (c *call) connect() {
 	f := c.sender.fleet
 	f.scheduleAfter(f.scenario.Destinations.ConnectTimeout.Micros, func() {
@@ -98,20 +100,20 @@
 		if c.ended || c.endpoint.silent() {
 			return
 		}
-		back := c.networkDelay()
+		returnDelay := c.networkDelay()
 		if c.endpoint.refusesConns() {
-			f.scheduleAfter(back, func() { c.finish(logic.RefusedConn, 0, nil) })
+			f.scheduleAfter(returnDelay, func() { c.finish(logic.RefusedConn, 0, nil) })
 			return
 		}
-		if most := f.scenario.Destinations.MaxConnections; most > 0 && c.endpoint.connCount >= most {
+		if limit := f.scenario.Destinations.MaxConnections; limit > 0 && c.endpoint.connCount >= limit {
 			f.stats.ConnsRejected++
-			f.scheduleAfter(back+f.scenario.Destinations.HandshakeTime.Micros, func() { c.finish(logic.Full, 0, nil) })
+			f.scheduleAfter(returnDelay+f.scenario.Destinations.HandshakeTime.Micros, func() { c.finish(logic.Full, 0, nil) })
 			return
 		}
 		c.endpoint.connCount++
 		f.stats.Connections++
 		c.conn = &conn{endpoint: c.endpoint, epoch: c.endpoint.epoch}
-		f.scheduleAfter(back+f.scenario.Destinations.HandshakeTime.Micros, func() {
+		f.scheduleAfter(returnDelay+f.scenario.Destinations.HandshakeTime.Micros, func() {
 			if !c.ended {
 				c.sendRequest()
 			}
@@ -119,7 +121,7 @@
 	})
 }
 
-// write sends the request over the connection.
+// sendRequest writes the request to the connection.
 func (c *call) sendRequest() {
 	c.requestSent = true
 	if c.linkUp() {
@@ -127,15 +129,15 @@
 	}
 }
 
-// arrive is where the endpoint has the whole request.
+// handleRequest runs at the endpoint once it has received the whole request.
 func (c *call) handleRequest() {
 	f, d := c.sender.fleet, c.endpoint.destination
-	set := &f.scenario.Destinations
+	config := &f.scenario.Destinations
 	switch {
 	case c.endpoint.silent():
 	case c.conn.epoch != c.endpoint.epoch || c.endpoint.refusesConns():
 		c.respond(logic.Severed, 0, nil)
-	case d.outage != nil: // a refusal without a report would mean that there is no place for the connection
+	case d.outage != nil: // without a load report the answer would mean that the connection limit is reached
 		c.respond(logic.Full, 0, d.loadReport(f.now))
 	case d.recordArrival(f.now, c.sender.number):
 		f.stats.Relapses++
@@ -147,8 +149,8 @@
 	case !d.admit(f.now):
 		f.stats.OverLimit++
 		wait := logic.Micros(0)
-		if set.RefusalStatus == "429" {
-			wait = set.RetryAfter.Micros
+		if config.RefusalStatus == "429" {
+			wait = config.RetryAfter.Micros
 		}
 		c.respond(logic.Full, wait, d.loadReport(f.now))
 	default:
@@ -157,7 +159,7 @@
 		f.scheduleAfter(d.drawServiceTime(), func() {
 			i := slices.Index(c.endpoint.serving, c)
 			if i < 0 || c.endpoint.epoch != epoch {
-				return // cut off
+				return // the connection was reset meanwhile
 			}
 			c.endpoint.serving = slices.Delete(c.endpoint.serving, i, i+1)
 			if c.endpoint.silent() {
@@ -171,64 +173,66 @@
 	}
 }
 
-// answer sends an outcome back.
-func (c *call) respond(o logic.Outcome, wait logic.Micros, load []float64) {
+// respond sends the outcome back to the sender.
+func (c *call) respond(outcome logic.Outcome, retryAfter logic.Micros, load []float64) {
 	if c.linkUp() {
-		c.sender.fleet.scheduleAfter(c.networkDelay(), func() { c.finish(o, wait, load) })
+		c.sender.fleet.scheduleAfter(c.networkDelay(), func() { c.finish(outcome, retryAfter, load) })
 	}
 }
 
-// giveUp ends the call from the sender's side. One that was still connecting has surely not run.
-func (c *call) cancel(o logic.Outcome) {
+// cancel ends the call from the sender's side. A call that was still connecting cannot have run, so its outcome is that of
+// a refused connection.
+func (c *call) cancel(outcome logic.Outcome) {
 	if !c.requestSent {
-		o = logic.RefusedConn
+		outcome = logic.RefusedConn
 	}
-	c.finish(o, 0, nil)
+	c.finish(outcome, 0, nil)
 }
 
-// end is the one outcome that the sender has of the call.
-func (c *call) finish(o logic.Outcome, wait logic.Micros, load []float64) {
+// finish records the outcome of the call at the sender. Only the first outcome counts.
+func (c *call) finish(outcome logic.Outcome, retryAfter logic.Micros, load []float64) {
 	if c.ended {
 		return
 	}
 	c.ended = true
 	f, s, m := c.sender.fleet, c.sender, c.message
-	if c.sentIntoOutage && o != logic.Completed && o != logic.Moot {
+	if c.sentIntoOutage && outcome != logic.Completed && outcome != logic.Moot {
 		c.endpoint.destination.informed[s.number] = true
 	}
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(x *call) bool { return x == c })
 	m.call = nil
-	if o != logic.Full && o != logic.RefusedConn && o != logic.Moot {
+	if outcome != logic.Full && outcome != logic.RefusedConn && outcome != logic.Moot {
 		m.mayHaveRun = true
 	}
 	if c.conn != nil {
-		if answered := o == logic.Completed || o == logic.Full; answered && c.requestSent {
+		if answered := outcome == logic.Completed || outcome == logic.Full; answered && c.requestSent {
 			s.keepIdleConn(c.endpointID, c.conn)
 		} else {
 			c.conn.close()
 		}
 	}
-	f.traceEvent(traceOutcome, s.number, int(m.number), int(o))
-	ended := m.closed
-	if !ended && o == logic.Completed {
+	f.traceEvent(traceOutcome, s.number, int(m.number), int(outcome))
+	messageClosed := m.closed
+	if !messageClosed && outcome == logic.Completed {
 		f.endMessage(m.clientMessage, delivered)
 		s.closeMessage(m)
-	} else if ended {
+	} else if messageClosed {
 		delete(s.messages, m.id)
 	}
-	if wait > 0 { // the destination's other endpoints too: they share its limit
+	if retryAfter > 0 { // covers all endpoints of the destination, which share one limit
 		s.abortConnecting(func(x *call) bool { return x.endpoint.destination == c.endpoint.destination })
 	}
-	s.enqueue(logic.Reply{ID: m.id, NoMore: m.closed, Endpoint: c.endpointID, Attempt: c.attempt, Outcome: o, Took: f.now - c.startedAt, Wait: wait, Load: load})
+	s.enqueue(logic.Reply{ID: m.id, NoMore: m.closed, Endpoint: c.endpointID, Attempt: c.attempt, Outcome: outcome,
+		Took: f.now - c.startedAt, Wait: retryAfter, Load: load})
 }
 
-// keep puts a connection aside for the next call; it closes after its time.
+// keepIdleConn keeps a connection for later calls and closes it after the idle timeout.
 func (s *sender) keepIdleConn(id logic.EndpointID, c *conn) {
 	c.idleSince = s.fleet.now
 	s.idleConns[id] = append(s.idleConns[id], c)
-	idle := s.fleet.scenario.Destinations.ConnIdleTimeout.Micros
-	s.scheduleWhileUp(c.idleSince+idle, func() {
-		if i := slices.Index(s.idleConns[id], c); i >= 0 && s.fleet.now >= c.idleSince+idle {
+	timeout := s.fleet.scenario.Destinations.ConnIdleTimeout.Micros
+	s.scheduleWhileUp(c.idleSince+timeout, func() {
+		if i := slices.Index(s.idleConns[id], c); i >= 0 && s.fleet.now >= c.idleSince+timeout {
 			c.close()
 			if s.idleConns[id] = slices.Delete(s.idleConns[id], i, i+1); len(s.idleConns[id]) == 0 {
 				delete(s.idleConns, id)
--- a/internal/hollow/clock.go
+++ b/internal/hollow/clock.go
@@ -8,14 +8,14 @@
 	"rundeal/logic"
 )
 
-// event is something that happens at a time. Those of one time happen in the order in which they were set.
+// event is a scheduled callback. Events with equal times run in the order in which they were scheduled.
 type event struct {
 	at  logic.Micros
 	seq uint64
 	run func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a min-heap of events, ordered by time and then by sequence number.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -33,28 +33,29 @@
 	return x
 }
 
-// clock is the virtual time and what is to happen.
+// clock holds the virtual time and the scheduled events.
 type clock struct {
 	now     logic.Micros // since the start of the run
 	lastSeq uint64
 	events  eventQueue
 }
 
-// at sets do for a time, or for now if that is past.
+// scheduleAt runs do at time t, or at the current time if t has passed.
 func (c *clock) scheduleAt(t logic.Micros, do func()) {
 	c.lastSeq++
 	heap.Push(&c.events, event{max(t, c.now), c.lastSeq, do})
 }
 
-// forever is later than any run lasts.
+// maxDelay, in microseconds, is longer than any run.
 const maxDelay = 1e15
 
-// span turns microseconds into a span that a time can be moved by.
+// clampDelay converts microseconds to a delay that can be added to a time without overflow.
 func clampDelay(micros float64) logic.Micros { return logic.Micros(min(micros, maxDelay)) }
 
 func (c *clock) scheduleAfter(d logic.Micros, do func()) { c.scheduleAt(c.now+d, do) }
 
-// next moves on to the next event up to a time and runs it; false if there is none.
+// runNext advances to the next event that is due by until and runs it. If there is none, it advances to until and returns
+// false.
 func (c *clock) runNext(until logic.Micros) bool {
 	if len(c.events) == 0 || c.events[0].at > until {
 		c.now = max(c.now, until)
@@ -66,7 +67,7 @@
 	return true
 }
 
-// derive makes the seed of the n-th component of a name.
+// deriveSeed derives the seed of the n-th component with the given name.
 func deriveSeed(seed uint64, name string, n int) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
@@ -78,7 +79,7 @@
 	return h.Sum64()
 }
 
-// stream is the random source of the n-th component of a name.
+// newRand returns the random source of the n-th component with the given name.
 func newRand(seed uint64, name string, n int) *rand.Rand {
 	s := deriveSeed(seed, name, n)
 	return rand.New(rand.NewPCG(s, ^s))
--- a/internal/hollow/destination.go
+++ b/internal/hollow/destination.go
@@ -7,26 +7,26 @@
 	"rundeal/logic"
 )
 
-// How a destination is down.
+// Outage modes of a destination.
 const (
-	outageRefused     = "refused" // connections are refused, calls under way are reset
-	outageSilent      = "silent"  // nothing is answered, and connections never come up
-	outageUnavailable = "503"     // each call is answered 503 at once
+	outageRefused     = "refused" // connections are refused, calls in progress are reset
+	outageSilent      = "silent"  // no packet is answered, so that connects time out
+	outageUnavailable = "503"     // each call is answered 503 immediately
 )
 
-// outage is a span in which a destination, or the endpoints of a failed machine, serve nothing.
+// outage is a period in which a destination, or the endpoints on a failed machine, process no calls.
 type outage struct {
 	mode      string
 	startedAt logic.Micros
 }
 
-// bucket is a token bucket. A rate that changes counts from the next call on.
+// tokenBucket is a token bucket. A changed rate also applies to the time since the last call of take.
 type tokenBucket struct {
 	capacity, tokens float64
 	refilledAt       logic.Micros
 }
 
-// take takes a token, if there is one, at a rate in tokens a second.
+// take refills the bucket at rate tokens per second and takes one token; it returns false if there is none.
 func (b *tokenBucket) take(now logic.Micros, rate float64) bool {
 	b.tokens = min(b.capacity, b.tokens+rate*float64(now-b.refilledAt)/float64(logic.Second))
 	b.refilledAt = now
@@ -37,37 +37,38 @@
 	return true
 }
 
-// fallBound is what a cold destination bears in a window in which its settings allow n calls: chance has room.
+// maxWindowCalls is the number of calls that a cold destination tolerates in a window whose settings allow n calls. The
+// margin of 2√n + 2 covers random variation of the arrivals.
 func maxWindowCalls(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
-// destination is one customer's system: endpoints that share a limit, outages and the return from them.
+// destination is one customer's system: a set of endpoints that share a rate limit, outages and the recovery from them.
 type destination struct {
 	id            int
 	config        *DestinationsConfig
 	recovery      *RecoveryConfig
-	endpoints     []*endpoint // those that may be called, replaced ones too until they are gone
+	endpoints     []*endpoint // all ever created, replaced ones included
 	rng           *rand.Rand
 	bucket        tokenBucket
-	limitFactor   float64 // of the limit
-	recentCalls   float64 // calls let in, discounted with a time constant of a second
+	limitFactor   float64 // product of the limit faults in effect
+	recentCalls   float64 // admitted calls, decaying exponentially with a time constant of 1 s
 	recentCallsAt logic.Micros
 
-	outage         *outage
-	outageEnd      logic.Micros // when it ends
-	recoveredAt    logic.Micros // end of the last one; -1 if there was none
-	recentArrivals []arrival    // calls since then, of one window
-	informed       map[int]bool // senders that had an outcome of the last outage
+	outage         *outage // nil while it is up
+	outageEnd      logic.Micros
+	recoveredAt    logic.Micros // end of the last outage; -1 if there was none
+	recentArrivals []arrival    // since recoveredAt, within the last window
+	informed       map[int]bool // senders that had a failed call in the last outage
 	worstWindow    ColdWindow
 }
 
-// ColdWindow is the window of a cold return with most calls for what it allows.
+// ColdWindow is the window of a cold recovery with the highest ratio of calls to allowed calls.
 type ColdWindow struct {
 	Dest    int     `json:"dest"`
 	Calls   int     `json:"calls"`
-	Allowed float64 `json:"allowed"` // N + 2√N + 2
+	Allowed float64 `json:"allowed"` // N + 2√N + 2, see maxWindowCalls
 }
 
-// part is the share of the allowed calls that came.
+// ratio is the number of calls divided by the number allowed.
 func (w ColdWindow) ratio() float64 {
 	if w.Allowed == 0 {
 		return 0
@@ -76,16 +77,17 @@
 }
 
 func newDestination(id int, sc *Scenario) *destination {
-	return &destination{id: id, config: &sc.Destinations, recovery: &sc.Recovery, rng: newRand(sc.Seed, "destination", id), limitFactor: 1, recoveredAt: -1,
+	return &destination{id: id, config: &sc.Destinations, recovery: &sc.Recovery, rng: newRand(sc.Seed, "destination", id),
+		limitFactor: 1, recoveredAt: -1,
 		bucket: tokenBucket{capacity: sc.Destinations.Burst, tokens: sc.Destinations.Burst}}
 }
 
-// isCold says whether the destination has not yet all of its limit after an outage.
+// isCold reports whether the destination is still below its full limit after an outage.
 func (d *destination) isCold(now logic.Micros) bool {
 	return d.recoveredAt >= 0 && now < d.recoveredAt+d.recovery.WarmUpTime.Micros
 }
 
-// rate is the limit in calls a second: after an outage it rises linearly.
+// rate is the current limit in calls per second. After an outage it rises linearly to the full limit.
 func (d *destination) rate(now logic.Micros) float64 {
 	r := d.config.Rate * d.limitFactor
 	if d.isCold(now) {
@@ -94,14 +96,15 @@
 	return r
 }
 
-// arrival is a call that has come in at a cold destination.
+// arrival is a call received by a cold destination.
 type arrival struct {
 	at       logic.Micros
-	informed bool // its sender had been told of the outage
+	informed bool // its sender had a failed call in the outage
 }
 
-// arrives counts a call of a sender that has come in and says whether a cold destination falls of it.
-func (d *destination) recordArrival(now logic.Micros, sender int) (falls bool) {
+// recordArrival counts a call received from a sender and reports whether it overloads a cold destination, so that the
+// destination relapses into an outage.
+func (d *destination) recordArrival(now logic.Micros, sender int) (relapses bool) {
 	if !d.isCold(now) {
 		return false
 	}
@@ -110,15 +113,15 @@
 		i++
 	}
 	d.recentArrivals = append(d.recentArrivals[i:], arrival{now, d.informed[sender]})
-	n := d.recovery.RelapseMultiple * d.rate(now) * float64(d.recovery.RelapseWindow.Micros) / float64(logic.Second)
-	w := ColdWindow{d.id, len(d.recentArrivals), maxWindowCalls(n)}
+	allowed := d.recovery.RelapseMultiple * d.rate(now) * float64(d.recovery.RelapseWindow.Micros) / float64(logic.Second)
+	w := ColdWindow{d.id, len(d.recentArrivals), maxWindowCalls(allowed)}
 	if w.ratio() > d.worstWindow.ratio() {
 		d.worstWindow = w
 	}
 	return float64(w.Calls) > w.Allowed
 }
 
-// blamed says whether over two thirds of the calls in the window came from senders that had been told.
+// mostlyInformed reports whether over two thirds of the calls in the window came from senders that knew of the outage.
 func (d *destination) mostlyInformed() bool {
 	n := 0
 	for _, a := range d.recentArrivals {
@@ -129,7 +132,7 @@
 	return 3*n > 2*len(d.recentArrivals)
 }
 
-// admits says whether the limit lets a call in.
+// admit reports whether the rate limit allows a call, and counts it if so.
 func (d *destination) admit(now logic.Micros) bool {
 	d.decayRecentCalls(now)
 	if !d.bucket.take(now, d.rate(now)) {
@@ -144,7 +147,7 @@
 	d.recentCallsAt = now
 }
 
-// report is what answers tell: the share of the limit that is left, and the limit.
+// loadReport returns the load figures sent with an answer: the unused share of the limit, and the limit when warm.
 func (d *destination) loadReport(now logic.Micros) []float64 {
 	if !d.config.ReportsLoad {
 		return nil
@@ -153,7 +156,7 @@
 	return []float64{max(0, 1-d.recentCalls/d.rate(now)), d.config.Rate * d.limitFactor}
 }
 
-// takes draws the time of a call.
+// drawServiceTime draws the duration of a call from a lognormal distribution.
 func (d *destination) drawServiceTime() logic.Micros {
 	return logic.Micros(float64(d.config.ServiceTime.Micros) * math.Exp(d.config.Sigma*d.rng.NormFloat64()))
 }
@@ -164,13 +167,13 @@
 	number      int
 	addr        string
 	machine     *machine
-	closed      bool // replaced and ended: connections are refused
-	epoch       int  // counts its processes: connections to an earlier one are gone
+	closed      bool // replaced and shut down: connections are refused
+	epoch       int  // incremented by a reset: connections of an earlier epoch are broken
 	connCount   int
 	serving     []*call
 }
 
-// out is the outage that the endpoint is in; nil if it serves.
+// currentOutage returns the outage that affects the endpoint, or nil.
 func (e *endpoint) currentOutage() *outage {
 	if e.machine.outage != nil {
 		return e.machine.outage
@@ -178,13 +181,13 @@
 	return e.destination.outage
 }
 
-// silent says whether nothing comes back from the endpoint.
+// silent reports whether the endpoint answers nothing at all.
 func (e *endpoint) silent() bool {
 	o := e.currentOutage()
 	return o != nil && o.mode == outageSilent
 }
 
-// refuses says whether the endpoint's machine is there and its process is not.
+// refusesConns reports whether the endpoint's machine is up but no process listens on it.
 func (e *endpoint) refusesConns() bool {
 	return e.machine.outage == nil && (e.closed || e.destination.outage != nil && e.destination.outage.mode == outageRefused)
 }
--- a/internal/hollow/faults.go
+++ b/internal/hollow/faults.go
@@ -4,33 +4,33 @@
 	"rundeal/logic"
 )
 
-// inject begins a fault of the timeline.
-func (f *fleet) injectFault(x FaultConfig) {
-	lasts := x.Duration.Micros
-	switch x.Kind {
+// injectFault starts a fault of the scenario's timeline.
+func (f *fleet) injectFault(fault FaultConfig) {
+	duration := fault.Duration.Micros
+	switch fault.Kind {
 	case faultOutage:
-		for _, d := range f.destinations[x.First : x.First+x.Count] {
-			f.startOutage(d, x.OutageMode, lasts)
+		for _, d := range f.destinations[fault.First : fault.First+fault.Count] {
+			f.startOutage(d, fault.OutageMode, duration)
 		}
 	case faultLimit:
-		for _, d := range f.destinations[x.First : x.First+x.Count] {
-			d.limitFactor *= x.Factor
-			f.scheduleAfter(lasts, func() { d.limitFactor /= x.Factor })
+		for _, d := range f.destinations[fault.First : fault.First+fault.Count] {
+			d.limitFactor *= fault.Factor
+			f.scheduleAfter(duration, func() { d.limitFactor /= fault.Factor })
 		}
 	case faultRestart:
-		for _, s := range f.senders[x.First : x.First+x.Count] {
+		for _, s := range f.senders[fault.First : fault.First+fault.Count] {
 			f.restartSender(s)
 		}
 	case faultLoss:
-		for _, s := range f.senders[x.First : x.First+x.Count] {
-			f.failMachines([]*machine{s.machine}, max(lasts, f.scenario.Fleet.RestartTime.Micros))
+		for _, s := range f.senders[fault.First : fault.First+fault.Count] {
+			f.failMachines([]*machine{s.machine}, max(duration, f.scenario.Fleet.RestartTime.Micros))
 		}
 	case faultRack:
-		f.failMachines(f.matchingMachines(func(m *machine) bool { return m.rack == x.First }), lasts)
+		f.failMachines(f.matchingMachines(func(m *machine) bool { return m.rack == fault.First }), duration)
 	case faultZone:
-		f.failMachines(f.matchingMachines(func(m *machine) bool { return m.zone == x.First }), lasts)
+		f.failMachines(f.matchingMachines(func(m *machine) bool { return m.zone == fault.First }), duration)
 	case faultLink:
-		f.topology.cutUntil[linkKey(x.First, x.Other)] = max(f.topology.cutUntil[linkKey(x.First, x.Other)], f.now+lasts)
+		f.topology.cutUntil[linkKey(fault.First, fault.Other)] = max(f.topology.cutUntil[linkKey(fault.First, fault.Other)], f.now+duration)
 	}
 }
 
@@ -48,48 +48,48 @@
 	return list
 }
 
-// restart kills a sender's process; it starts again with its journal.
+// restartSender kills a sender's process, which starts again with its journal after the restart time.
 func (f *fleet) restartSender(s *sender) {
 	if !s.up {
 		return
 	}
 	f.stats.Restarts++
 	s.kill(false)
-	life := s.incarnation
+	incarnation := s.incarnation
 	f.scheduleAfter(f.scenario.Fleet.RestartTime.Micros, func() {
-		if !s.up && s.incarnation == life && s.machine.outage == nil {
+		if !s.up && s.incarnation == incarnation && s.machine.outage == nil {
 			s.start()
 		}
 	})
 }
 
-// failMachines takes machines away for a while. Senders come back with nothing, endpoints with no connections.
-func (f *fleet) failMachines(list []*machine, lasts logic.Micros) {
+// failMachines makes machines vanish for a time. Senders come back without a journal, endpoints without connections.
+func (f *fleet) failMachines(list []*machine, duration logic.Micros) {
 	o := &outage{mode: outageSilent, startedAt: f.now}
-	struck := map[*machine]bool{}
+	affected := map[*machine]bool{}
 	for _, m := range list {
-		m.outageEnd = max(m.outageEnd, f.now+lasts)
+		m.outageEnd = max(m.outageEnd, f.now+duration)
 		if m.outage == nil {
 			m.outage = o
-			struck[m] = true
+			affected[m] = true
 		}
 	}
 	for _, s := range f.senders {
-		if struck[s.machine] {
+		if affected[s.machine] {
 			f.stats.Losses++
 			s.kill(true)
-			f.scheduleAfter(lasts, func() { f.recoverSender(s) })
+			f.scheduleAfter(duration, func() { f.recoverSender(s) })
 		}
 	}
 	for _, e := range f.endpoints {
-		if struck[e.machine] {
-			e.serving = nil // these never run
-			f.scheduleAfter(lasts, func() { f.recoverEndpoint(e, o) })
+		if affected[e.machine] {
+			e.serving = nil // calls in progress never complete
+			f.scheduleAfter(duration, func() { f.recoverEndpoint(e, o) })
 		}
 	}
 }
 
-// senderBack starts a sender on a machine with nothing, once no failure holds it.
+// recoverSender starts a sender on an empty machine, once no failure of the machine is in effect.
 func (f *fleet) recoverSender(s *sender) {
 	if f.now < s.machine.outageEnd {
 		f.scheduleAt(s.machine.outageEnd, func() { f.recoverSender(s) })
@@ -110,29 +110,29 @@
 	f.forgetOutage(o)
 }
 
-// reset ends all connections to an endpoint; calls under way are cut off.
+// resetConnections breaks all connections to an endpoint, also those with calls in progress.
 func (f *fleet) resetConnections(e *endpoint) {
 	e.epoch++
 	e.connCount = 0
-	cut := e.serving
+	interrupted := e.serving
 	e.serving = nil
-	for _, c := range cut {
+	for _, c := range interrupted {
 		c.respond(logic.Severed, 0, nil)
 	}
 }
 
-// startOutage takes a destination down. If it is down already, the later end counts.
-func (f *fleet) startOutage(d *destination, how string, lasts logic.Micros) {
-	d.outageEnd = max(d.outageEnd, f.now+lasts)
+// startOutage takes a destination down. If it is down already, it stays so until the later of the two ends.
+func (f *fleet) startOutage(d *destination, mode string, duration logic.Micros) {
+	d.outageEnd = max(d.outageEnd, f.now+duration)
 	if d.outage != nil {
 		return
 	}
-	f.traceEvent(traceOutageStart, d.id, int(lasts), 0)
+	f.traceEvent(traceOutageStart, d.id, int(duration), 0)
 	f.stats.Outages++
-	d.outage, d.informed = &outage{mode: how, startedAt: f.now}, map[int]bool{}
+	d.outage, d.informed = &outage{mode: mode, startedAt: f.now}, map[int]bool{}
 	f.stats.recordColdWindow(d.worstWindow)
 	d.worstWindow = ColdWindow{}
-	if how == outageRefused {
+	if mode == outageRefused {
 		for _, e := range d.endpoints {
 			f.resetConnections(e)
 		}
@@ -140,7 +140,7 @@
 	f.scheduleAt(d.outageEnd, func() { f.endOutage(d) })
 }
 
-// endOutage brings a destination back, cold, once its time is up.
+// endOutage brings a destination back once the outage has ended. It is cold at first.
 func (f *fleet) endOutage(d *destination) {
 	if f.now < d.outageEnd {
 		f.scheduleAt(d.outageEnd, func() { f.endOutage(d) })
@@ -150,7 +150,7 @@
 	o := d.outage
 	d.outage, d.recoveredAt, d.recentArrivals = nil, f.now, nil
 	d.bucket.tokens, d.bucket.refilledAt = 0, f.now
-	if o.mode == outageSilent { // kept connections lead nowhere
+	if o.mode == outageSilent { // the senders' idle connections are broken
 		for _, e := range d.endpoints {
 			f.resetConnections(e)
 		}
@@ -158,7 +158,7 @@
 	f.forgetOutage(o)
 }
 
-// forgetOutage drops what senders make of an outage that has ended.
+// forgetOutage drops the senders' detection state of an outage that has ended and counts those who never detected it.
 func (f *fleet) forgetOutage(o *outage) {
 	for _, s := range f.senders {
 		if s.detections[o] == nil {
@@ -175,27 +175,28 @@
 	}
 }
 
-// randomOutages takes a destination down and up at random, so that the share that is down holds from the start.
+// randomOutages schedules random outages of a destination. The first one may start at once, so that the configured share
+// of destinations is down from the start of the run.
 func (f *fleet) randomOutages(d *destination) {
-	set := &f.scenario.Destinations
-	if set.DownShare == 0 {
+	config := &f.scenario.Destinations
+	if config.DownShare == 0 {
 		return
 	}
-	r := newRand(f.scenario.Seed, "outages", d.id)
-	mean := float64(set.MeanOutage.Micros)
-	var down func()
-	down = func() {
-		how := set.OutageMode
-		if how == "mixed" {
-			how = outageModes[r.IntN(len(outageModes))]
+	rng := newRand(f.scenario.Seed, "outages", d.id)
+	mean := float64(config.MeanOutage.Micros)
+	var startNext func()
+	startNext = func() {
+		mode := config.OutageMode
+		if mode == "mixed" {
+			mode = outageModes[rng.IntN(len(outageModes))]
 		}
-		lasts := mean * r.ExpFloat64()
-		f.startOutage(d, how, clampDelay(lasts))
-		f.scheduleAfter(clampDelay(lasts+mean*(1-set.DownShare)/set.DownShare*r.ExpFloat64()), down)
+		duration := mean * rng.ExpFloat64()
+		f.startOutage(d, mode, clampDelay(duration))
+		f.scheduleAfter(clampDelay(duration+mean*(1-config.DownShare)/config.DownShare*rng.ExpFloat64()), startNext)
 	}
-	if r.Float64() < set.DownShare {
-		down()
+	if rng.Float64() < config.DownShare {
+		startNext()
 		return
 	}
-	f.scheduleAfter(clampDelay(mean*(1-set.DownShare)/set.DownShare*r.ExpFloat64()), down)
+	f.scheduleAfter(clampDelay(mean*(1-config.DownShare)/config.DownShare*rng.ExpFloat64()), startNext)
 }
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -16,7 +16,7 @@
 	"rundeal/logic"
 )
 
-// What the trace notes.
+// Codes of the trace. Their values are part of the digest.
 const (
 	traceArrival = iota
 	traceCall
@@ -29,7 +29,7 @@
 	traceOutageEnd
 )
 
-// fleet is a run under way.
+// fleet is the state of a run.
 type fleet struct {
 	clock
 	scenario        *Scenario
@@ -39,8 +39,8 @@
 	endpoints       []*endpoint
 	discovery       *discovery
 	senders         []*sender
-	popularitySums  []float64 // of destinations, summed up; nil if even
-	classShareSums  []float64 // of classes, summed up
+	popularitySums  []float64 // cumulative weights of the destinations; nil if all are equally popular
+	classShareSums  []float64 // cumulative shares of the classes
 	changesRand     *rand.Rand
 	messageCount    uint64
 	stats           *stats
@@ -48,72 +48,72 @@
 	err             error
 }
 
-// traceEvent adds to the digest of the trace: what, when and three numbers.
-func (f *fleet) traceEvent(what, a, b, c int) {
-	var text [40]byte
-	for i, x := range []uint64{uint64(what), uint64(f.now), uint64(a), uint64(b), uint64(c)} {
-		binary.LittleEndian.PutUint64(text[8*i:], x)
+// traceEvent adds an event code, the current time and three values to the digest of the trace.
+func (f *fleet) traceEvent(code, a, b, c int) {
+	var buf [40]byte
+	for i, x := range []uint64{uint64(code), uint64(f.now), uint64(a), uint64(b), uint64(c)} {
+		binary.LittleEndian.PutUint64(buf[8*i:], x)
 	}
-	f.digest.Write(text[:])
+	f.digest.Write(buf[:])
 }
 
 func (f *fleet) fail(err error) { f.err = errors.Join(f.err, err) }
 
-// Options are what a run has beside its scenario.
+// Options are the options of a run that are not part of its scenario.
 type Options struct {
-	MemoryMB float64        // a run that needs more is refused; 0 for no limit
-	Progress func(Progress) // told each few seconds of a long run; nil for nobody
+	MemoryMB float64        // a run with a higher estimate is refused; 0 for no limit
+	Progress func(Progress) // called every few seconds of a long run; may be nil
 }
 
-// Progress is how far a run has come.
+// Progress is the virtual time and the number of messages that a run has reached.
 type Progress struct {
 	Now, End Span
 	Offered  int64
 }
 
 const (
-	eventsPerCheck = 4096 // events between two looks at the time and the context
+	eventsPerCheck = 4096 // events between two checks of the wall clock and the context
 	progressAfter  = 10 * time.Second
 	progressEvery  = 5 * time.Second
 )
 
-// Run plays a scenario. If ctx ends before it does, the report says so and holds what was measured.
-func Run(ctx context.Context, sc *Scenario, opt Options) (*Report, error) {
-	if err := sc.validate("scenario", nil); err != nil { // what was set beside the file
+// Run simulates a scenario. If ctx ends first, the report is marked as interrupted and holds what was measured until then.
+func Run(ctx context.Context, sc *Scenario, opts Options) (*Report, error) {
+	if err := sc.validate("scenario", nil); err != nil { // the caller may have changed fields after loading
 		return nil, err
 	}
-	if need := sc.MemoryMB(); opt.MemoryMB > 0 && need > opt.MemoryMB {
-		return nil, fmt.Errorf("%d senders with %d destinations of %d endpoints need about %.0f MB, and %.0f MB is the limit: fewer senders, or fewer destinations",
-			sc.Fleet.Senders, sc.Destinations.Count, sc.Destinations.Endpoints, need, opt.MemoryMB)
+	if needMB := sc.MemoryMB(); opts.MemoryMB > 0 && needMB > opts.MemoryMB {
+		return nil, fmt.Errorf("%d senders with %d destinations of %d endpoints need about %.0f MB, but %.0f MB is the limit; use fewer senders or destinations",
+			sc.Fleet.Senders, sc.Destinations.Count, sc.Destinations.Endpoints, needMB, opts.MemoryMB)
 	}
-	began, used := time.Now(), cpuTime()
+	wallStart, cpuStart := time.Now(), cpuTime()
 	end := sc.Length().Micros
 	f := newFleet(sc)
-	said, cut := began, false
-	look := func() bool { // whether to go on
+	lastProgress, interrupted := wallStart, false
+	checkpoint := func() bool { // reports progress and returns whether to continue
 		now := time.Now()
-		if opt.Progress != nil && now.Sub(began) > progressAfter && now.Sub(said) > progressEvery {
-			said = now
-			opt.Progress(Progress{Span{f.now}, Span{end}, f.stats.Offered})
+		if opts.Progress != nil && now.Sub(wallStart) > progressAfter && now.Sub(lastProgress) > progressEvery {
+			lastProgress = now
+			opts.Progress(Progress{Span{f.now}, Span{end}, f.stats.Offered})
 		}
-		cut = ctx.Err() != nil
-		return !cut
+		interrupted = ctx.Err() != nil
+		return !interrupted
 	}
-	before := heapBytes()
-	f.start(look)
-	f.stats.heapBytes = heapBytes() - before
-	for n := 1; !cut && f.err == nil && f.runNext(end); n++ {
+	heapBefore := heapBytes()
+	f.start(checkpoint)
+	f.stats.heapBytes = heapBytes() - heapBefore
+	for n := 1; !interrupted && f.err == nil && f.runNext(end); n++ {
 		if n%eventsPerCheck == 0 {
-			look()
+			checkpoint()
 		}
 	}
 	if f.err != nil {
 		return nil, f.err
 	}
-	return f.report(cut, time.Since(began), cpuTime()-used), nil
+	return f.report(interrupted, time.Since(wallStart), cpuTime()-cpuStart), nil
 }
 
-// heapBytes is the number of bytes in use.
+// heapBytes returns the bytes of live heap objects after a garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -122,8 +122,8 @@
 }
 
 func newFleet(sc *Scenario) *fleet {
-	f := &fleet{scenario: sc, topology: newTopology(sc), endpointsByAddr: map[string]*endpoint{}, changesRand: newRand(sc.Seed, "changes", 0),
-		stats: newStats(), digest: fnv.New64a()}
+	f := &fleet{scenario: sc, topology: newTopology(sc), endpointsByAddr: map[string]*endpoint{},
+		changesRand: newRand(sc.Seed, "changes", 0), stats: newStats(), digest: fnv.New64a()}
 	f.discovery = newDiscovery(f)
 	for i := range sc.Destinations.Count {
 		d := newDestination(i, sc)
@@ -151,64 +151,64 @@
 	return f
 }
 
-// newEndpoint sets up an endpoint on a machine of its own.
+// newEndpoint creates an endpoint on its own machine.
 func (f *fleet) newEndpoint(d *destination, zone int) *endpoint {
-	n, racks := len(f.endpoints), f.scenario.Fleet.RacksPerZone
-	e := &endpoint{destination: d, number: n, addr: fmt.Sprintf("10.%d.%d.%d:6379", n>>16, n>>8&255, n&255),
-		machine: &machine{zone: zone, rack: zone*racks + n/f.scenario.Fleet.Zones%racks}}
+	number, racks := len(f.endpoints), f.scenario.Fleet.RacksPerZone
+	e := &endpoint{destination: d, number: number, addr: fmt.Sprintf("10.%d.%d.%d:6379", number>>16, number>>8&255, number&255),
+		machine: &machine{zone: zone, rack: zone*racks + number/f.scenario.Fleet.Zones%racks}}
 	f.endpoints = append(f.endpoints, e)
 	d.endpoints = append(d.endpoints, e)
 	f.endpointsByAddr[e.addr] = e
 	return e
 }
 
-// start starts all senders, unless it is not to go on, and sets what is to come.
-func (f *fleet) start(look func() bool) {
+// start starts all senders, unless checkpoint returns false, and schedules faults, changes and samples.
+func (f *fleet) start(checkpoint func() bool) {
 	for _, s := range f.senders {
-		if !look() {
+		if !checkpoint() {
 			return
 		}
 		f.discovery.sendFullList(s)
-		s.appliedGeneration = s.agentGeneration // it is the list of the start, no change
+		s.appliedGeneration = s.agentGeneration // the initial list does not count as a change
 		s.start()
 		f.generateArrivals(s)
 	}
 	for _, d := range f.destinations {
 		f.randomOutages(d)
 	}
-	f.scheduleDaily(f.changesRand, f.scenario.Discovery.ChangesPerDay/2, f.discovery.replaceEndpoint) // each makes two changes
+	f.scheduleDaily(f.changesRand, f.scenario.Discovery.ChangesPerDay/2, f.discovery.replaceEndpoint) // each replacement publishes two changes
 	restarts, losses := newRand(f.scenario.Seed, "restarts", 0), newRand(f.scenario.Seed, "losses", 0)
 	f.scheduleDaily(restarts, f.scenario.Fleet.RestartsPerDay, func() { f.restartSender(f.senders[restarts.IntN(len(f.senders))]) })
 	f.scheduleDaily(losses, f.scenario.Fleet.LossesPerDay, func() {
 		f.failMachines([]*machine{f.senders[losses.IntN(len(f.senders))].machine}, f.scenario.Fleet.RestartTime.Micros)
 	})
-	for _, x := range f.scenario.Faults {
-		f.scheduleAt(x.At.Micros, func() { f.injectFault(x) })
+	for _, fault := range f.scenario.Faults {
+		f.scheduleAt(fault.At.Micros, func() { f.injectFault(fault) })
 	}
 	for i := range sampleCount {
 		f.scheduleAt(f.scenario.Length().Micros*logic.Micros(i+1)/sampleCount, f.sample)
 	}
 }
 
-// daily has something happen at random, so many times a day on average, while clients send.
+// scheduleDaily runs do as a Poisson process with perDay events a day on average, for as long as clients submit messages.
 func (f *fleet) scheduleDaily(r *rand.Rand, perDay float64, do func()) {
 	if perDay <= 0 {
 		return
 	}
 	gap := func() logic.Micros { return clampDelay(float64(f.scenario.Day.Micros) / perDay * r.ExpFloat64()) }
-	var again func()
-	again = func() {
+	var repeat func()
+	repeat = func() {
 		if f.now < f.scenario.Duration.Micros {
 			do()
-			f.scheduleAfter(gap(), again)
+			f.scheduleAfter(gap(), repeat)
 		}
 	}
-	f.scheduleAfter(gap(), again)
+	f.scheduleAfter(gap(), repeat)
 }
 
-// arrivals has clients hand messages to a sender.
+// generateArrivals schedules the messages that clients submit to a sender, as a Poisson process.
 func (f *fleet) generateArrivals(s *sender) {
-	r := s.clientRand
+	rng := s.clientRand
 	mean := float64(len(f.senders)) / f.scenario.Traffic.Rate * float64(logic.Second)
 	var next func()
 	next = func() {
@@ -216,70 +216,71 @@
 			return
 		}
 		f.messageCount++
-		o := &clientMessage{number: f.messageCount, createdAt: f.now, class: pickWeighted(f.classShareSums, r)}
+		m := &clientMessage{number: f.messageCount, createdAt: f.now, class: pickWeighted(f.classShareSums, rng)}
 		if f.popularitySums == nil {
-			o.dest = r.IntN(len(f.destinations))
+			m.dest = rng.IntN(len(f.destinations))
 		} else {
-			o.dest = pickWeighted(f.popularitySums, r)
+			m.dest = pickWeighted(f.popularitySums, rng)
 		}
 		f.stats.Offered++
-		f.traceEvent(traceArrival, s.number, o.class, o.dest)
+		f.traceEvent(traceArrival, s.number, m.class, m.dest)
 		if n := f.stats.open(); n > f.stats.peakHeld {
 			f.stats.peakHeld, f.stats.peakAt = n, f.now
 		}
 		zone := s.machine.zone
 		f.stats.withClients++
-		f.scheduleAfter(f.topology.delay(zone, zone, r), func() {
+		f.scheduleAfter(f.topology.delay(zone, zone, rng), func() {
 			f.stats.withClients--
-			f.submit(s, o)
+			f.submit(s, m)
 		})
-		f.scheduleAfter(clampDelay(mean*r.ExpFloat64()), next)
+		f.scheduleAfter(clampDelay(mean*rng.ExpFloat64()), next)
 	}
-	f.scheduleAfter(clampDelay(mean*r.ExpFloat64()), next)
+	f.scheduleAfter(clampDelay(mean*rng.ExpFloat64()), next)
 }
 
-// pick draws a place by weights that are summed up.
-func pickWeighted(sums []float64, r *rand.Rand) int {
-	i, found := slices.BinarySearch(sums, r.Float64()*sums[len(sums)-1])
-	if found { // on a bound: it belongs to the next
+// pickWeighted draws an index with the probabilities given by cumulative weights.
+func pickWeighted(sums []float64, rng *rand.Rand) int {
+	i, found := slices.BinarySearch(sums, rng.Float64()*sums[len(sums)-1])
+	if found { // a value on a boundary belongs to the next interval
 		i++
 	}
 	return min(i, len(sums)-1)
 }
 
-// handIn gives a message to a sender, or to another one if that is not up.
-func (f *fleet) submit(s *sender, o *clientMessage) {
+// submit gives a message to a sender, or to another sender if that one is down. A client notices a dead process at once,
+// and a vanished machine only by a timeout.
+func (f *fleet) submit(s *sender, m *clientMessage) {
 	switch {
 	case s.up:
-		s.put(o)
+		s.put(m)
 	case s.machine.outage != nil:
-		f.redirect(s, o, clientTimeout)
+		f.redirect(s, m, clientTimeout)
 	default:
-		f.redirect(s, o, 0)
+		f.redirect(s, m, 0)
 	}
 }
 
-// redirect hands a message to any sender that is up, after a while.
-func (f *fleet) redirect(s *sender, o *clientMessage, wait logic.Micros) {
+// redirect submits a message to any sender that is up, after a delay. Past its deadline it fails.
+func (f *fleet) redirect(s *sender, m *clientMessage, delay logic.Micros) {
 	f.stats.withClients++
-	f.scheduleAfter(wait, func() {
+	f.scheduleAfter(delay, func() {
 		f.stats.withClients--
-		if f.now >= o.createdAt+f.scenario.Classes[o.class].Deadline.Micros {
-			f.endMessage(o, failed)
+		if f.now >= m.createdAt+f.scenario.Classes[m.class].Deadline.Micros {
+			f.endMessage(m, failed)
 			return
 		}
-		from := s.failoverRand.IntN(len(f.senders))
+		first := s.failoverRand.IntN(len(f.senders))
 		for k := range f.senders {
-			if x := f.senders[(from+k)%len(f.senders)]; x.up {
-				x.put(o)
+			if other := f.senders[(first+k)%len(f.senders)]; other.up {
+				other.put(m)
 				return
 			}
 		}
-		f.redirect(s, o, clientRetryDelay)
+		f.redirect(s, m, clientRetryDelay)
 	})
 }
 
-// ending is how an offer ends.
+// endState is the final state of a client's message.
 type endState int
 
 const (
@@ -288,18 +289,18 @@
 	failed
 )
 
-// end ends an offer, once.
-func (f *fleet) endMessage(o *clientMessage, e endState) {
-	if o.ended {
-		f.fail(fmt.Errorf("event %d ended twice", o.number))
+// endMessage sets the final state of a message. A second end of one message is an error of the run.
+func (f *fleet) endMessage(m *clientMessage, state endState) {
+	if m.ended {
+		f.fail(fmt.Errorf("message %d ended twice", m.number))
 		return
 	}
-	o.ended = true
-	f.traceEvent(traceMessageEnd, int(o.number), int(e), 0)
-	f.stats.countEnd(f.now-o.createdAt, e, &f.scenario.Classes[o.class])
+	m.ended = true
+	f.traceEvent(traceMessageEnd, int(m.number), int(state), 0)
+	f.stats.countEnd(f.now-m.createdAt, state, &f.scenario.Classes[m.class])
 }
 
-// held counts the events that have not ended: at senders, and with clients.
+// heldCount counts the messages that have not ended, at senders and at clients.
 func (f *fleet) heldCount() (n int64) {
 	for _, s := range f.senders {
 		for _, m := range s.messages {
--- a/internal/hollow/fleet_test.go
+++ b/internal/hollow/fleet_test.go
@@ -30,11 +30,11 @@
 }
 
 func mustRun(t interface{ Fatal(...any) }, sc *Scenario) *Report {
-	r, err := Run(context.Background(), sc, Options{})
+	report, err := Run(context.Background(), sc, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return report
 }
 
 func TestSameSeedSameRun(t *testing.T) {
@@ -102,8 +102,8 @@
 	for f.runNext(logic.Second) {
 	}
 	f.stats.Offered = 2
-	o := &clientMessage{number: 1, createdAt: f.now}
-	f.submit(s, o)
+	first := &clientMessage{number: 1, createdAt: f.now}
+	f.submit(s, first)
 	f.runNext(f.now) // the step
 	m := s.messages["1-0"]
 	if m == nil || m.call == nil {
@@ -120,7 +120,7 @@
 	}
 	for f.runNext(5 * logic.Second) {
 	}
-	if !o.ended || !late.ended || f.stats.Delivered != 2 {
+	if !first.ended || !late.ended || f.stats.Delivered != 2 {
 		t.Errorf("%d delivered of 2", f.stats.Delivered)
 	}
 }
@@ -141,8 +141,8 @@
 		t.Error("25 GB of modules are let into 12 GB")
 	}
 	sc.Fleet.Senders = -1
-	var bad *FieldError
-	if _, err := Run(context.Background(), &sc, Options{}); !errors.As(err, &bad) || bad.Field != "fleet.senders" {
+	var fieldErr *FieldError
+	if _, err := Run(context.Background(), &sc, Options{}); !errors.As(err, &fieldErr) || fieldErr.Field != "fleet.senders" {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/hollow/live.go
+++ b/internal/hollow/live.go
@@ -25,36 +25,36 @@
 )
 
 const (
-	readyTimeout       = 30 * time.Second       // a process has so long until it serves
-	stopTimeout        = 5 * time.Second        // and so long from SIGTERM to its end
-	liveClientTimeout  = 400 * time.Millisecond // a client waits so long ("Clients to senders")
-	maxBodyBytes       = 64 << 10               // most bytes of a body (the protocol's bound)
-	procTicksPerSecond = 100                    // of /proc/PID/stat, a second (USER_HZ on Linux)
+	readyTimeout       = 30 * time.Second       // for a process to become ready
+	stopTimeout        = 5 * time.Second        // from SIGTERM until SIGKILL
+	liveClientTimeout  = 400 * time.Millisecond // for an answer to a client ("Clients to senders")
+	maxBodyBytes       = 64 << 10               // the protocol's limit
+	procTicksPerSecond = 100                    // unit of the times in /proc/PID/stat (USER_HZ on Linux)
 	maxLiveSenders     = 200                    // processes
-	maxLiveEndpoints   = 2000                   // endpoints, each with a listener of its own
+	maxLiveEndpoints   = 2000                   // endpoints, each with its own listener
 )
 
-// LiveReport is what a run with real processes measured. It differs from run to run.
+// LiveReport is the result of a run with real processes. It differs from run to run.
 type LiveReport struct {
 	Senders int `json:"senders"`
 	Counts
-	Unanswered          int64     `json:"not_heard"` // events whose client got no answer in its time
+	Unanswered          int64     `json:"not_heard"` // messages whose client got no answer in time
 	Latency             Quantiles `json:"latency_ms"`
-	FullListBytes       int64     `json:"whole_list_bytes_per_sender"` // bodies
+	FullListBytes       int64     `json:"whole_list_bytes_per_sender"` // body bytes
 	EmptyListBytes      int64     `json:"empty_list_bytes_per_sender"`
-	CPUMicrosPerMessage float64   `json:"cpu_us_per_event"` // user and system time of the senders
-	MeanPeakMB          float64   `json:"peak_mb"`          // resident memory of a sender at its peak, mean
+	CPUMicrosPerMessage float64   `json:"cpu_us_per_event"` // user and system time of all senders
+	MeanPeakMB          float64   `json:"peak_mb"`          // mean of the senders' peak resident memory
 	MaxPeakMB           float64   `json:"worst_peak_mb"`
-	ReadySeconds        float64   `json:"ready_s"` // until the last of them served and had the list
+	ReadySeconds        float64   `json:"ready_s"` // until the last sender was ready and had the list
 }
 
-// live is a run of real processes against the stand-ins of the simulation, in real time.
+// liveRun is a run of real sender processes against the simulated destinations and discovery, in real time.
 type liveRun struct {
 	scenario  *Scenario
 	startedAt time.Time
-	fullList  []byte // the list as discovery sends it
+	fullList  []byte // JSON body of the endpoint list
 
-	mu           sync.Mutex // over all below, and over the destinations
+	mu           sync.Mutex // guards all fields below, and the destinations
 	destinations []*destination
 	stats        *stats
 	messages     map[string]*liveMessage // by message id
@@ -62,7 +62,7 @@
 	err          error
 }
 
-// liveOffer is an event of a live run.
+// liveMessage is a client's message in a live run.
 type liveMessage struct {
 	sender     int
 	createdAt  time.Time
@@ -79,9 +79,9 @@
 	l.err = errors.Join(l.err, err)
 }
 
-// Live plays a scenario with real processes of a program on loopback, in real time, against the destinations of
-// [Run]: same limits, same times, same traffic. Of faults it plays outages that answer 503. The network is loopback,
-// so that a call has no delay and no handshake but the machine's own.
+// Live runs a scenario with real sender processes on loopback, in real time, against the destinations of [Run] with the
+// same limits, service times and traffic. The only faults it supports are outages that answer 503. As the network is
+// loopback, delays and handshakes take only what the host itself needs.
 func Live(ctx context.Context, sc *Scenario, program string) (*LiveReport, error) {
 	if err := validateLive(sc); err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
+	start := time.Now()
 	var senders []*liveSender
 	defer func() {
 		for _, s := range senders {
@@ -124,13 +124,13 @@
 			return nil, err
 		}
 	}
-	out := &LiveReport{Senders: len(senders), ReadySeconds: time.Since(began).Seconds()}
-	before, err := cpuSeconds(senders)
+	report := &LiveReport{Senders: len(senders), ReadySeconds: time.Since(start).Seconds()}
+	cpuBefore, err := cpuSeconds(senders)
 	if err != nil {
 		return nil, err
 	}
 	l.play(ctx, senders)
-	after, err := cpuSeconds(senders)
+	cpuAfter, err := cpuSeconds(senders)
 	if err != nil {
 		return nil, err
 	}
@@ -139,24 +139,24 @@
 		if err != nil {
 			return nil, err
 		}
-		out.MeanPeakMB += mb / float64(len(senders))
-		out.MaxPeakMB = max(out.MaxPeakMB, mb)
+		report.MeanPeakMB += mb / float64(len(senders))
+		report.MaxPeakMB = max(report.MaxPeakMB, mb)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out.Counts = l.stats.Counts
-	out.Held = l.stats.open() - l.stats.withClients
-	out.Unanswered = l.stats.withClients
-	out.Latency = latencyQuantiles(l.stats.latency)
+	report.Counts = l.stats.Counts
+	report.Held = l.stats.open() - l.stats.withClients
+	report.Unanswered = l.stats.withClients
+	report.Latency = latencyQuantiles(l.stats.latency)
 	n := int64(len(senders))
-	out.FullListBytes, out.EmptyListBytes = l.listBytes.Full/n, l.listBytes.Empty/n
-	if out.Offered > 0 {
-		out.CPUMicrosPerMessage = (after - before) * 1e6 / float64(out.Offered)
+	report.FullListBytes, report.EmptyListBytes = l.listBytes.Full/n, l.listBytes.Empty/n
+	if report.Offered > 0 {
+		report.CPUMicrosPerMessage = (cpuAfter - cpuBefore) * 1e6 / float64(report.Offered)
 	}
-	return out, l.err
+	return report, l.err
 }
 
-// liveProblem says what of a scenario cannot be played live.
+// validateLive returns an error for a scenario that cannot be run with real processes.
 func validateLive(sc *Scenario) error {
 	eps := sc.Destinations.Count * sc.Destinations.Endpoints
 	switch {
@@ -165,42 +165,43 @@
 	case eps > maxLiveEndpoints:
 		return fmt.Errorf("destinations: want %d endpoints or less for real listeners, not %d", maxLiveEndpoints, eps)
 	case sc.Discovery.ChangesPerDay > 0 || sc.Fleet.RestartsPerDay > 0 || sc.Fleet.LossesPerDay > 0 || sc.Destinations.DownShare > 0:
-		return errors.New("changes, restarts, losses and shares that are down are not played live: want 0 of each")
+		return errors.New("live runs do not support list changes, restarts, losses and down_share: want 0 of each")
 	}
 	for i, x := range sc.Faults {
 		if x.Kind != faultOutage || x.OutageMode != outageUnavailable {
-			return fmt.Errorf("fault[%d]: want an outage that answers 503: no other is played live", i)
+			return fmt.Errorf("fault[%d]: want an outage that answers 503: live runs support no other fault", i)
 		}
 	}
 	return nil
 }
 
-// serve runs a server on an address of its own until ctx is over, and says where.
-func (l *liveRun) serve(ctx context.Context, all *sync.WaitGroup, h http.Handler, idle time.Duration, state func(net.Conn, http.ConnState)) (string, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// serve runs an HTTP server on a free port until ctx is done, and returns its address.
+func (l *liveRun) serve(ctx context.Context, wg *sync.WaitGroup, handler http.Handler, idleTimeout time.Duration,
+	onConnState func(net.Conn, http.ConnState)) (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	srv := &http.Server{Handler: h, IdleTimeout: idle, ReadHeaderTimeout: readyTimeout, ConnState: state,
+	srv := &http.Server{Handler: handler, IdleTimeout: idleTimeout, ReadHeaderTimeout: readyTimeout, ConnState: onConnState,
 		BaseContext: func(net.Listener) context.Context { return ctx }}
-	all.Add(2)
+	wg.Add(2)
 	go func() {
-		defer all.Done()
-		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+		defer wg.Done()
+		if err := srv.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			l.fail(err)
 		}
 	}()
 	go func() {
-		defer all.Done()
+		defer wg.Done()
 		<-ctx.Done()
-		srv.Close() // its connections are of no use any more
+		srv.Close() // open connections are no longer needed
 	}()
-	return ln.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
-// serveDestinations opens a listener for each endpoint and writes the list of them.
-func (l *liveRun) serveDestinations(ctx context.Context, all *sync.WaitGroup) error {
-	whole := listResponse{Generation: 1, Reset: true}
+// serveDestinations starts a server for each endpoint and encodes the endpoint list.
+func (l *liveRun) serveDestinations(ctx context.Context, wg *sync.WaitGroup) error {
+	full := listResponse{Generation: 1, Reset: true}
 	for i := range l.scenario.Destinations.Count {
 		d := newDestination(i, l.scenario)
 		l.destinations = append(l.destinations, d)
@@ -208,7 +209,7 @@
 			zone := (i + k*max(l.scenario.Fleet.Zones/l.scenario.Destinations.Endpoints, 1)) % l.scenario.Fleet.Zones
 			mux := http.NewServeMux()
 			mux.HandleFunc("POST /inbox", func(w http.ResponseWriter, r *http.Request) { l.handleInbox(w, r, d) })
-			addr, err := l.serve(ctx, all, mux, toDuration(l.scenario.Destinations.ConnIdleTimeout), func(_ net.Conn, s http.ConnState) {
+			addr, err := l.serve(ctx, wg, mux, toDuration(l.scenario.Destinations.ConnIdleTimeout), func(_ net.Conn, s http.ConnState) {
 				if s == http.StateNew {
 					l.mu.Lock()
 					l.stats.Connections++
@@ -218,96 +219,96 @@
 			if err != nil {
 				return err
 			}
-			x := node.Instance{ID: fmt.Sprintf("s-%08x", len(whole.Instances)), HostPort: addr, Zone: fmt.Sprint("z", zone),
+			x := node.Instance{ID: fmt.Sprintf("s-%08x", len(full.Instances)), HostPort: addr, Zone: fmt.Sprint("z", zone),
 				Kind: machineType, Dest: int64(i), Lifecycle: "up", Weight: 1}
 			if l.scenario.Destinations.NominalWeights {
 				x.Weight = l.scenario.Destinations.Rate
 			}
-			whole.Instances = append(whole.Instances, instance{Instance: x})
+			full.Instances = append(full.Instances, instance{Instance: x})
 		}
 	}
 	var err error
-	l.fullList, err = json.Marshal(whole)
+	l.fullList, err = json.Marshal(full)
 	return err
 }
 
 func toDuration(s Span) time.Duration { return time.Duration(s.Micros) * time.Microsecond }
 
-// inbox answers a call as the destination of the simulation would ("Senders to endpoints").
+// handleInbox answers a call as the simulated destination would ("Senders to endpoints").
 func (l *liveRun) handleInbox(w http.ResponseWriter, r *http.Request, d *destination) {
 	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)); err != nil {
-		return // it broke off: not a call
+		return // the request is incomplete and does not count as a call
 	}
 	l.mu.Lock()
-	now, set := l.now(), &l.scenario.Destinations
-	o := l.messages[r.Header.Get("X-Trace-Id")]
+	now, config := l.now(), &l.scenario.Destinations
+	m := l.messages[r.Header.Get("X-Trace-Id")]
 	l.stats.Calls++
 	l.endExpiredOutage(d, now)
-	status, takes := http.StatusServiceUnavailable, logic.Micros(0)
+	status, serviceTime := http.StatusServiceUnavailable, logic.Micros(0)
 	switch {
-	case o == nil:
+	case m == nil:
 		status = http.StatusBadRequest
-		l.err = errors.Join(l.err, fmt.Errorf("a call with a message that no client handed in: %q", r.Header.Get("X-Trace-Id")))
+		l.err = errors.Join(l.err, fmt.Errorf("call with an unknown message: X-Trace-Id %q", r.Header.Get("X-Trace-Id")))
 	case d.outage != nil:
 		l.stats.IntoOutages++
 		l.setLoadHeader(w, d, now)
-	case d.recordArrival(now, o.sender):
+	case d.recordArrival(now, m.sender):
 		l.stats.Relapses++
 		l.startOutage(d, toDuration(l.scenario.Recovery.RelapseDuration))
 	case !d.admit(now):
 		l.stats.OverLimit++
-		if set.RefusalStatus == "429" {
+		if config.RefusalStatus == "429" {
 			status = http.StatusTooManyRequests
-			w.Header().Set("X-Come-Back-Ms", strconv.FormatInt(int64(set.RetryAfter.Micros)/1000, 10))
+			w.Header().Set("X-Come-Back-Ms", strconv.FormatInt(int64(config.RetryAfter.Micros)/1000, 10))
 		}
 		l.setLoadHeader(w, d, now)
 	default:
-		status, takes = http.StatusOK, d.drawServiceTime()
+		status, serviceTime = http.StatusOK, d.drawServiceTime()
 	}
 	l.mu.Unlock()
 	if status != http.StatusOK {
 		w.WriteHeader(status)
 		return
 	}
-	work := time.NewTimer(time.Duration(takes) * time.Microsecond)
-	defer work.Stop()
+	timer := time.NewTimer(time.Duration(serviceTime) * time.Microsecond)
+	defer timer.Stop()
 	select {
-	case <-work.C:
+	case <-timer.C:
 	case <-r.Context().Done():
 		return
 	}
 	l.mu.Lock()
-	if o.executions++; o.executions > 1 {
+	if m.executions++; m.executions > 1 {
 		l.stats.Repeats++
 	}
-	l.endMessage(o, delivered)
+	l.endMessage(m, delivered)
 	l.setLoadHeader(w, d, l.now())
 	l.mu.Unlock()
 	w.WriteHeader(http.StatusOK)
 }
 
-// report adds what answers tell, where they do. The lock is held.
+// setLoadHeader adds the load report to an answer if the destination sends reports. l.mu must be held.
 func (l *liveRun) setLoadHeader(w http.ResponseWriter, d *destination, now logic.Micros) {
 	if load := d.loadReport(now); load != nil {
 		w.Header().Set("Endpoint-Load-Metrics", fmt.Sprintf("x0=%.3f,x1=%.3f", load[0], load[1]))
 	}
 }
 
-// end counts the first end of an event. The lock is held.
-func (l *liveRun) endMessage(o *liveMessage, e endState) {
-	if !o.ended {
-		o.ended = true
-		l.stats.countEnd(logic.Micros(time.Since(o.createdAt)/time.Microsecond), e, &l.scenario.Classes[o.class])
+// endMessage counts the first end of a message and ignores later ones. l.mu must be held.
+func (l *liveRun) endMessage(m *liveMessage, state endState) {
+	if !m.ended {
+		m.ended = true
+		l.stats.countEnd(logic.Micros(time.Since(m.createdAt)/time.Microsecond), state, &l.scenario.Classes[m.class])
 	}
 }
 
-// down takes a destination down for a while, after which it is cold. The lock is held.
-func (l *liveRun) startOutage(d *destination, span time.Duration) {
+// startOutage takes a destination down for a time, after which it is cold. l.mu must be held.
+func (l *liveRun) startOutage(d *destination, duration time.Duration) {
 	l.stats.Outages++
-	d.outage, d.outageEnd = &outage{mode: outageUnavailable, startedAt: l.now()}, l.now()+logic.Micros(span/time.Microsecond)
+	d.outage, d.outageEnd = &outage{mode: outageUnavailable, startedAt: l.now()}, l.now()+logic.Micros(duration/time.Microsecond)
 }
 
-// back ends an outage whose time is up. The lock is held.
+// endExpiredOutage ends the outage of a destination if its time is over. l.mu must be held.
 func (l *liveRun) endExpiredOutage(d *destination, now logic.Micros) {
 	if d.outage != nil && now >= d.outageEnd {
 		d.outage, d.recoveredAt, d.recentArrivals = nil, d.outageEnd, nil
@@ -315,28 +316,29 @@
 	}
 }
 
-// platform is discovery's agent of all senders, and hears of ends ("Discovery", "Notices").
+// platformHandler serves the discovery agent of all senders and receives notices of ended messages ("Discovery",
+// "Notices").
 func (l *liveRun) platformHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /discovery/hosts", func(w http.ResponseWriter, r *http.Request) {
-		body, empty := l.fullList, r.URL.Query().Get("from") != ""
-		if empty {
+		body, watch := l.fullList, r.URL.Query().Get("from") != ""
+		if watch {
 			ms, err := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 			if err != nil {
 				w.WriteHeader(http.StatusBadRequest)
 				return
 			}
-			hold := time.NewTimer(time.Duration(ms) * time.Millisecond)
-			defer hold.Stop()
+			timer := time.NewTimer(time.Duration(ms) * time.Millisecond)
+			defer timer.Stop()
 			select {
-			case <-hold.C:
+			case <-timer.C:
 			case <-r.Context().Done():
 				return
 			}
 			body = []byte(`{"generation":1,"reset":false,"instances":[]}`)
 		}
 		l.mu.Lock()
-		if empty {
+		if watch {
 			l.listBytes.Empty += int64(len(body))
 		} else {
 			l.listBytes.Full += int64(len(body))
@@ -348,18 +350,18 @@
 	})
 	mux.HandleFunc("POST /v1/outcomes", func(w http.ResponseWriter, r *http.Request) {
 		for dec := json.NewDecoder(io.LimitReader(r.Body, 1<<20)); dec.More(); {
-			var x node.Notice
-			if err := dec.Decode(&x); err != nil {
+			var notice node.Notice
+			if err := dec.Decode(&notice); err != nil {
 				w.WriteHeader(http.StatusBadRequest)
 				return
 			}
-			e := failed
-			if x.State == "returned" {
-				e = returned
+			state := failed
+			if notice.State == "returned" {
+				state = returned
 			}
 			l.mu.Lock()
-			if o := l.messages[x.ID]; o != nil {
-				l.endMessage(o, e)
+			if m := l.messages[notice.ID]; m != nil {
+				l.endMessage(m, state)
 			}
 			l.mu.Unlock()
 		}
@@ -368,32 +370,32 @@
 	return mux
 }
 
-// play has clients hand messages to all senders, and the outages of the timeline happen, for the scenario's time.
+// play submits messages to all senders and starts the outages of the timeline, for the duration of the scenario.
 func (l *liveRun) play(ctx context.Context, senders []*liveSender) {
 	l.mu.Lock()
 	l.startedAt = time.Now()
 	l.mu.Unlock()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, s := range senders {
-		all.Go(func() { l.generateArrivals(ctx, s) })
+		wg.Go(func() { l.generateArrivals(ctx, s) })
 	}
-	for _, x := range l.scenario.Faults {
-		all.Go(func() {
-			sleep(ctx, toDuration(x.At))
+	for _, fault := range l.scenario.Faults {
+		wg.Go(func() {
+			sleep(ctx, toDuration(fault.At))
 			if ctx.Err() == nil {
 				l.mu.Lock()
-				for _, d := range l.destinations[x.First : x.First+x.Count] {
-					l.startOutage(d, toDuration(x.Duration))
+				for _, d := range l.destinations[fault.First : fault.First+fault.Count] {
+					l.startOutage(d, toDuration(fault.Duration))
 				}
 				l.mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	sleep(ctx, toDuration(l.scenario.Drain))
 }
 
-// rest waits for d or until ctx is over.
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -403,19 +405,19 @@
 	}
 }
 
-// arrivals has clients hand messages to a sender, drawn as in the simulation.
+// generateArrivals submits messages to a sender, drawn as in the simulation.
 func (l *liveRun) generateArrivals(ctx context.Context, s *liveSender) {
-	r := newRand(l.scenario.Seed, "clients", s.number)
+	rng := newRand(l.scenario.Seed, "clients", s.number)
 	shares, sum := []float64(nil), 0.0
 	for _, c := range l.scenario.Classes {
 		sum += c.Share
 		shares = append(shares, sum)
 	}
 	gap := func() time.Duration {
-		return time.Duration(float64(l.scenario.Fleet.Senders) / l.scenario.Traffic.Rate * float64(time.Second) * r.ExpFloat64())
+		return time.Duration(float64(l.scenario.Fleet.Senders) / l.scenario.Traffic.Rate * float64(time.Second) * rng.ExpFloat64())
 	}
-	var puts sync.WaitGroup
-	defer puts.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	end, next := l.startedAt.Add(toDuration(l.scenario.Duration)), l.startedAt
 	for n := 0; ; n++ {
 		next = next.Add(gap())
@@ -423,44 +425,44 @@
 		if ctx.Err() != nil || next.After(end) {
 			return
 		}
-		o := &liveMessage{sender: s.number, createdAt: time.Now(), class: pickWeighted(shares, r)}
-		id, dest := fmt.Sprintf("m-%d-%d", s.number, n), r.IntN(l.scenario.Destinations.Count)
+		m := &liveMessage{sender: s.number, createdAt: time.Now(), class: pickWeighted(shares, rng)}
+		id, dest := fmt.Sprintf("m-%d-%d", s.number, n), rng.IntN(l.scenario.Destinations.Count)
 		l.mu.Lock()
 		l.stats.Offered++
-		l.messages[id] = o
+		l.messages[id] = m
 		l.mu.Unlock()
-		puts.Go(func() { l.put(s, id, o, dest) })
+		wg.Go(func() { l.put(s, id, m, dest) })
 	}
 }
 
-// put hands a message in and takes the answer. One that is not taken on has ended.
-func (l *liveRun) put(s *liveSender, id string, o *liveMessage, dest int) {
-	c := &l.scenario.Classes[o.class]
-	opts := fmt.Sprintf("c=%s,d=%d,dest=%d,k=%s", c.Name, int64(c.Deadline.Micros)/1000, dest, id)
-	text := "*5\r\n"
-	for _, a := range []string{"MSG.PUT", "0000", id, opts, "body of " + id} {
-		text += fmt.Sprintf("$%d\r\n%s\r\n", len(a), a)
+// put submits a message and reads the answer. A message that the sender does not accept has ended.
+func (l *liveRun) put(s *liveSender, id string, m *liveMessage, dest int) {
+	class := &l.scenario.Classes[m.class]
+	opts := fmt.Sprintf("c=%s,d=%d,dest=%d,k=%s", class.Name, int64(class.Deadline.Micros)/1000, dest, id)
+	request := "*5\r\n"
+	for _, arg := range []string{"MSG.PUT", "0000", id, opts, "body of " + id} {
+		request += fmt.Sprintf("$%d\r\n%s\r\n", len(arg), arg)
 	}
-	answer, err := s.command(text)
+	answer, err := s.command(request)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case err != nil:
 		l.stats.withClients++
 	case strings.HasPrefix(answer, "-BUSY"):
-		l.endMessage(o, returned)
+		l.endMessage(m, returned)
 	case !strings.HasPrefix(answer, "+OK"):
-		l.endMessage(o, failed)
+		l.endMessage(m, failed)
 	}
 }
 
-// liveSender is a process of the program.
+// liveSender is a real sender process.
 type liveSender struct {
 	number    int
 	cmd       *exec.Cmd
-	readyAddr chan string // of clients; one value, once it serves and has the list
+	readyAddr chan string // for clients; sent once, when the process is ready and has the list
 	addr      string
-	exited    chan struct{} // closed when its log and the process have ended
+	exited    chan struct{} // closed when the process has ended and its log is read
 
 	mu   sync.Mutex
 	idle []*liveConn
@@ -471,29 +473,30 @@
 	reader *bufio.Reader
 }
 
-// startSender starts a process with what the platform would tell it.
+// startSender starts a process with the configuration and environment that the platform would give it.
 func (l *liveRun) startSender(number int, program, dir, discovery string) (*liveSender, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	config := filepath.Join(dir, "config.json")
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", number), "listen": "127.0.0.1:0", "discovery": discovery,
-		"seed": strconv.FormatUint(deriveSeed(l.scenario.Seed, "module", number<<16), 16), "limits": node.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 32},
+	configPath := filepath.Join(dir, "config.json")
+	configJSON, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", number), "listen": "127.0.0.1:0", "discovery": discovery,
+		"seed":     strconv.FormatUint(deriveSeed(l.scenario.Seed, "module", number<<16), 16),
+		"limits":   node.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 32},
 		"settings": l.scenario.wireSettings(number)})
 	if err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(config, text, 0o600); err != nil {
+	if err := os.WriteFile(configPath, configJSON, 0o600); err != nil {
 		return nil, err
 	}
-	state := filepath.Join(dir, "state")
-	if err := os.Mkdir(state, 0o700); err != nil {
+	stateDir := filepath.Join(dir, "state")
+	if err := os.Mkdir(stateDir, 0o700); err != nil {
 		return nil, err
 	}
 	s := &liveSender{number: number, cmd: exec.Command(program), readyAddr: make(chan string, 1), exited: make(chan struct{})}
 	s.cmd.Env = append(os.Environ(), "BALANCER_NAME="+fmt.Sprint("n", number), "BALANCER_LISTEN=127.0.0.1:0",
-		"BALANCER_DISCOVERY="+discovery, "BALANCER_STATE="+state, "BALANCER_CONFIG="+config)
-	logs, err := s.cmd.StderrPipe()
+		"BALANCER_DISCOVERY="+discovery, "BALANCER_STATE="+stateDir, "BALANCER_CONFIG="+configPath)
+	stderr, err := s.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
@@ -502,41 +505,41 @@
 	}
 	go func() {
 		defer close(s.exited)
-		addr, listed, told := "", false, false
-		for lines := bufio.NewScanner(logs); lines.Scan(); {
+		addr, listed, reported := "", false, false
+		for lines := bufio.NewScanner(stderr); lines.Scan(); {
 			if _, rest, ok := strings.Cut(lines.Text(), "msg=ready "); ok {
 				_, addr, _ = strings.Cut(rest, "addr=")
 				addr, _, _ = strings.Cut(addr, " ")
 			}
 			listed = listed || strings.Contains(lines.Text(), "msg=list ")
-			if addr != "" && listed && !told {
-				told = true
+			if addr != "" && listed && !reported {
+				reported = true
 				s.readyAddr <- addr
 			}
 		}
-		var status *exec.ExitError
-		if err := s.cmd.Wait(); err != nil && !errors.As(err, &status) {
+		var exitErr *exec.ExitError
+		if err := s.cmd.Wait(); err != nil && !errors.As(err, &exitErr) {
 			l.fail(err)
 		}
 	}()
 	return s, nil
 }
 
-// awaitReady waits until the sender serves.
+// awaitReady waits until the sender is ready.
 func (s *liveSender) awaitReady(ctx context.Context) error {
 	select {
 	case s.addr = <-s.readyAddr:
 		return nil
 	case <-s.exited:
-		return fmt.Errorf("sender %d ended before it served", s.number)
+		return fmt.Errorf("sender %d exited before it was ready", s.number)
 	case <-time.After(readyTimeout):
-		return fmt.Errorf("sender %d did not serve within %v", s.number, readyTimeout)
+		return fmt.Errorf("sender %d was not ready within %v", s.number, readyTimeout)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// stop ends the process: with SIGTERM, and with SIGKILL if that does not do.
+// stop ends the process with SIGTERM, and with SIGKILL if it is still running after stopTimeout.
 func (s *liveSender) stop() {
 	s.mu.Lock()
 	for _, c := range s.idle {
@@ -544,7 +547,7 @@
 	}
 	s.idle = nil
 	s.mu.Unlock()
-	_ = s.cmd.Process.Signal(syscall.SIGTERM) // it may have ended by itself
+	_ = s.cmd.Process.Signal(syscall.SIGTERM) // it may have exited already
 	select {
 	case <-s.exited:
 	case <-time.After(stopTimeout):
@@ -553,9 +556,9 @@
 	}
 }
 
-// do sends a command over an idle connection or a new one, and reads one line. A sender may close a connection between
-// requests: what crosses that is sent once more, on a new one ("Clients to senders").
-func (s *liveSender) command(text string) (string, error) {
+// command sends a command over an idle connection or a new one, and reads one line. A sender may close a connection between
+// requests. A command that fails on an idle connection for that reason is sent again on a new one ("Clients to senders").
+func (s *liveSender) command(request string) (string, error) {
 	s.mu.Lock()
 	var c *liveConn
 	if n := len(s.idle); n > 0 {
@@ -564,7 +567,7 @@
 	}
 	s.mu.Unlock()
 	if c != nil {
-		if line, err := s.exchange(c, text); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		if line, err := s.exchange(c, request); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			return line, err
 		}
 	}
@@ -572,13 +575,13 @@
 	if err != nil {
 		return "", err
 	}
-	return s.exchange(&liveConn{conn, bufio.NewReader(conn)}, text)
+	return s.exchange(&liveConn{conn, bufio.NewReader(conn)}, request)
 }
 
-// ask sends a command and keeps the connection if the answer comes in time.
-func (s *liveSender) exchange(c *liveConn, text string) (line string, err error) {
+// exchange sends a command and reads the answer, and keeps the connection if the answer arrives in time.
+func (s *liveSender) exchange(c *liveConn, request string) (line string, err error) {
 	if err = c.SetDeadline(time.Now().Add(liveClientTimeout)); err == nil {
-		if _, err = io.WriteString(c, text); err == nil {
+		if _, err = io.WriteString(c, request); err == nil {
 			line, err = c.reader.ReadString('\n')
 		}
 	}
@@ -591,17 +594,17 @@
 	return line, nil
 }
 
-// cpuOf sums up the processor time of the senders so far, in seconds.
+// cpuSeconds returns the total CPU time that the senders have used so far.
 func cpuSeconds(senders []*liveSender) (sum float64, err error) {
 	for _, s := range senders {
-		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.cmd.Process.Pid))
+		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.cmd.Process.Pid))
 		if err != nil {
 			return 0, err
 		}
-		_, rest, _ := strings.Cut(string(text), ") ") // the name may hold spaces
+		_, rest, _ := strings.Cut(string(stat), ") ") // the command name may contain spaces
 		fields := strings.Fields(rest)
 		if len(fields) < 13 {
-			return 0, fmt.Errorf("stat of sender %d: %d fields", s.number, len(fields))
+			return 0, fmt.Errorf("/proc stat of sender %d: only %d fields", s.number, len(fields))
 		}
 		for _, x := range fields[11:13] { // utime, stime (proc(5))
 			ticks, err := strconv.ParseFloat(x, 64)
@@ -614,34 +617,35 @@
 	return sum, nil
 }
 
-// peakMB is the most memory that the process has had resident, in 10^6 bytes.
+// peakMB is the peak resident memory of the process, in 10^6 bytes.
 func (s *liveSender) peakMB() (float64, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.cmd.Process.Pid))
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.cmd.Process.Pid))
 	if err != nil {
 		return 0, err
 	}
-	for line := range strings.Lines(string(text)) {
+	for line := range strings.Lines(string(status)) {
 		if kb, ok := strings.CutPrefix(line, "VmHWM:"); ok {
 			n, err := strconv.ParseFloat(strings.Fields(kb)[0], 64)
 			return n * 1024 / 1e6, err
 		}
 	}
-	return 0, fmt.Errorf("status of sender %d names no peak", s.number)
+	return 0, fmt.Errorf("/proc status of sender %d has no VmHWM", s.number)
 }
 
-// wireSettings are the settings of a sender in the form of its configuration.
+// wireSettings returns the settings of a sender in the form of its configuration file.
 func (sc *Scenario) wireSettings(number int) map[string]any {
 	d, c := &sc.Destinations, &sc.Recovery
-	s := func(x Span) float64 { return float64(x.Micros) / 1e6 }
+	inSeconds := func(class Span) float64 { return float64(class.Micros) / 1e6 }
 	zones := make([]string, sc.Fleet.Zones)
 	for i := range zones {
 		zones[i] = fmt.Sprint("z", i)
 	}
 	classes := []map[string]any{}
-	for _, x := range sc.Classes {
-		effect := []string{"retryable", "dedup", "fragile"}[slices.Index(effectNames, x.Effect)]
-		classes = append(classes, map[string]any{"name": x.Name, "aim_s": s(x.LatencyTarget), "deadline_s": s(x.Deadline), "worth": x.Worth,
-			"late_worth": x.LateWorth, "idempotency": effect, "group": "all", "window_s": s(x.Window)})
+	for _, class := range sc.Classes {
+		effect := []string{"retryable", "dedup", "fragile"}[slices.Index(effectNames, class.Effect)]
+		classes = append(classes, map[string]any{"name": class.Name, "aim_s": inSeconds(class.LatencyTarget),
+			"deadline_s": inSeconds(class.Deadline), "worth": class.Worth,
+			"late_worth": class.LateWorth, "idempotency": effect, "group": "all", "window_s": inSeconds(class.Window)})
 	}
 	load := map[string]any{"how": "off"}
 	if d.ReportsLoad {
@@ -652,36 +656,40 @@
 		weights = "nominal"
 	}
 	return map[string]any{"balancers": sc.Fleet.Senders, "me": number, "zone": number % sc.Fleet.Zones, "zones": zones,
-		"tick_s": s(sc.Fleet.Tick), "membership_mode": "pushed", "weights": weights, "machine_types": []string{machineType},
+		"tick_s": inSeconds(sc.Fleet.Tick), "membership_mode": "pushed", "weights": weights, "machine_types": []string{machineType},
 		"classes": classes, "load_info": load,
-		"limits": map[string]any{"conn_idle_s": s(d.ConnIdleTimeout), "connect_timeout_s": s(d.ConnectTimeout), "max_attempts": sc.Fleet.MaxAttempts,
-			"max_open": sc.Fleet.MaxOpen, "max_retry_after_s": 2, "multiplex": 1, "may_cancel": true, "retry_after": true},
-		"rules": map[string]any{"cold_from": c.InitialShare, "drain_grace_s": 1, "fall_multiple": c.RelapseMultiple, "fall_s": s(c.RelapseWindow),
-			"warm_after_s": s(c.WarmUpTime)},
-		"specifics": map[string]any{"batch_by_kind": []int{1}, "call_slots": sc.Fleet.Slots, "late": "even", "separate_routes": []bool{false}}}
+		"limits": map[string]any{"conn_idle_s": inSeconds(d.ConnIdleTimeout), "connect_timeout_s": inSeconds(d.ConnectTimeout),
+			"max_attempts": sc.Fleet.MaxAttempts, "max_open": sc.Fleet.MaxOpen, "max_retry_after_s": 2,
+			"multiplex": 1, "may_cancel": true, "retry_after": true},
+		"rules": map[string]any{"cold_from": c.InitialShare, "drain_grace_s": 1, "fall_multiple": c.RelapseMultiple,
+			"fall_s": inSeconds(c.RelapseWindow), "warm_after_s": inSeconds(c.WarmUpTime)},
+		"specifics": map[string]any{"batch_by_kind": []int{1}, "call_slots": sc.Fleet.Slots, "late": "even",
+			"separate_routes": []bool{false}}}
 }
 
-// Compare writes what real processes and hollow senders did on one scenario side by side.
-func Compare(w io.Writer, real *LiveReport, model *Report) error {
+// Compare writes the results of real processes and of the simulation for one scenario side by side.
+func Compare(w io.Writer, measured *LiveReport, simulated *Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "figure\treal\thollow")
 	row := func(name string, a, b float64) { fmt.Fprintf(t, "%s\t%.4g\t%.4g\n", name, a, b) }
-	per := func(x, n int64) float64 { return float64(x) / float64(max(n, 1)) }
-	row("events offered", float64(real.Offered), float64(model.Offered))
-	row("delivered, share", per(real.Delivered, real.Offered), per(model.Delivered, model.Offered))
-	row("returned, share", per(real.Returned, real.Offered), per(model.Returned, model.Offered))
-	row("failed, share", per(real.Failed, real.Offered), per(model.Failed, model.Offered))
-	row("no answer to the client, share", per(real.Unanswered, real.Offered), 0)
-	row("calls an event", per(real.Calls, real.Offered), per(model.Calls, model.Offered))
-	row("calls into outages", float64(real.IntoOutages), float64(model.IntoOutages))
-	row("connections an event", per(real.Connections, real.Offered), per(model.Connections, model.Offered))
-	row("latency p50, ms", real.Latency.P50, model.Latency.P50)
-	row("latency p99, ms", real.Latency.P99, model.Latency.P99)
-	row("whole list, bytes a sender", float64(real.FullListBytes), float64(model.ListBytes.Full))
-	row("watches without news, bytes a sender", float64(real.EmptyListBytes), float64(model.ListBytes.Empty))
-	row("processor time an event, us (hollow: module alone)", real.CPUMicrosPerMessage, model.Host.StepMicros*per(model.Steps, model.Offered))
-	row("memory a sender, MB (real: peak resident; hollow: heap after the start)", real.MeanPeakMB, float64(model.Host.HeapPerSender)/1e6)
-	row("worst peak resident, MB", real.MaxPeakMB, 0)
-	row("all ready after, s", real.ReadySeconds, 0)
+	ratio := func(x, n int64) float64 { return float64(x) / float64(max(n, 1)) }
+	row("events offered", float64(measured.Offered), float64(simulated.Offered))
+	row("delivered, share", ratio(measured.Delivered, measured.Offered), ratio(simulated.Delivered, simulated.Offered))
+	row("returned, share", ratio(measured.Returned, measured.Offered), ratio(simulated.Returned, simulated.Offered))
+	row("failed, share", ratio(measured.Failed, measured.Offered), ratio(simulated.Failed, simulated.Offered))
+	row("no answer to the client, share", ratio(measured.Unanswered, measured.Offered), 0)
+	row("calls an event", ratio(measured.Calls, measured.Offered), ratio(simulated.Calls, simulated.Offered))
+	row("calls into outages", float64(measured.IntoOutages), float64(simulated.IntoOutages))
+	row("connections an event", ratio(measured.Connections, measured.Offered), ratio(simulated.Connections, simulated.Offered))
+	row("latency p50, ms", measured.Latency.P50, simulated.Latency.P50)
+	row("latency p99, ms", measured.Latency.P99, simulated.Latency.P99)
+	row("whole list, bytes a sender", float64(measured.FullListBytes), float64(simulated.ListBytes.Full))
+	row("watches without news, bytes a sender", float64(measured.EmptyListBytes), float64(simulated.ListBytes.Empty))
+	row("processor time an event, us (hollow: module alone)", measured.CPUMicrosPerMessage,
+		simulated.Host.StepMicros*ratio(simulated.Steps, simulated.Offered))
+	row("memory a sender, MB (real: peak resident; hollow: heap after the start)", measured.MeanPeakMB,
+		float64(simulated.Host.HeapPerSender)/1e6)
+	row("worst peak resident, MB", measured.MaxPeakMB, 0)
+	row("all ready after, s", measured.ReadySeconds, 0)
 	return t.Flush()
 }
--- a/internal/hollow/live_test.go
+++ b/internal/hollow/live_test.go
@@ -28,23 +28,23 @@
 	sc := Default()
 	sc.Classes = []ClassConfig{defaultClass}
 	sc.Duration, sc.Drain, sc.Fleet.Senders, sc.Traffic.Rate = seconds(3), seconds(2), 3, 100
-	real, err := Live(t.Context(), &sc, buildSender(t))
+	measured, err := Live(t.Context(), &sc, buildSender(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	model, err := Run(t.Context(), &sc, Options{})
+	simulated, err := Run(t.Context(), &sc, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Compare(t.Output(), real, model); err != nil {
+	if err := Compare(t.Output(), measured, simulated); err != nil {
 		t.Fatal(err)
 	}
-	if real.Offered == 0 || real.Delivered != real.Offered || real.Repeats != 0 {
-		t.Errorf("of %d events %d were delivered, %d twice", real.Offered, real.Delivered, real.Repeats)
+	if measured.Offered == 0 || measured.Delivered != measured.Offered || measured.Repeats != 0 {
+		t.Errorf("of %d events %d were delivered, %d twice", measured.Offered, measured.Delivered, measured.Repeats)
 	}
 	// Each asks for the whole list once. Addresses differ in length by a few bytes for each of 20 endpoints.
-	if d := real.FullListBytes - model.ListBytes.Full; d < -100 || d > 100 {
-		t.Errorf("whole list: %d bytes real, %d hollow", real.FullListBytes, model.ListBytes.Full)
+	if d := measured.FullListBytes - simulated.ListBytes.Full; d < -100 || d > 100 {
+		t.Errorf("whole list: %d bytes real, %d hollow", measured.FullListBytes, simulated.ListBytes.Full)
 	}
 }
 
--- a/internal/hollow/memory.go
+++ b/internal/hollow/memory.go
@@ -1,16 +1,16 @@
 package hollow
 
-// Bytes of heap that a sender takes with its share of the model, a little above what runs measured: 0.59, 5.9 and 63.7 MB
-// with 350, 3,500 and 35,000 destinations of two endpoints. Room for the collector comes on top.
+// Heap bytes that a sender needs, its share of the model included. The values lie slightly above measurements of 0.59, 5.9
+// and 63.7 MB per sender with 350, 3,500 and 35,000 destinations of two endpoints. gcHeadroom is added on top.
 const (
 	bytesPerSender      = 100_000
 	bytesPerDestination = 800
 	bytesPerEndpoint    = 550
-	bytesPerMessage     = 2500 // held
-	gcHeadroom          = 1.8  // of what is in use, at the most
+	bytesPerMessage     = 2500 // held at one time
+	gcHeadroom          = 1.8  // maximum heap size as a multiple of the live heap, for the garbage collector
 )
 
-// MemoryMB is a rough guess of the memory that a run needs.
+// MemoryMB is a rough estimate of the memory that a run needs, in 10^6 bytes.
 func (sc *Scenario) MemoryMB() float64 {
 	senders, dests := float64(sc.Fleet.Senders), float64(sc.Destinations.Count)
 	eps := dests * float64(sc.Destinations.Endpoints)
@@ -18,9 +18,9 @@
 	for _, c := range sc.Classes {
 		longest = max(longest, float64(c.Deadline.Micros)/1e6)
 	}
-	held := sc.Traffic.Rate * min(longest, float64(sc.Duration.Micros)/1e6)
+	heldMessages := sc.Traffic.Rate * min(longest, float64(sc.Duration.Micros)/1e6)
 	if sc.Fleet.MaxOpen > 0 {
-		held = min(held, senders*float64(sc.Fleet.MaxOpen))
+		heldMessages = min(heldMessages, senders*float64(sc.Fleet.MaxOpen))
 	}
-	return gcHeadroom * (senders*(bytesPerSender+dests*bytesPerDestination+eps*bytesPerEndpoint) + held*bytesPerMessage) / 1e6
+	return gcHeadroom * (senders*(bytesPerSender+dests*bytesPerDestination+eps*bytesPerEndpoint) + heldMessages*bytesPerMessage) / 1e6
 }
--- a/internal/hollow/network.go
+++ b/internal/hollow/network.go
@@ -6,29 +6,29 @@
 	"rundeal/logic"
 )
 
-// machine is where a sender or an endpoint runs.
+// machine is the host of one sender or endpoint.
 type machine struct {
-	zone, rack int          // racks are numbered through over the zones
-	outage     *outage      // since it has vanished; nil while it is there
-	outageEnd  logic.Micros // when the last failure that holds it is over
+	zone, rack int          // racks are numbered consecutively across all zones
+	outage     *outage      // set while the machine has vanished, else nil
+	outageEnd  logic.Micros // when the last failure of the machine is over
 }
 
-// topology is where zones lie and which regions reach each other.
+// topology maps zones to regions and tracks the links between regions.
 type topology struct {
 	delays   NetworkConfig
 	zones    int
 	regions  int
-	cutUntil map[[2]int]logic.Micros // links that are cut, lower region first, and until when
+	cutUntil map[[2]int]logic.Micros // by link, lower region first: when its last cut ends
 }
 
 func newTopology(sc *Scenario) *topology {
 	return &topology{delays: sc.Network, zones: sc.Fleet.Zones, regions: sc.Fleet.Regions, cutUntil: map[[2]int]logic.Micros{}}
 }
 
-// region is that of a zone: zones are dealt out in order.
+// region returns the region of a zone. Zones are assigned to regions in order.
 func (t *topology) region(zone int) int { return zone * t.regions / t.zones }
 
-// delay is the time that something takes from one zone to another, one way.
+// delay draws the one-way delay from one zone to another.
 func (t *topology) delay(a, b int, r *rand.Rand) logic.Micros {
 	d := t.delays.BetweenRegions
 	switch {
@@ -42,10 +42,10 @@
 
 func linkKey(a, b int) [2]int { return [2]int{min(a, b), max(a, b)} }
 
-// reaches says whether two regions reach each other.
+// linked reports whether the link between two regions is up.
 func (t *topology) linked(a, b int, now logic.Micros) bool { return now >= t.cutUntil[linkKey(a, b)] }
 
-// open says whether what is sent in one zone comes to another.
+// reachable reports whether data sent in one zone arrives in another.
 func (t *topology) reachable(a, b int, now logic.Micros) bool {
 	return len(t.cutUntil) == 0 || t.linked(t.region(a), t.region(b), now)
 }
@@ -53,16 +53,16 @@
 // conn is a connection from a sender to an endpoint.
 type conn struct {
 	endpoint  *endpoint
-	epoch     int          // of the endpoint's process
+	epoch     int          // the endpoint's epoch when it was opened
 	idleSince logic.Micros // when it became idle
 }
 
-// good says whether a kept connection is still open.
+// usable reports whether an idle connection is still open.
 func (c *conn) usable(now, idle logic.Micros) bool {
 	return c.epoch == c.endpoint.epoch && now < c.idleSince+idle
 }
 
-// close frees the connection's place at the endpoint.
+// close releases the connection at the endpoint, unless a reset has already done so.
 func (c *conn) close() {
 	if c.epoch == c.endpoint.epoch {
 		c.endpoint.connCount--
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	sampleCount      = 20                  // of the course of a run
-	maxLatencyMicros = int64(3600_000_000) // longest latency that is told apart
+	sampleCount      = 20                  // in Report.Samples
+	maxLatencyMicros = int64(3600_000_000) // upper bound of the latency histogram, 1 h
 )
 
-// Counts are what happened, counted over the run.
+// Counts are counters over the whole run. Messages appear as "events" in reports and scenario files.
 type Counts struct {
-	Offered          int64 `json:"offered"` // events
+	Offered          int64 `json:"offered"` // messages submitted by clients
 	Delivered        int64 `json:"delivered"`
-	Returned         int64 `json:"returned"` // refused, at the door or later
+	Returned         int64 `json:"returned"` // refused by a sender, on receipt or later
 	Failed           int64 `json:"failed"`
-	Late             int64 `json:"late"`    // of those delivered, after the aim
-	Held             int64 `json:"held"`    // not ended when the run did
-	Repeats          int64 `json:"repeats"` // runs at an endpoint beyond the first of an event
+	Late             int64 `json:"late"`    // delivered after the latency target
+	Held             int64 `json:"held"`    // not ended when the run ended
+	Repeats          int64 `json:"repeats"` // executions at an endpoint beyond the first of a message
 	Calls            int64 `json:"calls"`
-	OverLimit        int64 `json:"over_limit"`   // calls that a limit turned away
-	ConnsRejected    int64 `json:"no_place"`     // connections that an endpoint did not take
-	IntoOutages      int64 `json:"into_outages"` // calls made while their endpoint served nothing
-	Connections      int64 `json:"connections"`  // opened
-	Outages          int64 `json:"outages"`      // of destinations, falls counted
-	Relapses         int64 `json:"falls"`        // of cold destinations
-	InformedRelapses int64 `json:"blamed"`       // falls of which over two thirds came from senders that had an outcome of the outage
-	Undetected       int64 `json:"unnoticed"`    // outages times senders that sent into them and never took an endpoint out
-	Restarts         int64 `json:"restarts"`     // of processes
-	Losses           int64 `json:"losses"`       // of senders' machines
-	Steps            int64 `json:"steps"`        // of modules
+	OverLimit        int64 `json:"over_limit"`   // calls refused by a rate limit
+	ConnsRejected    int64 `json:"no_place"`     // connections refused by an endpoint's connection limit
+	IntoOutages      int64 `json:"into_outages"` // calls started while their endpoint was in an outage
+	Connections      int64 `json:"connections"`  // connections opened
+	Outages          int64 `json:"outages"`      // of destinations, relapses included
+	Relapses         int64 `json:"falls"`        // outages of cold destinations caused by too many calls
+	InformedRelapses int64 `json:"blamed"`       // relapses with over two thirds of the calls from senders that knew of the outage
+	Undetected       int64 `json:"unnoticed"`    // outage and sender pairs: it sent calls and never took an endpoint out
+	Restarts         int64 `json:"restarts"`     // of sender processes
+	Losses           int64 `json:"losses"`       // of sender machines
+	Steps            int64 `json:"steps"`        // of all decision modules
 }
 
-// Quantiles are latencies of delivered events in milliseconds, from their birth to their end.
+// Quantiles are latencies of delivered messages in milliseconds, from creation to delivery.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P90 float64 `json:"p90"`
@@ -48,43 +48,43 @@
 	Max float64 `json:"max"`
 }
 
-// Notice is the time in seconds from a sender's first send into an outage to its having one of the endpoints sent to
-// out, from when on it tries the destination singly.
+// Detection is the time in seconds from a sender's first call into an outage until it has taken one of the endpoints called
+// out of rotation. From then on it sends the destination single trial calls.
 type Detection struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_s"`
 	Max   float64 `json:"worst_s"`
 }
 
-// InForce is the time in seconds from a change at discovery until the last sender that is up acts on it.
+// Propagation is the time in seconds from a list change at discovery until the last running sender has applied it.
 type Propagation struct {
 	Changes int     `json:"changes"`
-	Pending int     `json:"open"` // not in force everywhere when the run ended
+	Pending int     `json:"open"` // not applied by all senders when the run ended
 	Mean    float64 `json:"mean_s"`
 	Max     float64 `json:"worst_s"`
 }
 
-// Sample is the state at one time.
+// Sample is the state of the fleet at one time.
 type Sample struct {
 	At               Span  `json:"at"`
 	Offered          int64 `json:"offered"`
 	Delivered        int64 `json:"delivered"`
 	Held             int64 `json:"held"`
-	DownDestinations int   `json:"down"` // destinations
-	UpSenders        int   `json:"up"`   // senders
+	DownDestinations int   `json:"down"`
+	UpSenders        int   `json:"up"`
 }
 
-// Machine is what the run cost this machine. It differs from run to run.
+// HostUsage is what the run cost on the host that executed it. It differs from run to run.
 type HostUsage struct {
-	HeapPerSender    int64   `json:"heap_per_sender_bytes"` // module, directory and the model's share, after the start
-	CPUSeconds       float64 `json:"cpu_s"`                 // of the whole process
+	HeapPerSender    int64   `json:"heap_per_sender_bytes"` // after the start: module, directory and a share of the model
+	CPUSeconds       float64 `json:"cpu_s"`                 // user and system time of this process
 	WallSeconds      float64 `json:"wall_s"`
-	StepMicros       float64 `json:"step_us"`  // mean time of a module's step, but for a start's first, on this machine's clock
-	ListUpdateMicros float64 `json:"take_us"`  // of the directory's taking a change of the list
-	StartMicros      float64 `json:"start_us"` // of a process taking the whole list and its journal
+	StepMicros       float64 `json:"step_us"`  // mean wall time of a module's step, without the first step of a process
+	ListUpdateMicros float64 `json:"take_us"`  // mean wall time for the directory to apply a list change
+	StartMicros      float64 `json:"start_us"` // mean wall time for a process to load the full list and its journal
 }
 
-// stopwatch adds up what parts of the real program take on this machine.
+// stopwatch accumulates the wall time of calls into real code.
 type stopwatch struct {
 	count int64
 	total time.Duration
@@ -95,38 +95,38 @@
 	s.total += time.Since(began)
 }
 
-// mean is in microseconds.
+// meanMicros is the mean time of a call in microseconds.
 func (s *stopwatch) meanMicros() float64 {
 	return float64(s.total.Nanoseconds()) / 1e3 / float64(max(s.count, 1))
 }
 
-// Report is what a run measured. All but Machine is the same for the same scenario and seed.
+// Report is the result of a run. Everything except Host is reproducible for the same scenario and seed.
 type Report struct {
 	Title        string `json:"title"`
 	Seed         uint64 `json:"seed"`
 	Senders      int    `json:"senders"`
 	Destinations int    `json:"destinations"`
-	VirtualTime  Span   `json:"until"` // virtual time that was played
-	Interrupted  bool   `json:"cut"`   // it ended before its time
+	VirtualTime  Span   `json:"until"` // reached at the end of the run
+	Interrupted  bool   `json:"cut"`   // the run was stopped early
 	Counts
 	Latency            Quantiles   `json:"latency_ms"`
 	Detection          Detection   `json:"notice"`
 	WorstColdWindow    ColdWindow  `json:"cold_worst_window"`
 	ListBytes          ListBytes   `json:"list_bytes_per_sender"`
 	MaxListBytes       int64       `json:"list_bytes_worst_sender"`
-	ListBytesPerSecond float64     `json:"list_bytes_per_sender_second"` // without the whole list of the start
+	ListBytesPerSecond float64     `json:"list_bytes_per_sender_second"` // without the initial full list
 	Propagation        Propagation `json:"in_force"`
 	PeakHeld           int64       `json:"peak_held"`
 	PeakAt             Span        `json:"peak_at"`
 	Samples            []Sample    `json:"course"`
-	Digest             string      `json:"digest"` // of the trace of events
+	Digest             string      `json:"digest"` // hash of the event trace
 	Host               HostUsage   `json:"machine"`
 }
 
-// record is what a run notes as it goes.
+// stats collects measurements during a run.
 type stats struct {
 	Counts
-	withClients     int64 // events with clients
+	withClients     int64 // messages on their way from a client to a sender, or without an answer
 	latency         *hdrhistogram.Histogram
 	detections      int64
 	detectionTotal  logic.Micros
@@ -142,7 +142,7 @@
 
 func newStats() *stats { return &stats{latency: hdrhistogram.New(1, maxLatencyMicros, 3)} }
 
-// end counts an event that has ended, so long after its birth.
+// countEnd counts a message that ended after the given time.
 func (r *stats) countEnd(took logic.Micros, e endState, c *ClassConfig) {
 	switch e {
 	case returned:
@@ -154,11 +154,11 @@
 		if took > c.LatencyTarget.Micros {
 			r.Late++
 		}
-		_ = r.latency.RecordValue(min(max(int64(took), 1), maxLatencyMicros)) // within its bounds
+		_ = r.latency.RecordValue(min(max(int64(took), 1), maxLatencyMicros)) // cannot fail: the value is within the bounds
 	}
 }
 
-// open is the number of events that have not ended.
+// open is the number of messages that have not ended.
 func (r *stats) open() int64 { return r.Offered - r.Delivered - r.Returned - r.Failed }
 
 func (r *stats) recordDetection(d logic.Micros) {
@@ -167,14 +167,14 @@
 	r.detectionMax = max(r.detectionMax, d)
 }
 
-// window takes the worst window of one cold return.
+// recordColdWindow takes the worst window of one cold recovery into account.
 func (r *stats) recordColdWindow(w ColdWindow) {
 	if w.ratio() > r.worstColdWindow.ratio() {
 		r.worstColdWindow = w
 	}
 }
 
-// sample notes the course of the run.
+// sample adds a sample to the report.
 func (f *fleet) sample() {
 	x := Sample{At: Span{f.now}, Offered: f.stats.Offered, Delivered: f.stats.Delivered, Held: f.stats.open()}
 	for _, d := range f.destinations {
@@ -190,41 +190,45 @@
 	f.stats.samples = append(f.stats.samples, x)
 }
 
-func (f *fleet) report(cut bool, wall, cpu time.Duration) *Report {
-	r := f.stats
-	r.Held = f.heldCount()
+func (f *fleet) report(interrupted bool, wall, cpu time.Duration) *Report {
+	st := f.stats
+	st.Held = f.heldCount()
 	for _, d := range f.destinations {
-		r.recordColdWindow(d.worstWindow)
+		st.recordColdWindow(d.worstWindow)
 	}
-	out := &Report{Title: f.scenario.Title, Seed: f.scenario.Seed, Senders: len(f.senders), Destinations: len(f.destinations), VirtualTime: Span{f.now},
-		Interrupted: cut, Counts: r.Counts, WorstColdWindow: r.worstColdWindow, Propagation: f.discovery.propagation(), PeakHeld: r.peakHeld, PeakAt: Span{r.peakAt},
-		Samples: r.samples, Digest: fmt.Sprintf("%016x", f.digest.Sum64())}
-	out.Latency = latencyQuantiles(r.latency)
-	if r.detections > 0 {
-		out.Detection = Detection{r.detections, float64(r.detectionTotal) / float64(r.detections) / 1e6, float64(r.detectionMax) / 1e6}
+	report := &Report{Title: f.scenario.Title, Seed: f.scenario.Seed, Senders: len(f.senders), Destinations: len(f.destinations),
+		VirtualTime: Span{f.now}, Interrupted: interrupted, Counts: st.Counts, WorstColdWindow: st.worstColdWindow,
+		Propagation: f.discovery.propagation(), PeakHeld: st.peakHeld, PeakAt: Span{st.peakAt},
+		Samples: st.samples, Digest: fmt.Sprintf("%016x", f.digest.Sum64())}
+	report.Latency = latencyQuantiles(st.latency)
+	if st.detections > 0 {
+		report.Detection = Detection{st.detections, float64(st.detectionTotal) / float64(st.detections) / 1e6,
+			float64(st.detectionMax) / 1e6}
 	}
-	n := int64(len(f.senders))
+	senders := int64(len(f.senders))
 	for _, s := range f.senders {
-		out.ListBytes.Full += s.listBytes.Full
-		out.ListBytes.Changes += s.listBytes.Changes
-		out.ListBytes.Empty += s.listBytes.Empty
-		out.MaxListBytes = max(out.MaxListBytes, s.listBytes.total())
+		report.ListBytes.Full += s.listBytes.Full
+		report.ListBytes.Changes += s.listBytes.Changes
+		report.ListBytes.Empty += s.listBytes.Empty
+		report.MaxListBytes = max(report.MaxListBytes, s.listBytes.total())
 	}
-	out.ListBytes = ListBytes{out.ListBytes.Full / n, out.ListBytes.Changes / n, out.ListBytes.Empty / n}
+	report.ListBytes = ListBytes{report.ListBytes.Full / senders, report.ListBytes.Changes / senders,
+		report.ListBytes.Empty / senders}
 	if f.now > 0 {
-		out.ListBytesPerSecond = float64(out.ListBytes.Changes+out.ListBytes.Empty) / (float64(f.now) / 1e6)
+		report.ListBytesPerSecond = float64(report.ListBytes.Changes+report.ListBytes.Empty) / (float64(f.now) / 1e6)
 	}
-	out.Host = HostUsage{HeapPerSender: r.heapBytes / n, CPUSeconds: cpu.Seconds(), WallSeconds: wall.Seconds(), StepMicros: r.stepTimes.meanMicros(),
-		ListUpdateMicros: r.listUpdateTimes.meanMicros(), StartMicros: r.startTimes.meanMicros()}
-	return out
+	report.Host = HostUsage{HeapPerSender: st.heapBytes / senders, CPUSeconds: cpu.Seconds(), WallSeconds: wall.Seconds(),
+		StepMicros: st.stepTimes.meanMicros(), ListUpdateMicros: st.listUpdateTimes.meanMicros(),
+		StartMicros: st.startTimes.meanMicros()}
+	return report
 }
 
 func latencyQuantiles(h *hdrhistogram.Histogram) Quantiles {
-	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e3 }
-	return Quantiles{ms(50), ms(90), ms(99), float64(h.Max()) / 1e3}
+	quantile := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e3 }
+	return Quantiles{quantile(50), quantile(90), quantile(99), float64(h.Max()) / 1e3}
 }
 
-// cpuTime is the processor time that this process has used.
+// cpuTime is the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -233,7 +237,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report in human-readable form.
 func (r *Report) WriteText(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	line := func(name, format string, args ...any) { fmt.Fprintf(t, name+"\t"+format+"\n", args...) }
--- a/internal/hollow/scenario.go
+++ b/internal/hollow/scenario.go
@@ -19,10 +19,10 @@
 	"rundeal/logic"
 )
 
-// Span is a length of time, written as 12s or 350ms. It is no number itself: one without a unit is an error.
+// Span is a duration, written as 12s or 350ms in scenario files. A number without a unit is an error.
 type Span struct{ logic.Micros }
 
-// UnmarshalText reads a span that is not negative.
+// UnmarshalText parses a non-negative duration.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil || d < 0 {
@@ -32,19 +32,18 @@
 	return nil
 }
 
-// MarshalText writes a span as it is read.
+// MarshalText writes the form that UnmarshalText reads.
 func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 func (s Span) String() string { return (time.Duration(s.Micros) * time.Microsecond).String() }
 
-// Scenario is what a run plays. The zero value of a field that a file leaves out is
-// replaced by that of [Default].
+// Scenario describes a run. Fields that a file leaves out have the values of [Default].
 type Scenario struct {
 	Title    string `toml:"title"`
 	Seed     uint64 `toml:"seed"`
-	Duration Span   `toml:"duration"` // clients hand messages in for this long
-	Drain    Span   `toml:"drain"`    // and the run goes on for this long after
-	Day      Span   `toml:"day"`      // what is stated for a day comes within this span
+	Duration Span   `toml:"duration"` // clients submit messages for this long
+	Drain    Span   `toml:"drain"`    // the run continues for this long afterwards
+	Day      Span   `toml:"day"`      // the per-day counts refer to this span
 
 	Fleet        FleetConfig        `toml:"fleet"`
 	Traffic      TrafficConfig      `toml:"traffic"`
@@ -56,108 +55,108 @@
 	Faults       []FaultConfig      `toml:"fault"`
 }
 
-// FleetPart describes the senders and where they stand.
+// FleetConfig describes the senders and their placement.
 type FleetConfig struct {
 	Senders        int     `toml:"senders"`
 	Regions        int     `toml:"regions"`
-	Zones          int     `toml:"zones"` // in all
-	RacksPerZone   int     `toml:"racks"` // in a zone
-	Slots          int     `toml:"slots"` // calls out at once
+	Zones          int     `toml:"zones"` // in total
+	RacksPerZone   int     `toml:"racks"` // per zone
+	Slots          int     `toml:"slots"` // concurrent calls per sender
 	MaxOpen        int     `toml:"max_open"`
 	MaxAttempts    int     `toml:"max_tries"`
 	Tick           Span    `toml:"tick"`
-	RestartTime    Span    `toml:"start"`            // from the end of a process to the readiness of the next
-	RestartsPerDay float64 `toml:"restarts_per_day"` // of processes, over the fleet
-	LossesPerDay   float64 `toml:"losses_per_day"`   // of machines; each is replaced after Start
+	RestartTime    Span    `toml:"start"`            // from the end of a process until the next one is ready
+	RestartsPerDay float64 `toml:"restarts_per_day"` // of processes, over the whole fleet
+	LossesPerDay   float64 `toml:"losses_per_day"`   // of machines; each is replaced after RestartTime
 }
 
-// TrafficPart describes what clients hand in.
+// TrafficConfig describes the messages that clients submit.
 type TrafficConfig struct {
-	Rate         float64 `toml:"rate"`       // events a second, over the fleet
-	Popularity   string  `toml:"popularity"` // of destinations: even or zipf
+	Rate         float64 `toml:"rate"`       // messages per second, over the whole fleet
+	Popularity   string  `toml:"popularity"` // distribution over destinations: even or zipf
 	ZipfExponent float64 `toml:"exponent"`   // of Zipf's law
 }
 
-// ClassPart is a class of messages, as the settings have it.
+// ClassConfig is a class of messages, with the values that the sender's settings have for it.
 type ClassConfig struct {
 	Name          string  `toml:"name"`
-	Share         float64 `toml:"share"` // of the traffic, over the sum of all shares
+	Share         float64 `toml:"share"` // of the traffic, relative to the sum of all shares
 	LatencyTarget Span    `toml:"aim"`
 	Deadline      Span    `toml:"deadline"`
 	Worth         float64 `toml:"worth"`
 	LateWorth     float64 `toml:"late_worth"`
 	Effect        string  `toml:"effect"` // safe, keyed or unsafe
-	Window        Span    `toml:"window"` // of keyed ones
+	Window        Span    `toml:"window"` // deduplication window of a keyed class
 }
 
-// DestinationsPart describes destinations, all alike, and their endpoints.
+// DestinationsConfig describes the destinations, which are all alike, and their endpoints.
 type DestinationsConfig struct {
 	Count           int     `toml:"count"`
-	Endpoints       int     `toml:"endpoints"` // of each
-	Rate            float64 `toml:"rate"`      // limit of a destination, calls a second
-	Burst           float64 `toml:"burst"`     // depth of its token bucket, calls
-	RefusalStatus   string  `toml:"refuse"`    // the answer above it: 429 or 503
-	RetryAfter      Span    `toml:"come_back"` // the wait that a 429 tells
-	ReportsLoad     bool    `toml:"reports"`   // answers tell the limit
-	NominalWeights  bool    `toml:"nominal"`   // the list tells the limit
-	ServiceTime     Span    `toml:"service"`   // median time of a call
-	Sigma           float64 `toml:"sigma"`     // of its logarithm
-	MaxConnections  int     `toml:"connections"`
+	Endpoints       int     `toml:"endpoints"`   // per destination
+	Rate            float64 `toml:"rate"`        // limit of a destination, calls per second
+	Burst           float64 `toml:"burst"`       // capacity of its token bucket, calls
+	RefusalStatus   string  `toml:"refuse"`      // status of calls over the limit: 429 or 503
+	RetryAfter      Span    `toml:"come_back"`   // wait sent with a 429
+	ReportsLoad     bool    `toml:"reports"`     // answers carry load reports
+	NominalWeights  bool    `toml:"nominal"`     // the list carries the limit as weight
+	ServiceTime     Span    `toml:"service"`     // median duration of a call
+	Sigma           float64 `toml:"sigma"`       // standard deviation of its logarithm
+	MaxConnections  int     `toml:"connections"` // per endpoint; 0 for no limit
 	ConnIdleTimeout Span    `toml:"conn_idle"`
 	ConnectTimeout  Span    `toml:"conn_timeout"`
-	HandshakeTime   Span    `toml:"handshake"` // of a new connection, beside its round trip
-	DownShare       float64 `toml:"down_share"`
-	MeanOutage      Span    `toml:"down_for"` // mean length of these outages
-	OutageMode      string  `toml:"down_how"` // refused, silent, 503 or mixed
+	HandshakeTime   Span    `toml:"handshake"`  // of a new connection, in addition to its round trip
+	DownShare       float64 `toml:"down_share"` // share of destinations that are down at random
+	MeanOutage      Span    `toml:"down_for"`   // mean duration of random outages
+	OutageMode      string  `toml:"down_how"`   // refused, silent, 503 or mixed
 }
 
-// ColdPart is how a destination returns from an outage.
+// RecoveryConfig describes how a destination recovers from an outage.
 type RecoveryConfig struct {
-	InitialShare    float64 `toml:"from"` // part of its limit that it has at first
-	WarmUpTime      Span    `toml:"warm_after"`
-	RelapseMultiple float64 `toml:"fall_multiple"` // sent more than this many times its limit
-	RelapseWindow   Span    `toml:"fall_window"`   // within this, it falls
-	RelapseDuration Span    `toml:"fall_for"`      // and is down again for so long
+	InitialShare    float64 `toml:"from"`          // share of its limit available at first
+	WarmUpTime      Span    `toml:"warm_after"`    // until the full limit is available
+	RelapseMultiple float64 `toml:"fall_multiple"` // a cold destination that gets more than this multiple of its limit
+	RelapseWindow   Span    `toml:"fall_window"`   // within this window relapses into an outage
+	RelapseDuration Span    `toml:"fall_for"`      // of this duration
 }
 
-// DiscoveryPart describes the list and its changes.
+// DiscoveryConfig describes the endpoint list and its changes.
 type DiscoveryConfig struct {
 	ChangesPerDay float64 `toml:"changes_per_day"`
-	DrainTime     Span    `toml:"drain"`  // how long an endpoint that is replaced stays on the list
-	Spread        Span    `toml:"spread"` // over which discovery tells a change
-	WatchTimeout  Span    `toml:"hold"`   // of a watch
+	DrainTime     Span    `toml:"drain"`  // time that a replaced endpoint stays on the list as draining
+	Spread        Span    `toml:"spread"` // period over which a change is sent to the agents
+	WatchTimeout  Span    `toml:"hold"`   // maximum duration of a watch
 	Region        int     `toml:"region"`
 }
 
-// NetworkPart holds delays, one way.
+// NetworkConfig holds one-way delays.
 type NetworkConfig struct {
 	WithinZone     Span    `toml:"zone"`    // within a zone
-	WithinRegion   Span    `toml:"region"`  // between zones of a region
+	WithinRegion   Span    `toml:"region"`  // between zones of the same region
 	BetweenRegions Span    `toml:"between"` // between regions
-	Jitter         float64 `toml:"jitter"`  // up to this part of a delay is added
+	Jitter         float64 `toml:"jitter"`  // maximum random addition, as a share of the delay
 }
 
-// FaultPart is one entry of the timeline.
+// FaultConfig is one fault of the timeline.
 type FaultConfig struct {
 	Kind       string  `toml:"what"`
 	At         Span    `toml:"at"`
 	Duration   Span    `toml:"for"`
 	First      int     `toml:"number"` // of the first destination, sender, rack, zone or region
-	Count      int     `toml:"count"`  // of destinations or senders from that on
-	Other      int     `toml:"other"`  // the region at the other end of a link
-	OutageMode string  `toml:"how"`    // of an outage: refused, silent or 503
-	Factor     float64 `toml:"factor"` // of a limit
+	Count      int     `toml:"count"`  // of destinations or senders, starting with First
+	Other      int     `toml:"other"`  // region at the other end of a link
+	OutageMode string  `toml:"how"`    // refused, silent or 503
+	Factor     float64 `toml:"factor"` // that a limit is multiplied by
 }
 
-// The entries that a timeline may have.
+// Kinds of faults.
 const (
 	faultOutage  = "outage"  // destinations are down
-	faultLimit   = "limit"   // their limit is multiplied by the factor
-	faultRestart = "restart" // senders are killed and start again with their journals
-	faultLoss    = "loss"    // machines of senders vanish and are replaced
-	faultRack    = "rack"    // all machines of a rack vanish; numbered through over the zones
-	faultZone    = "zone"
-	faultLink    = "link" // two regions do not reach each other
+	faultLimit   = "limit"   // the limit of destinations is multiplied by the factor
+	faultRestart = "restart" // sender processes are killed and restart with their journals
+	faultLoss    = "loss"    // sender machines vanish and are replaced
+	faultRack    = "rack"    // all machines of a rack vanish; racks are numbered consecutively across zones
+	faultZone    = "zone"    // all machines of a zone vanish
+	faultLink    = "link"    // the link between two regions is cut
 )
 
 var faultKinds = []string{faultOutage, faultLimit, faultRestart, faultLoss, faultRack, faultZone, faultLink}
@@ -166,28 +165,32 @@
 
 var effectNames = []string{"safe", "keyed", "unsafe"} // in the order of logic.Effect
 
-// Default is a small fleet without faults. Its rules of the cold return are in the range of the made-up customers.
+// Default is a small fleet without faults. Its recovery values are within the range of the fictional example customers.
 func Default() Scenario {
 	return Scenario{Seed: 1, Duration: seconds(60), Drain: seconds(15), Day: seconds(86400),
-		Fleet: FleetConfig{Senders: 20, Regions: 1, Zones: 1, RacksPerZone: 1, Slots: 64, MaxOpen: 2000, MaxAttempts: 6, Tick: seconds(0.005),
-			RestartTime: seconds(1)},
+		Fleet: FleetConfig{Senders: 20, Regions: 1, Zones: 1, RacksPerZone: 1, Slots: 64, MaxOpen: 2000, MaxAttempts: 6,
+			Tick: seconds(0.005), RestartTime: seconds(1)},
 		Traffic: TrafficConfig{Rate: 270, Popularity: "even", ZipfExponent: 1},
-		Destinations: DestinationsConfig{Count: 10, Endpoints: 2, Rate: 40, Burst: 20, RefusalStatus: "503", ServiceTime: seconds(0.04), Sigma: 0.5,
-			ConnIdleTimeout: seconds(10), ConnectTimeout: seconds(1.5), HandshakeTime: seconds(0.005), MeanOutage: seconds(12), OutageMode: outageRefused},
-		Recovery:  RecoveryConfig{InitialShare: 0.2, WarmUpTime: seconds(14), RelapseMultiple: 2.5, RelapseWindow: seconds(3), RelapseDuration: seconds(5)},
+		Destinations: DestinationsConfig{Count: 10, Endpoints: 2, Rate: 40, Burst: 20, RefusalStatus: "503",
+			ServiceTime: seconds(0.04), Sigma: 0.5, ConnIdleTimeout: seconds(10), ConnectTimeout: seconds(1.5),
+			HandshakeTime: seconds(0.005), MeanOutage: seconds(12), OutageMode: outageRefused},
+		Recovery: RecoveryConfig{InitialShare: 0.2, WarmUpTime: seconds(14), RelapseMultiple: 2.5, RelapseWindow: seconds(3),
+			RelapseDuration: seconds(5)},
 		Discovery: DiscoveryConfig{DrainTime: seconds(10), Spread: seconds(2), WatchTimeout: seconds(4)},
-		Network:   NetworkConfig{WithinZone: seconds(0.0005), WithinRegion: seconds(0.001), BetweenRegions: seconds(0.04), Jitter: 0.2}}
+		Network: NetworkConfig{WithinZone: seconds(0.0005), WithinRegion: seconds(0.001), BetweenRegions: seconds(0.04),
+			Jitter: 0.2}}
 }
 
-// defaultClass is the only class of a file that has none.
-var defaultClass = ClassConfig{Name: "event", Share: 1, LatencyTarget: seconds(1), Deadline: seconds(10), Worth: 1, LateWorth: 0.5, Effect: "safe"}
+// defaultClass is used for a scenario without classes.
+var defaultClass = ClassConfig{Name: "event", Share: 1, LatencyTarget: seconds(1), Deadline: seconds(10), Worth: 1,
+	LateWorth: 0.5, Effect: "safe"}
 
 func seconds(x float64) Span { return Span{logic.Micros(math.Round(x * float64(logic.Second)))} }
 
-// FieldError is a field of a scenario file that makes no sense.
+// FieldError is an invalid field of a scenario.
 type FieldError struct {
 	File   string
-	Line   int // 0 if it was not set in a file
+	Line   int // 0 if the value does not come from a file
 	Field  string
 	Reason string
 }
@@ -199,7 +202,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Field, e.Reason)
 }
 
-// Load reads a scenario file. An error joins a [FieldError] for each field at fault.
+// Load reads a scenario file. An error joins one [FieldError] for each invalid field.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -208,18 +211,18 @@
 	return Parse(path, text)
 }
 
-// Parse reads the text of a scenario file; the name is for its errors.
+// Parse parses the text of a scenario file. The name is used in errors.
 func Parse(name string, text []byte) (*Scenario, error) {
-	places := keyPositions(text)
-	var bad []error
-	for key, p := range places { // the decoder has no place for these
+	positions := keyPositions(text)
+	var errs []error
+	for key, p := range positions { // the decoder's error for these has no position
 		if field := indexPattern.ReplaceAllString(key, ""); !p.isString && spanFields[field] {
-			bad = append(bad, &FieldError{name, p.line, key, "want a span like \"12s\" or \"350ms\""})
+			errs = append(errs, &FieldError{name, p.line, key, "want a span like \"12s\" or \"350ms\""})
 		}
 	}
-	if len(bad) > 0 {
-		slices.SortFunc(bad, func(a, b error) int { return a.(*FieldError).Line - b.(*FieldError).Line })
-		return nil, errors.Join(bad...)
+	if len(errs) > 0 {
+		slices.SortFunc(errs, func(a, b error) int { return a.(*FieldError).Line - b.(*FieldError).Line })
+		return nil, errors.Join(errs...)
 	}
 	sc := Default()
 	dec := toml.NewDecoder(bytes.NewReader(text))
@@ -235,22 +238,22 @@
 	if len(sc.Classes) == 0 {
 		sc.Classes = []ClassConfig{defaultClass}
 	}
-	if err := sc.validate(name, places); err != nil {
+	if err := sc.validate(name, positions); err != nil {
 		return nil, err
 	}
 	return &sc, nil
 }
 
-// check joins an error for each field whose value makes no sense.
-func (sc *Scenario) validate(name string, places map[string]keyPosition) error {
-	var bad []error
+// validate joins one error for each field with an invalid value.
+func (sc *Scenario) validate(name string, positions map[string]keyPosition) error {
+	var errs []error
 	for _, p := range sc.problems() {
-		bad = append(bad, &FieldError{name, lineOf(places, p.field), p.field, "want " + p.want})
+		errs = append(errs, &FieldError{name, lineOf(positions, p.field), p.field, "want " + p.want})
 	}
-	return errors.Join(bad...)
+	return errors.Join(errs...)
 }
 
-// decodeError turns what the decoder says into fields.
+// decodeError converts an error of the TOML decoder to field errors.
 func decodeError(name string, err error) error {
 	field := func(e *toml.DecodeError, want string) error {
 		line, _ := e.Position()
@@ -258,24 +261,24 @@
 	}
 	var missing *toml.StrictMissingError
 	if errors.As(err, &missing) {
-		var bad []error
+		var errs []error
 		for i := range missing.Errors {
-			bad = append(bad, field(&missing.Errors[i], "no such field"))
+			errs = append(errs, field(&missing.Errors[i], "no such field"))
 		}
-		return errors.Join(bad...)
+		return errors.Join(errs...)
 	}
-	var one *toml.DecodeError
-	if errors.As(err, &one) {
-		return field(one, strings.TrimPrefix(one.Error(), "toml: "))
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		return field(decodeErr, strings.TrimPrefix(decodeErr.Error(), "toml: "))
 	}
 	return fmt.Errorf("%s: %w", name, err)
 }
 
-// spanFields are the names of the fields that are spans.
+// spanFields holds the names of the fields of type Span, with dots between table and key.
 var spanFields = spansOf(reflect.TypeFor[Scenario](), "")
 
 func spansOf(t reflect.Type, prefix string) map[string]bool {
-	out := map[string]bool{}
+	fields := map[string]bool{}
 	for _, f := range reflect.VisibleFields(t) {
 		name, inner := prefix+f.Tag.Get("toml"), f.Type
 		if inner.Kind() == reflect.Slice {
@@ -283,26 +286,26 @@
 		}
 		switch {
 		case inner == reflect.TypeFor[Span]():
-			out[name] = true
+			fields[name] = true
 		case inner.Kind() == reflect.Struct:
-			maps.Copy(out, spansOf(inner, name+"."))
+			maps.Copy(fields, spansOf(inner, name+"."))
 		}
 	}
-	return out
+	return fields
 }
 
 var indexPattern = regexp.MustCompile(`\[\d+\]`)
 
-// place is where a key or a table stands.
+// keyPosition is the position of a key or table in a file.
 type keyPosition struct {
 	line     int
-	isString bool // its value is a string
+	isString bool // the value is a string
 }
 
-// positions finds each key and table of a text, as far as it can be read. Those of lists of tables are numbered:
-// class[0].name.
+// keyPositions finds the keys and tables of a text, up to the first syntax error. Elements of arrays of tables have an
+// index, as in class[0].name.
 func keyPositions(text []byte) map[string]keyPosition {
-	places, count, prefix := map[string]keyPosition{}, map[string]int{}, ""
+	positions, count, prefix := map[string]keyPosition{}, map[string]int{}, ""
 	var p unstable.Parser
 	p.Reset(text)
 	for p.NextExpression() {
@@ -326,21 +329,22 @@
 			if prefix != "" {
 				key = prefix + "." + key
 			}
-			places[key] = keyPosition{line, e.Value().Kind == unstable.String}
+			positions[key] = keyPosition{line, e.Value().Kind == unstable.String}
 			continue
 		}
-		places[prefix] = keyPosition{line: line}
+		positions[prefix] = keyPosition{line: line}
 	}
-	return places
+	return positions
 }
 
-// lineOf is the line of a field, or of the table that lacks it; 1 if there is neither, and 0 without a file.
-func lineOf(places map[string]keyPosition, field string) int {
-	if places == nil {
+// lineOf returns the line of a field or, if it is missing, of the closest enclosing table; 1 if there is none, and 0 if
+// there is no file.
+func lineOf(positions map[string]keyPosition, field string) int {
+	if positions == nil {
 		return 0
 	}
 	for field != "" {
-		if p, ok := places[field]; ok {
+		if p, ok := positions[field]; ok {
 			return p.line
 		}
 		field = field[:max(strings.LastIndexByte(field, '.'), 0)]
@@ -350,18 +354,18 @@
 
 type fieldProblem struct{ field, want string }
 
-// problems lists the fields whose values make no sense.
-func (sc *Scenario) problems() (bad []fieldProblem) {
+// problems lists the fields with invalid values.
+func (sc *Scenario) problems() (list []fieldProblem) {
 	want := func(ok bool, field, text string) {
 		if !ok {
-			bad = append(bad, fieldProblem{field, text})
+			list = append(list, fieldProblem{field, text})
 		}
 	}
-	oneOf := func(x string, names []string, field string) {
-		want(slices.Contains(names, x), field, "one of "+strings.Join(names, ", "))
+	oneOf := func(fault string, names []string, field string) {
+		want(slices.Contains(names, fault), field, "one of "+strings.Join(names, ", "))
 	}
-	share := func(x float64) bool { return x >= 0 && x <= 1 }
-	rate := func(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
+	share := func(fault float64) bool { return fault >= 0 && fault <= 1 }
+	rate := func(fault float64) bool { return fault >= 0 && !math.IsInf(fault, 0) }
 	const perDay = "a rate a day of 0 or more"
 
 	want(sc.Duration.Micros > 0, "duration", "a span above 0")
@@ -425,57 +429,59 @@
 	want(sc.Discovery.Region >= 0 && sc.Discovery.Region < f.Regions, "discovery.region", "the number of a region")
 	want(share(sc.Network.Jitter), "network.jitter", "a part from 0 to 1")
 
-	for i, x := range sc.Faults {
+	for i, fault := range sc.Faults {
 		at := fmt.Sprintf("fault[%d].", i)
-		oneOf(x.Kind, faultKinds, at+"what")
-		want(x.Duration.Micros > 0 || x.Kind == faultRestart || x.Kind == faultLoss, at+"for", "a span above 0")
-		most, what := math.MaxInt, "thing"
-		switch x.Kind {
+		oneOf(fault.Kind, faultKinds, at+"what")
+		want(fault.Duration.Micros > 0 || fault.Kind == faultRestart || fault.Kind == faultLoss, at+"for", "a span above 0")
+		limit, noun := math.MaxInt, "thing"
+		switch fault.Kind {
 		case faultOutage, faultLimit:
-			most, what = d.Count, "destination"
+			limit, noun = d.Count, "destination"
 		case faultRestart, faultLoss:
-			most, what = f.Senders, "sender"
+			limit, noun = f.Senders, "sender"
 		case faultRack:
-			most, what = f.Zones*f.RacksPerZone, "rack"
+			limit, noun = f.Zones*f.RacksPerZone, "rack"
 		case faultZone:
-			most, what = f.Zones, "zone"
+			limit, noun = f.Zones, "zone"
 		case faultLink:
-			most, what = f.Regions, "region"
-			want(x.Other >= 0 && x.Other < f.Regions && x.Other != x.First, at+"other", "the number of another region")
+			limit, noun = f.Regions, "region"
+			want(fault.Other >= 0 && fault.Other < f.Regions && fault.Other != fault.First, at+"other", "the number of another region")
 		}
-		want(x.First >= 0 && x.First < most, at+"number", "the number of a "+what)
-		if many := what == "destination" || what == "sender"; many || x.Count != 1 {
-			want(many && x.Count >= 1 && x.Count <= most-x.First, at+"count", "1 or more destinations or senders, as there are from the number on")
+		want(fault.First >= 0 && fault.First < limit, at+"number", "the number of a "+noun)
+		if ranged := noun == "destination" || noun == "sender"; ranged || fault.Count != 1 {
+			want(ranged && fault.Count >= 1 && fault.Count <= limit-fault.First, at+"count",
+				"1 or more destinations or senders, as there are from the number on")
 		}
-		if x.Kind == faultOutage {
-			oneOf(x.OutageMode, outageModes, at+"how")
+		if fault.Kind == faultOutage {
+			oneOf(fault.OutageMode, outageModes, at+"how")
 		}
-		want(x.Kind != faultLimit || x.Factor > 0 && rate(x.Factor), at+"factor", "a number above 0")
+		want(fault.Kind != faultLimit || fault.Factor > 0 && rate(fault.Factor), at+"factor", "a number above 0")
 	}
-	return bad
+	return list
 }
 
-// Length is the virtual time that a whole run plays.
+// Length is the virtual duration of a complete run.
 func (sc *Scenario) Length() Span { return Span{sc.Duration.Micros + sc.Drain.Micros} }
 
-// settings are what a sender in a zone is told.
+// moduleSettings returns the settings of the decision module of a sender in a zone.
 func (sc *Scenario) moduleSettings(zone int) logic.Settings {
 	d, c := &sc.Destinations, &sc.Recovery
-	set := logic.Settings{Senders: sc.Fleet.Senders, Zone: zone, Zones: sc.Fleet.Zones, Slots: sc.Fleet.Slots,
+	settings := logic.Settings{Senders: sc.Fleet.Senders, Zone: zone, Zones: sc.Fleet.Zones, Slots: sc.Fleet.Slots,
 		MaxOpen: sc.Fleet.MaxOpen, MaxTries: sc.Fleet.MaxAttempts, Tick: sc.Fleet.Tick.Micros, MayCancel: true,
 		RetryAfter: true, MaxRetryAfter: 2 * logic.Second, Kinds: []logic.Kind{{Name: machineType, Batch: 1}},
 		ConnIdle: d.ConnIdleTimeout.Micros, ConnCalls: 1, DrainGrace: logic.Second,
 		FallMultiple: c.RelapseMultiple, FallWindow: c.RelapseWindow.Micros, ColdFrom: c.InitialShare,
 		WarmAfter: c.WarmUpTime.Micros, ReportLeft: -1, ReportLimit: -1}
 	if d.ReportsLoad {
-		set.ReportLeft, set.ReportLimit = 0, 1
+		settings.ReportLeft, settings.ReportLimit = 0, 1
 	}
 	if d.NominalWeights {
-		set.Weights = logic.WeightsNominal
+		settings.Weights = logic.WeightsNominal
 	}
-	for _, x := range sc.Classes {
-		set.Classes = append(set.Classes, logic.Class{Name: x.Name, Aim: x.LatencyTarget.Micros, Deadline: x.Deadline.Micros, Worth: x.Worth,
-			LateWorth: x.LateWorth, Window: x.Window.Micros, Effect: logic.Effect(slices.Index(effectNames, x.Effect))})
+	for _, class := range sc.Classes {
+		settings.Classes = append(settings.Classes, logic.Class{Name: class.Name, Aim: class.LatencyTarget.Micros,
+			Deadline: class.Deadline.Micros, Worth: class.Worth,
+			LateWorth: class.LateWorth, Window: class.Window.Micros, Effect: logic.Effect(slices.Index(effectNames, class.Effect))})
 	}
-	return set
+	return settings
 }
--- a/internal/hollow/scenario_test.go
+++ b/internal/hollow/scenario_test.go
@@ -33,12 +33,12 @@
 		{"wait with 503", "[destinations]\ncome_back = \"1s\"\n", 2, "destinations.come_back", "none with 503"},
 	} {
 		_, err := Parse("x.toml", []byte(x.text))
-		var bad *FieldError
-		if !errors.As(err, &bad) {
+		var fieldErr *FieldError
+		if !errors.As(err, &fieldErr) {
 			t.Errorf("%s: %v", x.name, err)
 			continue
 		}
-		if bad.File != "x.toml" || bad.Line != x.line || bad.Field != x.field || !strings.Contains(bad.Reason, x.want) {
+		if fieldErr.File != "x.toml" || fieldErr.Line != x.line || fieldErr.Field != x.field || !strings.Contains(fieldErr.Reason, x.want) {
 			t.Errorf("%s: %v, want line %d, field %s: %s", x.name, err, x.line, x.field, x.want)
 		}
 	}
--- a/internal/hollow/sender.go
+++ b/internal/hollow/sender.go
@@ -12,73 +12,73 @@
 )
 
 const (
-	clientTimeout     = 400_000          // a client has no answer for so long: it turns to another sender
-	lossRedirectDelay = 2 * logic.Second // what a lost machine held is handed to others
-	clientRetryDelay  = logic.Second     // a client that finds no sender tries again
+	clientTimeout     = 400_000          // microseconds without an answer until a client tries another sender
+	lossRedirectDelay = 2 * logic.Second // until the messages of a lost machine are submitted to other senders
+	clientRetryDelay  = logic.Second     // until a client that finds no sender up tries again
 )
 
-// offer is an event that a client wants delivered.
+// clientMessage is a message as its client has it.
 type clientMessage struct {
 	number      uint64
 	createdAt   logic.Micros
 	class       int
 	dest        int
-	submissions int // times it was handed in
-	executions  int // times an endpoint has run it
+	submissions int // times it was submitted to a sender
+	executions  int // times an endpoint has processed it
 	ended       bool
 }
 
-// message is an offer as one sender has it, with what its journal keeps of it.
+// message is a client's message as one sender holds it, with the record of its journal.
 type message struct {
 	*clientMessage
 	id                  string
-	seq                 int // order in which they came
+	seq                 int // order of receipt
 	deadline            logic.Micros
 	closed              bool
 	attempts            int
 	mayHaveRun          bool
 	firstMayHaveRunAt   logic.Micros
 	firstMayHaveRunZone int
-	call                *call // that is out
+	call                *call // in progress, or nil
 }
 
-// noting is what a sender makes of an outage that it has sent into.
+// detection tracks whether a sender has detected an outage that it has sent calls into.
 type detection struct {
 	outage      *outage
-	firstSentAt logic.Micros       // first send
-	endpoints   []logic.EndpointID // sent to
+	firstSentAt logic.Micros       // time of the first call
+	endpoints   []logic.EndpointID // that calls were sent to
 }
 
-// sender is one hollow sender: a machine with the agent of discovery, a journal, and a process while it is up.
+// sender is one simulated sender: a machine with a discovery agent and a journal, and a process while it is up.
 type sender struct {
 	fleet             *fleet
 	number            int
 	machine           *machine
 	clientRand        *rand.Rand
-	failoverRand      *rand.Rand // deals its clients out to others while it is down
+	failoverRand      *rand.Rand // chooses other senders for its clients while it is down
 	networkRand       *rand.Rand
-	spreadRand        *rand.Rand // of what discovery tells
+	spreadRand        *rand.Rand // delays of discovery's notifications
 	lastSeq           int
-	messages          map[string]*message // what the journal knows; ended ones while a call is out
-	agentGeneration   int64               // generation of the list that the agent has
-	appliedGeneration int64               // and that the last process had
+	messages          map[string]*message // of the journal; closed ones stay while a call is in progress
+	agentGeneration   int64               // list generation that the agent has
+	appliedGeneration int64               // list generation that the process last applied
 	listBytes         ListBytes
-	incarnation       int // counts processes
+	incarnation       int // counts processes of this sender
 	watchDeadline     logic.Micros
 
-	// Of the process that is up.
+	// State of the running process.
 	up            bool
 	startedAt     logic.Micros
 	module        *logic.Sender
 	directory     *node.Directory
 	pendingEvents []logic.Event
-	unaccepted    []*message // not taken on before the next step
+	unaccepted    []*message // the module sees them first in the next step
 	inFlight      []*call
-	openCount     int // messages not over
+	openCount     int // messages not closed
 	idleConns     map[logic.EndpointID][]*conn
-	stepScheduled bool // a step is set
+	stepScheduled bool
 	lastStepAt    logic.Micros
-	timerID       int // counts timers: the last one counts
+	timerID       int // of the last timer; earlier ones are void
 	undetected    []*detection
 	detections    map[*outage]*detection
 }
@@ -88,43 +88,45 @@
 	zone := number % zones
 	return &sender{fleet: f, number: number, machine: &machine{zone: zone, rack: zone*racks + number/zones%racks},
 		clientRand: newRand(f.scenario.Seed, "clients", number), failoverRand: newRand(f.scenario.Seed, "front", number),
-		networkRand: newRand(f.scenario.Seed, "network", number), spreadRand: newRand(f.scenario.Seed, "spread", number), messages: map[string]*message{}}
+		networkRand: newRand(f.scenario.Seed, "network", number), spreadRand: newRand(f.scenario.Seed, "spread", number),
+		messages: map[string]*message{}}
 }
 
-// start begins a process with what the journal holds and the list that the agent has.
+// start starts a process with the messages of the journal and the list that the agent has.
 func (s *sender) start() {
 	f := s.fleet
-	set := f.scenario.moduleSettings(s.machine.zone)
-	module, err := logic.New(set, deriveSeed(f.scenario.Seed, "module", s.number<<16+s.incarnation))
+	settings := f.scenario.moduleSettings(s.machine.zone)
+	module, err := logic.New(settings, deriveSeed(f.scenario.Seed, "module", s.number<<16+s.incarnation))
 	if err != nil {
 		f.fail(err)
 		return
 	}
-	s.up, s.startedAt, s.module, s.lastStepAt = true, f.now, module, f.now-set.Tick
-	s.directory = node.NewDirectory(&node.Config{Deploy: wire.Deployment{Settings: set, Zones: f.discovery.zoneNames}})
+	s.up, s.startedAt, s.module, s.lastStepAt = true, f.now, module, f.now-settings.Tick
+	s.directory = node.NewDirectory(&node.Config{Deploy: wire.Deployment{Settings: settings, Zones: f.discovery.zoneNames}})
 	s.idleConns, s.detections = map[logic.EndpointID][]*conn{}, map[*outage]*detection{}
-	known := f.discovery.fullList(s.agentGeneration)
-	began := time.Now()
-	s.pendingEvents = append(s.pendingEvents, logic.Endpoints{Form: logic.ListCached, Entries: s.directory.Take(known, s.wallTime())})
+	list := f.discovery.fullList(s.agentGeneration)
+	wallStart := time.Now()
+	s.pendingEvents = append(s.pendingEvents,
+		logic.Endpoints{Form: logic.ListCached, Entries: s.directory.Take(list, s.wallTime())})
 	for _, m := range s.openMessages() {
 		s.openCount++
-		c := s.callEvent(m)
-		c.Past = logic.Past{Taken: true, Tries: m.attempts, MayRun: m.mayHaveRun}
+		ev := s.callEvent(m)
+		ev.Past = logic.Past{Taken: true, Tries: m.attempts, MayRun: m.mayHaveRun}
 		if m.mayHaveRun {
-			c.Past.Age, c.Past.Zone = f.now-m.firstMayHaveRunAt, m.firstMayHaveRunZone
+			ev.Past.Age, ev.Past.Zone = f.now-m.firstMayHaveRunAt, m.firstMayHaveRunZone
 		}
-		s.pendingEvents = append(s.pendingEvents, c)
+		s.pendingEvents = append(s.pendingEvents, ev)
 	}
 	f.traceEvent(traceSenderStart, s.number, s.incarnation, len(s.pendingEvents))
 	s.step()
-	f.stats.startTimes.add(began)
+	f.stats.startTimes.add(wallStart)
 	s.watchList()
 }
 
-// wall is the virtual time as the directory wants it.
+// wallTime is the virtual time as the time.Time that the directory takes.
 func (s *sender) wallTime() time.Time { return time.UnixMicro(int64(s.fleet.now)) }
 
-// owed lists the messages that the journal holds, in the order in which they came.
+// openMessages lists the open messages of the journal in order of receipt.
 func (s *sender) openMessages() []*message {
 	var list []*message
 	for _, m := range s.messages {
@@ -140,48 +142,48 @@
 	return logic.Call{ID: m.id, Left: m.deadline - s.fleet.now, Dest: int64(m.dest), Tenant: -1, Class: m.class}
 }
 
-// kill ends the process. If its machine has vanished, what is open at endpoints stays so until they close it, and
-// what it held is handed to others.
-func (s *sender) kill(vanished bool) {
+// kill ends the process. If its machine was lost, endpoints keep its connections open until the idle timeout, and other
+// senders receive its messages.
+func (s *sender) kill(machineLost bool) {
 	f := s.fleet
 	f.traceEvent(traceSenderKill, s.number, s.incarnation, len(s.inFlight))
 	s.incarnation++
 	s.up, s.module, s.directory, s.pendingEvents, s.openCount, s.stepScheduled = false, nil, nil, nil, 0, false
 	s.undetected, s.detections = nil, nil
-	var open []*conn
+	var conns []*conn
 	for _, c := range s.inFlight {
 		c.ended, c.message.call = true, nil
-		c.message.mayHaveRun = true // the journal has the send and no outcome
+		c.message.mayHaveRun = true // the journal has a record of the attempt but no outcome
 		if c.message.closed {
 			delete(s.messages, c.message.id)
 		}
 		if c.conn != nil {
-			open = append(open, c.conn)
+			conns = append(conns, c.conn)
 		}
 	}
-	for _, list := range s.idleConns {
-		open = append(open, list...)
+	for _, idle := range s.idleConns {
+		conns = append(conns, idle...)
 	}
 	s.inFlight, s.idleConns = nil, nil
-	shut := func() {
-		for _, c := range open {
+	closeConns := func() {
+		for _, c := range conns {
 			c.close()
 		}
 	}
-	lost := s.unaccepted
+	unaccepted := s.unaccepted
 	s.unaccepted = nil
-	for _, m := range lost {
+	for _, m := range unaccepted {
 		delete(s.messages, m.id)
 	}
-	if !vanished {
-		shut()
-		for _, m := range lost {
+	if !machineLost {
+		closeConns()
+		for _, m := range unaccepted {
 			f.redirect(s, m.clientMessage, 0)
 		}
 		return
 	}
-	f.scheduleAfter(f.scenario.Destinations.ConnIdleTimeout.Micros, shut)
-	for _, m := range lost {
+	f.scheduleAfter(f.scenario.Destinations.ConnIdleTimeout.Micros, closeConns)
+	for _, m := range unaccepted {
 		f.redirect(s, m.clientMessage, clientTimeout)
 	}
 	for _, m := range s.openMessages() {
@@ -190,24 +192,24 @@
 	clear(s.messages)
 }
 
-// put takes a message from a client.
-func (s *sender) put(o *clientMessage) {
+// put accepts a message from a client, or returns it if the sender holds too many.
+func (s *sender) put(cm *clientMessage) {
 	f := s.fleet
-	if most := f.scenario.Fleet.MaxOpen; most > 0 && s.openCount >= most {
-		f.endMessage(o, returned)
+	if limit := f.scenario.Fleet.MaxOpen; limit > 0 && s.openCount >= limit {
+		f.endMessage(cm, returned)
 		return
 	}
 	s.lastSeq++
-	m := &message{clientMessage: o, seq: s.lastSeq, deadline: o.createdAt + f.scenario.Classes[o.class].Deadline.Micros,
-		id: strconv.FormatUint(o.number, 16) + "-" + strconv.Itoa(o.submissions)}
-	o.submissions++
+	m := &message{clientMessage: cm, seq: s.lastSeq, deadline: cm.createdAt + f.scenario.Classes[cm.class].Deadline.Micros,
+		id: strconv.FormatUint(cm.number, 16) + "-" + strconv.Itoa(cm.submissions)}
+	cm.submissions++
 	s.messages[m.id] = m
 	s.openCount++
 	s.unaccepted = append(s.unaccepted, m)
 	s.enqueue(s.callEvent(m))
 }
 
-// hear keeps an event for the next step, which comes as soon as the last one is a tick ago.
+// enqueue queues an event for the next step, which runs as soon as a tick has passed since the last one.
 func (s *sender) enqueue(ev logic.Event) {
 	s.pendingEvents = append(s.pendingEvents, ev)
 	s.scheduleStep()
@@ -221,28 +223,28 @@
 	s.scheduleWhileUp(max(s.fleet.now, s.lastStepAt+s.fleet.scenario.Fleet.Tick.Micros), s.step)
 }
 
-// whileUp sets do for a time, unless the process ends before.
+// scheduleWhileUp runs do at time t, unless the process has ended by then.
 func (s *sender) scheduleWhileUp(t logic.Micros, do func()) {
-	life := s.incarnation
+	incarnation := s.incarnation
 	s.fleet.scheduleAt(t, func() {
-		if s.up && s.incarnation == life {
+		if s.up && s.incarnation == incarnation {
 			do()
 		}
 	})
 }
 
-// step lets the module decide and acts on it.
+// step passes the queued events to the module and carries out its actions.
 func (s *sender) step() {
 	f := s.fleet
 	events := s.pendingEvents
-	s.pendingEvents, s.unaccepted, s.lastStepAt = nil, nil, f.now // what is fresh is taken on, or ends in this step
-	began := time.Now()                                           // for the report alone
+	s.pendingEvents, s.unaccepted, s.lastStepAt = nil, nil, f.now // the module accepts or refuses new messages in this step
+	wallStart := time.Now()                                       // wall clock, only for the report
 	actions := s.module.Step(f.now, events)
-	if s.startedAt < f.now { // the first one counts with the start
-		f.stats.stepTimes.add(began)
+	if s.startedAt < f.now { // the first step is measured as part of the start
+		f.stats.stepTimes.add(wallStart)
 	}
 	f.stats.Steps++
-	s.stepScheduled = true // what this step brings waits for the next
+	s.stepScheduled = true // events caused by this step are left for the next one
 	for _, a := range actions {
 		s.apply(a)
 	}
@@ -291,15 +293,15 @@
 	}
 }
 
-// finish ends a message by the module's word.
-func (s *sender) endMessage(id string, e endState) {
+// endMessage ends a message as the module has decided.
+func (s *sender) endMessage(id string, state endState) {
 	if m := s.messages[id]; m != nil && !m.closed {
-		s.fleet.endMessage(m.clientMessage, e)
+		s.fleet.endMessage(m.clientMessage, state)
 		s.closeMessage(m)
 	}
 }
 
-// drop takes a message that is over off the books, once nothing of it is out.
+// closeMessage closes a message and removes it from the journal once no call of it is in progress.
 func (s *sender) closeMessage(m *message) {
 	if !m.closed {
 		m.closed = true
@@ -310,29 +312,29 @@
 	}
 }
 
-// list hands the process what its agent was told.
-func (s *sender) applyList(l node.List) {
-	began := time.Now()
-	rows := s.directory.Take(l, s.wallTime())
-	s.fleet.stats.listUpdateTimes.add(began)
+// applyList passes the list or changes that the agent received to the process.
+func (s *sender) applyList(list node.List) {
+	wallStart := time.Now()
+	entries := s.directory.Take(list, s.wallTime())
+	s.fleet.stats.listUpdateTimes.add(wallStart)
 	form := logic.ListDelta
-	if l.Reset {
+	if list.Reset {
 		form = logic.ListFull
 	}
-	// What is still connecting to an endpoint that takes no more is not written.
+	// Calls still connecting to an endpoint that accepts no more are aborted before the request is sent.
 	s.abortConnecting(func(c *call) bool {
-		i := slices.IndexFunc(rows, func(row logic.Entry) bool { return row.Endpoint == c.endpointID })
-		return i >= 0 && rows[i].State != logic.Ready || i < 0 && l.Reset
+		i := slices.IndexFunc(entries, func(entry logic.Entry) bool { return entry.Endpoint == c.endpointID })
+		return i >= 0 && entries[i].State != logic.Ready || i < 0 && list.Reset
 	})
-	for _, row := range rows {
-		if row.State != logic.Ready {
-			s.apply(logic.Release{Endpoint: row.Endpoint})
+	for _, entry := range entries {
+		if entry.State != logic.Ready {
+			s.apply(logic.Release{Endpoint: entry.Endpoint})
 		}
 	}
-	s.enqueue(logic.Endpoints{Form: form, Entries: rows})
+	s.enqueue(logic.Endpoints{Form: form, Entries: entries})
 }
 
-// hold ends calls that are still connecting as never sent.
+// abortConnecting ends the matching calls that are still connecting; their requests were never sent.
 func (s *sender) abortConnecting(match func(*call) bool) {
 	for _, c := range slices.Clone(s.inFlight) {
 		if !c.requestSent && match(c) {
@@ -341,17 +343,17 @@
 	}
 }
 
-// watch ends the watch of the list, with nothing, once its time is up, and begins the next.
+// watchList ends the watch of the list without changes when its hold time is over, and starts the next one.
 func (s *sender) watchList() {
 	s.watchDeadline = s.fleet.now + s.fleet.scenario.Discovery.WatchTimeout.Micros
-	var look func()
-	look = func() {
+	var checkDeadline func()
+	checkDeadline = func() {
 		if s.fleet.now >= s.watchDeadline {
 			s.listBytes.Empty += s.fleet.discovery.emptyResponseSize(s.agentGeneration)
 			s.watchDeadline = s.fleet.now + s.fleet.scenario.Discovery.WatchTimeout.Micros
 			s.enqueue(logic.Endpoints{Form: logic.ListDelta})
 		}
-		s.scheduleWhileUp(s.watchDeadline, look)
+		s.scheduleWhileUp(s.watchDeadline, checkDeadline)
 	}
-	s.scheduleWhileUp(s.watchDeadline, look)
+	s.scheduleWhileUp(s.watchDeadline, checkDeadline)
 }
--- a/internal/hollow/sweep.go
+++ b/internal/hollow/sweep.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// column is a figure of a sweep's table.
+// column is one figure of a report; a sweep's table has a row for each.
 type column struct {
 	name  string
 	value func(*Report) float64
@@ -42,31 +42,31 @@
 	{"cpu_s", func(r *Report) float64 { return r.Host.CPUSeconds }},
 }
 
-// WriteSweep writes a table with a column for each report, by the size along an axis, and the slope of each figure: the
-// exponent b of the power law size^b that fits it best, over the sizes where it is above 0.
+// WriteSweep writes a table with one column per report, headed by its size along the axis, and the slope of each figure:
+// the exponent b of the best-fitting power law size^b over the sizes where the figure is above 0.
 func WriteSweep(w io.Writer, axis string, sizes []int, reports []*Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	head := []string{axis}
+	header := []string{axis}
 	for _, n := range sizes[:len(reports)] {
-		head = append(head, fmt.Sprint(n))
+		header = append(header, fmt.Sprint(n))
 	}
-	fmt.Fprintln(t, strings.Join(append(head, "slope", ""), "\t"))
+	fmt.Fprintln(t, strings.Join(append(header, "slope", ""), "\t"))
 	for _, c := range columns {
-		line := []string{c.name}
+		row := []string{c.name}
 		var xs, ys []float64
 		for i, r := range reports {
 			y := c.value(r)
-			line = append(line, formatNumber(y))
+			row = append(row, formatNumber(y))
 			if y > 0 {
 				xs, ys = append(xs, math.Log(float64(sizes[i]))), append(ys, math.Log(y))
 			}
 		}
 		if b, ok := slope(xs, ys); ok {
-			line = append(line, fmt.Sprintf("%.2f", b))
+			row = append(row, fmt.Sprintf("%.2f", b))
 		} else {
-			line = append(line, "-")
+			row = append(row, "-")
 		}
-		fmt.Fprintln(t, strings.Join(append(line, ""), "\t"))
+		fmt.Fprintln(t, strings.Join(append(row, ""), "\t"))
 	}
 	return t.Flush()
 }
@@ -78,7 +78,7 @@
 	return fmt.Sprintf("%.3f", x)
 }
 
-// slope is that of the line with the least squares; false if the points are too few.
+// slope is the slope of the least-squares line; false if there are too few distinct points.
 func slope(xs, ys []float64) (float64, bool) {
 	n := float64(len(xs))
 	var sx, sy, sxx, sxy float64
