--- a/internal/hollow/faults.go
+++ b/internal/hollow/faults.go
@@ -30,22 +30,23 @@
 	case faultZone:
 		f.failMachines(f.matchingMachines(func(m *machine) bool { return m.zone == fault.First }), duration)
 	case faultLink:
-		f.topology.cutUntil[linkKey(fault.First, fault.Other)] = max(f.topology.cutUntil[linkKey(fault.First, fault.Other)], f.now+duration)
+		f.topology.cutUntil[linkKey(fault.First, fault.OtherRegion)] = max(
+			f.topology.cutUntil[linkKey(fault.First, fault.OtherRegion)], f.now+duration)
 	}
 }
 
-func (f *fleet) matchingMachines(match func(*machine) bool) (list []*machine) {
+func (f *fleet) matchingMachines(match func(*machine) bool) (matches []*machine) {
 	for _, s := range f.senders {
 		if match(s.machine) {
-			list = append(list, s.machine)
+			matches = append(matches, s.machine)
 		}
 	}
 	for _, e := range f.endpoints {
 		if !e.closed && match(e.machine) {
-			list = append(list, e.machine)
+			matches = append(matches, e.machine)
 		}
 	}
-	return list
+	return matches
 }
 
 // restartSender kills a sender's process, which starts again with its journal after the restart time.
@@ -64,10 +65,10 @@
 }
 
 // failMachines makes machines vanish for a time. Senders come back without a journal, endpoints without connections.
-func (f *fleet) failMachines(list []*machine, duration logic.Micros) {
+func (f *fleet) failMachines(machines []*machine, duration logic.Micros) {
 	o := &outage{mode: outageSilent, startedAt: f.now}
 	affected := map[*machine]bool{}
-	for _, m := range list {
+	for _, m := range machines {
 		m.outageEnd = max(m.outageEnd, f.now+duration)
 		if m.outage == nil {
 			m.outage = o
@@ -165,8 +166,8 @@
 			continue
 		}
 		delete(s.detections, o)
-		for i, n := range s.undetected {
-			if n.outage == o {
+		for i, d := range s.undetected {
+			if d.outage == o {
 				f.stats.Undetected++
 				s.undetected = append(s.undetected[:i], s.undetected[i+1:]...)
 				break
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -176,9 +176,12 @@
 	for _, d := range f.destinations {
 		f.randomOutages(d)
 	}
-	f.scheduleDaily(f.changesRand, f.scenario.Discovery.ChangesPerDay/2, f.discovery.replaceEndpoint) // each replacement publishes two changes
+	// Each replacement publishes two changes.
+	f.scheduleDaily(f.changesRand, f.scenario.Discovery.ChangesPerDay/2, f.discovery.replaceEndpoint)
 	restarts, losses := newRand(f.scenario.Seed, "restarts", 0), newRand(f.scenario.Seed, "losses", 0)
-	f.scheduleDaily(restarts, f.scenario.Fleet.RestartsPerDay, func() { f.restartSender(f.senders[restarts.IntN(len(f.senders))]) })
+	f.scheduleDaily(restarts, f.scenario.Fleet.RestartsPerDay, func() {
+		f.restartSender(f.senders[restarts.IntN(len(f.senders))])
+	})
 	f.scheduleDaily(losses, f.scenario.Fleet.LossesPerDay, func() {
 		f.failMachines([]*machine{f.senders[losses.IntN(len(f.senders))].machine}, f.scenario.Fleet.RestartTime.Micros)
 	})
@@ -191,11 +194,11 @@
 }
 
 // scheduleDaily runs do as a Poisson process with perDay events a day on average, for as long as clients submit messages.
-func (f *fleet) scheduleDaily(r *rand.Rand, perDay float64, do func()) {
+func (f *fleet) scheduleDaily(rng *rand.Rand, perDay float64, do func()) {
 	if perDay <= 0 {
 		return
 	}
-	gap := func() logic.Micros { return clampDelay(float64(f.scenario.Day.Micros) / perDay * r.ExpFloat64()) }
+	gap := func() logic.Micros { return clampDelay(float64(f.scenario.Day.Micros) / perDay * rng.ExpFloat64()) }
 	var repeat func()
 	repeat = func() {
 		if f.now < f.scenario.Duration.Micros {
@@ -210,8 +213,8 @@
 func (f *fleet) generateArrivals(s *sender) {
 	rng := s.clientRand
 	mean := float64(len(f.senders)) / f.scenario.Traffic.Rate * float64(logic.Second)
-	var next func()
-	next = func() {
+	var submitNext func()
+	submitNext = func() {
 		if f.now >= f.scenario.Duration.Micros {
 			return
 		}
@@ -233,9 +236,9 @@
 			f.stats.withClients--
 			f.submit(s, m)
 		})
-		f.scheduleAfter(clampDelay(mean*rng.ExpFloat64()), next)
+		f.scheduleAfter(clampDelay(mean*rng.ExpFloat64()), submitNext)
 	}
-	f.scheduleAfter(clampDelay(mean*rng.ExpFloat64()), next)
+	f.scheduleAfter(clampDelay(mean*rng.ExpFloat64()), submitNext)
 }
 
 // pickWeighted draws an index with the probabilities given by cumulative weights.
--- a/internal/hollow/fleet_test.go
+++ b/internal/hollow/fleet_test.go
@@ -11,7 +11,8 @@
 	"rundeal/logic"
 )
 
-// small is a short scenario with all that can go wrong.
+// smallScenario is a short scenario with restarts, lost machines, all outage modes, list changes, a failed zone and a cut
+// link between regions.
 func smallScenario() *Scenario {
 	sc := Default()
 	sc.Duration, sc.Drain, sc.Day = seconds(20), seconds(16), seconds(20)
@@ -25,7 +26,7 @@
 	sc.Destinations.MaxConnections, sc.Destinations.MeanOutage = 8, seconds(3)
 	sc.Discovery.ChangesPerDay, sc.Discovery.DrainTime = 10, seconds(3)
 	sc.Faults = []FaultConfig{{Kind: faultZone, At: seconds(8), Duration: seconds(3), First: 1, Count: 1},
-		{Kind: faultLink, At: seconds(12), Duration: seconds(4), Other: 1, Count: 1}}
+		{Kind: faultLink, At: seconds(12), Duration: seconds(4), OtherRegion: 1, Count: 1}}
 	return &sc
 }
 
@@ -44,17 +45,17 @@
 		t.Errorf("two runs of one seed differ:\n%+v\n%+v", a, b)
 	}
 	if a.Delivered == 0 || a.Restarts == 0 || a.Losses == 0 || a.IntoOutages == 0 || a.Propagation.Changes == 0 {
-		t.Errorf("the run has not met all that it should: %+v", a)
+		t.Errorf("the run lacks one of deliveries, restarts, losses, calls into outages and list changes: %+v", a)
 	}
 	sc := smallScenario()
 	sc.Seed++
 	if c := mustRun(t, sc); c.Digest == a.Digest {
-		t.Errorf("digest %s with two seeds", c.Digest)
+		t.Errorf("same digest %s for two seeds", c.Digest)
 	}
 }
 
-// Each event ends exactly once, whatever fails, or is still held; and once the longest deadline is over nothing is.
-// A second end of an event is an error of the run.
+// Whatever fails, each message ends exactly once or is still held, and none is held once the longest deadline has passed.
+// A message that ends twice makes the run return an error.
 func TestEachMessageEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sc := smallScenario()
@@ -72,25 +73,27 @@
 		sc.Destinations.MaxConnections = rapid.IntRange(0, 8).Draw(t, "connections")
 		sc.Destinations.DownShare = rapid.Float64Range(0, 0.5).Draw(t, "down")
 		sc.Faults = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) FaultConfig {
-			x := FaultConfig{Kind: rapid.SampledFrom(faultKinds).Draw(t, "what"), At: Span{logic.Micros(rapid.IntRange(0, 6e6).Draw(t, "at"))},
+			fault := FaultConfig{Kind: rapid.SampledFrom(faultKinds).Draw(t, "what"),
+				At:       Span{logic.Micros(rapid.IntRange(0, 6e6).Draw(t, "at"))},
 				Duration: Span{logic.Micros(rapid.IntRange(1, 4e6).Draw(t, "for"))}, Count: 1, Factor: 0.2}
-			x.OutageMode = rapid.SampledFrom(outageModes).Draw(t, "how")
-			if x.Kind == faultLink {
-				x.Other = 1
+			fault.OutageMode = rapid.SampledFrom(outageModes).Draw(t, "how")
+			if fault.Kind == faultLink {
+				fault.OtherRegion = 1
 			}
-			return x
+			return fault
 		}), 0, 4).Draw(t, "faults")
 		r := mustRun(t, sc)
 		if sum := r.Delivered + r.Returned + r.Failed + r.Held; sum != r.Offered {
-			t.Fatalf("%d events offered, %d accounted for: %+v", r.Offered, sum, r.Counts)
+			t.Fatalf("%d messages offered, %d accounted for: %+v", r.Offered, sum, r.Counts)
 		}
 		if !cut && r.Held != 0 {
-			t.Fatalf("%d events held after the longest deadline", r.Held)
+			t.Fatalf("%d messages held after the longest deadline", r.Held)
 		}
 	})
 }
 
-// A process that is killed leaves its journal: what it held is tried again, and what may have run binds.
+// A killed process leaves its journal, so that after the restart its messages are tried again and an attempt whose outcome
+// is unknown still counts as one that may have run. A message not yet in the journal goes back to its client.
 func TestRestartKeepsJournal(t *testing.T) {
 	sc := Default()
 	sc.Fleet.Senders, sc.Destinations.Count, sc.Classes = 1, 1, []ClassConfig{defaultClass}
@@ -104,10 +107,10 @@
 	f.stats.Offered = 2
 	first := &clientMessage{number: 1, createdAt: f.now}
 	f.submit(s, first)
-	f.runNext(f.now) // the step
+	f.runNext(f.now) // runs the step
 	m := s.messages["1-0"]
 	if m == nil || m.call == nil {
-		t.Fatal("the message is not out")
+		t.Fatal("the message has no call in progress")
 	}
 	late := &clientMessage{number: 2, createdAt: f.now}
 	f.submit(s, late)
@@ -116,7 +119,7 @@
 		t.Errorf("after the kill: up %v, %+v", s.up, m)
 	}
 	if s.messages["2-0"] != nil || f.stats.withClients != 1 {
-		t.Error("what was not taken on is not with its client")
+		t.Error("the message that was not accepted is not with its client")
 	}
 	for f.runNext(5 * logic.Second) {
 	}
@@ -138,7 +141,7 @@
 	sc := Default()
 	sc.Fleet.Senders, sc.Destinations.Count, sc.Classes = 580, 35_000, []ClassConfig{defaultClass}
 	if _, err := Run(context.Background(), &sc, Options{MemoryMB: 12_000}); err == nil {
-		t.Error("25 GB of modules are let into 12 GB")
+		t.Error("a run that needs 25 GB was accepted with a limit of 12 GB")
 	}
 	sc.Fleet.Senders = -1
 	var fieldErr *FieldError
--- a/internal/hollow/live.go
+++ b/internal/hollow/live.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.play(ctx, senders)
+	l.runTraffic(ctx, senders)
 	cpuAfter, err := cpuSeconds(senders)
 	if err != nil {
 		return nil, err
@@ -158,17 +158,18 @@
 
 // validateLive returns an error for a scenario that cannot be run with real processes.
 func validateLive(sc *Scenario) error {
-	eps := sc.Destinations.Count * sc.Destinations.Endpoints
+	endpoints := sc.Destinations.Count * sc.Destinations.Endpoints
 	switch {
 	case sc.Fleet.Senders > maxLiveSenders:
 		return fmt.Errorf("fleet.senders: want %d or less for real processes, not %d", maxLiveSenders, sc.Fleet.Senders)
-	case eps > maxLiveEndpoints:
-		return fmt.Errorf("destinations: want %d endpoints or less for real listeners, not %d", maxLiveEndpoints, eps)
-	case sc.Discovery.ChangesPerDay > 0 || sc.Fleet.RestartsPerDay > 0 || sc.Fleet.LossesPerDay > 0 || sc.Destinations.DownShare > 0:
+	case endpoints > maxLiveEndpoints:
+		return fmt.Errorf("destinations: want %d endpoints or less for real listeners, not %d", maxLiveEndpoints, endpoints)
+	case sc.Discovery.ChangesPerDay > 0 || sc.Fleet.RestartsPerDay > 0 || sc.Fleet.LossesPerDay > 0 ||
+		sc.Destinations.DownShare > 0:
 		return errors.New("live runs do not support list changes, restarts, losses and down_share: want 0 of each")
 	}
-	for i, x := range sc.Faults {
-		if x.Kind != faultOutage || x.OutageMode != outageUnavailable {
+	for i, fault := range sc.Faults {
+		if fault.Kind != faultOutage || fault.OutageMode != outageUnavailable {
 			return fmt.Errorf("fault[%d]: want an outage that answers 503: live runs support no other fault", i)
 		}
 	}
@@ -219,12 +220,12 @@
 			if err != nil {
 				return err
 			}
-			x := node.Instance{ID: fmt.Sprintf("s-%08x", len(full.Instances)), HostPort: addr, Zone: fmt.Sprint("z", zone),
+			inst := node.Instance{ID: fmt.Sprintf("s-%08x", len(full.Instances)), HostPort: addr, Zone: fmt.Sprint("z", zone),
 				Kind: machineType, Dest: int64(i), Lifecycle: "up", Weight: 1}
 			if l.scenario.Destinations.NominalWeights {
-				x.Weight = l.scenario.Destinations.Rate
+				inst.Weight = l.scenario.Destinations.Rate
 			}
-			full.Instances = append(full.Instances, instance{Instance: x})
+			full.Instances = append(full.Instances, instance{Instance: inst})
 		}
 	}
 	var err error
@@ -370,8 +371,8 @@
 	return mux
 }
 
-// play submits messages to all senders and starts the outages of the timeline, for the duration of the scenario.
-func (l *liveRun) play(ctx context.Context, senders []*liveSender) {
+// runTraffic submits messages to all senders and starts the outages of the timeline, for the duration of the scenario.
+func (l *liveRun) runTraffic(ctx context.Context, senders []*liveSender) {
 	l.mu.Lock()
 	l.startedAt = time.Now()
 	l.mu.Unlock()
--- a/internal/hollow/live_test.go
+++ b/internal/hollow/live_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/goleak"
 )
 
-// buildSender builds the real program.
+// buildSender builds the real sender program.
 func buildSender(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "cometrack")
@@ -22,7 +22,7 @@
 	return path
 }
 
-// Real processes and hollow senders do the same with the same events where nothing goes wrong.
+// Without faults, real processes deliver every message exactly once and fetch the same list as simulated senders.
 func TestLiveMatchesSimulation(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	sc := Default()
@@ -40,15 +40,15 @@
 		t.Fatal(err)
 	}
 	if measured.Offered == 0 || measured.Delivered != measured.Offered || measured.Repeats != 0 {
-		t.Errorf("of %d events %d were delivered, %d twice", measured.Offered, measured.Delivered, measured.Repeats)
+		t.Errorf("%d messages offered, %d delivered, %d repeated executions", measured.Offered, measured.Delivered, measured.Repeats)
 	}
-	// Each asks for the whole list once. Addresses differ in length by a few bytes for each of 20 endpoints.
+	// Each sender requests the full list once. Addresses differ in length by a few bytes for each of 20 endpoints.
 	if d := measured.FullListBytes - simulated.ListBytes.Full; d < -100 || d > 100 {
-		t.Errorf("whole list: %d bytes real, %d hollow", measured.FullListBytes, simulated.ListBytes.Full)
+		t.Errorf("full list: %d bytes live, %d simulated", measured.FullListBytes, simulated.ListBytes.Full)
 	}
 }
 
-// What cannot be played live is refused before anything starts.
+// A scenario that live runs do not support is rejected before any process starts.
 func TestLiveRejectsUnsupported(t *testing.T) {
 	for want, change := range map[string]func(*Scenario){
 		"fleet.senders":   func(sc *Scenario) { sc.Fleet.Senders = maxLiveSenders + 1 },
--- a/internal/hollow/model_test.go
+++ b/internal/hollow/model_test.go
@@ -9,25 +9,27 @@
 
 func micros(s float64) logic.Micros { return seconds(s).Micros }
 
-// Depth 3, two tokens a second: 3 at once, one more each half second, and never more than 3 saved up.
+// Capacity 3 and two tokens per second: 3 calls at once, one more every half second, and never more than 3 tokens saved.
 func TestTokenBucket(t *testing.T) {
 	b := tokenBucket{capacity: 3, tokens: 3}
-	for i, x := range []struct {
+	for i, tc := range []struct {
 		at float64
 		ok bool
 	}{{0, true}, {0, true}, {0, true}, {0, false}, {0.4, false}, {0.5, true}, {0.9, false}, {1, true},
 		{10, true}, {10, true}, {10, true}, {10, false}, {10.5, true}, {10.5, false}} {
-		if ok := b.take(micros(x.at), 2); ok != x.ok {
-			t.Errorf("call %d at %v s: %v", i, x.at, ok)
+		if ok := b.take(micros(tc.at), 2); ok != tc.ok {
+			t.Errorf("call %d at %v s: %v", i, tc.at, ok)
 		}
 	}
 }
 
-// coldOne is a destination of 40 calls a second that is back at 100 s with a quarter of that, and has all after 10 s.
+// newColdDestination returns a destination with a limit of 40 calls per second that recovered at 100 s with a quarter of
+// that limit and reaches all of it after 10 s.
 func newColdDestination() *destination {
 	sc := Default()
 	sc.Destinations.Rate = 40
-	sc.Recovery = RecoveryConfig{InitialShare: 0.25, WarmUpTime: seconds(10), RelapseMultiple: 1.25, RelapseWindow: seconds(2), RelapseDuration: seconds(5)}
+	sc.Recovery = RecoveryConfig{InitialShare: 0.25, WarmUpTime: seconds(10), RelapseMultiple: 1.25, RelapseWindow: seconds(2),
+		RelapseDuration: seconds(5)}
 	d := newDestination(0, &sc)
 	d.recoveredAt, d.informed = micros(100), map[int]bool{1: true}
 	return d
@@ -35,14 +37,15 @@
 
 func TestColdDestinationWarmsLinearly(t *testing.T) {
 	d := newColdDestination()
-	for _, x := range []struct{ at, rate float64 }{{100, 10}, {105, 25}, {109, 37}, {110, 40}, {500, 40}} {
-		if got := d.rate(micros(x.at)); math.Abs(got-x.rate) > 1e-9 {
-			t.Errorf("at %v s: %v calls a second, want %v", x.at, got, x.rate)
+	for _, tc := range []struct{ at, rate float64 }{{100, 10}, {105, 25}, {109, 37}, {110, 40}, {500, 40}} {
+		if got := d.rate(micros(tc.at)); math.Abs(got-tc.rate) > 1e-9 {
+			t.Errorf("at %v s: %v calls per second, want %v", tc.at, got, tc.rate)
 		}
 	}
 }
 
-// At its return it is allowed 1.25 x 10 calls a second x 2 s = 25 calls; with chance 25 + 2 x 5 + 2 = 37.
+// At its recovery the destination allows 1.25 x 10 calls per second x 2 s = 25 calls, and 25 + 2 x 5 + 2 = 37 with the
+// margin for random variation.
 func TestColdDestinationRelapses(t *testing.T) {
 	if got := maxWindowCalls(25); got != 37 {
 		t.Fatalf("bound for 25 calls: %v", got)
@@ -53,48 +56,49 @@
 	d := newColdDestination()
 	for i := range 37 {
 		if d.recordArrival(micros(100), 0) {
-			t.Fatalf("falls of call %d", i+1)
+			t.Fatalf("relapses at call %d", i+1)
 		}
 	}
 	if !d.recordArrival(micros(100), 0) {
-		t.Error("does not fall of call 38")
+		t.Error("does not relapse at call 38")
 	}
 	if d.worstWindow.Calls != 38 || d.worstWindow.Allowed != 37 {
 		t.Errorf("worst window %+v", d.worstWindow)
 	}
-	// Two seconds on, those of the return are out of the window. It is allowed 1.25 x 16 x 2 = 40 then, 54.6 with chance.
+	// Two seconds later the first calls have left the window. Now 1.25 x 16 x 2 = 40 are allowed, 54.6 with the margin.
 	d = newColdDestination()
 	for range 37 {
 		d.recordArrival(micros(100), 0)
 	}
 	for i := range 54 {
 		if d.recordArrival(micros(102), 0) {
-			t.Fatalf("falls of call %d in the second window", i+1)
+			t.Fatalf("relapses at call %d in the second window", i+1)
 		}
 	}
 	if !d.recordArrival(micros(102), 0) {
-		t.Error("does not fall of call 55 in the second window")
+		t.Error("does not relapse at call 55 in the second window")
 	}
-	// Of ten calls six, then seven, of senders that were told: over two thirds with the seventh.
+	// Six, then seven of ten calls come from senders that knew of the outage; seven are over two thirds.
 	d = newColdDestination()
 	for i := range 10 {
 		d.recordArrival(micros(100), min(i/4, 1))
 	}
 	if d.mostlyInformed() {
-		t.Error("blamed with six of ten")
+		t.Error("mostly informed with six of ten")
 	}
 	d.recentArrivals[0].informed = true
 	if !d.mostlyInformed() {
-		t.Error("not blamed with seven of ten")
+		t.Error("not mostly informed with seven of ten")
 	}
 	for range 1000 { // warm
 		if d.recordArrival(micros(110), 0) {
-			t.Fatal("a warm destination falls")
+			t.Fatal("a warm destination relapses")
 		}
 	}
 }
 
-// one is a fleet of one sender and one destination with one endpoint, up since 1 s, with no jitter: 1 ms there and back.
+// newSingleSenderFleet returns a fleet of one sender and one destination with one endpoint, run up to 1 s. Without jitter a
+// round trip takes 1 ms.
 func newSingleSenderFleet(t *testing.T) (*fleet, *sender) {
 	t.Helper()
 	sc := Default()
@@ -110,7 +114,7 @@
 	return f, f.senders[0]
 }
 
-// reply hands a message in and returns its first outcome.
+// firstReply submits a message and returns the first outcome that the sender's module gets for it.
 func firstReply(t *testing.T, f *fleet, s *sender, during func()) logic.Reply {
 	t.Helper()
 	f.messageCount++
@@ -131,59 +135,63 @@
 	return logic.Reply{}
 }
 
-// The outcomes are those of the table in "Senders to endpoints".
+// The outcomes match the table in section "Senders to endpoints" of the protocol document.
 func TestOutcomes(t *testing.T) {
-	for _, x := range []struct {
-		name   string
-		how    string // of the outage; empty for none
-		kept   bool   // there is an idle connection
-		before func(*fleet)
-		during func(*fleet) // while the call is served
-		want   logic.Outcome
-		took   logic.Micros
-		wait   logic.Micros
-		load   int
+	for _, tc := range []struct {
+		name       string
+		outageMode string // empty for no outage
+		idleConn   bool   // the call reuses an idle connection
+		setup      func(*fleet)
+		during     func(*fleet) // runs while the endpoint processes the call
+		want       logic.Outcome
+		took       logic.Micros
+		wait       logic.Micros
+		load       int
 	}{
-		{name: "served", want: logic.Completed, took: 47_000, load: 2}, // 1 + 5 ms of handshake, 1 ms, 40 ms
-		{name: "served, kept", kept: true, want: logic.Completed, took: 41_000, load: 2},
-		{name: "refused", how: outageRefused, want: logic.RefusedConn, took: 1000},
-		{name: "503", how: outageUnavailable, want: logic.Full, took: 7000, load: 2},
-		{name: "503, kept", how: outageUnavailable, kept: true, want: logic.Full, took: 1000, load: 2},
-		{name: "silent", how: outageSilent, want: logic.RefusedConn, took: 1500_000},
-		{name: "silent, kept", how: outageSilent, kept: true, want: logic.Recalled, took: -1},
-		{name: "over the limit", before: func(f *fleet) {
+		{name: "served", want: logic.Completed, took: 47_000, load: 2}, // connect 1 + 5 ms, round trip 1 ms, service 40 ms
+		{name: "served, idle connection", idleConn: true, want: logic.Completed, took: 41_000, load: 2},
+		{name: "refused", outageMode: outageRefused, want: logic.RefusedConn, took: 1000},
+		{name: "503", outageMode: outageUnavailable, want: logic.Full, took: 7000, load: 2},
+		{name: "503, idle connection", outageMode: outageUnavailable, idleConn: true, want: logic.Full, took: 1000, load: 2},
+		{name: "silent", outageMode: outageSilent, want: logic.RefusedConn, took: 1500_000},
+		{name: "silent, idle connection", outageMode: outageSilent, idleConn: true, want: logic.Recalled, took: -1},
+		{name: "over the limit", setup: func(f *fleet) {
 			f.destinations[0].bucket = tokenBucket{capacity: 1, refilledAt: f.now}
 			f.destinations[0].limitFactor = 1e-3
 		},
 			want: logic.Full, took: 7000, wait: 300_000, load: 2},
-		{name: "no place", before: func(f *fleet) { f.scenario.Destinations.MaxConnections, f.endpoints[0].connCount = 1, 1 }, want: logic.Full, took: 6000},
-		{name: "killed under it", during: func(f *fleet) { f.startOutage(f.destinations[0], outageRefused, logic.Second) }, want: logic.Severed, took: 7000},
-		{name: "machine gone under it", during: func(f *fleet) { f.failMachines([]*machine{f.endpoints[0].machine}, 30*logic.Second) }, want: logic.Recalled, took: -1},
+		{name: "connection limit", setup: func(f *fleet) { f.scenario.Destinations.MaxConnections, f.endpoints[0].connCount = 1, 1 },
+			want: logic.Full, took: 6000},
+		{name: "process killed during the call", during: func(f *fleet) { f.startOutage(f.destinations[0], outageRefused, logic.Second) },
+			want: logic.Severed, took: 7000},
+		{name: "machine lost during the call", during: func(f *fleet) {
+			f.failMachines([]*machine{f.endpoints[0].machine}, 30*logic.Second)
+		}, want: logic.Recalled, took: -1},
 	} {
 		f, s := newSingleSenderFleet(t)
-		if x.kept {
+		if tc.idleConn {
 			firstReply(t, f, s, nil)
 			for f.runNext(f.now + logic.Second) {
 			}
 		}
-		if x.before != nil {
-			x.before(f)
+		if tc.setup != nil {
+			tc.setup(f)
 		}
-		if x.how != "" {
-			f.startOutage(f.destinations[0], x.how, 60*logic.Second)
+		if tc.outageMode != "" {
+			f.startOutage(f.destinations[0], tc.outageMode, 60*logic.Second)
 		}
 		during := func() {}
-		if x.during != nil {
-			during = func() { x.during(f) }
+		if tc.during != nil {
+			during = func() { tc.during(f) }
 		}
 		r := firstReply(t, f, s, during)
-		if r.Outcome != x.want || r.Wait != x.wait || len(r.Load) != x.load || x.took >= 0 && r.Took != x.took {
-			t.Errorf("%s: %+v, want outcome %d after %d with a wait of %d", x.name, r, x.want, x.took, x.wait)
+		if r.Outcome != tc.want || r.Wait != tc.wait || len(r.Load) != tc.load || tc.took >= 0 && r.Took != tc.took {
+			t.Errorf("%s: %+v, want outcome %d after %d with a wait of %d", tc.name, r, tc.want, tc.took, tc.wait)
 		}
 	}
 }
 
-// Eight zones are dealt out to three regions in order.
+// Eight zones are assigned to three regions in order.
 func TestTopology(t *testing.T) {
 	sc := Default()
 	sc.Fleet.Zones, sc.Fleet.Regions, sc.Network.Jitter = 8, 3, 0
@@ -194,32 +202,33 @@
 		}
 	}
 	r := newRand(1, "test", 0)
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		a, b int
 		want logic.Micros
 	}{{1, 1, 500}, {0, 2, 1000}, {2, 3, 40_000}} {
-		if got := top.delay(x.a, x.b, r); got != x.want {
-			t.Errorf("from zone %d to %d: %d us, want %d", x.a, x.b, got, x.want)
+		if got := top.delay(tc.a, tc.b, r); got != tc.want {
+			t.Errorf("from zone %d to %d: %d us, want %d", tc.a, tc.b, got, tc.want)
 		}
 	}
 	top.cutUntil[linkKey(2, 0)] = 50
-	if top.reachable(7, 0, 49) || top.reachable(0, 7, 49) || !top.reachable(0, 7, 50) || !top.reachable(0, 3, 49) || !top.reachable(6, 7, 49) {
-		t.Error("a cut between two regions cuts something else")
+	if top.reachable(7, 0, 49) || top.reachable(0, 7, 49) || !top.reachable(0, 7, 50) ||
+		!top.reachable(0, 3, 49) || !top.reachable(6, 7, 49) {
+		t.Error("the cut does not affect exactly its two regions, or does not end on time")
 	}
 }
 
-// The bytes of a list are those of the JSON of the protocol page.
+// The list sizes are those of the JSON in the protocol document.
 func TestListBytes(t *testing.T) {
 	f, s := newSingleSenderFleet(t)
 	const whole = `{"generation":1,"reset":true,"instances":[{"instanceId":"s-00000000","hostPort":"10.0.0.0:6379","zone":"z0",` +
 		`"machineType":"hollow","cell":0,"lifecycle":"up","weight":1,"startedAtMs":0}]}`
 	if s.listBytes.Full != int64(len(whole)) {
-		t.Errorf("whole list of %d bytes, want %d", s.listBytes.Full, len(whole))
+		t.Errorf("full list of %d bytes, want %d", s.listBytes.Full, len(whole))
 	}
 	for f.runNext(13 * logic.Second) { // three watches of 4 s have ended
 	}
 	if want := 3 * len(`{"generation":1,"reset":false,"instances":[]}`); s.listBytes.Empty != int64(want) {
-		t.Errorf("%d bytes with nothing, want %d", s.listBytes.Empty, want)
+		t.Errorf("%d bytes of answers without changes, want %d", s.listBytes.Empty, want)
 	}
 	f.discovery.replaceEndpoint()
 	for f.runNext(20 * logic.Second) {
@@ -229,32 +238,32 @@
 		`{"instanceId":"s-00000001","hostPort":"10.0.0.1:6379","zone":"z0",` +
 		`"machineType":"hollow","cell":0,"lifecycle":"up","weight":1,"startedAtMs":13000}]}`
 	if s.listBytes.Changes != int64(len(change)) {
-		t.Errorf("change of %d bytes, want %d", s.listBytes.Changes, len(change))
+		t.Errorf("changes of %d bytes, want %d", s.listBytes.Changes, len(change))
 	}
 	if r := firstReply(t, f, s, nil); r.Outcome != logic.Completed || s.directory.Addr(r.Endpoint) != "10.0.0.1:6379" {
 		t.Errorf("after the change: %+v", r)
 	}
 	for f.runNext(40 * logic.Second) {
 	}
-	// In force with the delay, the spread and the rest of a tick.
-	if x := f.discovery.propagation(); x.Changes != 2 || x.Pending != 0 || x.Max <= 0 || x.Max > 2.006 {
-		t.Errorf("in force: %+v", x)
+	// Each change is applied after the network delay, the spread (2 s at most) and the rest of a tick (5 ms at most).
+	if p := f.discovery.propagation(); p.Changes != 2 || p.Pending != 0 || p.Max <= 0 || p.Max > 2.006 {
+		t.Errorf("propagation: %+v", p)
 	}
 }
 
-// What clients send does not depend on what else there is.
+// The messages of clients do not change when other components of the model, such as faults, are removed.
 func TestRandomStreamsAreIndependent(t *testing.T) {
 	a, sc := mustRun(t, smallScenario()), smallScenario()
 	sc.Faults, sc.Fleet.RestartsPerDay, sc.Fleet.LossesPerDay, sc.Discovery.ChangesPerDay, sc.Destinations.DownShare = nil, 0, 0, 0, 0
 	b := mustRun(t, sc)
 	if a.Offered != b.Offered {
-		t.Errorf("%d events offered with faults, %d without", a.Offered, b.Offered)
+		t.Errorf("%d messages offered with faults, %d without", a.Offered, b.Offered)
 	}
-	// Poisson: 60 a second for 20 s, and five standard deviations.
+	// Poisson with 60 per second for 20 s; the tolerance is five standard deviations.
 	if x := math.Abs(float64(b.Offered) - 1200); x > 5*math.Sqrt(1200) {
-		t.Errorf("%d events offered, want about 1200", b.Offered)
+		t.Errorf("%d messages offered, want about 1200", b.Offered)
 	}
 	if b.IntoOutages != 0 || b.Outages != b.Relapses || b.ListBytes.Changes != 0 {
-		t.Errorf("faults without any: %+v", b)
+		t.Errorf("faults in a scenario without faults: %+v", b)
 	}
 }
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -176,18 +176,18 @@
 
 // sample adds a sample to the report.
 func (f *fleet) sample() {
-	x := Sample{At: Span{f.now}, Offered: f.stats.Offered, Delivered: f.stats.Delivered, Held: f.stats.open()}
+	sample := Sample{At: Span{f.now}, Offered: f.stats.Offered, Delivered: f.stats.Delivered, Held: f.stats.open()}
 	for _, d := range f.destinations {
 		if d.outage != nil {
-			x.DownDestinations++
+			sample.DownDestinations++
 		}
 	}
 	for _, s := range f.senders {
 		if s.up {
-			x.UpSenders++
+			sample.UpSenders++
 		}
 	}
-	f.stats.samples = append(f.stats.samples, x)
+	f.stats.samples = append(f.stats.samples, sample)
 }
 
 func (f *fleet) report(interrupted bool, wall, cpu time.Duration) *Report {
@@ -224,8 +224,8 @@
 }
 
 func latencyQuantiles(h *hdrhistogram.Histogram) Quantiles {
-	quantile := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e3 }
-	return Quantiles{quantile(50), quantile(90), quantile(99), float64(h.Max()) / 1e3}
+	millis := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e3 }
+	return Quantiles{millis(50), millis(90), millis(99), float64(h.Max()) / 1e3}
 }
 
 // cpuTime is the CPU time that this process has used.
@@ -242,27 +242,30 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	line := func(name, format string, args ...any) { fmt.Fprintf(t, name+"\t"+format+"\n", args...) }
 	if r.Interrupted {
-		line("CUT SHORT", "what follows was measured up to then")
+		line("CUT SHORT", "the figures cover the run up to this point")
 	}
 	line("scenario", "%s, seed %d", r.Title, r.Seed)
 	line("size", "%d senders, %d destinations, %s played", r.Senders, r.Destinations, r.VirtualTime)
-	line("events", "%d offered, %d delivered (%d late), %d returned, %d failed, %d held", r.Offered, r.Delivered, r.Late, r.Returned,
-		r.Failed, r.Held)
-	line("latency", "p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, max %.1f ms", r.Latency.P50, r.Latency.P90, r.Latency.P99, r.Latency.Max)
-	line("calls", "%d, %d over a limit, %d with no place, %d into outages; %d connections, %d repeats", r.Calls, r.OverLimit, r.ConnsRejected,
-		r.IntoOutages, r.Connections, r.Repeats)
-	line("outages", "%d, of them %d falls, %d of senders that were told", r.Outages, r.Relapses, r.InformedRelapses)
-	line("notice", "mean %.3f s, worst %.3f s, over %d; %d never noticed", r.Detection.Mean, r.Detection.Max, r.Detection.Count, r.Undetected)
+	line("events", "%d offered, %d delivered (%d late), %d returned, %d failed, %d held",
+		r.Offered, r.Delivered, r.Late, r.Returned, r.Failed, r.Held)
+	line("latency", "p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, max %.1f ms",
+		r.Latency.P50, r.Latency.P90, r.Latency.P99, r.Latency.Max)
+	line("calls", "%d, %d over a limit, %d with no place, %d into outages; %d connections, %d repeats",
+		r.Calls, r.OverLimit, r.ConnsRejected, r.IntoOutages, r.Connections, r.Repeats)
+	line("outages", "%d, %d of them falls of cold destinations, %d of these caused mostly by senders that knew of the outage",
+		r.Outages, r.Relapses, r.InformedRelapses)
+	line("notice", "mean %.3f s, worst %.3f s, over %d; %d never noticed",
+		r.Detection.Mean, r.Detection.Max, r.Detection.Count, r.Undetected)
 	line("cold return", "worst window %d calls, %.1f allowed", r.WorstColdWindow.Calls, r.WorstColdWindow.Allowed)
 	line("senders", "%d restarts, %d machines lost", r.Restarts, r.Losses)
-	line("list", "a sender: %d bytes whole, %d of changes, %d empty; %.1f bytes a second; worst sender %d bytes", r.ListBytes.Full,
-		r.ListBytes.Changes, r.ListBytes.Empty, r.ListBytesPerSecond, r.MaxListBytes)
-	line("in force", "mean %.3f s, worst %.3f s, of %d changes; %d not everywhere at the end", r.Propagation.Mean, r.Propagation.Max,
-		r.Propagation.Changes, r.Propagation.Pending)
+	line("list", "a sender: %d bytes whole, %d of changes, %d empty; %.1f bytes a second; worst sender %d bytes",
+		r.ListBytes.Full, r.ListBytes.Changes, r.ListBytes.Empty, r.ListBytesPerSecond, r.MaxListBytes)
+	line("in force", "mean %.3f s, worst %.3f s, of %d changes; %d not everywhere at the end",
+		r.Propagation.Mean, r.Propagation.Max, r.Propagation.Changes, r.Propagation.Pending)
 	line("backlog", "peak %d at %s", r.PeakHeld, r.PeakAt)
 	line("modules", "%d steps; digest %s", r.Steps, r.Digest)
 	m := &r.Host
-	line("machine", "%.1f s CPU, %.1f s; a step %.1f us, a change of the list %.1f us, a start %.0f us; %d bytes of heap a sender", m.CPUSeconds,
-		m.WallSeconds, m.StepMicros, m.ListUpdateMicros, m.StartMicros, m.HeapPerSender)
+	line("machine", "%.1f s CPU, %.1f s; a step %.1f us, a change of the list %.1f us, a start %.0f us; %d bytes of heap a sender",
+		m.CPUSeconds, m.WallSeconds, m.StepMicros, m.ListUpdateMicros, m.StartMicros, m.HeapPerSender)
 	return t.Flush()
 }
--- a/internal/hollow/scenario.go
+++ b/internal/hollow/scenario.go
@@ -60,7 +60,7 @@
 	Senders        int     `toml:"senders"`
 	Regions        int     `toml:"regions"`
 	Zones          int     `toml:"zones"` // in total
-	RacksPerZone   int     `toml:"racks"` // per zone
+	RacksPerZone   int     `toml:"racks"`
 	Slots          int     `toml:"slots"` // concurrent calls per sender
 	MaxOpen        int     `toml:"max_open"`
 	MaxAttempts    int     `toml:"max_tries"`
@@ -74,7 +74,7 @@
 type TrafficConfig struct {
 	Rate         float64 `toml:"rate"`       // messages per second, over the whole fleet
 	Popularity   string  `toml:"popularity"` // distribution over destinations: even or zipf
-	ZipfExponent float64 `toml:"exponent"`   // of Zipf's law
+	ZipfExponent float64 `toml:"exponent"`
 }
 
 // ClassConfig is a class of messages, with the values that the sender's settings have for it.
@@ -130,22 +130,22 @@
 
 // NetworkConfig holds one-way delays.
 type NetworkConfig struct {
-	WithinZone     Span    `toml:"zone"`    // within a zone
-	WithinRegion   Span    `toml:"region"`  // between zones of the same region
-	BetweenRegions Span    `toml:"between"` // between regions
-	Jitter         float64 `toml:"jitter"`  // maximum random addition, as a share of the delay
+	WithinZone     Span    `toml:"zone"`
+	WithinRegion   Span    `toml:"region"` // between zones of the same region
+	BetweenRegions Span    `toml:"between"`
+	Jitter         float64 `toml:"jitter"` // maximum random addition, as a share of the delay
 }
 
 // FaultConfig is one fault of the timeline.
 type FaultConfig struct {
-	Kind       string  `toml:"what"`
-	At         Span    `toml:"at"`
-	Duration   Span    `toml:"for"`
-	First      int     `toml:"number"` // of the first destination, sender, rack, zone or region
-	Count      int     `toml:"count"`  // of destinations or senders, starting with First
-	Other      int     `toml:"other"`  // region at the other end of a link
-	OutageMode string  `toml:"how"`    // refused, silent or 503
-	Factor     float64 `toml:"factor"` // that a limit is multiplied by
+	Kind        string  `toml:"what"`
+	At          Span    `toml:"at"`
+	Duration    Span    `toml:"for"`
+	First       int     `toml:"number"` // number of the first destination or sender, or of the rack, zone or region
+	Count       int     `toml:"count"`  // of destinations or senders, starting with First
+	OtherRegion int     `toml:"other"`  // region at the other end of a link
+	OutageMode  string  `toml:"how"`    // refused, silent or 503
+	Factor      float64 `toml:"factor"` // that a limit is multiplied by
 }
 
 // Kinds of faults.
@@ -445,7 +445,8 @@
 			limit, noun = f.Zones, "zone"
 		case faultLink:
 			limit, noun = f.Regions, "region"
-			want(fault.Other >= 0 && fault.Other < f.Regions && fault.Other != fault.First, at+"other", "the number of another region")
+			want(fault.OtherRegion >= 0 && fault.OtherRegion < f.Regions && fault.OtherRegion != fault.First,
+				at+"other", "the number of another region")
 		}
 		want(fault.First >= 0 && fault.First < limit, at+"number", "the number of a "+noun)
 		if ranged := noun == "destination" || noun == "sender"; ranged || fault.Count != 1 {
--- a/internal/hollow/scenario_test.go
+++ b/internal/hollow/scenario_test.go
@@ -8,43 +8,46 @@
 )
 
 func TestBadScenarios(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		name, text string
 		line       int
 		field      string
-		want       string // part of what is said
+		want       string // substring of the reason
 	}{
 		{"unknown field", "seed = 1\n[fleet]\nsenders = 2\nsender = 3\n", 4, "fleet.sender", "no such field"},
 		{"unknown table", "[flet]\nsenders = 2\n", 1, "flet", "no such field"},
-		{"no TOML", "seed = 1\nduration = \n", 2, "", "unexpected character"},
-		{"no number", "[fleet]\n\nsenders = \"two\"\n", 3, "fleet.senders", "int"},
-		{"no span", "duration = \"12 parsecs\"\n", 1, "duration", "want one like 12s or 350ms"},
-		{"span below 0", "[cold]\nfall_window = \"-3s\"\n", 2, "cold.fall_window", "want one like"},
-		{"span without a unit", "\nduration = 60\n", 2, "duration", "want a span like"},
+		{"syntax error", "seed = 1\nduration = \n", 2, "", "unexpected character"},
+		{"wrong type", "[fleet]\n\nsenders = \"two\"\n", 3, "fleet.senders", "int"},
+		{"unknown unit", "duration = \"12 minutes\"\n", 1, "duration", "want one like 12s or 350ms"},
+		{"negative duration", "[cold]\nfall_window = \"-3s\"\n", 2, "cold.fall_window", "want one like"},
+		{"duration without a unit", "\nduration = 60\n", 2, "duration", "want a span like"},
 		{"no senders", "[fleet]\nsenders = 0\n", 2, "fleet.senders", "want 1 or more"},
 		{"too few zones", "[fleet]\nregions = 3\nzones = 2\n", 3, "fleet.zones", "at least one for each region"},
-		{"dotted key", "[fleet]\n[traffic]\n# none\npopularity = \"odd\"\n", 4, "traffic.popularity", "one of even, zipf"},
-		{"second class", "[[class]]\nname = \"a\"\nshare = 1\ndeadline = \"1s\"\neffect = \"safe\"\n[[class]]\nname = \"a\"\n" +
+		{"unknown popularity", "[fleet]\n[traffic]\n# none\npopularity = \"odd\"\n", 4, "traffic.popularity", "one of even, zipf"},
+		{"duplicate class name", "[[class]]\nname = \"a\"\nshare = 1\ndeadline = \"1s\"\neffect = \"safe\"\n[[class]]\nname = \"a\"\n" +
 			"deadline = \"1s\"\neffect = \"safe\"\n", 7, "class[1].name", "a name of its own"},
-		{"class without a window", "[[class]]\nname = \"a\"\nshare = 1\ndeadline = \"1s\"\neffect = \"keyed\"\n", 1, "class[0].window", "keyed"},
-		{"fault of nothing", "[[fault]]\nat = \"3s\"\nfor = \"1s\"\n", 1, "fault[0].what", "one of outage, limit"},
-		{"fault too far", "[[fault]]\nwhat = \"link\"\nfor = \"1s\"\nother = 1\n", 4, "fault[0].other", "another region"},
-		{"outage of too many", "[[fault]]\nwhat = \"outage\"\nhow = \"503\"\nfor = \"1s\"\nnumber = 9\ncount = 2\n", 6, "fault[0].count", "from the number on"},
-		{"wait with 503", "[destinations]\ncome_back = \"1s\"\n", 2, "destinations.come_back", "none with 503"},
+		{"class without a window", "[[class]]\nname = \"a\"\nshare = 1\ndeadline = \"1s\"\neffect = \"keyed\"\n",
+			1, "class[0].window", "keyed"},
+		{"fault without a kind", "[[fault]]\nat = \"3s\"\nfor = \"1s\"\n", 1, "fault[0].what", "one of outage, limit"},
+		{"region out of range", "[[fault]]\nwhat = \"link\"\nfor = \"1s\"\nother = 1\n", 4, "fault[0].other", "another region"},
+		{"too many destinations", "[[fault]]\nwhat = \"outage\"\nhow = \"503\"\nfor = \"1s\"\nnumber = 9\ncount = 2\n",
+			6, "fault[0].count", "from the number on"},
+		{"come_back with 503", "[destinations]\ncome_back = \"1s\"\n", 2, "destinations.come_back", "none with 503"},
 	} {
-		_, err := Parse("x.toml", []byte(x.text))
+		_, err := Parse("x.toml", []byte(tc.text))
 		var fieldErr *FieldError
 		if !errors.As(err, &fieldErr) {
-			t.Errorf("%s: %v", x.name, err)
+			t.Errorf("%s: %v", tc.name, err)
 			continue
 		}
-		if fieldErr.File != "x.toml" || fieldErr.Line != x.line || fieldErr.Field != x.field || !strings.Contains(fieldErr.Reason, x.want) {
-			t.Errorf("%s: %v, want line %d, field %s: %s", x.name, err, x.line, x.field, x.want)
+		if fieldErr.File != "x.toml" || fieldErr.Line != tc.line || fieldErr.Field != tc.field ||
+			!strings.Contains(fieldErr.Reason, tc.want) {
+			t.Errorf("%s: %v, want line %d, field %s: %s", tc.name, err, tc.line, tc.field, tc.want)
 		}
 	}
 	_, err := Parse("x.toml", []byte("[fleet]\nsenders = 0\nzones = 0\n"))
 	if n := strings.Count(err.Error(), "x.toml:"); n != 2 {
-		t.Errorf("two fields are at fault, %d are named: %v", n, err)
+		t.Errorf("two fields are invalid, %d are named: %v", n, err)
 	}
 }
 
@@ -72,7 +75,8 @@
 			rows[x[0]] = x[1:]
 		}
 	}
-	for name, want := range map[string]string{"senders": "2 20 200 slope", "into_outages": "4 400 40000 2.00", "falls": "0 0 5 -"} {
+	for name, want := range map[string]string{"senders": "2 20 200 slope", "into_outages": "4 400 40000 2.00",
+		"falls": "0 0 5 -"} {
 		if got := strings.Join(rows[name], " "); got != want {
 			t.Errorf("%s: %s, want %s", name, got, want)
 		}
--- a/internal/hollow/sender.go
+++ b/internal/hollow/sender.go
@@ -61,7 +61,7 @@
 	lastSeq           int
 	messages          map[string]*message // of the journal; closed ones stay while a call is in progress
 	agentGeneration   int64               // list generation that the agent has
-	appliedGeneration int64               // list generation that the process last applied
+	appliedGeneration int64               // list generation that the current or last process applied
 	listBytes         ListBytes
 	incarnation       int // counts processes of this sender
 	watchDeadline     logic.Micros
@@ -192,7 +192,7 @@
 	clear(s.messages)
 }
 
-// put accepts a message from a client, or returns it if the sender holds too many.
+// put receives a message from a client. If the sender holds too many messages, this one is returned.
 func (s *sender) put(cm *clientMessage) {
 	f := s.fleet
 	if limit := f.scenario.Fleet.MaxOpen; limit > 0 && s.openCount >= limit {
@@ -252,11 +252,11 @@
 	if len(s.pendingEvents) > 0 {
 		s.scheduleStep()
 	}
-	s.undetected = slices.DeleteFunc(s.undetected, func(n *detection) bool {
-		if !slices.ContainsFunc(n.endpoints, s.module.Out) {
+	s.undetected = slices.DeleteFunc(s.undetected, func(d *detection) bool {
+		if !slices.ContainsFunc(d.endpoints, s.module.Out) {
 			return false
 		}
-		f.stats.recordDetection(f.now - n.firstSentAt)
+		f.stats.recordDetection(f.now - d.firstSentAt)
 		return true
 	})
 	if s.appliedGeneration < s.agentGeneration {
