--- a/internal/hollow/faults.go
+++ b/internal/hollow/faults.go
@@ -4,198 +4,200 @@
 	"rundeal/logic"
 )
 
-// inject begins a fault of the timeline.
-func (f *fleet) inject(x FaultPart) {
-	lasts := x.For.Micros
-	switch x.What {
+// injectFault starts a fault of the scenario's timeline.
+func (f *fleet) injectFault(fault FaultConfig) {
+	duration := fault.Duration.Micros
+	switch fault.Kind {
 	case faultOutage:
-		for _, d := range f.dests[x.Number : x.Number+x.Count] {
-			f.startOutage(d, x.How, lasts)
+		for _, d := range f.destinations[fault.First : fault.First+fault.Count] {
+			f.startOutage(d, fault.OutageMode, duration)
 		}
 	case faultLimit:
-		for _, d := range f.dests[x.Number : x.Number+x.Count] {
-			d.factor *= x.Factor
-			f.after(lasts, func() { d.factor /= x.Factor })
+		for _, d := range f.destinations[fault.First : fault.First+fault.Count] {
+			d.limitFactor *= fault.Factor
+			f.scheduleAfter(duration, func() { d.limitFactor /= fault.Factor })
 		}
 	case faultRestart:
-		for _, s := range f.senders[x.Number : x.Number+x.Count] {
-			f.restart(s)
+		for _, s := range f.senders[fault.First : fault.First+fault.Count] {
+			f.restartSender(s)
 		}
 	case faultLoss:
-		for _, s := range f.senders[x.Number : x.Number+x.Count] {
-			f.failMachines([]*machine{s.machine}, max(lasts, f.sc.Fleet.Start.Micros))
+		for _, s := range f.senders[fault.First : fault.First+fault.Count] {
+			f.failMachines([]*machine{s.machine}, max(duration, f.scenario.Fleet.RestartTime.Micros))
 		}
 	case faultRack:
-		f.failMachines(f.machines(func(m *machine) bool { return m.rack == x.Number }), lasts)
+		f.failMachines(f.matchingMachines(func(m *machine) bool { return m.rack == fault.First }), duration)
 	case faultZone:
-		f.failMachines(f.machines(func(m *machine) bool { return m.zone == x.Number }), lasts)
+		f.failMachines(f.matchingMachines(func(m *machine) bool { return m.zone == fault.First }), duration)
 	case faultLink:
-		f.top.cut[link(x.Number, x.Other)] = max(f.top.cut[link(x.Number, x.Other)], f.now+lasts)
+		f.topology.cutUntil[linkKey(fault.First, fault.OtherRegion)] = max(
+			f.topology.cutUntil[linkKey(fault.First, fault.OtherRegion)], f.now+duration)
 	}
 }
 
-func (f *fleet) machines(match func(*machine) bool) (list []*machine) {
+func (f *fleet) matchingMachines(match func(*machine) bool) (matches []*machine) {
 	for _, s := range f.senders {
 		if match(s.machine) {
-			list = append(list, s.machine)
+			matches = append(matches, s.machine)
 		}
 	}
-	for _, e := range f.eps {
+	for _, e := range f.endpoints {
 		if !e.closed && match(e.machine) {
-			list = append(list, e.machine)
+			matches = append(matches, e.machine)
 		}
 	}
-	return list
+	return matches
 }
 
-// restart kills a sender's process; it starts again with its journal.
-func (f *fleet) restart(s *sender) {
+// restartSender kills a sender's process, which starts again with its journal after the restart time.
+func (f *fleet) restartSender(s *sender) {
 	if !s.up {
 		return
 	}
-	f.rec.Restarts++
+	f.stats.Restarts++
 	s.kill(false)
-	life := s.life
-	f.after(f.sc.Fleet.Start.Micros, func() {
-		if !s.up && s.life == life && s.machine.gone == nil {
+	incarnation := s.incarnation
+	f.scheduleAfter(f.scenario.Fleet.RestartTime.Micros, func() {
+		if !s.up && s.incarnation == incarnation && s.machine.outage == nil {
 			s.start()
 		}
 	})
 }
 
-// failMachines takes machines away for a while. Senders come back with nothing, endpoints with no connections.
-func (f *fleet) failMachines(list []*machine, lasts logic.Micros) {
-	o := &outage{how: downSilent, from: f.now}
-	struck := map[*machine]bool{}
-	for _, m := range list {
-		m.until = max(m.until, f.now+lasts)
-		if m.gone == nil {
-			m.gone = o
-			struck[m] = true
+// failMachines makes machines vanish for a time. Senders come back without a journal, endpoints without connections.
+func (f *fleet) failMachines(machines []*machine, duration logic.Micros) {
+	o := &outage{mode: outageSilent, startedAt: f.now}
+	affected := map[*machine]bool{}
+	for _, m := range machines {
+		m.outageEnd = max(m.outageEnd, f.now+duration)
+		if m.outage == nil {
+			m.outage = o
+			affected[m] = true
 		}
 	}
 	for _, s := range f.senders {
-		if struck[s.machine] {
-			f.rec.Losses++
+		if affected[s.machine] {
+			f.stats.Losses++
 			s.kill(true)
-			f.after(lasts, func() { f.senderBack(s) })
+			f.scheduleAfter(duration, func() { f.recoverSender(s) })
 		}
 	}
-	for _, e := range f.eps {
-		if struck[e.machine] {
-			e.serving = nil // these never run
-			f.after(lasts, func() { f.endpointBack(e, o) })
+	for _, e := range f.endpoints {
+		if affected[e.machine] {
+			e.serving = nil // calls in progress never complete
+			f.scheduleAfter(duration, func() { f.recoverEndpoint(e, o) })
 		}
 	}
 }
 
-// senderBack starts a sender on a machine with nothing, once no failure holds it.
-func (f *fleet) senderBack(s *sender) {
-	if f.now < s.machine.until {
-		f.at(s.machine.until, func() { f.senderBack(s) })
+// recoverSender starts a sender on an empty machine, once no failure of the machine is in effect.
+func (f *fleet) recoverSender(s *sender) {
+	if f.now < s.machine.outageEnd {
+		f.scheduleAt(s.machine.outageEnd, func() { f.recoverSender(s) })
 		return
 	}
-	s.machine.gone = nil
-	f.disc.ask(s)
+	s.machine.outage = nil
+	f.discovery.sendFullList(s)
 	s.start()
 }
 
-func (f *fleet) endpointBack(e *endpoint, o *outage) {
-	if f.now < e.machine.until {
-		f.at(e.machine.until, func() { f.endpointBack(e, o) })
+func (f *fleet) recoverEndpoint(e *endpoint, o *outage) {
+	if f.now < e.machine.outageEnd {
+		f.scheduleAt(e.machine.outageEnd, func() { f.recoverEndpoint(e, o) })
 		return
 	}
-	e.machine.gone = nil
-	f.reset(e)
+	e.machine.outage = nil
+	f.resetConnections(e)
 	f.forgetOutage(o)
 }
 
-// reset ends all connections to an endpoint; calls under way are cut off.
-func (f *fleet) reset(e *endpoint) {
+// resetConnections breaks all connections to an endpoint, also those with calls in progress.
+func (f *fleet) resetConnections(e *endpoint) {
 	e.epoch++
-	e.conns = 0
-	cut := e.serving
+	e.connCount = 0
+	interrupted := e.serving
 	e.serving = nil
-	for _, c := range cut {
-		c.answer(logic.ConnLost, 0, nil)
+	for _, c := range interrupted {
+		c.respond(logic.ConnLost, 0, nil)
 	}
 }
 
-// startOutage takes a destination down. If it is down already, the later end counts.
-func (f *fleet) startOutage(d *destination, how string, lasts logic.Micros) {
-	d.until = max(d.until, f.now+lasts)
-	if d.down != nil {
+// startOutage takes a destination down. If it is down already, it stays so until the later of the two ends.
+func (f *fleet) startOutage(d *destination, mode string, duration logic.Micros) {
+	d.outageEnd = max(d.outageEnd, f.now+duration)
+	if d.outage != nil {
 		return
 	}
-	f.traceEvent(traceDown, d.id, int(lasts), 0)
-	f.rec.Outages++
-	d.down, d.told = &outage{how: how, from: f.now}, map[int]bool{}
-	f.rec.window(d.worst)
-	d.worst = ColdWindow{}
-	if how == downRefused {
-		for _, e := range d.eps {
-			f.reset(e)
+	f.traceEvent(traceOutageStart, d.id, int(duration), 0)
+	f.stats.Outages++
+	d.outage, d.informed = &outage{mode: mode, startedAt: f.now}, map[int]bool{}
+	f.stats.recordColdWindow(d.worstWindow)
+	d.worstWindow = ColdWindow{}
+	if mode == outageRefused {
+		for _, e := range d.endpoints {
+			f.resetConnections(e)
 		}
 	}
-	f.at(d.until, func() { f.endOutage(d) })
+	f.scheduleAt(d.outageEnd, func() { f.endOutage(d) })
 }
 
-// endOutage brings a destination back, cold, once its time is up.
+// endOutage brings a destination back once the outage has ended. It is cold at first.
 func (f *fleet) endOutage(d *destination) {
-	if f.now < d.until {
-		f.at(d.until, func() { f.endOutage(d) })
+	if f.now < d.outageEnd {
+		f.scheduleAt(d.outageEnd, func() { f.endOutage(d) })
 		return
 	}
-	f.traceEvent(traceUp, d.id, 0, 0)
-	o := d.down
-	d.down, d.backAt, d.lately = nil, f.now, nil
-	d.limit.tokens, d.limit.filled = 0, f.now
-	if o.how == downSilent { // kept connections lead nowhere
-		for _, e := range d.eps {
-			f.reset(e)
+	f.traceEvent(traceOutageEnd, d.id, 0, 0)
+	o := d.outage
+	d.outage, d.recoveredAt, d.recentArrivals = nil, f.now, nil
+	d.bucket.tokens, d.bucket.refilledAt = 0, f.now
+	if o.mode == outageSilent { // the senders' idle connections are broken
+		for _, e := range d.endpoints {
+			f.resetConnections(e)
 		}
 	}
 	f.forgetOutage(o)
 }
 
-// forgetOutage drops what senders make of an outage that has ended.
+// forgetOutage drops the senders' detection state of an outage that has ended and counts those who never detected it.
 func (f *fleet) forgetOutage(o *outage) {
 	for _, s := range f.senders {
-		if s.noticed[o] == nil {
+		if s.detections[o] == nil {
 			continue
 		}
-		delete(s.noticed, o)
-		for i, n := range s.unseen {
-			if n.out == o {
-				f.rec.Unnoticed++
-				s.unseen = append(s.unseen[:i], s.unseen[i+1:]...)
+		delete(s.detections, o)
+		for i, d := range s.undetected {
+			if d.outage == o {
+				f.stats.Undetected++
+				s.undetected = append(s.undetected[:i], s.undetected[i+1:]...)
 				break
 			}
 		}
 	}
 }
 
-// randomOutages takes a destination down and up at random, so that the share that is down holds from the start.
+// randomOutages schedules random outages of a destination. The first one may start at once, so that the configured share
+// of destinations is down from the start of the run.
 func (f *fleet) randomOutages(d *destination) {
-	set := &f.sc.Destinations
-	if set.DownShare == 0 {
+	config := &f.scenario.Destinations
+	if config.DownShare == 0 {
 		return
 	}
-	r := stream(f.sc.Seed, "outages", d.id)
-	mean := float64(set.DownFor.Micros)
-	var down func()
-	down = func() {
-		how := set.DownHow
-		if how == "mixed" {
-			how = outageNames[r.IntN(len(outageNames))]
+	rng := newRand(f.scenario.Seed, "outages", d.id)
+	mean := float64(config.MeanOutage.Micros)
+	var startNext func()
+	startNext = func() {
+		mode := config.OutageMode
+		if mode == "mixed" {
+			mode = outageModes[rng.IntN(len(outageModes))]
 		}
-		lasts := mean * r.ExpFloat64()
-		f.startOutage(d, how, span(lasts))
-		f.after(span(lasts+mean*(1-set.DownShare)/set.DownShare*r.ExpFloat64()), down)
+		duration := mean * rng.ExpFloat64()
+		f.startOutage(d, mode, clampDelay(duration))
+		f.scheduleAfter(clampDelay(duration+mean*(1-config.DownShare)/config.DownShare*rng.ExpFloat64()), startNext)
 	}
-	if r.Float64() < set.DownShare {
-		down()
+	if rng.Float64() < config.DownShare {
+		startNext()
 		return
 	}
-	f.after(span(mean*(1-set.DownShare)/set.DownShare*r.ExpFloat64()), down)
+	f.scheduleAfter(clampDelay(mean*(1-config.DownShare)/config.DownShare*rng.ExpFloat64()), startNext)
 }
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -16,104 +16,104 @@
 	"rundeal/logic"
 )
 
-// What the trace notes.
+// Codes of the trace. Their values are part of the digest.
 const (
-	traceOffer = iota
+	traceArrival = iota
 	traceCall
-	traceReply
-	traceEnd
-	traceStart
-	traceKill
-	traceList
-	traceDown
-	traceUp
+	traceOutcome
+	traceMessageEnd
+	traceSenderStart
+	traceSenderKill
+	traceListChange
+	traceOutageStart
+	traceOutageEnd
 )
 
-// fleet is a run under way.
+// fleet is the state of a run.
 type fleet struct {
 	clock
-	sc      *Scenario
-	top     *topology
-	dests   []*destination
-	byAddr  map[string]*endpoint
-	eps     []*endpoint
-	disc    *discovery
-	senders []*sender
-	popular []float64 // of destinations, summed up; nil if even
-	shares  []float64 // of classes, summed up
-	changes *rand.Rand
-	offers  uint64
-	rec     *record
-	digest  hash.Hash64
-	err     error
+	scenario        *Scenario
+	topology        *topology
+	destinations    []*destination
+	endpointsByAddr map[string]*endpoint
+	endpoints       []*endpoint
+	discovery       *discovery
+	senders         []*sender
+	popularitySums  []float64 // cumulative weights of the destinations; nil if all are equally popular
+	classShareSums  []float64 // cumulative shares of the classes
+	changesRand     *rand.Rand
+	messageCount    uint64
+	stats           *stats
+	digest          hash.Hash64
+	err             error
 }
 
-// traceEvent adds to the digest of the trace: what, when and three numbers.
-func (f *fleet) traceEvent(what, a, b, c int) {
-	var text [40]byte
-	for i, x := range []uint64{uint64(what), uint64(f.now), uint64(a), uint64(b), uint64(c)} {
-		binary.LittleEndian.PutUint64(text[8*i:], x)
+// traceEvent adds an event code, the current time and three values to the digest of the trace.
+func (f *fleet) traceEvent(code, a, b, c int) {
+	var buf [40]byte
+	for i, x := range []uint64{uint64(code), uint64(f.now), uint64(a), uint64(b), uint64(c)} {
+		binary.LittleEndian.PutUint64(buf[8*i:], x)
 	}
-	f.digest.Write(text[:])
+	f.digest.Write(buf[:])
 }
 
 func (f *fleet) fail(err error) { f.err = errors.Join(f.err, err) }
 
-// Options are what a run has beside its scenario.
+// Options are the options of a run that are not part of its scenario.
 type Options struct {
-	MemoryMB float64        // a run that needs more is refused; 0 for no limit
-	Progress func(Progress) // told each few seconds of a long run; nil for nobody
+	MemoryMB float64        // a run with a higher estimate is refused; 0 for no limit
+	Progress func(Progress) // called every few seconds of a long run; may be nil
 }
 
-// Progress is how far a run has come.
+// Progress is the virtual time and the number of messages that a run has reached.
 type Progress struct {
 	Now, End Span
 	Offered  int64
 }
 
 const (
-	checkEvery    = 4096 // events between two looks at the time and the context
-	progressAfter = 10 * time.Second
-	progressEvery = 5 * time.Second
+	eventsPerCheck = 4096 // events between two checks of the wall clock and the context
+	progressAfter  = 10 * time.Second
+	progressEvery  = 5 * time.Second
 )
 
-// Run plays a scenario. If ctx ends before it does, the report says so and holds what was measured.
-func Run(ctx context.Context, sc *Scenario, opt Options) (*Report, error) {
-	if err := sc.check("scenario", nil); err != nil { // what was set beside the file
+// Run simulates a scenario. If ctx ends first, the report is marked as interrupted and holds what was measured until then.
+func Run(ctx context.Context, sc *Scenario, opts Options) (*Report, error) {
+	if err := sc.validate("scenario", nil); err != nil { // the caller may have changed fields after loading
 		return nil, err
 	}
-	if need := sc.MemoryMB(); opt.MemoryMB > 0 && need > opt.MemoryMB {
-		return nil, fmt.Errorf("%d senders with %d destinations of %d endpoints need about %.0f MB, and %.0f MB is the limit: fewer senders, or fewer destinations",
-			sc.Fleet.Senders, sc.Destinations.Count, sc.Destinations.Endpoints, need, opt.MemoryMB)
+	if needMB := sc.MemoryMB(); opts.MemoryMB > 0 && needMB > opts.MemoryMB {
+		return nil, fmt.Errorf("%d senders with %d destinations of %d endpoints need about %.0f MB, but %.0f MB is the limit; use fewer senders or destinations",
+			sc.Fleet.Senders, sc.Destinations.Count, sc.Destinations.Endpoints, needMB, opts.MemoryMB)
 	}
-	began, used := time.Now(), cpuTime()
+	wallStart, cpuStart := time.Now(), cpuTime()
 	end := sc.Length().Micros
 	f := newFleet(sc)
-	said, cut := began, false
-	look := func() bool { // whether to go on
+	lastProgress, interrupted := wallStart, false
+	checkpoint := func() bool { // reports progress and returns whether to continue
 		now := time.Now()
-		if opt.Progress != nil && now.Sub(began) > progressAfter && now.Sub(said) > progressEvery {
-			said = now
-			opt.Progress(Progress{Span{f.now}, Span{end}, f.rec.Offered})
+		if opts.Progress != nil && now.Sub(wallStart) > progressAfter && now.Sub(lastProgress) > progressEvery {
+			lastProgress = now
+			opts.Progress(Progress{Span{f.now}, Span{end}, f.stats.Offered})
 		}
-		cut = ctx.Err() != nil
-		return !cut
+		interrupted = ctx.Err() != nil
+		return !interrupted
 	}
-	before := heapBytes()
-	f.start(look)
-	f.rec.heap = heapBytes() - before
-	for n := 1; !cut && f.err == nil && f.next(end); n++ {
-		if n%checkEvery == 0 {
-			look()
+	heapBefore := heapBytes()
+	f.start(checkpoint)
+	f.stats.heapBytes = heapBytes() - heapBefore
+	for n := 1; !interrupted && f.err == nil && f.runNext(end); n++ {
+		if n%eventsPerCheck == 0 {
+			checkpoint()
 		}
 	}
 	if f.err != nil {
 		return nil, f.err
 	}
-	return f.report(cut, time.Since(began), cpuTime()-used), nil
+	return f.report(interrupted, time.Since(wallStart), cpuTime()-cpuStart), nil
 }
 
-// heapBytes is the number of bytes in use.
+// heapBytes returns the bytes of live heap objects after a garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -122,27 +122,27 @@
 }
 
 func newFleet(sc *Scenario) *fleet {
-	f := &fleet{sc: sc, top: newTopology(sc), byAddr: map[string]*endpoint{}, changes: stream(sc.Seed, "changes", 0),
-		rec: newRecord(), digest: fnv.New64a()}
-	f.disc = newDiscovery(f)
+	f := &fleet{scenario: sc, topology: newTopology(sc), endpointsByAddr: map[string]*endpoint{},
+		changesRand: newRand(sc.Seed, "changes", 0), stats: newStats(), digest: fnv.New64a()}
+	f.discovery = newDiscovery(f)
 	for i := range sc.Destinations.Count {
 		d := newDestination(i, sc)
-		f.dests = append(f.dests, d)
+		f.destinations = append(f.destinations, d)
 		for k := range sc.Destinations.Endpoints {
 			zone := (i + k*max(sc.Fleet.Zones/sc.Destinations.Endpoints, 1)) % sc.Fleet.Zones
-			f.disc.add(f.newEndpoint(d, zone), 1)
+			f.discovery.add(f.newEndpoint(d, zone), 1)
 		}
 	}
 	sum := 0.0
 	for _, c := range sc.Classes {
 		sum += c.Share
-		f.shares = append(f.shares, sum)
+		f.classShareSums = append(f.classShareSums, sum)
 	}
 	if sc.Traffic.Popularity == "zipf" {
 		sum = 0
-		for i := range f.dests {
-			sum += math.Pow(float64(i+1), -sc.Traffic.Exponent)
-			f.popular = append(f.popular, sum)
+		for i := range f.destinations {
+			sum += math.Pow(float64(i+1), -sc.Traffic.ZipfExponent)
+			f.popularitySums = append(f.popularitySums, sum)
 		}
 	}
 	for i := range sc.Fleet.Senders {
@@ -151,162 +151,166 @@
 	return f
 }
 
-// newEndpoint sets up an endpoint on a machine of its own.
+// newEndpoint creates an endpoint on its own machine.
 func (f *fleet) newEndpoint(d *destination, zone int) *endpoint {
-	n, racks := len(f.eps), f.sc.Fleet.Racks
-	e := &endpoint{dest: d, number: n, addr: fmt.Sprintf("10.%d.%d.%d:6379", n>>16, n>>8&255, n&255),
-		machine: &machine{zone: zone, rack: zone*racks + n/f.sc.Fleet.Zones%racks}}
-	f.eps = append(f.eps, e)
-	d.eps = append(d.eps, e)
-	f.byAddr[e.addr] = e
+	number, racks := len(f.endpoints), f.scenario.Fleet.RacksPerZone
+	e := &endpoint{destination: d, number: number, addr: fmt.Sprintf("10.%d.%d.%d:6379", number>>16, number>>8&255, number&255),
+		machine: &machine{zone: zone, rack: zone*racks + number/f.scenario.Fleet.Zones%racks}}
+	f.endpoints = append(f.endpoints, e)
+	d.endpoints = append(d.endpoints, e)
+	f.endpointsByAddr[e.addr] = e
 	return e
 }
 
-// start starts all senders, unless it is not to go on, and sets what is to come.
-func (f *fleet) start(look func() bool) {
+// start starts all senders, unless checkpoint returns false, and schedules faults, changes and samples.
+func (f *fleet) start(checkpoint func() bool) {
 	for _, s := range f.senders {
-		if !look() {
+		if !checkpoint() {
 			return
 		}
-		f.disc.ask(s)
-		s.inForce = s.agent // it is the list of the start, no change
+		f.discovery.sendFullList(s)
+		s.appliedGeneration = s.agentGeneration // the initial list does not count as a change
 		s.start()
-		f.arrivals(s)
+		f.generateArrivals(s)
 	}
-	for _, d := range f.dests {
+	for _, d := range f.destinations {
 		f.randomOutages(d)
 	}
-	f.daily(f.changes, f.sc.Discovery.Changes/2, f.disc.replace) // each makes two changes
-	restarts, losses := stream(f.sc.Seed, "restarts", 0), stream(f.sc.Seed, "losses", 0)
-	f.daily(restarts, f.sc.Fleet.Restarts, func() { f.restart(f.senders[restarts.IntN(len(f.senders))]) })
-	f.daily(losses, f.sc.Fleet.Losses, func() {
-		f.failMachines([]*machine{f.senders[losses.IntN(len(f.senders))].machine}, f.sc.Fleet.Start.Micros)
+	// Each replacement publishes two changes.
+	f.scheduleDaily(f.changesRand, f.scenario.Discovery.ChangesPerDay/2, f.discovery.replaceEndpoint)
+	restarts, losses := newRand(f.scenario.Seed, "restarts", 0), newRand(f.scenario.Seed, "losses", 0)
+	f.scheduleDaily(restarts, f.scenario.Fleet.RestartsPerDay, func() {
+		f.restartSender(f.senders[restarts.IntN(len(f.senders))])
 	})
-	for _, x := range f.sc.Faults {
-		f.at(x.At.Micros, func() { f.inject(x) })
+	f.scheduleDaily(losses, f.scenario.Fleet.LossesPerDay, func() {
+		f.failMachines([]*machine{f.senders[losses.IntN(len(f.senders))].machine}, f.scenario.Fleet.RestartTime.Micros)
+	})
+	for _, fault := range f.scenario.Faults {
+		f.scheduleAt(fault.At.Micros, func() { f.injectFault(fault) })
 	}
-	for i := range samples {
-		f.at(f.sc.Length().Micros*logic.Micros(i+1)/samples, f.sample)
+	for i := range sampleCount {
+		f.scheduleAt(f.scenario.Length().Micros*logic.Micros(i+1)/sampleCount, f.sample)
 	}
 }
 
-// daily has something happen at random, so many times a day on average, while clients send.
-func (f *fleet) daily(r *rand.Rand, perDay float64, do func()) {
+// scheduleDaily runs do as a Poisson process with perDay events a day on average, for as long as clients submit messages.
+func (f *fleet) scheduleDaily(rng *rand.Rand, perDay float64, do func()) {
 	if perDay <= 0 {
 		return
 	}
-	gap := func() logic.Micros { return span(float64(f.sc.Day.Micros) / perDay * r.ExpFloat64()) }
-	var again func()
-	again = func() {
-		if f.now < f.sc.Duration.Micros {
+	gap := func() logic.Micros { return clampDelay(float64(f.scenario.Day.Micros) / perDay * rng.ExpFloat64()) }
+	var repeat func()
+	repeat = func() {
+		if f.now < f.scenario.Duration.Micros {
 			do()
-			f.after(gap(), again)
+			f.scheduleAfter(gap(), repeat)
 		}
 	}
-	f.after(gap(), again)
+	f.scheduleAfter(gap(), repeat)
 }
 
-// arrivals has clients hand messages to a sender.
-func (f *fleet) arrivals(s *sender) {
-	r := s.clients
-	mean := float64(len(f.senders)) / f.sc.Traffic.Rate * float64(logic.Second)
-	var next func()
-	next = func() {
-		if f.now >= f.sc.Duration.Micros {
+// generateArrivals schedules the messages that clients submit to a sender, as a Poisson process.
+func (f *fleet) generateArrivals(s *sender) {
+	rng := s.clientRand
+	mean := float64(len(f.senders)) / f.scenario.Traffic.Rate * float64(logic.Second)
+	var submitNext func()
+	submitNext = func() {
+		if f.now >= f.scenario.Duration.Micros {
 			return
 		}
-		f.offers++
-		o := &offer{number: f.offers, born: f.now, class: pick(f.shares, r)}
-		if f.popular == nil {
-			o.dest = r.IntN(len(f.dests))
+		f.messageCount++
+		m := &clientMessage{number: f.messageCount, createdAt: f.now, class: pickWeighted(f.classShareSums, rng)}
+		if f.popularitySums == nil {
+			m.dest = rng.IntN(len(f.destinations))
 		} else {
-			o.dest = pick(f.popular, r)
+			m.dest = pickWeighted(f.popularitySums, rng)
 		}
-		f.rec.Offered++
-		f.traceEvent(traceOffer, s.number, o.class, o.dest)
-		if n := f.rec.open(); n > f.rec.peak {
-			f.rec.peak, f.rec.peakAt = n, f.now
+		f.stats.Offered++
+		f.traceEvent(traceArrival, s.number, m.class, m.dest)
+		if n := f.stats.open(); n > f.stats.peakHeld {
+			f.stats.peakHeld, f.stats.peakAt = n, f.now
 		}
 		zone := s.machine.zone
-		f.rec.waiting++
-		f.after(f.top.delay(zone, zone, r), func() {
-			f.rec.waiting--
-			f.handIn(s, o)
+		f.stats.withClients++
+		f.scheduleAfter(f.topology.delay(zone, zone, rng), func() {
+			f.stats.withClients--
+			f.submit(s, m)
 		})
-		f.after(span(mean*r.ExpFloat64()), next)
+		f.scheduleAfter(clampDelay(mean*rng.ExpFloat64()), submitNext)
 	}
-	f.after(span(mean*r.ExpFloat64()), next)
+	f.scheduleAfter(clampDelay(mean*rng.ExpFloat64()), submitNext)
 }
 
-// pick draws a place by weights that are summed up.
-func pick(sums []float64, r *rand.Rand) int {
-	i, found := slices.BinarySearch(sums, r.Float64()*sums[len(sums)-1])
-	if found { // on a bound: it belongs to the next
+// pickWeighted draws an index with the probabilities given by cumulative weights.
+func pickWeighted(sums []float64, rng *rand.Rand) int {
+	i, found := slices.BinarySearch(sums, rng.Float64()*sums[len(sums)-1])
+	if found { // a value on a boundary belongs to the next interval
 		i++
 	}
 	return min(i, len(sums)-1)
 }
 
-// handIn gives a message to a sender, or to another one if that is not up.
-func (f *fleet) handIn(s *sender, o *offer) {
+// submit gives a message to a sender, or to another sender if that one is down. A client notices a dead process at once,
+// and a vanished machine only by a timeout.
+func (f *fleet) submit(s *sender, m *clientMessage) {
 	switch {
 	case s.up:
-		s.put(o)
-	case s.machine.gone != nil:
-		f.redirect(s, o, frontNotices)
+		s.put(m)
+	case s.machine.outage != nil:
+		f.redirect(s, m, clientTimeout)
 	default:
-		f.redirect(s, o, 0)
+		f.redirect(s, m, 0)
 	}
 }
 
-// redirect hands a message to any sender that is up, after a while.
-func (f *fleet) redirect(s *sender, o *offer, wait logic.Micros) {
-	f.rec.waiting++
-	f.after(wait, func() {
-		f.rec.waiting--
-		if f.now >= o.born+f.sc.Classes[o.class].Deadline.Micros {
-			f.end(o, failed)
+// redirect submits a message to any sender that is up, after a delay. Past its deadline it fails.
+func (f *fleet) redirect(s *sender, m *clientMessage, delay logic.Micros) {
+	f.stats.withClients++
+	f.scheduleAfter(delay, func() {
+		f.stats.withClients--
+		if f.now >= m.createdAt+f.scenario.Classes[m.class].Deadline.Micros {
+			f.endMessage(m, failed)
 			return
 		}
-		from := s.front.IntN(len(f.senders))
+		first := s.failoverRand.IntN(len(f.senders))
 		for k := range f.senders {
-			if x := f.senders[(from+k)%len(f.senders)]; x.up {
-				x.put(o)
+			if other := f.senders[(first+k)%len(f.senders)]; other.up {
+				other.put(m)
 				return
 			}
 		}
-		f.redirect(s, o, clientRest)
+		f.redirect(s, m, clientRetryDelay)
 	})
 }
 
-// ending is how an offer ends.
-type ending int
+// endState is the final state of a client's message.
+type endState int
 
 const (
-	delivered ending = iota
+	delivered endState = iota
 	returned
 	failed
 )
 
-// end ends an offer, once.
-func (f *fleet) end(o *offer, e ending) {
-	if o.ended {
-		f.fail(fmt.Errorf("event %d ended twice", o.number))
+// endMessage sets the final state of a message. A second end of one message is an error of the run.
+func (f *fleet) endMessage(m *clientMessage, state endState) {
+	if m.ended {
+		f.fail(fmt.Errorf("message %d ended twice", m.number))
 		return
 	}
-	o.ended = true
-	f.traceEvent(traceEnd, int(o.number), int(e), 0)
-	f.rec.end(f.now-o.born, e, &f.sc.Classes[o.class])
+	m.ended = true
+	f.traceEvent(traceMessageEnd, int(m.number), int(state), 0)
+	f.stats.countEnd(f.now-m.createdAt, state, &f.scenario.Classes[m.class])
 }
 
-// held counts the events that have not ended: at senders, and with clients.
-func (f *fleet) held() (n int64) {
+// heldCount counts the messages that have not ended, at senders and at clients.
+func (f *fleet) heldCount() (n int64) {
 	for _, s := range f.senders {
-		for _, m := range s.held {
-			if !m.over {
+		for _, m := range s.messages {
+			if !m.closed {
 				n++
 			}
 		}
 	}
-	return n + f.rec.waiting
+	return n + f.stats.withClients
 }
--- a/internal/hollow/live_test.go
+++ b/internal/hollow/live_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/goleak"
 )
 
-// buildSender builds the real program.
+// buildSender builds the real sender program.
 func buildSender(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "cometrack")
@@ -22,39 +22,39 @@
 	return path
 }
 
-// Real processes and hollow senders do the same with the same events where nothing goes wrong.
-func TestLiveMatchesHollow(t *testing.T) {
+// Without faults, real processes deliver every message exactly once and fetch the same list as simulated senders.
+func TestLiveMatchesSimulation(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	sc := Default()
-	sc.Classes = []ClassPart{defaultClass}
+	sc.Classes = []ClassConfig{defaultClass}
 	sc.Duration, sc.Drain, sc.Fleet.Senders, sc.Traffic.Rate = seconds(3), seconds(2), 3, 100
-	real, err := Live(t.Context(), &sc, buildSender(t))
+	measured, err := Live(t.Context(), &sc, buildSender(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	model, err := Run(t.Context(), &sc, Options{})
+	simulated, err := Run(t.Context(), &sc, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Compare(t.Output(), real, model); err != nil {
+	if err := Compare(t.Output(), measured, simulated); err != nil {
 		t.Fatal(err)
 	}
-	if real.Offered == 0 || real.Delivered != real.Offered || real.Repeats != 0 {
-		t.Errorf("of %d events %d were delivered, %d twice", real.Offered, real.Delivered, real.Repeats)
+	if measured.Offered == 0 || measured.Delivered != measured.Offered || measured.Repeats != 0 {
+		t.Errorf("%d messages offered, %d delivered, %d repeated executions", measured.Offered, measured.Delivered, measured.Repeats)
 	}
-	// Each asks for the whole list once. Addresses differ in length by a few bytes for each of 20 endpoints.
-	if d := real.WholeBytes - model.List.Whole; d < -100 || d > 100 {
-		t.Errorf("whole list: %d bytes real, %d hollow", real.WholeBytes, model.List.Whole)
+	// Each sender requests the full list once. Addresses differ in length by a few bytes for each of 20 endpoints.
+	if d := measured.FullListBytes - simulated.ListBytes.Full; d < -100 || d > 100 {
+		t.Errorf("full list: %d bytes live, %d simulated", measured.FullListBytes, simulated.ListBytes.Full)
 	}
 }
 
-// What cannot be played live is refused before anything starts.
-func TestLiveRefuses(t *testing.T) {
+// A scenario that live runs do not support is rejected before any process starts.
+func TestLiveRejectsUnsupported(t *testing.T) {
 	for want, change := range map[string]func(*Scenario){
-		"fleet.senders":   func(sc *Scenario) { sc.Fleet.Senders = mostLive + 1 },
-		"destinations":    func(sc *Scenario) { sc.Destinations.Count = mostPorts },
-		"changes":         func(sc *Scenario) { sc.Discovery.Changes = 1 },
-		"fault[0]":        func(sc *Scenario) { sc.Faults = []FaultPart{{What: faultOutage, How: downSilent}} },
+		"fleet.senders":   func(sc *Scenario) { sc.Fleet.Senders = maxLiveSenders + 1 },
+		"destinations":    func(sc *Scenario) { sc.Destinations.Count = maxLiveEndpoints },
+		"changes":         func(sc *Scenario) { sc.Discovery.ChangesPerDay = 1 },
+		"fault[0]":        func(sc *Scenario) { sc.Faults = []FaultConfig{{Kind: faultOutage, OutageMode: outageSilent}} },
 		"no such program": func(*Scenario) {},
 	} {
 		sc := Default()
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	samples    = 20                  // of the course of a run
-	mostMicros = int64(3600_000_000) // longest latency that is told apart
+	sampleCount      = 20                  // in Report.Samples
+	maxLatencyMicros = int64(3600_000_000) // upper bound of the latency histogram, 1 h
 )
 
-// Counts are what happened, counted over the run.
+// Counts are counters over the whole run. Messages appear as "events" in reports and scenario files.
 type Counts struct {
-	Offered     int64 `json:"offered"` // events
-	Delivered   int64 `json:"delivered"`
-	Returned    int64 `json:"returned"` // refused, at the door or later
-	Failed      int64 `json:"failed"`
-	Late        int64 `json:"late"`    // of those delivered, after the aim
-	Held        int64 `json:"held"`    // not ended when the run did
-	Repeats     int64 `json:"repeats"` // runs at an endpoint beyond the first of an event
-	Calls       int64 `json:"calls"`
-	OverLimit   int64 `json:"over_limit"`   // calls that a limit turned away
-	NoPlace     int64 `json:"no_place"`     // connections that an endpoint did not take
-	IntoOutages int64 `json:"into_outages"` // calls made while their endpoint served nothing
-	Connections int64 `json:"connections"`  // opened
-	Outages     int64 `json:"outages"`      // of destinations, falls counted
-	Falls       int64 `json:"falls"`        // of cold destinations
-	Blamed      int64 `json:"blamed"`       // falls of which over two thirds came from senders that had an outcome of the outage
-	Unnoticed   int64 `json:"unnoticed"`    // outages times senders that sent into them and never took an endpoint out
-	Restarts    int64 `json:"restarts"`     // of processes
-	Losses      int64 `json:"losses"`       // of senders' machines
-	Steps       int64 `json:"steps"`        // of modules
+	Offered          int64 `json:"offered"` // messages submitted by clients
+	Delivered        int64 `json:"delivered"`
+	Returned         int64 `json:"returned"` // refused by a sender, on receipt or later
+	Failed           int64 `json:"failed"`
+	Late             int64 `json:"late"`    // delivered after the latency target
+	Held             int64 `json:"held"`    // not ended when the run ended
+	Repeats          int64 `json:"repeats"` // executions at an endpoint beyond the first of a message
+	Calls            int64 `json:"calls"`
+	OverLimit        int64 `json:"over_limit"`   // calls refused by a rate limit
+	ConnsRejected    int64 `json:"no_place"`     // connections refused by an endpoint's connection limit
+	IntoOutages      int64 `json:"into_outages"` // calls started while their endpoint was in an outage
+	Connections      int64 `json:"connections"`  // connections opened
+	Outages          int64 `json:"outages"`      // of destinations, relapses included
+	Relapses         int64 `json:"falls"`        // outages of cold destinations caused by too many calls
+	InformedRelapses int64 `json:"blamed"`       // relapses with over two thirds of the calls from senders that knew of the outage
+	Undetected       int64 `json:"unnoticed"`    // outage and sender pairs: it sent calls and never took an endpoint out
+	Restarts         int64 `json:"restarts"`     // of sender processes
+	Losses           int64 `json:"losses"`       // of sender machines
+	Steps            int64 `json:"steps"`        // of all decision modules
 }
 
-// Quantiles are latencies of delivered events in milliseconds, from their birth to their end.
+// Quantiles are latencies of delivered messages in milliseconds, from creation to delivery.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P90 float64 `json:"p90"`
@@ -48,100 +48,102 @@
 	Max float64 `json:"max"`
 }
 
-// Notice is the time in seconds from a sender's first send into an outage to its having one of the endpoints sent to
-// out, from when on it tries the destination singly.
-type Notice struct {
+// Detection is the time in seconds from a sender's first call into an outage until it has taken one of the endpoints called
+// out of rotation. From then on it sends the destination single trial calls.
+type Detection struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_s"`
-	Worst float64 `json:"worst_s"`
+	Max   float64 `json:"worst_s"`
 }
 
-// InForce is the time in seconds from a change at discovery until the last sender that is up acts on it.
-type InForce struct {
+// Propagation is the time in seconds from a list change at discovery until the last running sender has applied it.
+type Propagation struct {
 	Changes int     `json:"changes"`
-	Open    int     `json:"open"` // not in force everywhere when the run ended
+	Pending int     `json:"open"` // not applied by all senders when the run ended
 	Mean    float64 `json:"mean_s"`
-	Worst   float64 `json:"worst_s"`
+	Max     float64 `json:"worst_s"`
 }
 
-// Sample is the state at one time.
+// Sample is the state of the fleet at one time.
 type Sample struct {
-	At        Span  `json:"at"`
-	Offered   int64 `json:"offered"`
-	Delivered int64 `json:"delivered"`
-	Held      int64 `json:"held"`
-	Down      int   `json:"down"` // destinations
-	Up        int   `json:"up"`   // senders
+	At               Span  `json:"at"`
+	Offered          int64 `json:"offered"`
+	Delivered        int64 `json:"delivered"`
+	Held             int64 `json:"held"`
+	DownDestinations int   `json:"down"`
+	UpSenders        int   `json:"up"`
 }
 
-// Machine is what the run cost this machine. It differs from run to run.
-type Machine struct {
-	HeapPerSender int64   `json:"heap_per_sender_bytes"` // module, directory and the model's share, after the start
-	CPU           float64 `json:"cpu_s"`                 // of the whole process
-	Wall          float64 `json:"wall_s"`
-	Step          float64 `json:"step_us"`  // mean time of a module's step, but for a start's first, on this machine's clock
-	Take          float64 `json:"take_us"`  // of the directory's taking a change of the list
-	Start         float64 `json:"start_us"` // of a process taking the whole list and its journal
+// HostUsage is what the run cost on the host that executed it. It differs from run to run.
+type HostUsage struct {
+	HeapPerSender    int64   `json:"heap_per_sender_bytes"` // after the start: module, directory and a share of the model
+	CPUSeconds       float64 `json:"cpu_s"`                 // user and system time of this process
+	WallSeconds      float64 `json:"wall_s"`
+	StepMicros       float64 `json:"step_us"`  // mean wall time of a module's step, without the first step of a process
+	ListUpdateMicros float64 `json:"take_us"`  // mean wall time for the directory to apply a list change
+	StartMicros      float64 `json:"start_us"` // mean wall time for a process to load the full list and its journal
 }
 
-// stopwatch adds up what parts of the real program take on this machine.
+// stopwatch accumulates the wall time of calls into real code.
 type stopwatch struct {
-	n    int64
-	time time.Duration
+	count int64
+	total time.Duration
 }
 
 func (s *stopwatch) add(began time.Time) {
-	s.n++
-	s.time += time.Since(began)
+	s.count++
+	s.total += time.Since(began)
 }
 
-// mean is in microseconds.
-func (s *stopwatch) mean() float64 { return float64(s.time.Nanoseconds()) / 1e3 / float64(max(s.n, 1)) }
+// meanMicros is the mean time of a call in microseconds.
+func (s *stopwatch) meanMicros() float64 {
+	return float64(s.total.Nanoseconds()) / 1e3 / float64(max(s.count, 1))
+}
 
-// Report is what a run measured. All but Machine is the same for the same scenario and seed.
+// Report is the result of a run. Everything except Host is reproducible for the same scenario and seed.
 type Report struct {
 	Title        string `json:"title"`
 	Seed         uint64 `json:"seed"`
 	Senders      int    `json:"senders"`
 	Destinations int    `json:"destinations"`
-	Until        Span   `json:"until"` // virtual time that was played
-	Cut          bool   `json:"cut"`   // it ended before its time
+	VirtualTime  Span   `json:"until"` // reached at the end of the run
+	Interrupted  bool   `json:"cut"`   // the run was stopped early
 	Counts
-	Latency   Quantiles  `json:"latency_ms"`
-	Notice    Notice     `json:"notice"`
-	Cold      ColdWindow `json:"cold_worst_window"`
-	List      ListBytes  `json:"list_bytes_per_sender"`
-	ListWorst int64      `json:"list_bytes_worst_sender"`
-	ListRate  float64    `json:"list_bytes_per_sender_second"` // without the whole list of the start
-	InForce   InForce    `json:"in_force"`
-	PeakHeld  int64      `json:"peak_held"`
-	PeakAt    Span       `json:"peak_at"`
-	Course    []Sample   `json:"course"`
-	Digest    string     `json:"digest"` // of the trace of events
-	Machine   Machine    `json:"machine"`
+	Latency            Quantiles   `json:"latency_ms"`
+	Detection          Detection   `json:"notice"`
+	WorstColdWindow    ColdWindow  `json:"cold_worst_window"`
+	ListBytes          ListBytes   `json:"list_bytes_per_sender"`
+	MaxListBytes       int64       `json:"list_bytes_worst_sender"`
+	ListBytesPerSecond float64     `json:"list_bytes_per_sender_second"` // without the initial full list
+	Propagation        Propagation `json:"in_force"`
+	PeakHeld           int64       `json:"peak_held"`
+	PeakAt             Span        `json:"peak_at"`
+	Samples            []Sample    `json:"course"`
+	Digest             string      `json:"digest"` // hash of the event trace
+	Host               HostUsage   `json:"machine"`
 }
 
-// record is what a run notes as it goes.
-type record struct {
+// stats collects measurements during a run.
+type stats struct {
 	Counts
-	waiting int64 // events with clients
-	latency *hdrhistogram.Histogram
-	noticed int64
-	notices logic.Micros
-	longest logic.Micros
-	cold    ColdWindow
-	peak    int64
-	peakAt  logic.Micros
-	course  []Sample
-	heap    int64
+	withClients     int64 // messages on their way from a client to a sender, or without an answer
+	latency         *hdrhistogram.Histogram
+	detections      int64
+	detectionTotal  logic.Micros
+	detectionMax    logic.Micros
+	worstColdWindow ColdWindow
+	peakHeld        int64
+	peakAt          logic.Micros
+	samples         []Sample
+	heapBytes       int64
 
-	steps, takes, starts stopwatch
+	stepTimes, listUpdateTimes, startTimes stopwatch
 }
 
-func newRecord() *record { return &record{latency: hdrhistogram.New(1, mostMicros, 3)} }
+func newStats() *stats { return &stats{latency: hdrhistogram.New(1, maxLatencyMicros, 3)} }
 
-// end counts an event that has ended, so long after its birth.
-func (r *record) end(took logic.Micros, e ending, c *ClassPart) {
+// countEnd counts a message that ended after the given time.
+func (r *stats) countEnd(took logic.Micros, e endState, c *ClassConfig) {
 	switch e {
 	case returned:
 		r.Returned++
@@ -149,80 +151,84 @@
 		r.Failed++
 	case delivered:
 		r.Delivered++
-		if took > c.Aim.Micros {
+		if took > c.LatencyTarget.Micros {
 			r.Late++
 		}
-		_ = r.latency.RecordValue(min(max(int64(took), 1), mostMicros)) // within its bounds
+		_ = r.latency.RecordValue(min(max(int64(took), 1), maxLatencyMicros)) // cannot fail: the value is within the bounds
 	}
 }
 
-// open is the number of events that have not ended.
-func (r *record) open() int64 { return r.Offered - r.Delivered - r.Returned - r.Failed }
+// open is the number of messages that have not ended.
+func (r *stats) open() int64 { return r.Offered - r.Delivered - r.Returned - r.Failed }
 
-func (r *record) notice(d logic.Micros) {
-	r.noticed++
-	r.notices += d
-	r.longest = max(r.longest, d)
+func (r *stats) recordDetection(d logic.Micros) {
+	r.detections++
+	r.detectionTotal += d
+	r.detectionMax = max(r.detectionMax, d)
 }
 
-// window takes the worst window of one cold return.
-func (r *record) window(w ColdWindow) {
-	if w.part() > r.cold.part() {
-		r.cold = w
+// recordColdWindow takes the worst window of one cold recovery into account.
+func (r *stats) recordColdWindow(w ColdWindow) {
+	if w.ratio() > r.worstColdWindow.ratio() {
+		r.worstColdWindow = w
 	}
 }
 
-// sample notes the course of the run.
+// sample adds a sample to the report.
 func (f *fleet) sample() {
-	x := Sample{At: Span{f.now}, Offered: f.rec.Offered, Delivered: f.rec.Delivered, Held: f.rec.open()}
-	for _, d := range f.dests {
-		if d.down != nil {
-			x.Down++
+	sample := Sample{At: Span{f.now}, Offered: f.stats.Offered, Delivered: f.stats.Delivered, Held: f.stats.open()}
+	for _, d := range f.destinations {
+		if d.outage != nil {
+			sample.DownDestinations++
 		}
 	}
 	for _, s := range f.senders {
 		if s.up {
-			x.Up++
+			sample.UpSenders++
 		}
 	}
-	f.rec.course = append(f.rec.course, x)
+	f.stats.samples = append(f.stats.samples, sample)
 }
 
-func (f *fleet) report(cut bool, wall, cpu time.Duration) *Report {
-	r := f.rec
-	r.Held = f.held()
-	for _, d := range f.dests {
-		r.window(d.worst)
+func (f *fleet) report(interrupted bool, wall, cpu time.Duration) *Report {
+	st := f.stats
+	st.Held = f.heldCount()
+	for _, d := range f.destinations {
+		st.recordColdWindow(d.worstWindow)
 	}
-	out := &Report{Title: f.sc.Title, Seed: f.sc.Seed, Senders: len(f.senders), Destinations: len(f.dests), Until: Span{f.now},
-		Cut: cut, Counts: r.Counts, Cold: r.cold, InForce: f.disc.inForceFigures(), PeakHeld: r.peak, PeakAt: Span{r.peakAt},
-		Course: r.course, Digest: fmt.Sprintf("%016x", f.digest.Sum64())}
-	out.Latency = quantilesOf(r.latency)
-	if r.noticed > 0 {
-		out.Notice = Notice{r.noticed, float64(r.notices) / float64(r.noticed) / 1e6, float64(r.longest) / 1e6}
+	report := &Report{Title: f.scenario.Title, Seed: f.scenario.Seed, Senders: len(f.senders), Destinations: len(f.destinations),
+		VirtualTime: Span{f.now}, Interrupted: interrupted, Counts: st.Counts, WorstColdWindow: st.worstColdWindow,
+		Propagation: f.discovery.propagation(), PeakHeld: st.peakHeld, PeakAt: Span{st.peakAt},
+		Samples: st.samples, Digest: fmt.Sprintf("%016x", f.digest.Sum64())}
+	report.Latency = latencyQuantiles(st.latency)
+	if st.detections > 0 {
+		report.Detection = Detection{st.detections, float64(st.detectionTotal) / float64(st.detections) / 1e6,
+			float64(st.detectionMax) / 1e6}
 	}
-	n := int64(len(f.senders))
+	senders := int64(len(f.senders))
 	for _, s := range f.senders {
-		out.List.Whole += s.bytes.Whole
-		out.List.Changes += s.bytes.Changes
-		out.List.Empty += s.bytes.Empty
-		out.ListWorst = max(out.ListWorst, s.bytes.total())
+		report.ListBytes.Full += s.listBytes.Full
+		report.ListBytes.Changes += s.listBytes.Changes
+		report.ListBytes.Empty += s.listBytes.Empty
+		report.MaxListBytes = max(report.MaxListBytes, s.listBytes.total())
 	}
-	out.List = ListBytes{out.List.Whole / n, out.List.Changes / n, out.List.Empty / n}
+	report.ListBytes = ListBytes{report.ListBytes.Full / senders, report.ListBytes.Changes / senders,
+		report.ListBytes.Empty / senders}
 	if f.now > 0 {
-		out.ListRate = float64(out.List.Changes+out.List.Empty) / (float64(f.now) / 1e6)
+		report.ListBytesPerSecond = float64(report.ListBytes.Changes+report.ListBytes.Empty) / (float64(f.now) / 1e6)
 	}
-	out.Machine = Machine{HeapPerSender: r.heap / n, CPU: cpu.Seconds(), Wall: wall.Seconds(), Step: r.steps.mean(),
-		Take: r.takes.mean(), Start: r.starts.mean()}
-	return out
+	report.Host = HostUsage{HeapPerSender: st.heapBytes / senders, CPUSeconds: cpu.Seconds(), WallSeconds: wall.Seconds(),
+		StepMicros: st.stepTimes.meanMicros(), ListUpdateMicros: st.listUpdateTimes.meanMicros(),
+		StartMicros: st.startTimes.meanMicros()}
+	return report
 }
 
-func quantilesOf(h *hdrhistogram.Histogram) Quantiles {
-	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e3 }
-	return Quantiles{ms(50), ms(90), ms(99), float64(h.Max()) / 1e3}
+func latencyQuantiles(h *hdrhistogram.Histogram) Quantiles {
+	millis := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e3 }
+	return Quantiles{millis(50), millis(90), millis(99), float64(h.Max()) / 1e3}
 }
 
-// cpuTime is the processor time that this process has used.
+// cpuTime is the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -231,32 +237,35 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report in human-readable form.
 func (r *Report) WriteText(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	line := func(name, format string, args ...any) { fmt.Fprintf(t, name+"\t"+format+"\n", args...) }
-	if r.Cut {
-		line("CUT SHORT", "what follows was measured up to then")
+	if r.Interrupted {
+		line("CUT SHORT", "the figures cover the run up to this point")
 	}
 	line("scenario", "%s, seed %d", r.Title, r.Seed)
-	line("size", "%d senders, %d destinations, %s played", r.Senders, r.Destinations, r.Until)
-	line("events", "%d offered, %d delivered (%d late), %d returned, %d failed, %d held", r.Offered, r.Delivered, r.Late, r.Returned,
-		r.Failed, r.Held)
-	line("latency", "p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, max %.1f ms", r.Latency.P50, r.Latency.P90, r.Latency.P99, r.Latency.Max)
-	line("calls", "%d, %d over a limit, %d with no place, %d into outages; %d connections, %d repeats", r.Calls, r.OverLimit, r.NoPlace,
-		r.IntoOutages, r.Connections, r.Repeats)
-	line("outages", "%d, of them %d falls, %d of senders that were told", r.Outages, r.Falls, r.Blamed)
-	line("notice", "mean %.3f s, worst %.3f s, over %d; %d never noticed", r.Notice.Mean, r.Notice.Worst, r.Notice.Count, r.Unnoticed)
-	line("cold return", "worst window %d calls, %.1f allowed", r.Cold.Calls, r.Cold.Allowed)
+	line("size", "%d senders, %d destinations, %s played", r.Senders, r.Destinations, r.VirtualTime)
+	line("events", "%d offered, %d delivered (%d late), %d returned, %d failed, %d held",
+		r.Offered, r.Delivered, r.Late, r.Returned, r.Failed, r.Held)
+	line("latency", "p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, max %.1f ms",
+		r.Latency.P50, r.Latency.P90, r.Latency.P99, r.Latency.Max)
+	line("calls", "%d, %d over a limit, %d with no place, %d into outages; %d connections, %d repeats",
+		r.Calls, r.OverLimit, r.ConnsRejected, r.IntoOutages, r.Connections, r.Repeats)
+	line("outages", "%d, %d of them falls of cold destinations, %d of these caused mostly by senders that knew of the outage",
+		r.Outages, r.Relapses, r.InformedRelapses)
+	line("notice", "mean %.3f s, worst %.3f s, over %d; %d never noticed",
+		r.Detection.Mean, r.Detection.Max, r.Detection.Count, r.Undetected)
+	line("cold return", "worst window %d calls, %.1f allowed", r.WorstColdWindow.Calls, r.WorstColdWindow.Allowed)
 	line("senders", "%d restarts, %d machines lost", r.Restarts, r.Losses)
-	line("list", "a sender: %d bytes whole, %d of changes, %d empty; %.1f bytes a second; worst sender %d bytes", r.List.Whole,
-		r.List.Changes, r.List.Empty, r.ListRate, r.ListWorst)
-	line("in force", "mean %.3f s, worst %.3f s, of %d changes; %d not everywhere at the end", r.InForce.Mean, r.InForce.Worst,
-		r.InForce.Changes, r.InForce.Open)
+	line("list", "a sender: %d bytes whole, %d of changes, %d empty; %.1f bytes a second; worst sender %d bytes",
+		r.ListBytes.Full, r.ListBytes.Changes, r.ListBytes.Empty, r.ListBytesPerSecond, r.MaxListBytes)
+	line("in force", "mean %.3f s, worst %.3f s, of %d changes; %d not everywhere at the end",
+		r.Propagation.Mean, r.Propagation.Max, r.Propagation.Changes, r.Propagation.Pending)
 	line("backlog", "peak %d at %s", r.PeakHeld, r.PeakAt)
 	line("modules", "%d steps; digest %s", r.Steps, r.Digest)
-	m := &r.Machine
-	line("machine", "%.1f s CPU, %.1f s; a step %.1f us, a change of the list %.1f us, a start %.0f us; %d bytes of heap a sender", m.CPU,
-		m.Wall, m.Step, m.Take, m.Start, m.HeapPerSender)
+	m := &r.Host
+	line("machine", "%.1f s CPU, %.1f s; a step %.1f us, a change of the list %.1f us, a start %.0f us; %d bytes of heap a sender",
+		m.CPUSeconds, m.WallSeconds, m.StepMicros, m.ListUpdateMicros, m.StartMicros, m.HeapPerSender)
 	return t.Flush()
 }
--- a/internal/hollow/sender.go
+++ b/internal/hollow/sender.go
@@ -12,123 +12,125 @@
 )
 
 const (
-	frontNotices = 400_000          // a client has no answer for so long: it turns to another sender
-	lossNotices  = 2 * logic.Second // what a lost machine held is handed to others
-	clientRest   = logic.Second     // a client that finds no sender tries again
+	clientTimeout     = 400_000          // microseconds without an answer until a client tries another sender
+	lossRedirectDelay = 2 * logic.Second // until the messages of a lost machine are submitted to other senders
+	clientRetryDelay  = logic.Second     // until a client that finds no sender up tries again
 )
 
-// offer is an event that a client wants delivered.
-type offer struct {
-	number uint64
-	born   logic.Micros
-	class  int
-	dest   int
-	handed int // times it was handed in
-	runs   int // times an endpoint has run it
-	ended  bool
+// clientMessage is a message as its client has it.
+type clientMessage struct {
+	number      uint64
+	createdAt   logic.Micros
+	class       int
+	dest        int
+	submissions int // times it was submitted to a sender
+	executions  int // times an endpoint has processed it
+	ended       bool
 }
 
-// message is an offer as one sender has it, with what its journal keeps of it.
+// message is a client's message as one sender holds it, with the record of its journal.
 type message struct {
-	*offer
-	id       string
-	seq      int // order in which they came
-	deadline logic.Micros
-	over     bool
-	tries    int
-	mayRun   bool
-	firstMay logic.Micros
-	zone     int
-	call     *call // that is out
+	*clientMessage
+	id                  string
+	seq                 int // order of receipt
+	deadline            logic.Micros
+	closed              bool
+	attempts            int
+	mayHaveRun          bool
+	firstMayHaveRunAt   logic.Micros
+	firstMayHaveRunZone int
+	call                *call // in progress, or nil
 }
 
-// noting is what a sender makes of an outage that it has sent into.
-type noting struct {
-	out  *outage
-	from logic.Micros       // first send
-	eps  []logic.EndpointID // sent to
+// detection tracks whether a sender has detected an outage that it has sent calls into.
+type detection struct {
+	outage      *outage
+	firstSentAt logic.Micros       // time of the first call
+	endpoints   []logic.EndpointID // that calls were sent to
 }
 
-// sender is one hollow sender: a machine with the agent of discovery, a journal, and a process while it is up.
+// sender is one simulated sender: a machine with a discovery agent and a journal, and a process while it is up.
 type sender struct {
-	f        *fleet
-	number   int
-	machine  *machine
-	clients  *rand.Rand
-	front    *rand.Rand // deals its clients out to others while it is down
-	network  *rand.Rand
-	spread   *rand.Rand // of what discovery tells
-	seq      int
-	held     map[string]*message // what the journal knows; ended ones while a call is out
-	agent    int64               // generation of the list that the agent has
-	inForce  int64               // and that the last process had
-	bytes    ListBytes
-	life     int // counts processes
-	watchEnd logic.Micros
+	fleet             *fleet
+	number            int
+	machine           *machine
+	clientRand        *rand.Rand
+	failoverRand      *rand.Rand // chooses other senders for its clients while it is down
+	networkRand       *rand.Rand
+	spreadRand        *rand.Rand // delays of discovery's notifications
+	lastSeq           int
+	messages          map[string]*message // of the journal; closed ones stay while a call is in progress
+	agentGeneration   int64               // list generation that the agent has
+	appliedGeneration int64               // list generation that the current or last process applied
+	listBytes         ListBytes
+	incarnation       int // counts processes of this sender
+	watchDeadline     logic.Micros
 
-	// Of the process that is up.
-	up      bool
-	upAt    logic.Micros
-	module  *logic.Sender
-	dir     *node.Directory
-	next    []logic.Event
-	fresh   []*message // not taken on before the next step
-	flying  []*call
-	open    int // messages not over
-	idle    map[logic.EndpointID][]*conn
-	waking  bool // a step is set
-	rested  logic.Micros
-	timer   int // counts timers: the last one counts
-	unseen  []*noting
-	noticed map[*outage]*noting
+	// State of the running process.
+	up            bool
+	startedAt     logic.Micros
+	module        *logic.Sender
+	directory     *node.Directory
+	pendingEvents []logic.Event
+	unaccepted    []*message // the module sees them first in the next step
+	inFlight      []*call
+	openCount     int // messages not closed
+	idleConns     map[logic.EndpointID][]*conn
+	stepScheduled bool
+	lastStepAt    logic.Micros
+	timerID       int // of the last timer; earlier ones are void
+	undetected    []*detection
+	detections    map[*outage]*detection
 }
 
 func newSender(f *fleet, number int) *sender {
-	zones, racks := f.sc.Fleet.Zones, f.sc.Fleet.Racks
+	zones, racks := f.scenario.Fleet.Zones, f.scenario.Fleet.RacksPerZone
 	zone := number % zones
-	return &sender{f: f, number: number, machine: &machine{zone: zone, rack: zone*racks + number/zones%racks},
-		clients: stream(f.sc.Seed, "clients", number), front: stream(f.sc.Seed, "front", number),
-		network: stream(f.sc.Seed, "network", number), spread: stream(f.sc.Seed, "spread", number), held: map[string]*message{}}
+	return &sender{fleet: f, number: number, machine: &machine{zone: zone, rack: zone*racks + number/zones%racks},
+		clientRand: newRand(f.scenario.Seed, "clients", number), failoverRand: newRand(f.scenario.Seed, "front", number),
+		networkRand: newRand(f.scenario.Seed, "network", number), spreadRand: newRand(f.scenario.Seed, "spread", number),
+		messages: map[string]*message{}}
 }
 
-// start begins a process with what the journal holds and the list that the agent has.
+// start starts a process with the messages of the journal and the list that the agent has.
 func (s *sender) start() {
-	f := s.f
-	set := f.sc.settings(s.machine.zone)
-	module, err := logic.New(set, derive(f.sc.Seed, "module", s.number<<16+s.life))
+	f := s.fleet
+	settings := f.scenario.moduleSettings(s.machine.zone)
+	module, err := logic.New(settings, deriveSeed(f.scenario.Seed, "module", s.number<<16+s.incarnation))
 	if err != nil {
 		f.fail(err)
 		return
 	}
-	s.up, s.upAt, s.module, s.rested = true, f.now, module, f.now-set.Tick
-	s.dir = node.NewDirectory(&node.Config{Deployment: wire.Deployment{Settings: set, Zones: f.disc.zones}})
-	s.idle, s.noticed = map[logic.EndpointID][]*conn{}, map[*outage]*noting{}
-	known := f.disc.whole(s.agent)
-	began := time.Now()
-	s.next = append(s.next, logic.EndpointUpdate{Kind: logic.UpdateCached, Entries: s.dir.Apply(known, s.wall())})
-	for _, m := range s.owed() {
-		s.open++
-		c := s.event(m)
-		c.History = logic.History{Accepted: true, Attempts: m.tries, MayHaveRun: m.mayRun}
-		if m.mayRun {
-			c.History.Age, c.History.Zone = f.now-m.firstMay, m.zone
+	s.up, s.startedAt, s.module, s.lastStepAt = true, f.now, module, f.now-settings.Tick
+	s.directory = node.NewDirectory(&node.Config{Deployment: wire.Deployment{Settings: settings, Zones: f.discovery.zoneNames}})
+	s.idleConns, s.detections = map[logic.EndpointID][]*conn{}, map[*outage]*detection{}
+	list := f.discovery.fullList(s.agentGeneration)
+	wallStart := time.Now()
+	s.pendingEvents = append(s.pendingEvents,
+		logic.EndpointUpdate{Kind: logic.UpdateCached, Entries: s.directory.Apply(list, s.wallTime())})
+	for _, m := range s.openMessages() {
+		s.openCount++
+		ev := s.callEvent(m)
+		ev.History = logic.History{Accepted: true, Attempts: m.attempts, MayHaveRun: m.mayHaveRun}
+		if m.mayHaveRun {
+			ev.History.Age, ev.History.Zone = f.now-m.firstMayHaveRunAt, m.firstMayHaveRunZone
 		}
-		s.next = append(s.next, c)
+		s.pendingEvents = append(s.pendingEvents, ev)
 	}
-	f.traceEvent(traceStart, s.number, s.life, len(s.next))
+	f.traceEvent(traceSenderStart, s.number, s.incarnation, len(s.pendingEvents))
 	s.step()
-	f.rec.starts.add(began)
-	s.watch()
+	f.stats.startTimes.add(wallStart)
+	s.watchList()
 }
 
-// wall is the virtual time as the directory wants it.
-func (s *sender) wall() time.Time { return time.UnixMicro(int64(s.f.now)) }
+// wallTime is the virtual time as the time.Time that the directory takes.
+func (s *sender) wallTime() time.Time { return time.UnixMicro(int64(s.fleet.now)) }
 
-// owed lists the messages that the journal holds, in the order in which they came.
-func (s *sender) owed() []*message {
+// openMessages lists the open messages of the journal in order of receipt.
+func (s *sender) openMessages() []*message {
 	var list []*message
-	for _, m := range s.held {
-		if !m.over {
+	for _, m := range s.messages {
+		if !m.closed {
 			list = append(list, m)
 		}
 	}
@@ -136,222 +138,222 @@
 	return list
 }
 
-func (s *sender) event(m *message) logic.Message {
-	return logic.Message{ID: m.id, TimeLeft: m.deadline - s.f.now, Dest: int64(m.dest), Tenant: -1, Class: m.class}
+func (s *sender) callEvent(m *message) logic.Message {
+	return logic.Message{ID: m.id, TimeLeft: m.deadline - s.fleet.now, Dest: int64(m.dest), Tenant: -1, Class: m.class}
 }
 
-// kill ends the process. If its machine has vanished, what is open at endpoints stays so until they close it, and
-// what it held is handed to others.
-func (s *sender) kill(vanished bool) {
-	f := s.f
-	f.traceEvent(traceKill, s.number, s.life, len(s.flying))
-	s.life++
-	s.up, s.module, s.dir, s.next, s.open, s.waking = false, nil, nil, nil, 0, false
-	s.unseen, s.noticed = nil, nil
-	var open []*conn
-	for _, c := range s.flying {
-		c.over, c.m.call = true, nil
-		c.m.mayRun = true // the journal has the send and no outcome
-		if c.m.over {
-			delete(s.held, c.m.id)
+// kill ends the process. If its machine was lost, endpoints keep its connections open until the idle timeout, and other
+// senders receive its messages.
+func (s *sender) kill(machineLost bool) {
+	f := s.fleet
+	f.traceEvent(traceSenderKill, s.number, s.incarnation, len(s.inFlight))
+	s.incarnation++
+	s.up, s.module, s.directory, s.pendingEvents, s.openCount, s.stepScheduled = false, nil, nil, nil, 0, false
+	s.undetected, s.detections = nil, nil
+	var conns []*conn
+	for _, c := range s.inFlight {
+		c.ended, c.message.call = true, nil
+		c.message.mayHaveRun = true // the journal has a record of the attempt but no outcome
+		if c.message.closed {
+			delete(s.messages, c.message.id)
 		}
 		if c.conn != nil {
-			open = append(open, c.conn)
+			conns = append(conns, c.conn)
 		}
 	}
-	for _, list := range s.idle {
-		open = append(open, list...)
+	for _, idle := range s.idleConns {
+		conns = append(conns, idle...)
 	}
-	s.flying, s.idle = nil, nil
-	shut := func() {
-		for _, c := range open {
+	s.inFlight, s.idleConns = nil, nil
+	closeConns := func() {
+		for _, c := range conns {
 			c.close()
 		}
 	}
-	lost := s.fresh
-	s.fresh = nil
-	for _, m := range lost {
-		delete(s.held, m.id)
+	unaccepted := s.unaccepted
+	s.unaccepted = nil
+	for _, m := range unaccepted {
+		delete(s.messages, m.id)
 	}
-	if !vanished {
-		shut()
-		for _, m := range lost {
-			f.redirect(s, m.offer, 0)
+	if !machineLost {
+		closeConns()
+		for _, m := range unaccepted {
+			f.redirect(s, m.clientMessage, 0)
 		}
 		return
 	}
-	f.after(f.sc.Destinations.ConnIdle.Micros, shut)
-	for _, m := range lost {
-		f.redirect(s, m.offer, frontNotices)
+	f.scheduleAfter(f.scenario.Destinations.ConnIdleTimeout.Micros, closeConns)
+	for _, m := range unaccepted {
+		f.redirect(s, m.clientMessage, clientTimeout)
 	}
-	for _, m := range s.owed() {
-		f.redirect(s, m.offer, lossNotices)
+	for _, m := range s.openMessages() {
+		f.redirect(s, m.clientMessage, lossRedirectDelay)
 	}
-	clear(s.held)
+	clear(s.messages)
 }
 
-// put takes a message from a client.
-func (s *sender) put(o *offer) {
-	f := s.f
-	if most := f.sc.Fleet.MaxOpen; most > 0 && s.open >= most {
-		f.end(o, returned)
+// put receives a message from a client. If the sender holds too many messages, this one is returned.
+func (s *sender) put(cm *clientMessage) {
+	f := s.fleet
+	if limit := f.scenario.Fleet.MaxOpen; limit > 0 && s.openCount >= limit {
+		f.endMessage(cm, returned)
 		return
 	}
-	s.seq++
-	m := &message{offer: o, seq: s.seq, deadline: o.born + f.sc.Classes[o.class].Deadline.Micros,
-		id: strconv.FormatUint(o.number, 16) + "-" + strconv.Itoa(o.handed)}
-	o.handed++
-	s.held[m.id] = m
-	s.open++
-	s.fresh = append(s.fresh, m)
-	s.hear(s.event(m))
+	s.lastSeq++
+	m := &message{clientMessage: cm, seq: s.lastSeq, deadline: cm.createdAt + f.scenario.Classes[cm.class].Deadline.Micros,
+		id: strconv.FormatUint(cm.number, 16) + "-" + strconv.Itoa(cm.submissions)}
+	cm.submissions++
+	s.messages[m.id] = m
+	s.openCount++
+	s.unaccepted = append(s.unaccepted, m)
+	s.enqueue(s.callEvent(m))
 }
 
-// hear keeps an event for the next step, which comes as soon as the last one is a tick ago.
-func (s *sender) hear(ev logic.Event) {
-	s.next = append(s.next, ev)
-	s.wake()
+// enqueue queues an event for the next step, which runs as soon as a tick has passed since the last one.
+func (s *sender) enqueue(ev logic.Event) {
+	s.pendingEvents = append(s.pendingEvents, ev)
+	s.scheduleStep()
 }
 
-func (s *sender) wake() {
-	if s.waking {
+func (s *sender) scheduleStep() {
+	if s.stepScheduled {
 		return
 	}
-	s.waking = true
-	s.whileUp(max(s.f.now, s.rested+s.f.sc.Fleet.Tick.Micros), s.step)
+	s.stepScheduled = true
+	s.scheduleWhileUp(max(s.fleet.now, s.lastStepAt+s.fleet.scenario.Fleet.Tick.Micros), s.step)
 }
 
-// whileUp sets do for a time, unless the process ends before.
-func (s *sender) whileUp(t logic.Micros, do func()) {
-	life := s.life
-	s.f.at(t, func() {
-		if s.up && s.life == life {
+// scheduleWhileUp runs do at time t, unless the process has ended by then.
+func (s *sender) scheduleWhileUp(t logic.Micros, do func()) {
+	incarnation := s.incarnation
+	s.fleet.scheduleAt(t, func() {
+		if s.up && s.incarnation == incarnation {
 			do()
 		}
 	})
 }
 
-// step lets the module decide and acts on it.
+// step passes the queued events to the module and carries out its actions.
 func (s *sender) step() {
-	f := s.f
-	events := s.next
-	s.next, s.fresh, s.rested = nil, nil, f.now // what is fresh is taken on, or ends in this step
-	began := time.Now()                         // for the report alone
+	f := s.fleet
+	events := s.pendingEvents
+	s.pendingEvents, s.unaccepted, s.lastStepAt = nil, nil, f.now // the module accepts or refuses new messages in this step
+	wallStart := time.Now()                                       // wall clock, only for the report
 	actions := s.module.Step(f.now, events)
-	if s.upAt < f.now { // the first one counts with the start
-		f.rec.steps.add(began)
+	if s.startedAt < f.now { // the first step is measured as part of the start
+		f.stats.stepTimes.add(wallStart)
 	}
-	f.rec.Steps++
-	s.waking = true // what this step brings waits for the next
+	f.stats.Steps++
+	s.stepScheduled = true // events caused by this step are left for the next one
 	for _, a := range actions {
-		s.act(a)
+		s.apply(a)
 	}
-	s.waking = false
-	if len(s.next) > 0 {
-		s.wake()
+	s.stepScheduled = false
+	if len(s.pendingEvents) > 0 {
+		s.scheduleStep()
 	}
-	s.unseen = slices.DeleteFunc(s.unseen, func(n *noting) bool {
-		if !slices.ContainsFunc(n.eps, s.module.Ejected) {
+	s.undetected = slices.DeleteFunc(s.undetected, func(d *detection) bool {
+		if !slices.ContainsFunc(d.endpoints, s.module.Ejected) {
 			return false
 		}
-		f.rec.notice(f.now - n.from)
+		f.stats.recordDetection(f.now - d.firstSentAt)
 		return true
 	})
-	if s.inForce < s.agent {
-		f.disc.inForce(s)
+	if s.appliedGeneration < s.agentGeneration {
+		f.discovery.markApplied(s)
 	}
 }
 
-func (s *sender) act(a logic.Action) {
-	f := s.f
+func (s *sender) apply(a logic.Action) {
+	f := s.fleet
 	switch a := a.(type) {
 	case logic.Send:
-		s.call(a)
+		s.startCall(a)
 	case logic.Cancel:
-		if m := s.held[a.ID]; m != nil && m.call != nil && m.call.attempt == a.Attempt {
-			m.call.giveUp(logic.Cancelled)
+		if m := s.messages[a.ID]; m != nil && m.call != nil && m.call.attempt == a.Attempt {
+			m.call.cancel(logic.Cancelled)
 		}
 	case logic.Reject:
-		s.finish(a.ID, returned)
+		s.endMessage(a.ID, returned)
 	case logic.Fail:
-		s.finish(a.ID, failed)
+		s.endMessage(a.ID, failed)
 	case logic.SetTimer:
-		s.timer++
-		n := s.timer
-		s.whileUp(f.now+a.Wait, func() {
-			if n == s.timer {
-				s.hear(logic.TimerFired{Token: a.Token})
+		s.timerID++
+		n := s.timerID
+		s.scheduleWhileUp(f.now+a.Wait, func() {
+			if n == s.timerID {
+				s.enqueue(logic.TimerFired{Token: a.Token})
 			}
 		})
 	case logic.ReleaseConns:
-		for _, c := range s.idle[a.Endpoint] {
+		for _, c := range s.idleConns[a.Endpoint] {
 			c.close()
 		}
-		delete(s.idle, a.Endpoint)
+		delete(s.idleConns, a.Endpoint)
 	}
 }
 
-// finish ends a message by the module's word.
-func (s *sender) finish(id string, e ending) {
-	if m := s.held[id]; m != nil && !m.over {
-		s.f.end(m.offer, e)
-		s.drop(m)
+// endMessage ends a message as the module has decided.
+func (s *sender) endMessage(id string, state endState) {
+	if m := s.messages[id]; m != nil && !m.closed {
+		s.fleet.endMessage(m.clientMessage, state)
+		s.closeMessage(m)
 	}
 }
 
-// drop takes a message that is over off the books, once nothing of it is out.
-func (s *sender) drop(m *message) {
-	if !m.over {
-		m.over = true
-		s.open--
+// closeMessage closes a message and removes it from the journal once no call of it is in progress.
+func (s *sender) closeMessage(m *message) {
+	if !m.closed {
+		m.closed = true
+		s.openCount--
 	}
 	if m.call == nil {
-		delete(s.held, m.id)
+		delete(s.messages, m.id)
 	}
 }
 
-// list hands the process what its agent was told.
-func (s *sender) list(l node.EndpointList) {
-	began := time.Now()
-	rows := s.dir.Apply(l, s.wall())
-	s.f.rec.takes.add(began)
+// applyList passes the list or changes that the agent received to the process.
+func (s *sender) applyList(list node.EndpointList) {
+	wallStart := time.Now()
+	entries := s.directory.Apply(list, s.wallTime())
+	s.fleet.stats.listUpdateTimes.add(wallStart)
 	form := logic.UpdateDelta
-	if l.Reset {
+	if list.Reset {
 		form = logic.UpdateFull
 	}
-	// What is still connecting to an endpoint that takes no more is not written.
-	s.hold(func(c *call) bool {
-		i := slices.IndexFunc(rows, func(row logic.EndpointEntry) bool { return row.Endpoint == c.id })
-		return i >= 0 && rows[i].State != logic.Ready || i < 0 && l.Reset
+	// Calls still connecting to an endpoint that accepts no more are aborted before the request is sent.
+	s.abortConnecting(func(c *call) bool {
+		i := slices.IndexFunc(entries, func(entry logic.EndpointEntry) bool { return entry.Endpoint == c.endpointID })
+		return i >= 0 && entries[i].State != logic.Ready || i < 0 && list.Reset
 	})
-	for _, row := range rows {
-		if row.State != logic.Ready {
-			s.act(logic.ReleaseConns{Endpoint: row.Endpoint})
+	for _, entry := range entries {
+		if entry.State != logic.Ready {
+			s.apply(logic.ReleaseConns{Endpoint: entry.Endpoint})
 		}
 	}
-	s.hear(logic.EndpointUpdate{Kind: form, Entries: rows})
+	s.enqueue(logic.EndpointUpdate{Kind: form, Entries: entries})
 }
 
-// hold ends calls that are still connecting as never sent.
-func (s *sender) hold(match func(*call) bool) {
-	for _, c := range slices.Clone(s.flying) {
-		if !c.written && match(c) {
-			c.end(logic.Skipped, 0, nil)
+// abortConnecting ends the matching calls that are still connecting; their requests were never sent.
+func (s *sender) abortConnecting(match func(*call) bool) {
+	for _, c := range slices.Clone(s.inFlight) {
+		if !c.requestSent && match(c) {
+			c.finish(logic.Skipped, 0, nil)
 		}
 	}
 }
 
-// watch ends the watch of the list, with nothing, once its time is up, and begins the next.
-func (s *sender) watch() {
-	s.watchEnd = s.f.now + s.f.sc.Discovery.Hold.Micros
-	var look func()
-	look = func() {
-		if s.f.now >= s.watchEnd {
-			s.bytes.Empty += s.f.disc.emptySize(s.agent)
-			s.watchEnd = s.f.now + s.f.sc.Discovery.Hold.Micros
-			s.hear(logic.EndpointUpdate{Kind: logic.UpdateDelta})
+// watchList ends the watch of the list without changes when its hold time is over, and starts the next one.
+func (s *sender) watchList() {
+	s.watchDeadline = s.fleet.now + s.fleet.scenario.Discovery.WatchTimeout.Micros
+	var checkDeadline func()
+	checkDeadline = func() {
+		if s.fleet.now >= s.watchDeadline {
+			s.listBytes.Empty += s.fleet.discovery.emptyResponseSize(s.agentGeneration)
+			s.watchDeadline = s.fleet.now + s.fleet.scenario.Discovery.WatchTimeout.Micros
+			s.enqueue(logic.EndpointUpdate{Kind: logic.UpdateDelta})
 		}
-		s.whileUp(s.watchEnd, look)
+		s.scheduleWhileUp(s.watchDeadline, checkDeadline)
 	}
-	s.whileUp(s.watchEnd, look)
+	s.scheduleWhileUp(s.watchDeadline, checkDeadline)
 }
--- a/internal/hollow/sweep.go
+++ b/internal/hollow/sweep.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// column is a figure of a sweep's table.
+// column is one figure of a report; a sweep's table has a row for each.
 type column struct {
 	name  string
 	value func(*Report) float64
@@ -22,63 +22,63 @@
 	{"failed", func(r *Report) float64 { return float64(r.Failed) }},
 	{"p99_ms", func(r *Report) float64 { return r.Latency.P99 }},
 	{"into_outages", func(r *Report) float64 { return float64(r.IntoOutages) }},
-	{"notice_mean_s", func(r *Report) float64 { return r.Notice.Mean }},
-	{"notice_worst_s", func(r *Report) float64 { return r.Notice.Worst }},
-	{"unnoticed", func(r *Report) float64 { return float64(r.Unnoticed) }},
-	{"cold_calls", func(r *Report) float64 { return float64(r.Cold.Calls) }},
-	{"cold_allowed", func(r *Report) float64 { return r.Cold.Allowed }},
-	{"falls", func(r *Report) float64 { return float64(r.Falls) }},
-	{"falls_blamed", func(r *Report) float64 { return float64(r.Blamed) }},
+	{"notice_mean_s", func(r *Report) float64 { return r.Detection.Mean }},
+	{"notice_worst_s", func(r *Report) float64 { return r.Detection.Max }},
+	{"unnoticed", func(r *Report) float64 { return float64(r.Undetected) }},
+	{"cold_calls", func(r *Report) float64 { return float64(r.WorstColdWindow.Calls) }},
+	{"cold_allowed", func(r *Report) float64 { return r.WorstColdWindow.Allowed }},
+	{"falls", func(r *Report) float64 { return float64(r.Relapses) }},
+	{"falls_blamed", func(r *Report) float64 { return float64(r.InformedRelapses) }},
 	{"connections", func(r *Report) float64 { return float64(r.Connections) }},
-	{"list_bytes", func(r *Report) float64 { return float64(r.List.Whole) }},
-	{"list_bytes_per_s", func(r *Report) float64 { return r.ListRate }},
-	{"in_force_mean_s", func(r *Report) float64 { return r.InForce.Mean }},
-	{"in_force_worst_s", func(r *Report) float64 { return r.InForce.Worst }},
+	{"list_bytes", func(r *Report) float64 { return float64(r.ListBytes.Full) }},
+	{"list_bytes_per_s", func(r *Report) float64 { return r.ListBytesPerSecond }},
+	{"in_force_mean_s", func(r *Report) float64 { return r.Propagation.Mean }},
+	{"in_force_worst_s", func(r *Report) float64 { return r.Propagation.Max }},
 	{"steps", func(r *Report) float64 { return float64(r.Steps) }},
-	{"heap_per_sender", func(r *Report) float64 { return float64(r.Machine.HeapPerSender) }},
-	{"step_us", func(r *Report) float64 { return r.Machine.Step }},
-	{"take_us", func(r *Report) float64 { return r.Machine.Take }},
-	{"start_us", func(r *Report) float64 { return r.Machine.Start }},
-	{"cpu_s", func(r *Report) float64 { return r.Machine.CPU }},
+	{"heap_per_sender", func(r *Report) float64 { return float64(r.Host.HeapPerSender) }},
+	{"step_us", func(r *Report) float64 { return r.Host.StepMicros }},
+	{"take_us", func(r *Report) float64 { return r.Host.ListUpdateMicros }},
+	{"start_us", func(r *Report) float64 { return r.Host.StartMicros }},
+	{"cpu_s", func(r *Report) float64 { return r.Host.CPUSeconds }},
 }
 
-// WriteSweep writes a table with a column for each report, by the size along an axis, and the slope of each figure: the
-// exponent b of the power law size^b that fits it best, over the sizes where it is above 0.
+// WriteSweep writes a table with one column per report, headed by its size along the axis, and the slope of each figure:
+// the exponent b of the best-fitting power law size^b over the sizes where the figure is above 0.
 func WriteSweep(w io.Writer, axis string, sizes []int, reports []*Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	head := []string{axis}
+	header := []string{axis}
 	for _, n := range sizes[:len(reports)] {
-		head = append(head, fmt.Sprint(n))
+		header = append(header, fmt.Sprint(n))
 	}
-	fmt.Fprintln(t, strings.Join(append(head, "slope", ""), "\t"))
+	fmt.Fprintln(t, strings.Join(append(header, "slope", ""), "\t"))
 	for _, c := range columns {
-		line := []string{c.name}
+		row := []string{c.name}
 		var xs, ys []float64
 		for i, r := range reports {
 			y := c.value(r)
-			line = append(line, number(y))
+			row = append(row, formatNumber(y))
 			if y > 0 {
 				xs, ys = append(xs, math.Log(float64(sizes[i]))), append(ys, math.Log(y))
 			}
 		}
 		if b, ok := slope(xs, ys); ok {
-			line = append(line, fmt.Sprintf("%.2f", b))
+			row = append(row, fmt.Sprintf("%.2f", b))
 		} else {
-			line = append(line, "-")
+			row = append(row, "-")
 		}
-		fmt.Fprintln(t, strings.Join(append(line, ""), "\t"))
+		fmt.Fprintln(t, strings.Join(append(row, ""), "\t"))
 	}
 	return t.Flush()
 }
 
-func number(x float64) string {
+func formatNumber(x float64) string {
 	if x == math.Trunc(x) {
 		return fmt.Sprintf("%.0f", x)
 	}
 	return fmt.Sprintf("%.3f", x)
 }
 
-// slope is that of the line with the least squares; false if the points are too few.
+// slope is the slope of the least-squares line; false if there are too few distinct points.
 func slope(xs, ys []float64) (float64, bool) {
 	n := float64(len(xs))
 	var sx, sy, sxx, sxy float64
--- a/internal/node/idle_clients_test.go
+++ b/internal/node/idle_clients_test.go
@@ -90,7 +90,9 @@
 	}
 	p.srv.CloseClientConnections() // the next request needs a new connection
 	receive(t, p.listRequests, "call for the list on a new connection")
-	p.update(func() { p.holdLists, p.list = false, EndpointList{Generation: 2, Reset: true, Instances: instances(e, added)} })
+	p.update(func() {
+		p.holdLists, p.list = false, EndpointList{Generation: 2, Reset: true, Instances: instances(e, added)}
+	})
 	awaitListGeneration(t, p, 2)
 	if got := adminCall(t, x.admin, "ready\n"); got != "+OK\n" {
 		t.Errorf("operators get %q", got)
