--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -103,7 +103,7 @@
 					for _, v := range res.Violations {
 						rules[v.Rule]++
 					}
-					for pair, n := range res.Scenario.Overlaps() {
+					for pair, n := range res.Scenario.OverlapCounts() {
 						pairs[pair] += n
 					}
 					if len(res.Violations) > 0 {
@@ -129,12 +129,12 @@
 
 // one plays a seed.
 func (o *options) one(ctx context.Context, seed uint64, dir string) (*soak.Result, error) {
-	var only []soak.Kind
+	var only []soak.FaultKind
 	for _, k := range o.Only {
-		only = append(only, soak.Kind(k))
+		only = append(only, soak.FaultKind(k))
 	}
-	sc := soak.Draw(seed, o.Senders, o.Length, only)
-	res, err := soak.Play(ctx, sc, soak.Options{Program: o.Program, Dir: dir})
+	sc := soak.Generate(seed, o.Senders, o.Length, only)
+	res, err := soak.Run(ctx, sc, soak.Options{Program: o.Program, Dir: dir})
 	if res != nil && len(res.Violations) > 0 && o.Keep != "" {
 		kept := filepath.Join(o.Keep, fmt.Sprint(seed))
 		err = errors.Join(err, keepLogs(dir, kept))
@@ -166,21 +166,21 @@
 
 func add(total *soak.Counts, c soak.Counts) {
 	total.Offered += c.Offered
-	total.TakenOn += c.TakenOn
+	total.Accepted += c.Accepted
 	total.Refused += c.Refused
 	total.Failed += c.Failed
-	total.NotHeard += c.NotHeard
+	total.Unanswered += c.Unanswered
 	total.Delivered += c.Delivered
 	total.Returned += c.Returned
-	total.FailedLater += c.FailedLater
+	total.FailedAfterAccept += c.FailedAfterAccept
 	total.Calls += c.Calls
-	total.Repeats += c.Repeats
+	total.Retries += c.Retries
 	total.Restarts += c.Restarts
 }
 
 func countsText(c soak.Counts) string {
 	return fmt.Sprintf("offered %d, taken on %d, refused %d, failed %d, not heard %d; delivered %d, returned %d, failed later %d; calls %d, repeats %d, restarts %d",
-		c.Offered, c.TakenOn, c.Refused, c.Failed, c.NotHeard, c.Delivered, c.Returned, c.FailedLater, c.Calls, c.Repeats, c.Restarts)
+		c.Offered, c.Accepted, c.Refused, c.Failed, c.Unanswered, c.Delivered, c.Returned, c.FailedAfterAccept, c.Calls, c.Retries, c.Restarts)
 }
 
 // mostPrinted bounds the violations that are printed of a run.
@@ -189,9 +189,9 @@
 func (o *options) print(out io.Writer, res *soak.Result) {
 	sc := res.Scenario
 	fmt.Fprintf(out, "seed %d: %d violations; %s; %d troubles, late timers %d ms\n", sc.Seed, len(res.Violations), countsText(res.Counts),
-		len(sc.Troubles), res.Lateness.Milliseconds())
+		len(sc.Faults), res.MaxTimerDelay.Milliseconds())
 	if o.Troubles || len(res.Violations) > 0 {
-		for _, t := range sc.Troubles {
+		for _, t := range sc.Faults {
 			fmt.Fprintf(out, "    %s\n", t)
 		}
 	}
--- a/internal/faultinject/build.go
+++ b/internal/faultinject/build.go
@@ -22,7 +22,7 @@
 var timeSource string
 
 // edit replaces one piece of text in a file of the standard library.
-type edit struct{ from, to string }
+type edit struct{ old, replacement string }
 
 // syscallEdits lead the calls of package syscall by the plan.
 var syscallEdits = []edit{
@@ -97,10 +97,10 @@
 		}
 		changed := string(text)
 		for _, e := range edits {
-			if strings.Count(changed, e.from) != 1 {
+			if strings.Count(changed, e.old) != 1 {
 				return fmt.Errorf("%s of %s is not as expected", name, runtime.Version())
 			}
-			changed = strings.Replace(changed, e.from, e.to, 1)
+			changed = strings.Replace(changed, e.old, e.replacement, 1)
 		}
 		return add(name, changed)
 	}
--- a/internal/faultinject/build_test.go
+++ b/internal/faultinject/build_test.go
@@ -11,7 +11,7 @@
 )
 
 // program does what a plan can change, and says what came of it.
-const program = `package main
+const testProgram = `package main
 
 import (
 	"errors"
@@ -43,9 +43,9 @@
 }
 `
 
-func TestBuildFollowsThePlan(t *testing.T) {
+func TestBuildAppliesPlan(t *testing.T) {
 	dir, state := t.TempDir(), t.TempDir()
-	for name, text := range map[string]string{"main.go": program, "go.mod": "module planned\n\ngo 1.26\n"} {
+	for name, text := range map[string]string{"main.go": testProgram, "go.mod": "module planned\n\ngo 1.26\n"} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -56,10 +56,10 @@
 	}
 	now := Now()
 	plan := Plan{StateDir: state, Faults: []Fault{
-		{Call: "open", On: StateFiles, Errno: syscall.ENOSPC, From: now, To: now + time.Second, Chance: 1},
-		{Call: "socket", Errno: syscall.ENOBUFS, From: now, To: now + time.Second, Chance: 1},
-		{Call: "pwrite", On: StateFiles, Most: 10, From: now, To: now + time.Minute, Chance: 1},
-	}, Steps: []Step{{At: now + 500*time.Millisecond, Offset: -time.Hour}}}
+		{Call: "open", Target: StateFiles, Errno: syscall.ENOSPC, From: now, To: now + time.Second, Probability: 1},
+		{Call: "socket", Errno: syscall.ENOBUFS, From: now, To: now + time.Second, Probability: 1},
+		{Call: "pwrite", Target: StateFiles, MaxBytes: 10, From: now, To: now + time.Minute, Probability: 1},
+	}, ClockSteps: []ClockStep{{At: now + 500*time.Millisecond, Offset: -time.Hour}}}
 	file := filepath.Join(dir, "plan")
 	if err := plan.Save(file); err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestPlanWithUnknownCall(t *testing.T) {
+func TestPlanRejectsUnknownCall(t *testing.T) {
 	err := Plan{Faults: []Fault{{Call: "fly"}}}.Save(filepath.Join(t.TempDir(), "plan"))
 	if err == nil || !strings.Contains(err.Error(), `"fly"`) {
 		t.Errorf("got %v", err)
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -55,7 +55,7 @@
 func faultsFor(span time.Duration, errno syscall.Errno, calls ...string) (faults []faultinject.Fault) {
 	now := planTime()
 	for _, call := range calls {
-		faults = append(faults, faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: errno, From: now, To: now + span, Chance: 1})
+		faults = append(faults, faultinject.Fault{Call: call, Target: faultinject.StateFiles, Errno: errno, From: now, To: now + span, Probability: 1})
 	}
 	return faults
 }
@@ -103,14 +103,14 @@
 			x := startProcess(t, p, dir, known)
 			ids := takeOn(t, x, e, 16000, 6)
 			x.kill()
-			step := faultinject.Plan{Steps: []faultinject.Step{{At: planTime(), Offset: offset}}}
+			step := faultinject.Plan{ClockSteps: []faultinject.ClockStep{{At: planTime(), Offset: offset}}}
 			x = startFaulty(t, p, dir, configText(p, known), step)
 			x.addr = await(t, x.ready, "ready program")
 			delivers(t, p, e, ids)
 			x.kill()
 			e.none(t)
 			// What has no endpoint ends in its time.
-			step.Steps[0].Offset = -offset
+			step.ClockSteps[0].Offset = -offset
 			at := time.Now()
 			p.set(func() {
 				p.list = List{Generation: 2, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1", Zone: "a",
@@ -122,7 +122,7 @@
 				t.Fatalf("got %q", got)
 			}
 			x.kill()
-			step.Steps[0].Offset = 0
+			step.ClockSteps[0].Offset = 0
 			x = startFaulty(t, p, dir, configText(p, p.list), step)
 			await(t, x.ready, "ready program")
 			n := await(t, p.notices, "notice")
@@ -187,7 +187,7 @@
 func anywhere(span time.Duration, errno syscall.Errno, calls ...string) []faultinject.Fault {
 	faults := faultsFor(span, errno, calls...)
 	for i := range faults {
-		faults[i].On = faultinject.Anything
+		faults[i].Target = faultinject.AnyTarget
 	}
 	return faults
 }
@@ -199,9 +199,9 @@
 	later := now + faultsBegin
 	var faults []faultinject.Fault
 	for _, call := range []string{"open", "rename"} {
-		faults = append(faults, faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: syscall.EIO, From: later, To: now + time.Minute, Chance: 1})
+		faults = append(faults, faultinject.Fault{Call: call, Target: faultinject.StateFiles, Errno: syscall.EIO, From: later, To: now + time.Minute, Probability: 1})
 	}
-	faults = append(faults, faultinject.Fault{Call: "pwrite", On: faultinject.StateFiles, Errno: syscall.ENOSPC, From: later, To: later + time.Second, Chance: 1})
+	faults = append(faults, faultinject.Fault{Call: "pwrite", Target: faultinject.StateFiles, Errno: syscall.ENOSPC, From: later, To: later + time.Second, Probability: 1})
 	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: faults})
 	x.addr = await(t, x.ready, "ready program")
 	c := dial(t, x.addr)
@@ -229,7 +229,7 @@
 	old.list, fresh.list = known, known
 	now := planTime()
 	x := startFaulty(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "open",
-		Errno: syscall.ENFILE, From: now + 800*time.Millisecond, To: now + 1800*time.Millisecond, Chance: 1}}})
+		Errno: syscall.ENFILE, From: now + 800*time.Millisecond, To: now + 1800*time.Millisecond, Probability: 1}}})
 	await(t, x.ready, "ready program")
 	for faultinject.Now() < now+time.Second {
 		time.Sleep(10 * time.Millisecond)
@@ -248,8 +248,8 @@
 func TestReturnedIsNeverSentByTheNextProcess(t *testing.T) {
 	p, e, dir, known := oneEndpoint(t)
 	now := planTime()
-	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", On: faultinject.StateFiles,
-		Errno: syscall.EIO, From: now + faultsBegin, To: now + time.Minute, Chance: 1}}})
+	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", Target: faultinject.StateFiles,
+		Errno: syscall.EIO, From: now + faultsBegin, To: now + time.Minute, Probability: 1}}})
 	x.addr = await(t, x.ready, "ready program")
 	c := dial(t, x.addr)
 	const usual = time.Second // what a call takes: with less than that left a message is returned
@@ -294,7 +294,7 @@
 	p, e, dir, known := oneEndpoint(t)
 	now := planTime()
 	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "receive",
-		Errno: syscall.EINTR, From: now, To: now + time.Minute, Chance: 0.5}}})
+		Errno: syscall.EINTR, From: now, To: now + time.Minute, Probability: 0.5}}})
 	x.addr = await(t, x.ready, "ready program")
 	c := dial(t, x.addr)
 	for i := range 40 {
@@ -312,7 +312,7 @@
 			p, e, dir, known := oneEndpoint(t)
 			now := planTime()
 			x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "accept",
-				Errno: errno, From: now + 700*time.Millisecond, To: now + 1700*time.Millisecond, Chance: 0.9}}})
+				Errno: errno, From: now + 700*time.Millisecond, To: now + 1700*time.Millisecond, Probability: 0.9}}})
 			x.addr = await(t, x.ready, "ready program")
 			resting := dial(t, x.addr)
 			resting.put("before", "safe", "+OK")
@@ -401,7 +401,7 @@
 	p, e, dir, known := oneEndpoint(t)
 	now := planTime()
 	state := func(call string, errno syscall.Errno, most int, chance float64) faultinject.Fault {
-		return faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: errno, Most: most, Chance: chance,
+		return faultinject.Fault{Call: call, Target: faultinject.StateFiles, Errno: errno, MaxBytes: most, Probability: chance,
 			From: now + faultsBegin, To: now + time.Minute}
 	}
 	x := startFaulty(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -32,105 +32,105 @@
 
 // registry is the list of endpoints, and what became of each.
 type registry struct {
-	mu      sync.Mutex
-	changes []instance // the first ones make up the list of the start
-	first   int
-	news    chan struct{} // closed at a change
-	ends    []drained
+	mu          sync.Mutex
+	changes     []instance // the first ones make up the list of the start
+	initial     int
+	changed     chan struct{} // closed at a change
+	retirements []retirement
 }
 
 // drained is an endpoint that wants no calls from a time on.
-type drained struct {
+type retirement struct {
 	endpoint *endpoint
 	at       time.Duration
 }
 
-func newRegistry() *registry { return &registry{news: make(chan struct{})} }
+func newRegistry() *registry { return &registry{changed: make(chan struct{})} }
 
 // add puts a line on the list.
-func (r *registry) add(x instance) {
+func (r *registry) add(entry instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.changes = append(r.changes, x)
-	close(r.news)
-	r.news = make(chan struct{})
+	r.changes = append(r.changes, entry)
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 // retire takes an endpoint off the list, or lets it drain.
 func (r *registry) retire(e *endpoint, lifecycle string) {
-	x := lineOf(e)
-	x.Lifecycle = lifecycle
+	entry := listEntry(e)
+	entry.Lifecycle = lifecycle
 	r.mu.Lock()
-	r.ends = append(r.ends, drained{e, e.ledger.now()})
+	r.retirements = append(r.retirements, retirement{e, e.checker.elapsed()})
 	r.mu.Unlock()
-	r.add(x)
+	r.add(entry)
 }
 
-func lineOf(e *endpoint) instance {
+func listEntry(e *endpoint) instance {
 	return instance{ID: e.name, HostPort: e.addr, Zone: []string{"a", "b"}[e.zone], Kind: "std", Dest: e.dest.number, Lifecycle: "up", Weight: 1}
 }
 
 // since is what a caller that has a generation does not know.
-func (r *registry) since(generation int) (hostList, <-chan struct{}) {
+func (r *registry) changesSince(generation int) (hostList, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if generation < r.first || generation > len(r.changes) {
-		whole := hostList{Generation: len(r.changes), Reset: true}
-		place := map[string]int{}
-		for _, x := range r.changes {
-			if i, ok := place[x.ID]; ok {
-				whole.Instances[i] = x
+	if generation < r.initial || generation > len(r.changes) {
+		list := hostList{Generation: len(r.changes), Reset: true}
+		index := map[string]int{}
+		for _, entry := range r.changes {
+			if i, ok := index[entry.ID]; ok {
+				list.Instances[i] = entry
 				continue
 			}
-			place[x.ID] = len(whole.Instances)
-			whole.Instances = append(whole.Instances, x)
+			index[entry.ID] = len(list.Instances)
+			list.Instances = append(list.Instances, entry)
 		}
-		kept := whole.Instances[:0]
-		for _, x := range whole.Instances {
-			if x.Lifecycle != "removed" {
-				kept = append(kept, x)
+		kept := list.Instances[:0]
+		for _, entry := range list.Instances {
+			if entry.Lifecycle != "removed" {
+				kept = append(kept, entry)
 			}
 		}
-		whole.Instances = kept
-		return whole, r.news
+		list.Instances = kept
+		return list, r.changed
 	}
-	return hostList{Generation: len(r.changes), Instances: append([]instance{}, r.changes[generation:]...)}, r.news
+	return hostList{Generation: len(r.changes), Instances: append([]instance{}, r.changes[generation:]...)}, r.changed
 }
 
 // agent is discovery as one sender sees it, at two addresses, and what hears of its ends.
-type agent struct {
+type discoveryAgent struct {
 	sender   int
-	ledger   *Ledger
+	checker  *Checker
 	registry *registry
 	pushed   bool
 
-	mu      sync.Mutex
-	servers [2]*http.Server
-	addrs   [2]string
-	active  int
-	mode    Kind // DiscoveryDown, DiscoverySlow or empty
-	changed chan struct{}
-	upSince time.Duration // when it could last be reached again
+	mu           sync.Mutex
+	servers      [2]*http.Server
+	addrs        [2]string
+	active       int
+	fault        FaultKind // DiscoveryDown, DiscoverySlow or empty
+	faultChanged chan struct{}
+	upSince      time.Duration // when it could last be reached again
 
-	askedSince time.Duration // when the process was started
-	slowSince  time.Duration // when it last began to be slow, and until when
-	slowUntil  time.Duration
+	processSince time.Duration // when the process was started
+	slowSince    time.Duration // when it last began to be slow, and until when
+	slowUntil    time.Duration
 }
 
-func newAgent(sender int, l *Ledger, r *registry) (*agent, error) {
-	a := &agent{sender: sender, ledger: l, registry: r, pushed: l.sc.Pushed, changed: make(chan struct{})}
-	return a, a.open(0)
+func newDiscoveryAgent(sender int, checker *Checker, r *registry) (*discoveryAgent, error) {
+	a := &discoveryAgent{sender: sender, checker: checker, registry: r, pushed: checker.scenario.PushDiscovery, faultChanged: make(chan struct{})}
+	return a, a.listen(0)
 }
 
 // open starts the server at one of the two addresses.
-func (a *agent) open(i int) error {
+func (a *discoveryAgent) listen(i int) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /discovery/hosts", a.hosts)
-	mux.HandleFunc("POST /v1/outcomes", a.outcomes)
+	mux.HandleFunc("GET /discovery/hosts", a.serveHosts)
+	mux.HandleFunc("POST /v1/outcomes", a.serveOutcomes)
 	srv := &http.Server{Handler: mux}
 	a.mu.Lock()
 	a.servers[i], a.addrs[i], a.active = srv, ln.Addr().String(), i
@@ -140,24 +140,24 @@
 }
 
 // move opens the other address; close ends the one left behind.
-func (a *agent) move() (closeOld func(), err error) {
+func (a *discoveryAgent) switchAddress() (closeOld func(), err error) {
 	a.mu.Lock()
 	old := a.active
 	srv := a.servers[old]
 	a.mu.Unlock()
-	if err := a.open(1 - old); err != nil {
+	if err := a.listen(1 - old); err != nil {
 		return nil, err
 	}
 	return func() { srv.Close() }, nil
 }
 
-func (a *agent) address() string {
+func (a *discoveryAgent) address() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.addrs[a.active]
 }
 
-func (a *agent) close() {
+func (a *discoveryAgent) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, srv := range a.servers {
@@ -168,44 +168,44 @@
 }
 
 // turn sets its trouble; an empty one ends it.
-func (a *agent) turn(mode Kind) {
+func (a *discoveryAgent) setFault(kind FaultKind) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case mode == DiscoverySlow:
-		a.slowSince, a.slowUntil = a.ledger.now(), never
-	case a.mode == DiscoverySlow:
-		a.slowUntil = a.ledger.now() + slowList
+	case kind == DiscoverySlow:
+		a.slowSince, a.slowUntil = a.checker.elapsed(), distantFuture
+	case a.fault == DiscoverySlow:
+		a.slowUntil = a.checker.elapsed() + slowListDelay
 	}
-	a.mode = mode
-	close(a.changed)
-	a.changed = make(chan struct{})
-	if mode != DiscoveryDown {
-		a.upSince = a.ledger.now()
+	a.fault = kind
+	close(a.faultChanged)
+	a.faultChanged = make(chan struct{})
+	if kind != DiscoveryDown {
+		a.upSince = a.checker.elapsed()
 	}
 }
 
 // slowList is what a slow list takes to come.
-const slowList = 700 * time.Millisecond
+const slowListDelay = 700 * time.Millisecond
 
 // never is a time past every run.
-const never = time.Duration(math.MaxInt64 / 2)
+const distantFuture = time.Duration(math.MaxInt64 / 2)
 
 // askedFrom notes since when there is a process that asks; never while there is none.
-func (a *agent) askedFrom(at time.Duration) {
+func (a *discoveryAgent) setProcessStart(at time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.askedSince = at
+	a.processSince = at
 }
 
-func (a *agent) state() (Kind, <-chan struct{}) {
+func (a *discoveryAgent) currentFault() (FaultKind, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.mode, a.changed
+	return a.fault, a.faultChanged
 }
 
 // hosts answers a call for the list.
-func (a *agent) hosts(w http.ResponseWriter, r *http.Request) {
+func (a *discoveryAgent) serveHosts(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if err != nil {
 		from = -1
@@ -213,18 +213,18 @@
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 	until := time.After(time.Duration(hold) * time.Millisecond)
 	for {
-		mode, changed := a.state()
-		list, news := a.registry.since(from)
-		if mode != DiscoveryDown && (list.Reset || len(list.Instances) > 0) {
-			a.answer(w, list, mode)
+		fault, changed := a.currentFault()
+		list, news := a.registry.changesSince(from)
+		if fault != DiscoveryDown && (list.Reset || len(list.Instances) > 0) {
+			a.writeList(w, list, fault)
 			return
 		}
 		select {
 		case <-news:
 		case <-changed:
 		case <-until:
-			if mode != DiscoveryDown {
-				a.answer(w, list, mode)
+			if fault != DiscoveryDown {
+				a.writeList(w, list, fault)
 				return
 			}
 			until = nil
@@ -235,81 +235,81 @@
 }
 
 // answer writes a list, and notes what it tells.
-func (a *agent) answer(w http.ResponseWriter, list hostList, mode Kind) {
+func (a *discoveryAgent) writeList(w http.ResponseWriter, list hostList, fault FaultKind) {
 	text, err := json.MarshalIndent(list, "", " ")
 	if err != nil {
 		panic(err) // a hostList can be encoded
 	}
-	if mode == DiscoverySlow {
+	if fault == DiscoverySlow {
 		half := len(text) / 2
 		w.Write(text[:half])
 		if f, ok := w.(http.Flusher); ok {
 			f.Flush()
 		}
-		time.Sleep(slowList)
+		time.Sleep(slowListDelay)
 		text = text[half:]
 	}
 	w.Write(text)
 	if f, ok := w.(http.Flusher); ok {
 		f.Flush()
 	}
-	a.tells(list)
+	a.recordListed(list)
 }
 
 // tells notes what a list that was written says of endpoints that want no calls.
-func (a *agent) tells(list hostList) {
-	on := map[string]string{}
-	for _, x := range list.Instances {
-		on[x.ID] = x.Lifecycle
+func (a *discoveryAgent) recordListed(list hostList) {
+	lifecycles := map[string]string{}
+	for _, entry := range list.Instances {
+		lifecycles[entry.ID] = entry.Lifecycle
 	}
-	now := a.ledger.now()
+	now := a.checker.elapsed()
 	a.registry.mu.Lock()
 	defer a.registry.mu.Unlock()
-	for _, d := range a.registry.ends {
-		if s, ok := on[d.endpoint.name]; list.Reset && !ok || ok && s != "up" {
-			a.ledger.drains(a.sender, d.endpoint, now)
+	for _, retired := range a.registry.retirements {
+		if lifecycle, ok := lifecycles[retired.endpoint.name]; list.Reset && !ok || ok && lifecycle != "up" {
+			a.checker.recordDrain(a.sender, retired.endpoint, now)
 		}
 	}
 }
 
 // counts notes what counts as told though it may not have been written. It is called now and then.
-func (a *agent) counts(moved time.Duration) {
+func (a *discoveryAgent) recordOverdue(discoveryMovedAt time.Duration) {
 	a.mu.Lock()
-	mode, up, slowSince, slowUntil := a.mode, max(a.upSince, a.askedSince), a.slowSince, a.slowUntil
+	fault, reachableSince, slowSince, slowUntil := a.fault, max(a.upSince, a.processSince), a.slowSince, a.slowUntil
 	a.mu.Unlock()
-	if mode == DiscoveryDown {
+	if fault == DiscoveryDown {
 		return
 	}
-	now := a.ledger.now()
+	now := a.checker.elapsed()
 	a.registry.mu.Lock()
 	defer a.registry.mu.Unlock()
-	for _, d := range a.registry.ends {
-		at := max(d.at, up)
-		if !a.pushed || at >= slowSince-slowList && at < slowUntil { // one list after the other may be slow
-			at += toldAtLatest
+	for _, retired := range a.registry.retirements {
+		at := max(retired.at, reachableSince)
+		if !a.pushed || at >= slowSince-slowListDelay && at < slowUntil { // one list after the other may be slow
+			at += maxDiscoveryDelay
 		}
-		if moved != 0 {
-			at = max(at, moved+movedAtLast)
+		if discoveryMovedAt != 0 {
+			at = max(at, discoveryMovedAt+maxReloadDelay)
 		}
 		if at <= now {
-			a.ledger.drains(a.sender, d.endpoint, at)
+			a.checker.recordDrain(a.sender, retired.endpoint, at)
 		}
 	}
 }
 
 // outcomes takes notices.
-func (a *agent) outcomes(w http.ResponseWriter, r *http.Request) {
-	var lines []struct{ ID, State string }
+func (a *discoveryAgent) serveOutcomes(w http.ResponseWriter, r *http.Request) {
+	var notices []struct{ ID, State string }
 	for dec := json.NewDecoder(io.LimitReader(r.Body, 1<<20)); dec.More(); {
-		var x struct{ ID, State string }
-		if err := dec.Decode(&x); err != nil {
+		var notice struct{ ID, State string }
+		if err := dec.Decode(&notice); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		lines = append(lines, x)
+		notices = append(notices, notice)
 	}
-	for _, x := range lines {
-		a.ledger.noticed(a.sender, x.ID, x.State)
+	for _, notice := range notices {
+		a.checker.recordNotice(a.sender, notice.ID, notice.State)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- /dev/null
+++ b/internal/soak/checker_test.go
@@ -0,0 +1,97 @@
+package soak
+
+import (
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestGenerateDependsOnSeed(t *testing.T) {
+	a, b, c := Generate(7, 10, 12*time.Second, nil), Generate(7, 10, 12*time.Second, nil), Generate(8, 10, 12*time.Second, nil)
+	if !reflect.DeepEqual(a, b) {
+		t.Error("one seed, two scenarios")
+	}
+	if reflect.DeepEqual(a.Faults, c.Faults) {
+		t.Error("two seeds, one scenario")
+	}
+	if len(a.OverlapCounts()) == 0 {
+		t.Error("no troubles overlap")
+	}
+	for _, fault := range Generate(7, 10, 12*time.Second, []FaultKind{Kill, WallClockStep}).Faults {
+		if fault.Kind != Kill && fault.Kind != WallClockStep {
+			t.Errorf("%s was not asked for", fault.Kind)
+		}
+	}
+}
+
+// Each rule is broken by hand, one at a time.
+func TestCheckerReportsViolations(t *testing.T) {
+	const runAge = 3 * time.Second // the run's age
+	for _, test := range []struct {
+		rule Rule
+		do   func(c *Checker, e *endpoint, m *message)
+	}{
+		{"", func(c *Checker, e *endpoint, m *message) {
+			attempts, messages := c.recordCall(e, c.elapsed(), []string{m.id}, []string{m.body})
+			c.recordEnd(attempts, messages, false, true)
+		}},
+		{RuleLost, func(c *Checker, e *endpoint, m *message) { m.deadline = 0 }},
+		{RuleLate, func(c *Checker, e *endpoint, m *message) { m.deadline = 0; c.recordNotice(0, m.id, "failed") }},
+		{RuleMismatch, func(c *Checker, e *endpoint, m *message) { c.recordCall(e, 0, []string{m.id}, []string{"other"}) }},
+		{RuleDuplicate, func(c *Checker, e *endpoint, m *message) {
+			for range 2 {
+				attempts, messages := c.recordCall(e, c.elapsed(), []string{m.id}, []string{m.body})
+				c.recordEnd(attempts, messages, false, true)
+			}
+		}},
+		{RuleRefusedRun, func(c *Checker, e *endpoint, m *message) {
+			attempts, messages := c.recordCall(e, c.elapsed(), []string{m.id}, []string{m.body})
+			c.recordEnd(attempts, messages, false, false)
+			c.recordAnswer(m, answerRefused)
+		}},
+		{RuleSentAfterEnd, func(c *Checker, e *endpoint, m *message) {
+			c.recordNotice(0, m.id, "failed")
+			c.recordCall(e, c.elapsed()+time.Second, []string{m.id}, []string{m.body})
+		}},
+		{RuleDrain, func(c *Checker, e *endpoint, m *message) {
+			c.recordDrain(0, e, 0)
+			attempts, messages := c.recordCall(e, c.elapsed(), []string{m.id}, []string{m.body})
+			c.recordEnd(attempts, messages, false, true)
+		}},
+		{RuleRetryAfter, func(c *Checker, e *endpoint, m *message) {
+			c.recordRetryAfter(0, e.dest.number, time.Minute)
+			attempts, messages := c.recordCall(e, c.elapsed()+time.Second, []string{m.id}, []string{m.body})
+			c.recordEnd(attempts, messages, false, true)
+		}},
+	} {
+		sc := Generate(1, 2, 10*time.Second, nil)
+		c := newChecker(sc, time.Now().Add(-runAge))
+		e := &endpoint{dest: &destination{}, checker: c, name: "e"}
+		m := &message{id: "m", class: &Class{Name: "charge", Effect: Fragile}, body: "body", deadline: runAge + time.Minute}
+		c.recordOffer(m)
+		c.recordAnswer(m, answerAccepted)
+		if test.rule == "" || test.rule == RuleRetryAfter || test.rule == RuleDrain || test.rule == RuleDuplicate || test.rule == RuleMismatch {
+			m.deadline = runAge + time.Hour
+		}
+		test.do(c, e, m)
+		_, violations := c.finish()
+		found := slices.ContainsFunc(violations, func(v Violation) bool { return v.Rule == test.rule })
+		if test.rule == "" && len(violations) > 0 || test.rule != "" && !found {
+			t.Errorf("%q: %v", test.rule, violations)
+		}
+	}
+}
+
+// A restart gives what is owed more time, until a while after the next process is ready.
+func TestCheckerExtendsDueTimeForRestart(t *testing.T) {
+	c := newChecker(Generate(1, 1, 10*time.Second, nil), time.Now().Add(-time.Minute))
+	m := &message{sender: 0, deadline: 30 * time.Second}
+	if due, want := c.dueTime(m), 30*time.Second+outcomeSlack+schedulingSlack; due != want {
+		t.Errorf("due at %v, want %v", due, want)
+	}
+	c.downtimes[0] = []*downtime{{start: 29 * time.Second, readyAt: 35 * time.Second}}
+	if due, want := c.dueTime(m), 35*time.Second+restartGrace+schedulingSlack; due != want {
+		t.Errorf("with a restart due at %v, want %v", due, want)
+	}
+}
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -18,14 +18,14 @@
 
 // Times of an endpoint.
 const (
-	workLeast   = 10 * time.Millisecond
-	workMost    = 90 * time.Millisecond
-	slowWork    = 900 * time.Millisecond
-	idleTime    = 4 * time.Second // as the settings say
-	idleEarly   = 30 * time.Millisecond
-	queueSpan   = 0.5 // seconds of its capacity that a destination queues
-	mostWait    = 2500
-	batchWeight = 0.2 // work of each further message of a call
+	minWork          = 10 * time.Millisecond
+	maxWork          = 90 * time.Millisecond
+	maxExtraWork     = 900 * time.Millisecond
+	idleTimeout      = 4 * time.Second // as the settings say
+	minIdleTimeout   = 30 * time.Millisecond
+	queueSeconds     = 0.5 // seconds of its capacity that a destination queues
+	maxRetryAfterMS  = 2500
+	extraMessageLoad = 0.2 // work of each further message of a call
 )
 
 // destination is what endpoints share: one limit, and outages.
@@ -33,40 +33,40 @@
 	number   int
 	capacity float64 // calls a second
 
-	mu       sync.Mutex
-	backlog  float64
-	filled   time.Duration
-	backAt   time.Duration // when the last outage ended; 0 for none, and while it lasts
-	arrived  []arrival     // since then
-	knew     map[int]bool  // senders that had a call fail in the outage
-	reported bool
+	mu          sync.Mutex
+	backlog     float64
+	backlogAt   time.Duration
+	recoveredAt time.Duration // when the last outage ended; 0 for none, and while it lasts
+	arrivals    []arrival     // since then
+	informed    map[int]bool  // senders that had a call fail in the outage
+	reported    bool
 }
 
 // arrival is a call that came after an outage.
 type arrival struct {
-	at   time.Duration
-	told bool
+	at       time.Duration
+	informed bool
 }
 
 // endpoint is one server of a destination.
 type endpoint struct {
-	dest   *destination
-	ledger *Ledger
-	number int
-	name   string
-	zone   int
-	addr   string
-	rnd    *rand.Rand // under mu
+	dest    *destination
+	checker *Checker
+	number  int
+	name    string
+	zone    int
+	addr    string
+	rng     *rand.Rand // under mu
 
 	mu       sync.Mutex
 	listener net.Listener
 	conns    map[net.Conn]bool
-	mode     Kind // the trouble at hand, or empty
+	fault    FaultKind // the trouble at hand, or empty
 }
 
-func newEndpoint(l *Ledger, d *destination, number int, seed uint64) (*endpoint, error) {
-	e := &endpoint{dest: d, ledger: l, number: number, name: fmt.Sprintf("s-%d-%d", d.number, number), zone: number % 2,
-		rnd: rand.New(rand.NewPCG(seed, uint64(d.number)<<16+uint64(number))), conns: map[net.Conn]bool{}}
+func newEndpoint(checker *Checker, d *destination, number int, seed uint64) (*endpoint, error) {
+	e := &endpoint{dest: d, checker: checker, number: number, name: fmt.Sprintf("s-%d-%d", d.number, number), zone: number % 2,
+		rng: rand.New(rand.NewPCG(seed, uint64(d.number)<<16+uint64(number))), conns: map[net.Conn]bool{}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -78,16 +78,16 @@
 }
 
 // turn sets the trouble of an endpoint; an empty one ends it.
-func (e *endpoint) turn(mode Kind) {
+func (e *endpoint) setFault(kind FaultKind) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if mode == Refusing {
+	if kind == ConnectionsRefused {
 		e.listener.Close()
 		for conn := range e.conns {
-			reset(conn)
+			resetConn(conn)
 		}
 	}
-	if e.mode == Refusing && mode != Refusing {
+	if e.fault == ConnectionsRefused && kind != ConnectionsRefused {
 		for range 50 {
 			ln, err := net.Listen("tcp", e.addr)
 			if err == nil {
@@ -98,15 +98,15 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	if e.mode == Silent && mode != Silent { // what waited is not answered any more
+	if e.fault == Unresponsive && kind != Unresponsive { // what waited is not answered any more
 		for conn := range e.conns {
-			reset(conn)
+			resetConn(conn)
 		}
 	}
-	e.mode = mode
+	e.fault = kind
 }
 
-func reset(conn net.Conn) {
+func resetConn(conn net.Conn) {
 	if t, ok := conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
@@ -132,7 +132,7 @@
 		e.conns[conn] = true
 		e.mu.Unlock()
 		go func() {
-			e.serve(conn)
+			e.serveConn(conn)
 			e.mu.Lock()
 			delete(e.conns, conn)
 			e.mu.Unlock()
@@ -142,28 +142,28 @@
 }
 
 // draw returns the trouble at hand, and a number by chance.
-func (e *endpoint) draw() (Kind, float64) {
+func (e *endpoint) faultAndChance() (FaultKind, float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.mode, e.rnd.Float64()
+	return e.fault, e.rng.Float64()
 }
 
 // serve takes the calls of a connection.
-func (e *endpoint) serve(conn net.Conn) {
+func (e *endpoint) serveConn(conn net.Conn) {
 	r := bufio.NewReader(conn)
 	for {
-		idle := idleTime
-		if mode, x := e.draw(); mode == IdleClose && x < 0.7 {
-			idle = time.Duration(float64(idleEarly) * (1 + 20*x))
+		idle := idleTimeout
+		if kind, chance := e.faultAndChance(); kind == EarlyIdleClose && chance < 0.7 {
+			idle = time.Duration(float64(minIdleTimeout) * (1 + 20*chance))
 		}
 		conn.SetReadDeadline(time.Now().Add(idle))
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		began := e.ledger.now()
+		started := e.checker.elapsed()
 		conn.SetReadDeadline(time.Time{})
-		if mode, x := e.draw(); mode == Resets && x < 0.15 { // before it has come whole
-			reset(conn)
+		if kind, chance := e.faultAndChance(); kind == ConnectionResets && chance < 0.15 { // before it has come whole
+			resetConn(conn)
 			return
 		}
 		req, err := http.ReadRequest(r)
@@ -174,7 +174,7 @@
 		if err != nil {
 			return
 		}
-		if !e.call(conn, r, req, body, began) {
+		if !e.handle(conn, r, req, body, started) {
 			return
 		}
 	}
@@ -187,7 +187,7 @@
 }
 
 // call answers one request and says whether the connection goes on.
-func (e *endpoint) call(conn net.Conn, r *bufio.Reader, req *http.Request, body []byte, began time.Duration) bool {
+func (e *endpoint) handle(conn net.Conn, r *bufio.Reader, req *http.Request, body []byte, started time.Duration) bool {
 	var ids, bodies []string
 	bulk := false
 	switch req.URL.Path {
@@ -195,31 +195,31 @@
 		ids, bodies = []string{req.Header.Get("X-Trace-Id")}, []string{string(body)}
 	case "/inbox/bulk":
 		var items []bulkItem
-		if err := json.Unmarshal(body, &items); err != nil || len(items) == 0 || len(items) > e.ledger.sc.Batch {
-			e.ledger.broken(RuleForeign, -1, "a bulk call that cannot be read: %.80q", body)
+		if err := json.Unmarshal(body, &items); err != nil || len(items) == 0 || len(items) > e.checker.scenario.MaxBatch {
+			e.checker.report(RuleMismatch, -1, "a bulk call that cannot be read: %.80q", body)
 			io.WriteString(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}
-		for _, x := range items {
-			ids, bodies = append(ids, x.ID), append(bodies, string(x.Body))
+		for _, item := range items {
+			ids, bodies = append(ids, item.ID), append(bodies, string(item.Body))
 		}
 		bulk = true
 	default:
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	attempts, messages := e.ledger.arrive(e, began, ids, bodies)
+	attempts, messages := e.checker.recordCall(e, started, ids, bodies)
 	if len(messages) == 0 {
 		io.WriteString(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	out := &exchange{e: e, conn: conn, attempts: attempts, messages: messages, bulk: bulk}
-	return out.run(r)
+	x := &exchange{endpoint: e, conn: conn, attempts: attempts, messages: messages, bulk: bulk}
+	return x.respond(r)
 }
 
 // exchange is a call and its answer.
 type exchange struct {
-	e        *endpoint
+	endpoint *endpoint
 	conn     net.Conn
 	attempts []*attempt
 	messages []*message
@@ -227,42 +227,42 @@
 }
 
 // end notes the end of the call.
-func (x *exchange) end(neverRan, delivered bool) {
-	x.e.ledger.end(x.attempts, x.messages, neverRan, delivered)
+func (x *exchange) recordEnd(notExecuted, delivered bool) {
+	x.endpoint.checker.recordEnd(x.attempts, x.messages, notExecuted, delivered)
 }
 
 // run plays what becomes of a call.
-func (x *exchange) run(r *bufio.Reader) bool {
-	e, sender := x.e, x.messages[0].sender
-	mode, chance := e.draw()
-	down := mode == Refusing || mode == Silent || mode == Shut || mode == Failing
-	full := e.dest.arrive(e.ledger, sender, down, 1+batchWeight*float64(len(x.messages)-1))
-	tried := 0
+func (x *exchange) respond(r *bufio.Reader) bool {
+	e, sender := x.endpoint, x.messages[0].sender
+	fault, chance := e.faultAndChance()
+	down := fault == ConnectionsRefused || fault == Unresponsive || fault == Unavailable || fault == ServerErrors
+	full := e.dest.addLoad(e.checker, sender, down, 1+extraMessageLoad*float64(len(x.messages)-1))
+	attempts := 0
 	for _, m := range x.messages {
-		tried = max(tried, len(m.attempts))
+		attempts = max(attempts, len(m.attempts))
 	}
-	gone, stop := watchEnd(x.conn, r, func() { x.end(false, false) })
+	gone, stop := watchClose(x.conn, r, func() { x.recordEnd(false, false) })
 	defer stop()
 	switch {
-	case mode == Silent:
+	case fault == Unresponsive:
 		<-gone
 		return false
-	case mode == Shut:
-		return x.refuse("503 Service Unavailable", 0)
-	case mode == Failing:
-		return x.fail()
-	case tried > e.ledger.sc.MaxTries:
-		return x.refuse("504 Gateway Timeout", 0)
-	case mode == Waits && chance < 0.5:
-		return x.refuse("429 Too Many Requests", time.Duration(100+chance*2*mostWait)*time.Millisecond)
+	case fault == Unavailable:
+		return x.respondNotExecuted("503 Service Unavailable", 0)
+	case fault == ServerErrors:
+		return x.respondError()
+	case attempts > e.checker.scenario.MaxAttempts:
+		return x.respondNotExecuted("504 Gateway Timeout", 0)
+	case fault == RetryAfter && chance < 0.5:
+		return x.respondNotExecuted("429 Too Many Requests", time.Duration(100+chance*2*maxRetryAfterMS)*time.Millisecond)
 	case full && chance < 0.5:
-		return x.refuse("429 Too Many Requests", time.Duration(50+chance*1000)*time.Millisecond)
+		return x.respondNotExecuted("429 Too Many Requests", time.Duration(50+chance*1000)*time.Millisecond)
 	case full:
-		return x.refuse("503 Service Unavailable", 0)
+		return x.respondNotExecuted("503 Service Unavailable", 0)
 	}
-	work := workLeast + time.Duration(chance*float64(workMost-workLeast))
-	if mode == Slow {
-		work += time.Duration(chance * float64(slowWork))
+	work := minWork + time.Duration(chance*float64(maxWork-minWork))
+	if fault == SlowResponses {
+		work += time.Duration(chance * float64(maxExtraWork))
 	}
 	timer := time.NewTimer(work)
 	defer timer.Stop()
@@ -272,95 +272,95 @@
 		return false
 	}
 	switch {
-	case mode == Resets && chance < 0.5:
-		x.end(false, false)
-		reset(x.conn)
+	case fault == ConnectionResets && chance < 0.5:
+		x.recordEnd(false, false)
+		resetConn(x.conn)
 		return false
-	case mode == Spoilt && chance < 0.3:
-		x.end(false, false)
+	case fault == MalformedResponses && chance < 0.3:
+		x.recordEnd(false, false)
 		io.WriteString(x.conn, []string{"HTTP/1.1 2", "garbage\r\n\r\n", "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 99\r\n\r\nx"}[int(chance*10)])
 		if chance < 0.15 {
 			<-gone
 		}
 		return false
-	case mode == Spoilt && chance < 0.6:
-		return x.fail()
+	case fault == MalformedResponses && chance < 0.6:
+		return x.respondError()
 	}
-	return x.deliver()
+	return x.respondDelivered()
 }
 
 // refuse answers that the call never ran, with a wait if that is not 0.
-func (x *exchange) refuse(status string, wait time.Duration) bool {
-	head := ""
-	if wait > 0 {
-		head = "X-Come-Back-Ms: " + strconv.FormatInt(wait.Milliseconds(), 10) + "\r\n"
+func (x *exchange) respondNotExecuted(status string, retryAfter time.Duration) bool {
+	header := ""
+	if retryAfter > 0 {
+		header = "X-Come-Back-Ms: " + strconv.FormatInt(retryAfter.Milliseconds(), 10) + "\r\n"
 	}
-	x.end(true, false)
-	_, err := fmt.Fprintf(x.conn, "HTTP/1.1 %s\r\nContent-Length: 0\r\n%s\r\n", status, head)
-	if err == nil && wait > 0 {
-		x.e.ledger.wait(x.messages[0].sender, x.e.dest.number, wait)
+	x.recordEnd(true, false)
+	_, err := fmt.Fprintf(x.conn, "HTTP/1.1 %s\r\nContent-Length: 0\r\n%s\r\n", status, header)
+	if err == nil && retryAfter > 0 {
+		x.endpoint.checker.recordRetryAfter(x.messages[0].sender, x.endpoint.dest.number, retryAfter)
 	}
 	return err == nil
 }
 
 // fail answers with an error.
-func (x *exchange) fail() bool {
-	x.end(false, false)
+func (x *exchange) respondError() bool {
+	x.recordEnd(false, false)
 	_, err := io.WriteString(x.conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
 }
 
 // deliver answers that all is done.
-func (x *exchange) deliver() bool {
+func (x *exchange) respondDelivered() bool {
 	body := ""
 	if x.bulk {
-		var list []string
+		var results []string
 		for _, m := range x.messages {
-			list = append(list, fmt.Sprintf(`{"id":%q,"state":"done"}`, m.id))
+			results = append(results, fmt.Sprintf(`{"id":%q,"state":"done"}`, m.id))
 		}
-		body = "[" + strings.Join(list, ",") + "]"
+		body = "[" + strings.Join(results, ",") + "]"
 	}
 	_, err := fmt.Fprintf(x.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	x.end(false, err == nil)
+	x.recordEnd(false, err == nil)
 	return err == nil
 }
 
 // watchEnd sees the end of a connection while a call on it is under way. Gone is closed at that end; stop ends the watch.
-func watchEnd(conn net.Conn, r *bufio.Reader, ended func()) (gone <-chan struct{}, stop func()) {
+func watchClose(conn net.Conn, r *bufio.Reader, onClose func()) (gone <-chan struct{}, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	done, over := make(chan struct{}), make(chan struct{})
+	closed, finished := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(finished)
 		_, err := r.Peek(1)
 		if ctx.Err() == nil && err != nil {
-			ended()
-			close(done)
+			onClose()
+			close(closed)
 		}
 	}()
-	return done, func() {
+	return closed, func() {
 		cancel()
 		conn.SetReadDeadline(time.Unix(1, 0))
-		<-over
+		<-finished
 		conn.SetReadDeadline(time.Time{})
 	}
 }
 
 // arrive counts a call and says whether the destination has no room for it.
-func (d *destination) arrive(l *Ledger, sender int, down bool, work float64) (full bool) {
+func (d *destination) addLoad(checker *Checker, sender int, down bool, work float64) (full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now := l.now()
+	now := checker.elapsed()
 	if down {
-		d.knew[sender] = true
+		d.informed[sender] = true
 		return false
 	}
-	able := d.capacity * d.share(l.sc.Cold, now)
-	d.backlog, d.filled = max(0, d.backlog-able*(now-d.filled).Seconds()), now
-	if d.backAt != 0 && now < d.backAt+l.sc.Cold.Warm {
-		d.arrived = append(d.arrived, arrival{now, d.knew[sender]})
-		d.checkRamp(l, now)
+	capacity := d.capacity * d.capacityShare(checker.scenario.ColdStart, now)
+	d.backlog, d.backlogAt = max(0, d.backlog-capacity*(now-d.backlogAt).Seconds()), now
+	if d.recoveredAt != 0 && now < d.recoveredAt+checker.scenario.ColdStart.WarmupTime {
+		d.arrivals = append(d.arrivals, arrival{now, d.informed[sender]})
+		d.checkRamp(checker, now)
 	}
-	if d.backlog > able*queueSpan {
+	if d.backlog > capacity*queueSeconds {
 		return true
 	}
 	d.backlog += work
@@ -368,60 +368,60 @@
 }
 
 // share is the part of its capacity that a destination has.
-func (d *destination) share(c Cold, now time.Duration) float64 {
-	if d.backAt == 0 || now >= d.backAt+c.Warm {
+func (d *destination) capacityShare(cold ColdStart, now time.Duration) float64 {
+	if d.recoveredAt == 0 || now >= d.recoveredAt+cold.WarmupTime {
 		return 1
 	}
-	return c.From + (1-c.From)*float64(now-d.backAt)/float64(c.Warm)
+	return cold.InitialShare + (1-cold.InitialShare)*float64(now-d.recoveredAt)/float64(cold.WarmupTime)
 }
 
 // checkRamp holds what came in the last window against what topples a cold destination.
-func (d *destination) checkRamp(l *Ledger, now time.Duration) {
-	c := l.sc.Cold
-	from := now - c.Window
-	calls, told := 0, 0
-	for _, a := range d.arrived {
+func (d *destination) checkRamp(checker *Checker, now time.Duration) {
+	cold := checker.scenario.ColdStart
+	from := now - cold.OverloadWindow
+	calls, informed := 0, 0
+	for _, a := range d.arrivals {
 		if a.at > from {
 			calls++
-			if a.told {
-				told++
+			if a.informed {
+				informed++
 			}
 		}
 	}
-	ramp := max(from, d.backAt)
-	mean := (c.From*(ramp-from).Seconds() + (d.share(c, ramp)+d.share(c, now))/2*(now-ramp).Seconds()) / c.Window.Seconds()
-	n := c.Multiple * mean * d.capacity * c.Window.Seconds()
-	if most := RampBound(n); float64(calls) > most && 3*told >= 2*calls && !d.reported {
+	rampStart := max(from, d.recoveredAt)
+	mean := (cold.InitialShare*(rampStart-from).Seconds() + (d.capacityShare(cold, rampStart)+d.capacityShare(cold, now))/2*(now-rampStart).Seconds()) / cold.OverloadWindow.Seconds()
+	allowed := cold.OverloadFactor * mean * d.capacity * cold.OverloadWindow.Seconds()
+	if limit := MaxRampCalls(allowed); float64(calls) > limit && 3*informed >= 2*calls && !d.reported {
 		d.reported = true
-		l.broken(RuleRamp, -1, "destination %d: %d calls in %v, at most %.1f, %.1f s after its return", d.number, calls, c.Window, most, (now - d.backAt).Seconds())
+		checker.report(RuleColdRamp, -1, "destination %d: %d calls in %v, at most %.1f, %.1f s after its return", d.number, calls, cold.OverloadWindow, limit, (now - d.recoveredAt).Seconds())
 	}
 }
 
 // RampBound is how many calls a cold destination bears in a window in which the settings allow it n.
-func RampBound(n float64) float64 {
-	if n < 30 {
-		return n + 3*math.Sqrt(n) + 3
+func MaxRampCalls(allowed float64) float64 {
+	if allowed < 30 {
+		return allowed + 3*math.Sqrt(allowed) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
 // fails begins an outage of a destination, recovers ends it.
-func (d *destination) fails() {
+func (d *destination) beginOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.backAt, d.arrived, d.reported = 0, nil, false
-	d.knew = map[int]bool{}
+	d.recoveredAt, d.arrivals, d.reported = 0, nil, false
+	d.informed = map[int]bool{}
 }
 
-func (d *destination) recovers(l *Ledger) {
+func (d *destination) endOutage(checker *Checker) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.backAt, d.filled, d.backlog = l.now(), l.now(), 0
+	d.recoveredAt, d.backlogAt, d.backlog = checker.elapsed(), checker.elapsed(), 0
 }
 
 // forget notes that a sender was started anew: it has been told of nothing.
-func (d *destination) forget(sender int) {
+func (d *destination) forgetSender(sender int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.knew, sender)
+	delete(d.informed, sender)
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -21,41 +21,41 @@
 
 // Times of a process, as the platform has them.
 const (
-	killAfter  = 3700 * time.Millisecond // from SIGTERM to SIGKILL
-	downTime   = 600 * time.Millisecond  // from SIGKILL to the next start
-	upgradeFor = 6 * time.Second         // for the new process to say that it is ready
-	pollEvery  = 15 * time.Millisecond
+	stopTimeout    = 3700 * time.Millisecond // from SIGTERM to SIGKILL
+	restartDelay   = 600 * time.Millisecond  // from SIGKILL to the next start
+	upgradeTimeout = 6 * time.Second         // for the new process to say that it is ready
+	pollInterval   = 15 * time.Millisecond
 )
 
 // sender is one place of the fleet, and the process in it.
 type sender struct {
-	number  int
-	run     *run
-	dir     string
-	listen  string
-	agent   *agent
-	serving sync.Mutex    // held by what moves the process
-	begun   chan struct{} // closed once there is a process, or there will be none
+	number      int
+	run         *run
+	dir         string
+	listenAddr  string
+	agent       *discoveryAgent
+	processLock sync.Mutex    // held by what moves the process
+	started     chan struct{} // closed once there is a process, or there will be none
 
-	mu    sync.Mutex
-	cmd   *process
-	moved time.Duration // when it was last told of another discovery
+	mu               sync.Mutex
+	current          *process
+	discoveryMovedAt time.Duration // when it was last told of another discovery
 }
 
 // process is one process of a sender.
 type process struct {
-	cmd    *exec.Cmd
-	admin  string
-	log    *os.File
-	done   chan struct{}
-	wanted bool // its end is; under the lock of sender
+	cmd         *exec.Cmd
+	adminAddr   string
+	log         *os.File
+	done        chan struct{}
+	endExpected bool // its end is; under the lock of sender
 }
 
 // Ports of senders lie below those that the system gives to outgoing connections, which would take one that is free
 // for the time of a restart.
 const (
-	firstPort = 10000
-	lastPort  = 32000
+	minPort = 10000
+	maxPort = 32000
 )
 
 var nextPort atomic.Int64
@@ -64,8 +64,8 @@
 
 // freeAddress finds a port that nobody has now and that no other run of this process was given.
 func freeAddress() (string, error) {
-	for range lastPort - firstPort {
-		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%(lastPort-firstPort))
+	for range maxPort - minPort {
+		addr := fmt.Sprintf("127.0.0.1:%d", minPort+nextPort.Add(1)%(maxPort-minPort))
 		ln, err := net.Listen("tcp", addr)
 		if err == nil {
 			return addr, ln.Close()
@@ -85,17 +85,17 @@
 }
 
 func (s *sender) writePlan() error {
-	began := faultinject.Now() - s.run.ledger.now()
-	return s.run.sc.plan(s.number, began, s.stateDir()).Save(filepath.Join(s.dir, "plan"))
+	runStart := faultinject.Now() - s.run.checker.elapsed()
+	return s.run.scenario.syscallPlan(s.number, runStart, s.stateDir()).Save(filepath.Join(s.dir, "plan"))
 }
 
 // writeConfig replaces the configuration file.
 func (s *sender) writeConfig() error {
-	sc := s.run.sc
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", s.number), "listen": s.listen, "discovery": s.agent.address(),
+	sc := s.run.scenario
+	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", s.number), "listen": s.listenAddr, "discovery": s.agent.address(),
 		"seed":   fmt.Sprintf("%x", sc.Seed<<8+uint64(s.number)),
 		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 512, "disk_mb": sc.DiskMB},
-		"known":  s.run.known, "settings": sc.wire(s.number)})
+		"known":  s.run.initialList, "settings": sc.settings(s.number)})
 	if err != nil {
 		return err
 	}
@@ -107,39 +107,39 @@
 }
 
 // start starts a process.
-func (s *sender) start() (*process, error) {
-	admin, err := freeAddress()
+func (s *sender) startProcess() (*process, error) {
+	adminAddr, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	logs, err := os.OpenFile(filepath.Join(s.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(s.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	p := &process{cmd: exec.Command(s.run.opt.Program), admin: admin, log: logs, done: make(chan struct{})}
-	p.cmd.Stdout, p.cmd.Stderr = logs, logs
-	p.cmd.Env = append(os.Environ(), "BALANCER_NAME="+fmt.Sprint("n", s.number), "BALANCER_LISTEN="+s.listen, "BALANCER_ADMIN_ADDR="+admin,
+	p := &process{cmd: exec.Command(s.run.options.Program), adminAddr: adminAddr, log: logFile, done: make(chan struct{})}
+	p.cmd.Stdout, p.cmd.Stderr = logFile, logFile
+	p.cmd.Env = append(os.Environ(), "BALANCER_NAME="+fmt.Sprint("n", s.number), "BALANCER_LISTEN="+s.listenAddr, "BALANCER_ADMIN_ADDR="+adminAddr,
 		"BALANCER_DISCOVERY="+s.agent.address(), "BALANCER_STATE="+s.stateDir(), "BALANCER_CONFIG="+filepath.Join(s.dir, "config.json"),
 		faultinject.EnvPlan+"="+filepath.Join(s.dir, "plan"))
 	if err := p.cmd.Start(); err != nil {
-		logs.Close()
+		logFile.Close()
 		return nil, err
 	}
 	go func() {
 		err := p.cmd.Wait()
-		logs.Close()
+		logFile.Close()
 		s.mu.Lock()
-		wanted := p.wanted
+		expected := p.endExpected
 		s.mu.Unlock()
-		if !wanted {
-			s.run.ledger.broken(RuleCrash, s.number, "the process ended: %v: %s", err, lastLine(logs.Name()))
+		if !expected {
+			s.run.checker.report(RuleCrash, s.number, "the process ended: %v: %s", err, crashSummary(logFile.Name()))
 		}
 		close(p.done)
 	}()
 	return p, nil
 }
 
-func lastLine(path string) string {
+func crashSummary(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err.Error()
@@ -154,8 +154,8 @@
 }
 
 // ask makes one call to the operators' address.
-func (p *process) ask(call string) (string, error) {
-	conn, err := net.DialTimeout("tcp", p.admin, time.Second)
+func (p *process) adminCall(call string) (string, error) {
+	conn, err := net.DialTimeout("tcp", p.adminAddr, time.Second)
 	if err != nil {
 		return "", err
 	}
@@ -169,8 +169,8 @@
 }
 
 // pings says whether clients are served.
-func (s *sender) pings() bool {
-	conn, err := net.DialTimeout("tcp", s.listen, time.Second)
+func (s *sender) answersPing() bool {
+	conn, err := net.DialTimeout("tcp", s.listenAddr, time.Second)
 	if err != nil {
 		return false
 	}
@@ -184,16 +184,16 @@
 }
 
 // awaitReady waits until a process serves. It has soonReady from its start, or from the end of what hinders it.
-func (s *sender) awaitReady(p *process) bool {
-	by := max(s.run.ledger.now(), s.run.sc.ends(s.number)) + soonReady
-	for !s.pings() {
+func (s *sender) waitReady(p *process) bool {
+	deadline := max(s.run.checker.elapsed(), s.run.scenario.systemFaultsEnd(s.number)) + readyTimeout
+	for !s.answersPing() {
 		select {
 		case <-p.done:
 			return false
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
-		if s.run.ledger.now() > by {
-			s.run.ledger.broken(RuleReady, s.number, "does not serve")
+		if s.run.checker.elapsed() > deadline {
+			s.run.checker.report(RuleNotReady, s.number, "does not serve")
 			return false
 		}
 	}
@@ -201,43 +201,43 @@
 }
 
 // begin starts the first process of a sender.
-func (s *sender) begin() {
-	s.serving.Lock()
-	defer s.serving.Unlock()
-	defer close(s.begun)
-	p, err := s.start()
+func (s *sender) startFirst() {
+	s.processLock.Lock()
+	defer s.processLock.Unlock()
+	defer close(s.started)
+	p, err := s.startProcess()
 	if err != nil {
-		s.run.fail(err)
+		s.run.addError(err)
 		return
 	}
 	s.mu.Lock()
-	s.cmd = p
+	s.current = p
 	s.mu.Unlock()
-	s.awaitReady(p)
+	s.waitReady(p)
 }
 
-func (s *sender) process() *process {
+func (s *sender) currentProcess() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cmd
+	return s.current
 }
 
 // want notes that the end of a process is wanted.
-func (s *sender) want(p *process) {
+func (s *sender) expectEnd(p *process) {
 	s.mu.Lock()
-	p.wanted = true
+	p.endExpected = true
 	s.mu.Unlock()
 }
 
 // end kills a process, after SIGTERM and its time if the end is planned.
-func (s *sender) end(p *process, planned bool) {
-	s.want(p)
-	if planned {
+func (s *sender) stop(p *process, graceful bool) {
+	s.expectEnd(p)
+	if graceful {
 		p.cmd.Process.Signal(syscall.SIGTERM)
 		select {
 		case <-p.done:
 			return
-		case <-time.After(killAfter):
+		case <-time.After(stopTimeout):
 		}
 	}
 	p.cmd.Process.Kill()
@@ -245,90 +245,90 @@
 }
 
 // restart replaces the process after its end.
-func (s *sender) restart(planned bool) {
-	s.serving.Lock()
-	defer s.serving.Unlock()
-	o := s.run.ledger.goes(s.number)
-	s.end(s.process(), planned)
-	s.agent.askedFrom(never)
-	s.run.ledger.gone(s.number, o)
+func (s *sender) restart(graceful bool) {
+	s.processLock.Lock()
+	defer s.processLock.Unlock()
+	downtime := s.run.checker.beginDowntime(s.number)
+	s.stop(s.currentProcess(), graceful)
+	s.agent.setProcessStart(distantFuture)
+	s.run.checker.recordExit(s.number, downtime)
 	for _, d := range s.run.destinations {
-		d.forget(s.number)
+		d.forgetSender(s.number)
 	}
-	time.Sleep(downTime)
-	p, err := s.start()
+	time.Sleep(restartDelay)
+	p, err := s.startProcess()
 	if err != nil {
-		s.run.fail(err)
+		s.run.addError(err)
 		return
 	}
-	s.agent.askedFrom(s.run.ledger.now())
+	s.agent.setProcessStart(s.run.checker.elapsed())
 	s.mu.Lock()
-	s.cmd = p
+	s.current = p
 	s.mu.Unlock()
-	if s.awaitReady(p) {
-		s.run.ledger.serves(o)
+	if s.waitReady(p) {
+		s.run.checker.endDowntime(downtime)
 	}
 }
 
 // upgrade starts a second process beside the first, which goes once the other is ready.
 func (s *sender) upgrade() {
-	s.serving.Lock()
-	defer s.serving.Unlock()
-	old := s.process()
-	next, err := s.start()
+	s.processLock.Lock()
+	defer s.processLock.Unlock()
+	old := s.currentProcess()
+	next, err := s.startProcess()
 	if err != nil {
-		s.run.fail(err)
+		s.run.addError(err)
 		return
 	}
-	for by := time.Now().Add(upgradeFor); time.Now().Before(by); time.Sleep(pollEvery) {
-		if answer, err := next.ask("ready"); err == nil && strings.HasPrefix(answer, "+OK") {
+	for deadline := time.Now().Add(upgradeTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
+		if answer, err := next.adminCall("ready"); err == nil && strings.HasPrefix(answer, "+OK") {
 			break
 		}
 	}
 	s.mu.Lock()
-	s.cmd = next
+	s.current = next
 	s.mu.Unlock()
 	// Where the old process hands over, the new one goes on at once; where it cannot, this is a restart.
-	o := s.run.ledger.goes(s.number)
-	s.end(old, true)
-	if s.awaitReady(next) {
-		s.run.ledger.serves(o)
+	downtime := s.run.checker.beginDowntime(s.number)
+	s.stop(old, true)
+	if s.waitReady(next) {
+		s.run.checker.endDowntime(downtime)
 	}
 }
 
 // reload moves discovery and tells the process.
 func (s *sender) reload() {
-	s.serving.Lock()
-	defer s.serving.Unlock()
-	closeOld, err := s.agent.move()
+	s.processLock.Lock()
+	defer s.processLock.Unlock()
+	closeOld, err := s.agent.switchAddress()
 	if err != nil {
-		s.run.fail(err)
+		s.run.addError(err)
 		return
 	}
 	if err := s.writeConfig(); err != nil {
-		s.run.fail(err)
+		s.run.addError(err)
 		return
 	}
 	s.mu.Lock()
-	s.moved = s.run.ledger.now()
+	s.discoveryMovedAt = s.run.checker.elapsed()
 	s.mu.Unlock()
-	s.process().cmd.Process.Signal(syscall.SIGHUP)
+	s.currentProcess().cmd.Process.Signal(syscall.SIGHUP)
 	time.AfterFunc(1500*time.Millisecond, closeOld)
 }
 
 // drain has an operator send the clients away for a while.
-func (s *sender) drain(span time.Duration) {
-	s.serving.Lock()
-	defer s.serving.Unlock()
-	p := s.process()
-	p.ask("drain")
-	time.Sleep(span)
-	p.ask("resume")
+func (s *sender) drain(duration time.Duration) {
+	s.processLock.Lock()
+	defer s.processLock.Unlock()
+	p := s.currentProcess()
+	p.adminCall("drain")
+	time.Sleep(duration)
+	p.adminCall("resume")
 }
 
 // violations is what the sender's own checks counted, as its operators are told.
 func (p *process) violations() string {
-	text, err := p.ask("show-stat")
+	text, err := p.adminCall("show-stat")
 	if err != nil {
 		return ""
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -20,131 +20,131 @@
 
 // Result is what a run came to.
 type Result struct {
-	Scenario   *Scenario
-	Counts     Counts
-	Violations []Violation
-	Lateness   time.Duration // the longest that a timer of this side was late
+	Scenario      *Scenario
+	Counts        Counts
+	Violations    []Violation
+	MaxTimerDelay time.Duration // the longest that a timer of this side was late
 }
 
 // run is a scenario under way.
 type run struct {
-	sc           *Scenario
-	opt          Options
-	ledger       *Ledger
+	scenario     *Scenario
+	options      Options
+	checker      *Checker
 	registry     *registry
-	known        hostList
+	initialList  hostList
 	destinations []*destination
 	senders      []*sender
 
-	mu        sync.Mutex
-	endpoints [][]*endpoint // by destination: those on the list
-	all       []*endpoint
-	err       error
-	lateness  time.Duration
+	mu            sync.Mutex
+	endpoints     [][]*endpoint // by destination: those on the list
+	allEndpoints  []*endpoint
+	err           error
+	maxTimerDelay time.Duration
 }
 
-func (r *run) fail(err error) {
+func (r *run) addError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.err = errors.Join(r.err, err)
 }
 
 // troubled says whether a trouble of one of the kinds touches a sender now or did just before.
-func (r *run) troubled(sender int, kinds ...Kind) bool {
-	now := r.ledger.now()
-	return slices.ContainsFunc(r.sc.Troubles, func(t Trouble) bool {
+func (r *run) faultActive(sender int, kinds ...FaultKind) bool {
+	now := r.checker.elapsed()
+	return slices.ContainsFunc(r.scenario.Faults, func(t Fault) bool {
 		return slices.Contains(kinds, t.Kind) && t.Sender == sender && t.From <= now && now < t.To+time.Second
 	})
 }
 
 // Play plays a scenario to its end.
-func Play(ctx context.Context, sc *Scenario, opt Options) (*Result, error) {
-	r := &run{sc: sc, opt: opt, registry: newRegistry()}
-	r.ledger = newLedger(sc, time.Now())
+func Run(ctx context.Context, sc *Scenario, opt Options) (*Result, error) {
+	r := &run{scenario: sc, options: opt, registry: newRegistry()}
+	r.checker = newChecker(sc, time.Now())
 	defer r.closeAll()
-	if err := r.open(); err != nil {
+	if err := r.setUp(); err != nil {
 		return nil, err
 	}
-	r.ledger.began = time.Now()
+	r.checker.start = time.Now()
 	for _, s := range r.senders {
 		if err := s.writePlan(); err != nil {
 			return nil, err
 		}
 	}
-	traffic, stop := context.WithTimeout(ctx, sc.Length-r.ledger.now())
+	traffic, stop := context.WithTimeout(ctx, sc.Duration-r.checker.elapsed())
 	defer stop()
-	watch, unwatch := context.WithCancel(ctx)
-	defer unwatch()
-	var all sync.WaitGroup
-	all.Go(func() { r.watch(watch) })
-	var busy sync.WaitGroup
+	monitorCtx, stopMonitor := context.WithCancel(ctx)
+	defer stopMonitor()
+	var monitor sync.WaitGroup
+	monitor.Go(func() { r.monitor(monitorCtx) })
+	var activity sync.WaitGroup
 	for _, s := range r.senders {
 		c := newClients(s)
-		busy.Go(func() {
-			s.begin()
-			c.play(traffic)
+		activity.Go(func() {
+			s.startFirst()
+			c.run(traffic)
 		})
 	}
-	for _, t := range sc.Troubles {
-		busy.Go(func() {
-			if rest(ctx, t.From-r.ledger.now()) {
-				r.happen(ctx, t)
+	for _, t := range sc.Faults {
+		activity.Go(func() {
+			if sleep(ctx, t.From-r.checker.elapsed()) {
+				r.applyFault(ctx, t)
 			}
 		})
 	}
-	busy.Wait()
-	rest(ctx, r.drainTime())
+	activity.Wait()
+	sleep(ctx, r.finalWait())
 	for _, s := range r.senders {
-		if s.process() == nil { // it could not be started, which is an error of the run
+		if s.currentProcess() == nil { // it could not be started, which is an error of the run
 			continue
 		}
-		if said := s.process().violations(); said != "" {
-			r.ledger.broken(RuleInside, s.number, "%s", strings.TrimSpace(said))
+		if violation := s.currentProcess().violations(); violation != "" {
+			r.checker.report(RuleOwnCheck, s.number, "%s", strings.TrimSpace(violation))
 		}
-		s.end(s.process(), false)
+		s.stop(s.currentProcess(), false)
 	}
-	unwatch()
-	all.Wait()
+	stopMonitor()
+	monitor.Wait()
 	r.scanLogs()
-	counts, violations := r.ledger.close()
+	counts, violations := r.checker.finish()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return &Result{sc, counts, violations, r.lateness}, errors.Join(ctx.Err(), r.err)
+	return &Result{sc, counts, violations, r.maxTimerDelay}, errors.Join(ctx.Err(), r.err)
 }
 
 // drainTime is how long messages may still be owed their end.
-func (r *run) drainTime() (span time.Duration) {
-	for _, c := range r.sc.Classes {
-		span = max(span, c.Deadline)
+func (r *run) finalWait() (longest time.Duration) {
+	for _, c := range r.scenario.Classes {
+		longest = max(longest, c.Deadline)
 	}
-	return span + answerSlack + 2*machineSlack
+	return longest + outcomeSlack + 2*schedulingSlack
 }
 
 // open makes the peers and the folders of the senders.
-func (r *run) open() error {
-	share := r.sc.Rate * float64(r.sc.Senders) / float64(r.sc.Destinations)
-	for i := range r.sc.Destinations {
-		d := &destination{number: i, capacity: share * r.sc.Headroom, knew: map[int]bool{}}
+func (r *run) setUp() error {
+	trafficPerDestination := r.scenario.Rate * float64(r.scenario.Senders) / float64(r.scenario.Destinations)
+	for i := range r.scenario.Destinations {
+		d := &destination{number: i, capacity: trafficPerDestination * r.scenario.Headroom, informed: map[int]bool{}}
 		r.destinations = append(r.destinations, d)
 		r.endpoints = append(r.endpoints, nil)
-		for range r.sc.Endpoints {
+		for range r.scenario.EndpointsPerDestination {
 			if _, err := r.addEndpoint(d); err != nil {
 				return err
 			}
 		}
 	}
-	r.registry.first = len(r.registry.changes)
-	r.known, _ = r.registry.since(-1)
-	for i := range r.sc.Senders {
-		listen, err := freeAddress()
+	r.registry.initial = len(r.registry.changes)
+	r.initialList, _ = r.registry.changesSince(-1)
+	for i := range r.scenario.Senders {
+		listenAddr, err := freeAddress()
 		if err != nil {
 			return err
 		}
-		a, err := newAgent(i, r.ledger, r.registry)
+		agent, err := newDiscoveryAgent(i, r.checker, r.registry)
 		if err != nil {
 			return err
 		}
-		s := &sender{number: i, run: r, dir: filepath.Join(r.opt.Dir, fmt.Sprint("n", i)), listen: listen, agent: a, begun: make(chan struct{})}
+		s := &sender{number: i, run: r, dir: filepath.Join(r.options.Dir, fmt.Sprint("n", i)), listenAddr: listenAddr, agent: agent, started: make(chan struct{})}
 		r.senders = append(r.senders, s)
 		if err := s.prepare(); err != nil {
 			return err
@@ -157,63 +157,63 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	number := 0
-	for _, e := range r.all {
+	for _, e := range r.allEndpoints {
 		if e.dest == d {
 			number++
 		}
 	}
-	e, err := newEndpoint(r.ledger, d, number, r.sc.Seed)
+	e, err := newEndpoint(r.checker, d, number, r.scenario.Seed)
 	if err != nil {
 		return nil, err
 	}
-	r.all = append(r.all, e)
+	r.allEndpoints = append(r.allEndpoints, e)
 	r.endpoints[d.number] = append(r.endpoints[d.number], e)
-	r.registry.add(lineOf(e))
+	r.registry.add(listEntry(e))
 	return e, nil
 }
 
 // closeAll ends what is left of a run.
 func (r *run) closeAll() {
 	for _, s := range r.senders {
-		if p := s.process(); p != nil {
-			s.want(p)
+		if p := s.currentProcess(); p != nil {
+			s.expectEnd(p)
 			p.cmd.Process.Kill()
 			<-p.done
 		}
 		s.agent.close()
 	}
-	for _, e := range r.all {
+	for _, e := range r.allEndpoints {
 		e.close()
 	}
 }
 
 // watch has what counts as told noted in time, and sees how late this side's timers are.
-func (r *run) watch(ctx context.Context) {
-	const every = 50 * time.Millisecond
+func (r *run) monitor(ctx context.Context) {
+	const interval = 50 * time.Millisecond
 	for {
 		at := time.Now()
-		if !rest(ctx, every) {
+		if !sleep(ctx, interval) {
 			return
 		}
-		late := time.Since(at) - every
+		delay := time.Since(at) - interval
 		r.mu.Lock()
-		r.lateness = max(r.lateness, late)
+		r.maxTimerDelay = max(r.maxTimerDelay, delay)
 		r.mu.Unlock()
 		for _, s := range r.senders {
 			s.mu.Lock()
-			moved := s.moved
+			movedAt := s.discoveryMovedAt
 			s.mu.Unlock()
-			s.agent.counts(moved)
+			s.agent.recordOverdue(movedAt)
 		}
 	}
 }
 
 // happen plays a trouble. Those of the system calls are in the plans of the processes.
-func (r *run) happen(ctx context.Context, t Trouble) {
-	span := t.To - t.From
-	if slices.Contains(processKinds, t.Kind) {
+func (r *run) applyFault(ctx context.Context, t Fault) {
+	duration := t.To - t.From
+	if slices.Contains(processFaults, t.Kind) {
 		s := r.senders[t.Sender]
-		if <-s.begun; s.process() == nil {
+		if <-s.started; s.currentProcess() == nil {
 			return
 		}
 	}
@@ -222,7 +222,7 @@
 		r.senders[t.Sender].restart(false)
 	case KillTwice:
 		r.senders[t.Sender].restart(false)
-		rest(ctx, 200*time.Millisecond)
+		sleep(ctx, 200*time.Millisecond)
 		r.senders[t.Sender].restart(false)
 	case Stop:
 		r.senders[t.Sender].restart(true)
@@ -230,90 +230,90 @@
 		r.senders[t.Sender].upgrade()
 	case Reload:
 		r.senders[t.Sender].reload()
-	case DrainAdmin:
-		r.senders[t.Sender].drain(span)
-	case Refusing, Silent, Shut, Failing:
-		r.fails(ctx, t)
-	case Resets, Spoilt, Waits, Slow, IdleClose:
-		if e := r.endpoint(t); e != nil {
-			e.turn(t.Kind)
-			rest(ctx, span)
-			e.turn("")
+	case OperatorDrain:
+		r.senders[t.Sender].drain(duration)
+	case ConnectionsRefused, Unresponsive, Unavailable, ServerErrors:
+		r.takeDown(ctx, t)
+	case ConnectionResets, MalformedResponses, RetryAfter, SlowResponses, EarlyIdleClose:
+		if e := r.faultEndpoint(t); e != nil {
+			e.setFault(t.Kind)
+			sleep(ctx, duration)
+			e.setFault("")
 		}
-	case Drain, Replace:
-		r.replace(ctx, t)
+	case EndpointDrain, EndpointReplacement:
+		r.replaceEndpoint(ctx, t)
 	case DiscoveryDown, DiscoverySlow:
-		a := r.senders[t.Sender].agent
-		a.turn(t.Kind)
-		rest(ctx, span)
-		a.turn("")
-	case HalfRequests, Floods:
+		agent := r.senders[t.Sender].agent
+		agent.setFault(t.Kind)
+		sleep(ctx, duration)
+		agent.setFault("")
+	case IncompleteRequests, CommandFloods:
 		c := newClients(r.senders[t.Sender])
-		var all sync.WaitGroup
+		var requests sync.WaitGroup
 		for range 5 {
-			if t.Kind == Floods {
-				all.Go(c.flood)
+			if t.Kind == CommandFloods {
+				requests.Go(c.flood)
 			} else {
-				all.Go(c.halfRequest)
+				requests.Go(c.sendIncompleteRequest)
 			}
-			rest(ctx, span/5)
+			sleep(ctx, duration/5)
 		}
-		all.Wait()
+		requests.Wait()
 	}
 }
 
 // endpoint is the one that a trouble names, of those on the list.
-func (r *run) endpoint(t Trouble) *endpoint {
+func (r *run) faultEndpoint(t Fault) *endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := r.endpoints[t.Destination]
-	if len(list) == 0 {
+	listed := r.endpoints[t.Destination]
+	if len(listed) == 0 {
 		return nil
 	}
-	return list[t.Endpoint%len(list)]
+	return listed[t.Endpoint%len(listed)]
 }
 
 // fails takes a whole destination out for a while.
-func (r *run) fails(ctx context.Context, t Trouble) {
+func (r *run) takeDown(ctx context.Context, t Fault) {
 	d := r.destinations[t.Destination]
 	r.mu.Lock()
-	list := slices.Clone(r.endpoints[t.Destination])
+	listed := slices.Clone(r.endpoints[t.Destination])
 	r.mu.Unlock()
-	d.fails()
-	for _, e := range list {
-		e.turn(t.Kind)
+	d.beginOutage()
+	for _, e := range listed {
+		e.setFault(t.Kind)
 	}
-	rest(ctx, t.To-t.From)
-	if t.Kind == Refusing { // calls that find no listener tell nothing here
+	sleep(ctx, t.To-t.From)
+	if t.Kind == ConnectionsRefused { // calls that find no listener tell nothing here
 		d.mu.Lock()
 		for i := range r.senders {
-			d.knew[i] = true
+			d.informed[i] = true
 		}
 		d.mu.Unlock()
 	}
-	d.recovers(r.ledger)
-	for _, e := range list {
-		e.turn("")
+	d.endOutage(r.checker)
+	for _, e := range listed {
+		e.setFault("")
 	}
 }
 
 // replace puts a new endpoint on the list and lets an old one go: it drains first, or is taken off at once.
-func (r *run) replace(ctx context.Context, t Trouble) {
-	old := r.endpoint(t)
+func (r *run) replaceEndpoint(ctx context.Context, t Fault) {
+	old := r.faultEndpoint(t)
 	if old == nil {
 		return
 	}
 	if _, err := r.addEndpoint(old.dest); err != nil {
-		r.fail(err)
+		r.addError(err)
 		return
 	}
-	rest(ctx, 300*time.Millisecond)
+	sleep(ctx, 300*time.Millisecond)
 	r.mu.Lock()
 	r.endpoints[t.Destination] = slices.DeleteFunc(r.endpoints[t.Destination], func(e *endpoint) bool { return e == old })
 	r.mu.Unlock()
-	if t.Kind == Drain {
+	if t.Kind == EndpointDrain {
 		r.registry.retire(old, "draining")
-		rest(ctx, t.To-t.From)
+		sleep(ctx, t.To-t.From)
 	}
 	r.registry.retire(old, "removed")
 }
@@ -323,12 +323,12 @@
 	for _, s := range r.senders {
 		text, err := os.ReadFile(filepath.Join(s.dir, "log"))
 		if err != nil {
-			r.fail(err)
+			r.addError(err)
 			continue
 		}
 		for line := range strings.Lines(string(text)) {
 			if strings.Contains(line, "msg=violation") {
-				r.ledger.broken(RuleInside, s.number, "%s", strings.TrimSpace(line))
+				r.checker.report(RuleOwnCheck, s.number, "%s", strings.TrimSpace(line))
 			}
 		}
 	}
