--- a/internal/faultinject/build.go
+++ b/internal/faultinject/build.go
@@ -21,10 +21,10 @@
 //go:embed overlay/time.go.txt
 var timeSource string
 
-// edit replaces one piece of text in a file of the standard library.
+// edit is a text replacement in a file of the standard library.
 type edit struct{ old, replacement string }
 
-// syscallEdits lead the calls of package syscall by the plan.
+// syscallEdits add calls of beforeCall and afterCall, which overlay/syscall.go.txt defines, around system calls.
 var syscallEdits = []edit{
 	{"	return RawSyscall6(trap, a1, a2, a3, 0, 0, 0)\n", `	a3, err = beforeCall(trap, a1, a2, a3)
 	if err != 0 {
@@ -54,81 +54,87 @@
 `},
 }
 
-// timeEdits make time.Now read the wall clock of the plan.
-var timeEdits = []edit{{"	sec, nsec, mono := runtimeNow()\n	if mono == 0 {", "	sec, nsec, mono := plannedNow()\n	if mono == 0 {"}}
+// timeEdits make time.Now use plannedNow, which overlay/time.go.txt defines.
+var timeEdits = []edit{{
+	"	sec, nsec, mono := runtimeNow()\n	if mono == 0 {",
+	"	sec, nsec, mono := plannedNow()\n	if mono == 0 {",
+}}
 
-// Build compiles the main package at path pkg, as seen from dir, to the file out.
+// Build compiles the main package pkg, a path relative to dir, with fault injection and writes the program to out. flags
+// are additional flags of go build.
 func Build(ctx context.Context, dir, pkg, out string, flags ...string) error {
-	work, err := os.MkdirTemp("", "faultinject")
+	workDir, err := os.MkdirTemp("", "faultinject")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(work)
-	overlay, err := writeOverlay(ctx, work)
+	defer os.RemoveAll(workDir)
+	overlay, err := writeOverlay(ctx, workDir)
 	if err != nil {
 		return fmt.Errorf("fault injection: %w", err)
 	}
 	args := append([]string{"build", "-overlay", overlay, "-o", out}, flags...)
 	cmd := exec.CommandContext(ctx, "go", append(args, pkg)...)
 	cmd.Dir = dir
-	if text, err := cmd.CombinedOutput(); err != nil {
-		return fmt.Errorf("build with fault injection: %w\n%s", err, text)
+	if output, err := cmd.CombinedOutput(); err != nil {
+		return fmt.Errorf("build with fault injection: %w\n%s", err, output)
 	}
 	return nil
 }
 
-// writeOverlay writes the changed files below work, and the list of them for the go command.
-func writeOverlay(ctx context.Context, work string) (string, error) {
+// writeOverlay writes the modified files and the JSON file for the -overlay flag of the go command to workDir. It returns
+// the path of the JSON file.
+func writeOverlay(ctx context.Context, workDir string) (string, error) {
 	text, err := exec.CommandContext(ctx, "go", "env", "GOROOT").Output()
 	if err != nil {
 		return "", err
 	}
-	source := filepath.Join(strings.TrimSpace(string(text)), "src")
-	replace := map[string]string{}
-	add := func(name, text string) error {
-		file := filepath.Join(work, strings.ReplaceAll(name, "/", "_"))
-		replace[filepath.Join(source, name)] = file
+	sourceDir := filepath.Join(strings.TrimSpace(string(text)), "src")
+	replacements := map[string]string{}
+	addFile := func(name, text string) error {
+		file := filepath.Join(workDir, strings.ReplaceAll(name, "/", "_"))
+		replacements[filepath.Join(sourceDir, name)] = file
 		return os.WriteFile(file, []byte(text), 0o600)
 	}
-	change := func(name string, edits []edit) error {
-		text, err := os.ReadFile(filepath.Join(source, name))
+	editFile := func(name string, edits []edit) error {
+		text, err := os.ReadFile(filepath.Join(sourceDir, name))
 		if err != nil {
 			return err
 		}
-		changed := string(text)
+		edited := string(text)
 		for _, e := range edits {
-			if strings.Count(changed, e.old) != 1 {
-				return fmt.Errorf("%s of %s is not as expected", name, runtime.Version())
+			if strings.Count(edited, e.old) != 1 {
+				return fmt.Errorf("%s of %s does not have the expected text; the edits must be adapted to this Go version", name, runtime.Version())
 			}
-			changed = strings.Replace(changed, e.old, e.replacement, 1)
+			edited = strings.Replace(edited, e.old, e.replacement, 1)
 		}
-		return add(name, changed)
+		return addFile(name, edited)
 	}
-	if err := change("syscall/syscall_linux.go", syscallEdits); err != nil {
+	if err := editFile("syscall/syscall_linux.go", syscallEdits); err != nil {
 		return "", err
 	}
-	if err := change("time/time.go", timeEdits); err != nil {
+	if err := editFile("time/time.go", timeEdits); err != nil {
 		return "", err
 	}
-	if err := add("syscall/faultinject_linux.go", syscallSource); err != nil {
+	if err := addFile("syscall/faultinject_linux.go", syscallSource); err != nil {
 		return "", err
 	}
-	if err := add("time/faultinject.go", timeSource); err != nil {
+	if err := addFile("time/faultinject.go", timeSource); err != nil {
 		return "", err
 	}
-	list, err := json.Marshal(map[string]any{"Replace": replace})
+	overlay, err := json.Marshal(map[string]any{"Replace": replacements})
 	if err != nil {
 		return "", err
 	}
-	file := filepath.Join(work, "overlay.json")
-	return file, os.WriteFile(file, list, 0o600)
+	file := filepath.Join(workDir, "overlay.json")
+	return file, os.WriteFile(file, overlay, 0o600)
 }
 
-// Now is the clock that plans go by: that of the runtime's monotonic readings, the same for all processes of a machine.
+// Now returns the time on the clock used in plans. It is the monotonic clock that the Go runtime uses, and the same for
+// all processes on a machine.
 func Now() time.Duration {
 	now, err := clock.Monotonic.Read()
 	if err != nil {
-		panic(err) // only a wrong clock number or address can cause it
+		panic(err) // fails only for an invalid clock number or address
 	}
 	return now
 }
--- a/internal/faultinject/build_test.go
+++ b/internal/faultinject/build_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// program does what a plan can change, and says what came of it.
+// testProgram makes calls that the plan of the test affects and prints their results.
 const testProgram = `package main
 
 import (
@@ -44,7 +44,7 @@
 `
 
 func TestBuildAppliesPlan(t *testing.T) {
-	dir, state := t.TempDir(), t.TempDir()
+	dir, stateDir := t.TempDir(), t.TempDir()
 	for name, text := range map[string]string{"main.go": testProgram, "go.mod": "module planned\n\ngo 1.26\n"} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	now := Now()
-	plan := Plan{StateDir: state, Faults: []Fault{
+	plan := Plan{StateDir: stateDir, Faults: []Fault{
 		{Call: "open", Target: StateFiles, Errno: syscall.ENOSPC, From: now, To: now + time.Second, Probability: 1},
 		{Call: "socket", Errno: syscall.ENOBUFS, From: now, To: now + time.Second, Probability: 1},
 		{Call: "pwrite", Target: StateFiles, MaxBytes: 10, From: now, To: now + time.Minute, Probability: 1},
@@ -64,7 +64,7 @@
 	if err := plan.Save(file); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(path, state)
+	cmd := exec.Command(path, stateDir)
 	cmd.Env = append(os.Environ(), EnvPlan+"="+file, "TMPDIR="+dir)
 	out, err := cmd.CombinedOutput()
 	if err != nil {
--- a/internal/faultinject/doc.go
+++ b/internal/faultinject/doc.go
@@ -1,14 +1,15 @@
-// Package faultinject builds a program whose system calls and wall clock follow
-// a plan, so that a real process meets the errors that Linux documents.
+// Package faultinject builds programs with fault injection in their system calls
+// and wall clock, so that tests can expose a real process to the errors that
+// Linux documents.
 //
-// [Build] compiles a main package with changed copies of two files of the
-// standard library: package syscall asks the plan before each call that goes
+// [Build] compiles a main package with modified copies of two files of the
+// standard library: package syscall consults a [Plan] around each call made
 // through Syscall, Syscall6 or RawSyscall, and package time adds the planned
-// offset to the wall clock. The program's own source stays as it is. Without a
-// plan in the environment the program acts as one built without this package.
+// offset to the wall clock. The program's own source is not changed. If the
+// environment names no plan, the program behaves as if built normally.
 //
-// What it cannot reach: calls that the runtime makes by itself (epoll, futex,
-// memory, its own clock), calls made by C code, and what other processes do. An
-// injected error takes the place of the call, which is then not made; a short
-// transfer and a delay are real.
+// Not covered are system calls made by the runtime itself (epoll, futex, memory
+// management, its own clock), calls made by C code, and the actions of other
+// processes. An injected error replaces the call, which is not made. Short
+// transfers and delays apply to the real call.
 package faultinject
--- a/internal/faultinject/plan.go
+++ b/internal/faultinject/plan.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// EnvPlan names the environment variable that holds the path of a plan.
+// EnvPlan is the environment variable that holds the path of a plan.
 const EnvPlan = "FAULT_PLAN"
 
-// Target says which calls of a kind a fault may hit.
+// Target limits a fault to calls on certain files or sockets.
 type Target int
 
-// The targets. A file is told by its path, a socket by how it was made.
+// The targets. Files are recognized by their path, sockets by the call that created them. The values are part of the
+// plan's format, which overlay/syscall.go.txt reads.
 const (
 	AnyTarget Target = iota
 	StateFiles
@@ -22,60 +23,74 @@
 	OutgoingSockets
 )
 
-// Fault makes a part of the calls of one kind fail, fall short or come late for a while.
+// Fault makes some of the calls of one kind fail, transfer less than requested, or start late, for a limited time.
 type Fault struct {
-	Call        string // as in Calls
+	Call        string // a key of SyscallNumbers
 	Target      Target
-	Errno       syscall.Errno // returned instead of the call; 0 if it is made
-	MaxBytes    int           // bytes that a transfer may move; 0 for no bound
-	Delay       time.Duration // before the call
+	Errno       syscall.Errno // returned instead of making the call; 0 to make it
+	MaxBytes    int           // limit of a transfer; 0 for no limit
+	Delay       time.Duration // pause before the call
 	From        time.Duration // on the clock of Now
 	To          time.Duration
-	Probability float64 // part of the calls that it hits
+	Probability float64 // of each call to be affected, from 0 to 1
 }
 
-// Step sets the wall clock: from At on it is Offset ahead of the true one.
+// ClockStep steps the wall clock: from At on, it is ahead of the real one by Offset.
 type ClockStep struct {
 	At     time.Duration // on the clock of Now
 	Offset time.Duration
 }
 
-// Plan is all that happens to one process.
+// Plan is everything that is injected into one process.
 type Plan struct {
 	StateDir   string // files below it are StateFiles
 	Faults     []Fault
 	ClockSteps []ClockStep
 }
 
-// Calls maps the names that a Fault may use to system call numbers.
+// SyscallNumbers maps the names that Fault.Call may have to system call numbers.
 var SyscallNumbers = map[string]uintptr{
-	"read": syscall.SYS_READ, "write": syscall.SYS_WRITE, "pread": syscall.SYS_PREAD64, "pwrite": syscall.SYS_PWRITE64,
-	"open": syscall.SYS_OPENAT, "truncate": syscall.SYS_FTRUNCATE, "rename": syscall.SYS_RENAMEAT,
-	"unlink": syscall.SYS_UNLINKAT, "sync": syscall.SYS_FSYNC, "lock": syscall.SYS_FLOCK, "close": syscall.SYS_CLOSE,
-	"socket": syscall.SYS_SOCKET, "bind": syscall.SYS_BIND, "listen": syscall.SYS_LISTEN,
-	"connect": syscall.SYS_CONNECT, "accept": syscall.SYS_ACCEPT4, "receive": syscall.SYS_RECVFROM,
+	"read":     syscall.SYS_READ,
+	"write":    syscall.SYS_WRITE,
+	"pread":    syscall.SYS_PREAD64,
+	"pwrite":   syscall.SYS_PWRITE64,
+	"open":     syscall.SYS_OPENAT,
+	"truncate": syscall.SYS_FTRUNCATE,
+	"rename":   syscall.SYS_RENAMEAT,
+	"unlink":   syscall.SYS_UNLINKAT,
+	"sync":     syscall.SYS_FSYNC,
+	"lock":     syscall.SYS_FLOCK,
+	"close":    syscall.SYS_CLOSE,
+	"socket":   syscall.SYS_SOCKET,
+	"bind":     syscall.SYS_BIND,
+	"listen":   syscall.SYS_LISTEN,
+	"connect":  syscall.SYS_CONNECT,
+	"accept":   syscall.SYS_ACCEPT4,
+	"receive":  syscall.SYS_RECVFROM,
 }
 
-// Bounds of the tables in the program.
+// Sizes of the tables in overlay/syscall.go.txt, and the scale of probabilities in a plan file.
 const (
 	maxFaults        = 256
-	maxSteps         = 64
+	maxClockSteps    = 64
 	probabilityScale = 1_000_000
 )
 
-// Save writes the plan for a process that is started with EnvPlan set to path.
+// Save writes the plan to path. A process uses it if it is started with EnvPlan set to path.
 func (p Plan) Save(path string) error {
-	if len(p.Faults) > maxFaults || len(p.ClockSteps) > maxSteps {
-		return fmt.Errorf("plan of %d faults and %d steps: at most %d and %d", len(p.Faults), len(p.ClockSteps), maxFaults, maxSteps)
+	if len(p.Faults) > maxFaults || len(p.ClockSteps) > maxClockSteps {
+		return fmt.Errorf("fault plan has %d faults and %d clock steps; the limits are %d and %d",
+			len(p.Faults), len(p.ClockSteps), maxFaults, maxClockSteps)
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "state %s\n", p.StateDir)
 	for _, f := range p.Faults {
 		trap, ok := SyscallNumbers[f.Call]
 		if !ok {
-			return fmt.Errorf("fault: unknown call %q", f.Call)
+			return fmt.Errorf("fault plan: unknown system call %q", f.Call)
 		}
-		fmt.Fprintf(&b, "fault %d %d %d %d %d %d %d %d\n", trap, f.Target, f.Errno, f.MaxBytes, f.Delay, f.From, f.To, int64(f.Probability*probabilityScale))
+		fmt.Fprintf(&b, "fault %d %d %d %d %d %d %d %d\n", trap, f.Target, f.Errno, f.MaxBytes, f.Delay, f.From, f.To,
+			int64(f.Probability*probabilityScale))
 	}
 	for _, s := range p.ClockSteps {
 		fmt.Fprintf(&b, "step %d %d\n", s.At, s.Offset)
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// instance is one line of the list.
+// instance is one entry of the endpoint list.
 type instance struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
@@ -23,23 +23,23 @@
 	StartedAt int64   `json:"startedAtMs"`
 }
 
-// hostList is discovery's answer.
+// hostList is the response of discovery: the whole list if Reset is set, else the changes since a generation.
 type hostList struct {
 	Generation int        `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []instance `json:"instances"`
 }
 
-// registry is the list of endpoints, and what became of each.
+// registry holds the endpoint list as a log of changes. The generation of the list is the length of the log.
 type registry struct {
 	mu          sync.Mutex
-	changes     []instance // the first ones make up the list of the start
+	changes     []instance // starts with the entries of the initial list
 	initial     int
-	changed     chan struct{} // closed at a change
+	changed     chan struct{} // closed and replaced at every change
 	retirements []retirement
 }
 
-// drained is an endpoint that wants no calls from a time on.
+// retirement is the time from which on an endpoint accepts no more calls.
 type retirement struct {
 	endpoint *endpoint
 	at       time.Duration
@@ -47,7 +47,7 @@
 
 func newRegistry() *registry { return &registry{changed: make(chan struct{})} }
 
-// add puts a line on the list.
+// add appends a change to the list.
 func (r *registry) add(entry instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +56,7 @@
 	r.changed = make(chan struct{})
 }
 
-// retire takes an endpoint off the list, or lets it drain.
+// retire sets the lifecycle state of an endpoint to draining or removed.
 func (r *registry) retire(e *endpoint, lifecycle string) {
 	entry := listEntry(e)
 	entry.Lifecycle = lifecycle
@@ -67,10 +67,19 @@
 }
 
 func listEntry(e *endpoint) instance {
-	return instance{ID: e.name, HostPort: e.addr, Zone: []string{"a", "b"}[e.zone], Kind: "std", Dest: e.dest.number, Lifecycle: "up", Weight: 1}
+	return instance{
+		ID:        e.name,
+		HostPort:  e.addr,
+		Zone:      []string{"a", "b"}[e.zone],
+		Kind:      "std",
+		Dest:      e.dest.number,
+		Lifecycle: "up",
+		Weight:    1,
+	}
 }
 
-// since is what a caller that has a generation does not know.
+// changesSince returns what a caller with the given generation needs to be up to date, and a channel that is closed at
+// the next change. A caller with an invalid generation gets the whole list.
 func (r *registry) changesSince(generation int) (hostList, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +106,7 @@
 	return hostList{Generation: len(r.changes), Instances: append([]instance{}, r.changes[generation:]...)}, r.changed
 }
 
-// agent is discovery as one sender sees it, at two addresses, and what hears of its ends.
+// discoveryAgent simulates discovery and the platform for one sender. It can move between two addresses.
 type discoveryAgent struct {
 	sender   int
 	checker  *Checker
@@ -110,19 +119,25 @@
 	active       int
 	fault        FaultKind // DiscoveryDown, DiscoverySlow or empty
 	faultChanged chan struct{}
-	upSince      time.Duration // when it could last be reached again
+	upSince      time.Duration // when it last became reachable
 
-	processSince time.Duration // when the process was started
-	slowSince    time.Duration // when it last began to be slow, and until when
-	slowUntil    time.Duration
+	processSince time.Duration // when the sender's process was started
+	slowSince    time.Duration // when lists last began to be slow
+	slowUntil    time.Duration // when that ended, or distantFuture
 }
 
 func newDiscoveryAgent(sender int, checker *Checker, r *registry) (*discoveryAgent, error) {
-	a := &discoveryAgent{sender: sender, checker: checker, registry: r, pushed: checker.scenario.PushDiscovery, faultChanged: make(chan struct{})}
+	a := &discoveryAgent{
+		sender:       sender,
+		checker:      checker,
+		registry:     r,
+		pushed:       checker.scenario.PushDiscovery,
+		faultChanged: make(chan struct{}),
+	}
 	return a, a.listen(0)
 }
 
-// open starts the server at one of the two addresses.
+// listen starts a server on a new address and makes it the active one of the two.
 func (a *discoveryAgent) listen(i int) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -139,7 +154,7 @@
 	return nil
 }
 
-// move opens the other address; close ends the one left behind.
+// switchAddress starts the other server. The returned function stops the previous one.
 func (a *discoveryAgent) switchAddress() (closeOld func(), err error) {
 	a.mu.Lock()
 	old := a.active
@@ -167,7 +182,7 @@
 	}
 }
 
-// turn sets its trouble; an empty one ends it.
+// setFault sets the current fault, or ends it if kind is empty.
 func (a *discoveryAgent) setFault(kind FaultKind) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -185,13 +200,13 @@
 	}
 }
 
-// slowList is what a slow list takes to come.
+// slowListDelay is how long a list takes to arrive under DiscoverySlow.
 const slowListDelay = 700 * time.Millisecond
 
-// never is a time past every run.
+// distantFuture is later than the end of any run.
 const distantFuture = time.Duration(math.MaxInt64 / 2)
 
-// askedFrom notes since when there is a process that asks; never while there is none.
+// setProcessStart records when the sender's process was started; distantFuture if there is none.
 func (a *discoveryAgent) setProcessStart(at time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -204,7 +219,7 @@
 	return a.fault, a.faultChanged
 }
 
-// hosts answers a call for the list.
+// serveHosts answers a request for the list. It holds the request until there are changes or hold_ms have passed.
 func (a *discoveryAgent) serveHosts(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if err != nil {
@@ -234,11 +249,11 @@
 	}
 }
 
-// answer writes a list, and notes what it tells.
+// writeList writes a list and records what the sender learns from it.
 func (a *discoveryAgent) writeList(w http.ResponseWriter, list hostList, fault FaultKind) {
 	text, err := json.MarshalIndent(list, "", " ")
 	if err != nil {
-		panic(err) // a hostList can be encoded
+		panic(err) // cannot happen: a hostList is always encodable
 	}
 	if fault == DiscoverySlow {
 		half := len(text) / 2
@@ -256,7 +271,7 @@
 	a.recordListed(list)
 }
 
-// tells notes what a list that was written says of endpoints that want no calls.
+// recordListed records which endpoints a written list reports as draining or removed.
 func (a *discoveryAgent) recordListed(list hostList) {
 	lifecycles := map[string]string{}
 	for _, entry := range list.Instances {
@@ -272,7 +287,8 @@
 	}
 }
 
-// counts notes what counts as told though it may not have been written. It is called now and then.
+// recordOverdue records the retired endpoints that the sender should know of by now, even if no list with them was
+// written. It is called periodically.
 func (a *discoveryAgent) recordOverdue(discoveryMovedAt time.Duration) {
 	a.mu.Lock()
 	fault, reachableSince, slowSince, slowUntil := a.fault, max(a.upSince, a.processSince), a.slowSince, a.slowUntil
@@ -285,7 +301,7 @@
 	defer a.registry.mu.Unlock()
 	for _, retired := range a.registry.retirements {
 		at := max(retired.at, reachableSince)
-		if !a.pushed || at >= slowSince-slowListDelay && at < slowUntil { // one list after the other may be slow
+		if !a.pushed || at >= slowSince-slowListDelay && at < slowUntil { // a list may be delayed by a slow one before it
 			at += maxDiscoveryDelay
 		}
 		if discoveryMovedAt != 0 {
@@ -297,7 +313,7 @@
 	}
 }
 
-// outcomes takes notices.
+// serveOutcomes receives notices.
 func (a *discoveryAgent) serveOutcomes(w http.ResponseWriter, r *http.Request) {
 	var notices []struct{ ID, State string }
 	for dec := json.NewDecoder(io.LimitReader(r.Body, 1<<20)); dec.More(); {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// Rule names what a sender owes.
+// Rule is a requirement that senders must meet.
 type Rule string
 
-// The rules that a run checks.
+// The rules checked in every run. Each comment says what breaks the rule.
 const (
-	RuleLost           Rule = "lost"           // taken on, and no end in its time or after it
-	RuleLate           Rule = "late"           // ended after its time
-	RuleDuplicate      Rule = "duplicate"      // run again where it must not be
-	RuleConcurrentCopy Rule = "second-copy"    // sent while a call with it was out
-	RuleRefusedRun     Rule = "refused-run"    // refused or returned, and run
-	RuleSentAfterEnd   Rule = "sent-after-end" // sent after a notice of its end
-	RuleDrain          Rule = "drain"          // sent to an endpoint that drains or is gone
-	RuleRetryAfter     Rule = "wait"           // sent before a told wait was over
-	RuleColdRamp       Rule = "cold-ramp"      // too much sent to a destination after an outage
-	RuleMismatch       Rule = "foreign"        // not as a client handed it in, or to another destination
-	RuleUntried        Rule = "untried"        // most of what a restart found untried was given up with no call
-	RuleClosedTwice    Rule = "closed"         // closed twice over one request
-	RuleCrash          Rule = "crash"          // ended by itself
-	RuleNotReady       Rule = "not-ready"      // not ready in time after trouble had ended
-	RuleBadClient      Rule = "bad-client"     // neither an error nor a close for a peer that sends no request
-	RuleOwnCheck       Rule = "own-check"      // the sender's own check counted a violation
+	RuleLost           Rule = "lost"           // accepted, but neither delivered nor reported in a notice
+	RuleLate           Rule = "late"           // delivered or reported in a notice after its due time
+	RuleDuplicate      Rule = "duplicate"      // sent again although a repeat was not allowed
+	RuleConcurrentCopy Rule = "second-copy"    // sent again while an earlier call with it was in progress
+	RuleRefusedRun     Rule = "refused-run"    // refused or returned, but possibly executed by an endpoint
+	RuleSentAfterEnd   Rule = "sent-after-end" // sent after the notice that reported its outcome
+	RuleDrain          Rule = "drain"          // sent to an endpoint that is draining or was removed
+	RuleRetryAfter     Rule = "wait"           // sent before the destination's retry delay was over
+	RuleColdRamp       Rule = "cold-ramp"      // a destination was overloaded as it recovered from an outage
+	RuleMismatch       Rule = "foreign"        // unknown, altered, or sent to the wrong destination
+	RuleUntried        Rule = "untried"        // most untried messages given up early without a call after a restart
+	RuleClosedTwice    Rule = "closed"         // two connections in a row closed without an answer to the same request
+	RuleCrash          Rule = "crash"          // the process exited unexpectedly
+	RuleNotReady       Rule = "not-ready"      // not ready in time after a start or the end of system faults
+	RuleBadClient      Rule = "bad-client"     // an incomplete request got neither an error nor a close
+	RuleOwnCheck       Rule = "own-check"      // the sender's internal checks reported a violation
 )
 
-// Violation is a rule that was broken.
+// Violation is one observed breach of a rule.
 type Violation struct {
 	Rule   Rule
-	Sender int
-	At     time.Duration // of the run
+	Sender int           // -1 if it is unknown
+	At     time.Duration // since the start of the run
 	Detail string
 }
 
@@ -44,21 +44,21 @@
 	return fmt.Sprintf("%s: sender %d at %.2fs: %s", v.Rule, v.Sender, v.At.Seconds(), v.Detail)
 }
 
-// Bounds beside those of the settings.
+// Tolerances and timeouts in addition to those in the settings.
 const (
-	outcomeSlack      = 350 * time.Millisecond // after a message's time, for its end (300 ms, and 50 ms on sockets)
-	schedulingSlack   = 250 * time.Millisecond // for this machine, which plays all sides
+	outcomeSlack      = 350 * time.Millisecond // from a message's deadline to its outcome: 300 ms, and 50 ms for socket I/O
+	schedulingSlack   = 250 * time.Millisecond // for scheduling delays, as senders and peers share one machine
 	restartGrace      = 1500*time.Millisecond + schedulingSlack
 	retryAfterSlack   = 100 * time.Millisecond
-	maxDiscoveryDelay = 6 * time.Second
-	maxReloadDelay    = 4 * time.Second // after a reload
+	maxDiscoveryDelay = 6 * time.Second // for a change to reach a sender if lists are not pushed or come slowly
+	maxReloadDelay    = 4 * time.Second // from a reload to the first list from the new discovery address
 	readyTimeout      = 10 * time.Second
-	clientTimeout     = 400 * time.Millisecond // a client waits so long
-	copyOverlapSlack  = 60 * time.Millisecond  // for the end of a connection to be seen
-	minUntried        = 8                      // messages untried at a restart before their fate counts
+	clientTimeout     = 400 * time.Millisecond // for a client to connect, and for its answers
+	copyOverlapSlack  = 60 * time.Millisecond  // to notice that a connection was closed
+	minUntried        = 8                      // fewer untried messages at a restart are not checked
 )
 
-// answered is what a client heard.
+// clientAnswer is the answer that a client received to a request.
 type clientAnswer int
 
 const (
@@ -68,16 +68,16 @@
 	answerFailed
 )
 
-// attempt is a call that came whole to an endpoint.
+// attempt is one message in a call that an endpoint received completely.
 type attempt struct {
 	endpoint    *endpoint
-	started     time.Duration // its first byte
-	received    time.Duration // its last
-	notExecuted bool          // it was answered so
-	ended       time.Duration // answered, or its connection ended; 0 while it is out
+	started     time.Duration // when its first byte arrived
+	received    time.Duration // when it had arrived completely
+	notExecuted bool          // the answer said that the call was not executed
+	ended       time.Duration // when it was answered or its connection was closed; 0 while in progress
 }
 
-// message is what is known of a message from outside.
+// message is what clients, endpoints and the platform know about a message.
 type message struct {
 	id          string
 	class       *Class
@@ -85,19 +85,19 @@
 	sender      int
 	body        string
 	sentAt      time.Duration
-	deadline    time.Duration
+	deadline    time.Duration // relative to the submission until the message is sent
 	answer      clientAnswer
 	answeredAt  time.Duration
 	attempts    []*attempt
-	deliveredAt time.Duration // delivered
-	notice      string
+	deliveredAt time.Duration // 0 if it was not
+	notice      string        // state in the first notice, or empty
 	noticeAt    time.Duration
 }
 
-// outage is the time in which a process is gone, until it serves again.
+// downtime is the time from the stop of a process until its successor is ready.
 type downtime struct {
-	start, readyAt time.Duration
-	untried        []*message
+	start, readyAt time.Duration // readyAt is 0 until then
+	untried        []*message    // accepted by the old process but not sent, with over half of their time left
 }
 
 // Counts are the totals of a run.
@@ -107,7 +107,8 @@
 	Calls, Retries, Restarts                       int
 }
 
-// Ledger hears of all that passes between a fleet and its peers.
+// Checker records all traffic between the senders and their peers and checks it against the rules.
+// Times are relative to the start of the run.
 type Checker struct {
 	scenario *Scenario
 	start    time.Time
@@ -115,14 +116,19 @@
 	mu          sync.Mutex
 	messages    map[string]*message
 	downtimes   [][]*downtime                 // by sender
-	drains      []map[*endpoint]time.Duration // by sender: since when it knows that an endpoint wants no calls
-	retryAfters []map[int][2]time.Duration    // by sender and destination: told at, until
+	drains      []map[*endpoint]time.Duration // by sender: when it knew or should have known that an endpoint is retired
+	retryAfters []map[int][2]time.Duration    // by sender and destination: when the delay was requested, and its end
 	violations  []Violation
 	calls       int
 }
 
 func newChecker(scenario *Scenario, start time.Time) *Checker {
-	c := &Checker{scenario: scenario, start: start, messages: map[string]*message{}, downtimes: make([][]*downtime, scenario.Senders)}
+	c := &Checker{
+		scenario:  scenario,
+		start:     start,
+		messages:  map[string]*message{},
+		downtimes: make([][]*downtime, scenario.Senders),
+	}
 	for range scenario.Senders {
 		c.drains = append(c.drains, map[*endpoint]time.Duration{})
 		c.retryAfters = append(c.retryAfters, map[int][2]time.Duration{})
@@ -132,19 +138,19 @@
 
 func (c *Checker) elapsed() time.Duration { return time.Since(c.start) }
 
-// broken notes a violation.
+// report records a violation.
 func (c *Checker) report(rule Rule, sender int, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reportLocked(rule, sender, format, args...)
 }
 
-// add is broken, under the lock.
+// reportLocked records a violation; the caller holds the lock.
 func (c *Checker) reportLocked(rule Rule, sender int, format string, args ...any) {
 	c.violations = append(c.violations, Violation{rule, sender, c.elapsed(), fmt.Sprintf(format, args...)})
 }
 
-// offer notes a message that a client has just sent whole.
+// recordOffer records a message that a client is about to send.
 func (c *Checker) recordOffer(m *message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,7 +158,7 @@
 	c.messages[m.id] = m
 }
 
-// answered notes what its client heard.
+// recordAnswer records the answer that the client received.
 func (c *Checker) recordAnswer(m *message, answer clientAnswer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +168,7 @@
 	}
 }
 
-// mayRun are the attempts of a message that may have taken effect.
+// possiblyExecuted returns the attempts that an endpoint may have executed.
 func (m *message) possiblyExecuted() (attempts []*attempt) {
 	for _, a := range m.attempts {
 		if !a.notExecuted {
@@ -172,21 +178,27 @@
 	return attempts
 }
 
-// checkRefused: what was refused or returned is handed in again, so it must not have run where that would be twice.
+// checkRefused checks that a message that was refused or returned has not been executed. Its client submits such
+// a message again, so it would be executed twice, unless the class tolerates that.
 func (c *Checker) checkRefused(m *message) {
-	if m.answer != answerRefused && m.notice != "returned" || m.class.Effect == Retryable || m.class.Effect == Dedup && !m.class.DedupPerZone {
+	if m.answer != answerRefused && m.notice != "returned" || m.class.Effect == Retryable ||
+		m.class.Effect == Dedup && !m.class.DedupPerZone {
 		return
 	}
 	for _, a := range m.possiblyExecuted() {
-		if a.ended != 0 || m.answer == answerRefused { // an answer that proves that it never ran may yet come
-			c.reportLocked(RuleRefusedRun, m.sender, "%s of class %s was refused or returned, and came whole at %.2fs", m.id, m.class.Name, a.received.Seconds())
+		if a.ended != 0 || m.answer == answerRefused { // otherwise an answer may still say that it was not executed
+			c.reportLocked(RuleRefusedRun, m.sender,
+				"%s of class %s was refused or returned, but a call with it was received at %.2fs",
+				m.id, m.class.Name, a.received.Seconds())
 			return
 		}
 	}
 }
 
-// arrive takes a call that has come whole, with the messages in it.
-func (c *Checker) recordCall(e *endpoint, started time.Duration, ids []string, bodies []string) (attempts []*attempt, messages []*message) {
+// recordCall records a call that an endpoint has received completely, and checks the messages in it.
+func (c *Checker) recordCall(e *endpoint, started time.Duration, ids []string, bodies []string) (
+	attempts []*attempt, messages []*message,
+) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
@@ -194,7 +206,7 @@
 	for i, id := range ids {
 		m := c.messages[id]
 		if m == nil || m.dest != e.dest.number || m.body != bodies[i] {
-			c.reportLocked(RuleMismatch, -1, "message %q at destination %d", id, e.dest.number)
+			c.reportLocked(RuleMismatch, -1, "unknown, altered or misrouted message %q at destination %d", id, e.dest.number)
 			continue
 		}
 		a := &attempt{endpoint: e, started: started, received: now}
@@ -202,10 +214,12 @@
 		m.attempts = append(m.attempts, a)
 		attempts, messages = append(attempts, a), append(messages, m)
 		if m.noticeAt != 0 && m.noticeAt+c.noticeSlack(m) < started {
-			c.reportLocked(RuleSentAfterEnd, m.sender, "%s was %s at %.2fs and sent at %.2fs", id, m.notice, m.noticeAt.Seconds(), started.Seconds())
+			c.reportLocked(RuleSentAfterEnd, m.sender,
+				"%s was reported as %s at %.2fs but sent at %.2fs", id, m.notice, m.noticeAt.Seconds(), started.Seconds())
 		}
 		if m.answer == answerRefused && m.answeredAt+10*time.Millisecond < started {
-			c.reportLocked(RuleRefusedRun, m.sender, "%s was refused at %.2fs and sent at %.2fs", id, m.answeredAt.Seconds(), started.Seconds())
+			c.reportLocked(RuleRefusedRun, m.sender,
+				"%s was refused at %.2fs but sent at %.2fs", id, m.answeredAt.Seconds(), started.Seconds())
 		}
 	}
 	if len(messages) == 0 {
@@ -213,16 +227,22 @@
 	}
 	sender := messages[0].sender
 	if since, ok := c.drains[sender][e]; ok && started > since+c.scenario.DrainGrace+50*time.Millisecond+schedulingSlack {
-		c.reportLocked(RuleDrain, sender, "%s sent to %s %.2f s after that was told to drain", messages[0].id, e.name, (started - since).Seconds())
+		c.reportLocked(RuleDrain, sender,
+			"%s sent to %s %.2f s after the sender should have known that it was retired",
+			messages[0].id, e.name, (started - since).Seconds())
 	}
-	if retryAfter, ok := c.retryAfters[sender][e.dest.number]; ok && started > retryAfter[0]+retryAfterSlack+50*time.Millisecond && started < retryAfter[1]-20*time.Millisecond {
-		c.reportLocked(RuleRetryAfter, sender, "%s sent %.3f s before a wait of %.3f s was over", messages[0].id, (retryAfter[1] - started).Seconds(), (retryAfter[1] - retryAfter[0]).Seconds())
+	if retryAfter, ok := c.retryAfters[sender][e.dest.number]; ok &&
+		started > retryAfter[0]+retryAfterSlack+50*time.Millisecond && started < retryAfter[1]-20*time.Millisecond {
+		c.reportLocked(RuleRetryAfter, sender,
+			"%s sent %.3f s before the end of a retry delay of %.3f s",
+			messages[0].id, (retryAfter[1] - started).Seconds(), (retryAfter[1] - retryAfter[0]).Seconds())
 	}
 	return attempts, messages
 }
 
-// endSlack is how long after its notice a message may still be seen to be sent. A sender may be held up for 0.15 s while
-// it writes, and what it wrote off then has failed; what it returned was not about to be written.
+// noticeSlack returns how long after its notice a message may still be seen arriving. A sender may be blocked in a
+// write for 0.15 s, and a message that it gives up meanwhile is reported as failed. A message is only reported as
+// returned if the sender was not about to write it.
 func (c *Checker) noticeSlack(m *message) time.Duration {
 	if m.notice == "failed" {
 		return 160 * time.Millisecond
@@ -230,7 +250,7 @@
 	return 10 * time.Millisecond
 }
 
-// checkRepeat holds a call against the earlier ones with its message.
+// checkRetry checks a new attempt against the earlier ones of the same message.
 func (c *Checker) checkRetry(m *message, a *attempt) {
 	if !c.scenario.ConcurrentCopies {
 		for _, previous := range m.attempts {
@@ -246,13 +266,17 @@
 	first := earlier[0]
 	switch m.class.Effect {
 	case Fragile:
-		c.reportLocked(RuleDuplicate, m.sender, "%s of class %s sent again %.2f s after it may have run", m.id, m.class.Name, (a.received - first.received).Seconds())
+		c.reportLocked(RuleDuplicate, m.sender,
+			"%s of class %s sent again %.2f s after it may have been executed",
+			m.id, m.class.Name, (a.received - first.received).Seconds())
 	case Dedup:
 		if m.class.DedupPerZone && a.endpoint.zone != first.endpoint.zone {
 			c.reportLocked(RuleDuplicate, m.sender, "%s of class %s sent again to another zone", m.id, m.class.Name)
 		}
 		if late := a.started - first.started - m.class.DedupWindow; late > 50*time.Millisecond+schedulingSlack {
-			c.reportLocked(RuleDuplicate, m.sender, "%s of class %s sent again %.2f s after its window", m.id, m.class.Name, late.Seconds())
+			c.reportLocked(RuleDuplicate, m.sender,
+				"%s of class %s sent again %.2f s after the end of its deduplication window",
+				m.id, m.class.Name, late.Seconds())
 		}
 	}
 }
@@ -261,17 +285,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if earlier.ended == 0 || earlier.ended > a.received+copyOverlapSlack {
-		c.reportLocked(RuleConcurrentCopy, m.sender, "%s sent again while a call with it was out", m.id)
+		c.reportLocked(RuleConcurrentCopy, m.sender, "%s sent again while an earlier call with it was in progress", m.id)
 	}
 }
 
-// end notes how calls ended. A delivery counts once its first line is written.
+// recordEnd records how attempts ended. A message counts as delivered once the endpoint has written its answer.
 func (c *Checker) recordEnd(attempts []*attempt, messages []*message, notExecuted, delivered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, a := range attempts {
 		m := messages[i]
-		if delivered && m.deliveredAt == 0 { // also if the end of the connection was seen first
+		if delivered && m.deliveredAt == 0 { // even if the connection was seen to close before
 			m.deliveredAt = c.elapsed()
 		}
 		if a.ended != 0 {
@@ -284,7 +308,7 @@
 	}
 }
 
-// wait notes that a destination has told a sender to come back later.
+// recordRetryAfter records that a destination has told a sender to wait before it calls again.
 func (c *Checker) recordRetryAfter(sender int, dest int, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -297,7 +321,7 @@
 	}
 }
 
-// drains notes that a sender knows, or counts as told, that an endpoint wants no calls.
+// recordDrain records since when a sender knows, or should know, that an endpoint accepts no more calls.
 func (c *Checker) recordDrain(sender int, e *endpoint, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -306,13 +330,13 @@
 	}
 }
 
-// noticed takes a notice that has come to the platform.
+// recordNotice records a notice that the platform has received.
 func (c *Checker) recordNotice(sender int, id, state string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.messages[id]
 	if m == nil || m.sender != sender {
-		c.reportLocked(RuleMismatch, sender, "notice of %q", id)
+		c.reportLocked(RuleMismatch, sender, "notice of message %q, which is unknown or belongs to another sender", id)
 		return
 	}
 	if m.notice == "" {
@@ -321,7 +345,7 @@
 	}
 }
 
-// goes notes that a process is about to be stopped.
+// beginDowntime records that a process is about to be stopped.
 func (c *Checker) beginDowntime(sender int) *downtime {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -330,12 +354,12 @@
 	return d
 }
 
-// gone notes that it has ended; what it had taken on and not tried is for the next one.
+// recordExit records that the process has exited, and which accepted messages its successor must still try.
 func (c *Checker) recordExit(sender int, d *downtime) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.retryAfters[sender])
-	clear(c.drains[sender]) // the next process is told anew
+	clear(c.drains[sender]) // the next process does not know them
 	now := c.elapsed()
 	for _, m := range c.messages {
 		if m.sender == sender && m.answer == answerAccepted && m.deliveredAt == 0 && m.notice == "" && len(m.attempts) == 0 &&
@@ -345,14 +369,14 @@
 	}
 }
 
-// serves notes that the next one is ready.
+// endDowntime records that the next process is ready.
 func (c *Checker) endDowntime(d *downtime) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d.readyAt = c.elapsed()
 }
 
-// due is when a message must have its end.
+// dueTime returns the time by which the outcome of a message must be known. Downtime extends it.
 func (c *Checker) dueTime(m *message) time.Duration {
 	due := m.deadline + outcomeSlack
 	for _, d := range c.downtimes[m.sender] {
@@ -366,7 +390,7 @@
 	return due + schedulingSlack
 }
 
-// close checks what every message came to, and counts.
+// finish checks the outcome of every message and returns the totals and all violations.
 func (c *Checker) finish() (Counts, []Violation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -408,9 +432,13 @@
 		}
 		switch due := c.dueTime(m); {
 		case end == 0:
-			c.reportLocked(RuleLost, m.sender, "%s of class %s, sent at %.2fs, due at %.2fs, %d attempts", id, m.class.Name, m.sentAt.Seconds(), due.Seconds(), len(m.attempts))
+			c.reportLocked(RuleLost, m.sender,
+				"%s of class %s has no outcome: sent at %.2fs, due at %.2fs, %d attempts",
+				id, m.class.Name, m.sentAt.Seconds(), due.Seconds(), len(m.attempts))
 		case end > due:
-			c.reportLocked(RuleLate, m.sender, "%s of class %s ended %.2f s late, at %.2fs, %d attempts", id, m.class.Name, (end - due).Seconds(), end.Seconds(), len(m.attempts))
+			c.reportLocked(RuleLate, m.sender,
+				"%s of class %s got its outcome %.2f s late, at %.2fs, %d attempts",
+				id, m.class.Name, (end - due).Seconds(), end.Seconds(), len(m.attempts))
 		}
 	}
 	for sender, downtimes := range c.downtimes {
@@ -422,7 +450,8 @@
 	return counts, slices.Clone(c.violations)
 }
 
-// checkUntried: a restart must not give up early, with no call, most of what it finds untried with half of its time left.
+// checkUntried checks that a restart does not give up most of the untried messages early without a call, although
+// they had more than half of their time left.
 func (c *Checker) checkUntried(sender int, d *downtime) {
 	givenUp := 0
 	for _, m := range d.untried {
@@ -432,6 +461,8 @@
 		}
 	}
 	if len(d.untried) >= minUntried && 2*givenUp > len(d.untried) {
-		c.reportLocked(RuleUntried, sender, "%d of %d untried messages given up early after the restart at %.2fs", givenUp, len(d.untried), d.start.Seconds())
+		c.reportLocked(RuleUntried, sender,
+			"%d of %d untried messages given up early without a call after the restart at %.2fs",
+			givenUp, len(d.untried), d.start.Seconds())
 	}
 }
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -10,24 +10,24 @@
 func TestGenerateDependsOnSeed(t *testing.T) {
 	a, b, c := Generate(7, 10, 12*time.Second, nil), Generate(7, 10, 12*time.Second, nil), Generate(8, 10, 12*time.Second, nil)
 	if !reflect.DeepEqual(a, b) {
-		t.Error("one seed, two scenarios")
+		t.Error("the same seed generated different scenarios")
 	}
 	if reflect.DeepEqual(a.Faults, c.Faults) {
-		t.Error("two seeds, one scenario")
+		t.Error("different seeds generated the same faults")
 	}
 	if len(a.OverlapCounts()) == 0 {
-		t.Error("no troubles overlap")
+		t.Error("no faults overlap")
 	}
 	for _, fault := range Generate(7, 10, 12*time.Second, []FaultKind{Kill, WallClockStep}).Faults {
 		if fault.Kind != Kill && fault.Kind != WallClockStep {
-			t.Errorf("%s was not asked for", fault.Kind)
+			t.Errorf("generated %s, which is not in the list of allowed kinds", fault.Kind)
 		}
 	}
 }
 
-// Each rule is broken by hand, one at a time.
+// Breaks one rule at a time and checks that the Checker reports it; the first case breaks none.
 func TestCheckerReportsViolations(t *testing.T) {
-	const runAge = 3 * time.Second // the run's age
+	const runAge = 3 * time.Second // how long the run has lasted
 	for _, test := range []struct {
 		rule Rule
 		do   func(c *Checker, e *endpoint, m *message)
@@ -71,7 +71,8 @@
 		m := &message{id: "m", class: &Class{Name: "charge", Effect: Fragile}, body: "body", deadline: runAge + time.Minute}
 		c.recordOffer(m)
 		c.recordAnswer(m, answerAccepted)
-		if test.rule == "" || test.rule == RuleRetryAfter || test.rule == RuleDrain || test.rule == RuleDuplicate || test.rule == RuleMismatch {
+		if test.rule == "" || test.rule == RuleRetryAfter || test.rule == RuleDrain ||
+			test.rule == RuleDuplicate || test.rule == RuleMismatch {
 			m.deadline = runAge + time.Hour
 		}
 		test.do(c, e, m)
@@ -83,7 +84,7 @@
 	}
 }
 
-// A restart gives what is owed more time, until a while after the next process is ready.
+// A message that is due during a restart is due later: restartGrace after the next process is ready.
 func TestCheckerExtendsDueTimeForRestart(t *testing.T) {
 	c := newChecker(Generate(1, 1, 10*time.Second, nil), time.Now().Add(-time.Minute))
 	m := &message{sender: 0, deadline: 30 * time.Second}
@@ -92,6 +93,6 @@
 	}
 	c.downtimes[0] = []*downtime{{start: 29 * time.Second, readyAt: 35 * time.Second}}
 	if due, want := c.dueTime(m), 35*time.Second+restartGrace+schedulingSlack; due != want {
-		t.Errorf("with a restart due at %v, want %v", due, want)
+		t.Errorf("with a restart: due at %v, want %v", due, want)
 	}
 }
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// connection is a client's connection to a sender.
+// clientConn is a client connection to a sender.
 type clientConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-// clients hand messages to one sender.
+// clients submits messages to one sender.
 type clients struct {
 	sender *sender
 	rng    *rand.Rand
@@ -33,7 +33,7 @@
 	return &clients{sender: s, rng: rand.New(rand.NewPCG(s.run.scenario.Seed, 1000+uint64(s.number)))}
 }
 
-// connect takes an idle connection or makes one.
+// acquire returns an idle connection, or a new one if there is none or fresh is set.
 func (c *clients) acquire(fresh bool) (*clientConn, error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
@@ -57,7 +57,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-// play hands in messages at random times until ctx is over.
+// run submits messages at random times until ctx is done.
 func (c *clients) run(ctx context.Context) {
 	var submissions sync.WaitGroup
 	defer submissions.Wait()
@@ -69,7 +69,7 @@
 		}
 		size := 1
 		if c.rng.IntN(25) == 0 {
-			size = 2 + c.rng.IntN(6) // sent at once on one connection
+			size = 2 + c.rng.IntN(6) // pipelined on one connection
 		}
 		var batch []*message
 		for range size {
@@ -79,12 +79,12 @@
 	}
 }
 
-// draw makes a message.
+// newMessage returns a random message. Its deadline is still relative to the time of its submission.
 func (c *clients) newMessage() *message {
 	sc := c.sender.run.scenario
 	class := &sc.Classes[c.rng.IntN(len(sc.Classes))]
 	timeLeft := class.Deadline
-	if c.rng.IntN(12) == 0 { // with little time left
+	if c.rng.IntN(12) == 0 { // sometimes with little time left
 		timeLeft = time.Duration(float64(timeLeft) * c.rng.Float64() / 4)
 	}
 	c.lastNumber++
@@ -93,11 +93,17 @@
 		size = 6000
 	}
 	id := fmt.Sprintf("m-%d-%d", c.sender.number, c.lastNumber)
-	return &message{id: id, class: class, dest: c.rng.IntN(sc.Destinations), sender: c.sender.number, deadline: timeLeft,
-		body: "body of " + id + strings.Repeat(".", size)}
+	return &message{
+		id:       id,
+		class:    class,
+		dest:     c.rng.IntN(sc.Destinations),
+		sender:   c.sender.number,
+		deadline: timeLeft,
+		body:     "body of " + id + strings.Repeat(".", size),
+	}
 }
 
-// request is the command that hands a message in.
+// command returns the MSG.PUT command for the message.
 func (m *message) command(timeLeft time.Duration) string {
 	opts := fmt.Sprintf("c=%s,d=%d,dest=%d", m.class.Name, timeLeft.Milliseconds(), m.dest)
 	if m.class.Effect == Dedup {
@@ -110,10 +116,11 @@
 	return command
 }
 
-// errClosed says that the sender closed a connection without an answer.
+// errClosedUnanswered is returned if the sender closes a connection without an answer.
 var errClosedUnanswered = errors.New("closed without an answer")
 
-// put hands messages in on one connection. What a close has crossed goes again, once, on a new one.
+// submit sends messages on one connection. If the connection is closed before all are answered, it sends the rest once
+// more on a new connection.
 func (c *clients) submit(batch []*message) {
 	unanswered, err := c.send(batch, false)
 	if !errors.Is(err, errClosedUnanswered) {
@@ -123,16 +130,17 @@
 	if !errors.Is(err, errClosedUnanswered) || len(stillUnanswered) == 0 {
 		return
 	}
-	// A process that ends closes connections too, and so may one that stops: only one that serves owes an answer.
+	// A process that is stopping or has exited may close connections. Only a process that serves must answer.
 	if s := c.sender; s.processLock.TryLock() {
 		defer s.processLock.Unlock()
 		if !s.run.faultActive(s.number, AcceptErrors, CommandFloods, IncompleteRequests) && s.answersPing() {
-			s.run.checker.report(RuleClosedTwice, s.number, "%s: closed without an answer, on a new connection too", stillUnanswered[0].id)
+			s.run.checker.report(RuleClosedTwice, s.number,
+				"%s: closed without an answer, on a new connection too", stillUnanswered[0].id)
 		}
 	}
 }
 
-// try sends messages and takes the answers; it returns those without one.
+// send sends messages and reads the answers. It returns the messages that got none.
 func (c *clients) send(batch []*message, fresh bool) ([]*message, error) {
 	conn, err := c.acquire(fresh)
 	if err != nil {
@@ -162,7 +170,7 @@
 			conn.Close()
 			var timeout net.Error
 			if errors.As(err, &timeout) && timeout.Timeout() {
-				return batch[i:], err // nobody waits for it any more
+				return batch[i:], err // the client has stopped waiting
 			}
 			return batch[i:], errClosedUnanswered
 		}
@@ -179,7 +187,8 @@
 	return nil, nil
 }
 
-// halfRequest begins a request, stays, and is owed an error or a close.
+// sendIncompleteRequest sends part of a request and checks that the sender answers with an error or closes the
+// connection.
 func (c *clients) sendIncompleteRequest() {
 	conn, err := net.DialTimeout("tcp", c.sender.listenAddr, clientTimeout)
 	if err != nil {
@@ -194,12 +203,13 @@
 	if errors.As(err, &timeout) && timeout.Timeout() && c.sender.processLock.TryLock() {
 		defer c.sender.processLock.Unlock()
 		if c.sender.answersPing() {
-			c.sender.run.checker.report(RuleBadClient, c.sender.number, "half a request stands for 3 s")
+			c.sender.run.checker.report(RuleBadClient, c.sender.number,
+				"an incomplete request got neither an error nor a close within 3 s")
 		}
 	}
 }
 
-// flood sends many commands that make no sense at once, and goes.
+// flood sends many commands, most of them useless or invalid, and disconnects without reading the answers.
 func (c *clients) flood() {
 	conn, err := net.DialTimeout("tcp", c.sender.listenAddr, clientTimeout)
 	if err != nil {
@@ -207,13 +217,15 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(clientTimeout))
-	io.WriteString(conn, strings.Repeat("*1\r\n$4\r\nPING\r\n", 200)+strings.Repeat("*2\r\n$3\r\nFOO\r\n$1\r\nx\r\n", 50)+"nonsense\r\n")
+	io.WriteString(conn, strings.Repeat("*1\r\n$4\r\nPING\r\n", 200)+
+		strings.Repeat("*2\r\n$3\r\nFOO\r\n$1\r\nx\r\n", 50)+
+		"nonsense\r\n")
 	if c.rng.IntN(2) == 0 {
 		resetConn(conn)
 	}
 }
 
-// rest waits and says whether ctx still stands.
+// sleep waits for d or until ctx is done. It reports whether ctx is still active.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(max(d, 0))
 	defer t.Stop()
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,13 +1,14 @@
-// Package soak plays a fleet of real sender processes on loopback under random
-// faults that overlap in time, and checks the rules of the protocol from outside.
+// Package soak runs a fleet of real sender processes on loopback under random,
+// overlapping faults and checks from outside that they follow the protocol.
 //
-// A run is drawn from a seed: settings, traffic and troubles. Endpoints,
-// discovery, the platform and clients are stand-ins of this package, which speak
-// the published protocol and misbehave as the troubles say. System calls and the
-// wall clock of the senders follow a plan of package faultinject. The [Ledger]
-// hears of all that passes and knows no more of a sender than its peers do.
+// The settings, traffic and faults of a run are generated from a seed. Endpoints,
+// discovery, the platform and clients are simulated by this package: they speak
+// the published protocol and misbehave as the faults require. Faults in the
+// senders' system calls and steps of their wall clocks are injected by package
+// faultinject. The [Checker] records the traffic between the senders and their
+// peers; it knows no more about a sender than its peers do.
 //
-// What a run decides by its seed is what happens and when; how the processes
-// interleave is the machine's affair, so that a seed may have to be played more
-// than once to fail again.
+// The seed determines which faults occur and when, but not how the operating
+// system schedules the processes. A failing seed may therefore have to be run
+// more than once to fail again.
 package soak
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -16,39 +16,39 @@
 	"time"
 )
 
-// Times of an endpoint.
+// Parameters of simulated endpoints.
 const (
-	minWork          = 10 * time.Millisecond
+	minWork          = 10 * time.Millisecond // processing time of a call
 	maxWork          = 90 * time.Millisecond
-	maxExtraWork     = 900 * time.Millisecond
-	idleTimeout      = 4 * time.Second // as the settings say
-	minIdleTimeout   = 30 * time.Millisecond
-	queueSeconds     = 0.5 // seconds of its capacity that a destination queues
+	maxExtraWork     = 900 * time.Millisecond // added by SlowResponses
+	idleTimeout      = 4 * time.Second        // conn_idle_s in the settings
+	minIdleTimeout   = 30 * time.Millisecond  // under EarlyIdleClose
+	queueSeconds     = 0.5                    // backlog that a destination accepts, in seconds of its capacity
 	maxRetryAfterMS  = 2500
-	extraMessageLoad = 0.2 // work of each further message of a call
+	extraMessageLoad = 0.2 // load of each further message in a call; the first one counts as 1
 )
 
-// destination is what endpoints share: one limit, and outages.
+// destination is the state that the endpoints of a destination share: its capacity and its outages.
 type destination struct {
 	number   int
-	capacity float64 // calls a second
+	capacity float64 // calls per second
 
 	mu          sync.Mutex
-	backlog     float64
-	backlogAt   time.Duration
-	recoveredAt time.Duration // when the last outage ended; 0 for none, and while it lasts
-	arrivals    []arrival     // since then
-	informed    map[int]bool  // senders that had a call fail in the outage
+	backlog     float64       // calls
+	backlogAt   time.Duration // when backlog was last updated
+	recoveredAt time.Duration // when the last outage ended; 0 if there was none or it still lasts
+	arrivals    []arrival     // since recoveredAt, until the end of the warmup
+	informed    map[int]bool  // senders that had a call fail during the outage
 	reported    bool
 }
 
-// arrival is a call that came after an outage.
+// arrival is a call received after an outage.
 type arrival struct {
 	at       time.Duration
-	informed bool
+	informed bool // its sender had a call fail during the outage
 }
 
-// endpoint is one server of a destination.
+// endpoint simulates one server of a destination.
 type endpoint struct {
 	dest    *destination
 	checker *Checker
@@ -56,17 +56,24 @@
 	name    string
 	zone    int
 	addr    string
-	rng     *rand.Rand // under mu
+	rng     *rand.Rand // protected by mu
 
 	mu       sync.Mutex
 	listener net.Listener
 	conns    map[net.Conn]bool
-	fault    FaultKind // the trouble at hand, or empty
+	fault    FaultKind // the current fault, or empty
 }
 
 func newEndpoint(checker *Checker, d *destination, number int, seed uint64) (*endpoint, error) {
-	e := &endpoint{dest: d, checker: checker, number: number, name: fmt.Sprintf("s-%d-%d", d.number, number), zone: number % 2,
-		rng: rand.New(rand.NewPCG(seed, uint64(d.number)<<16+uint64(number))), conns: map[net.Conn]bool{}}
+	e := &endpoint{
+		dest:    d,
+		checker: checker,
+		number:  number,
+		name:    fmt.Sprintf("s-%d-%d", d.number, number),
+		zone:    number % 2,
+		rng:     rand.New(rand.NewPCG(seed, uint64(d.number)<<16+uint64(number))),
+		conns:   map[net.Conn]bool{},
+	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -77,7 +84,7 @@
 	return e, nil
 }
 
-// turn sets the trouble of an endpoint; an empty one ends it.
+// setFault sets the current fault, or ends it if kind is empty.
 func (e *endpoint) setFault(kind FaultKind) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -98,7 +105,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	if e.fault == Unresponsive && kind != Unresponsive { // what waited is not answered any more
+	if e.fault == Unresponsive && kind != Unresponsive { // held calls are not answered any more
 		for conn := range e.conns {
 			resetConn(conn)
 		}
@@ -106,6 +113,7 @@
 	e.fault = kind
 }
 
+// resetConn closes a connection with a TCP reset.
 func resetConn(conn net.Conn) {
 	if t, ok := conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -141,14 +149,14 @@
 	}
 }
 
-// draw returns the trouble at hand, and a number by chance.
+// faultAndChance returns the current fault and a random number in [0, 1).
 func (e *endpoint) faultAndChance() (FaultKind, float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.fault, e.rng.Float64()
 }
 
-// serve takes the calls of a connection.
+// serveConn reads and handles the requests of a connection.
 func (e *endpoint) serveConn(conn net.Conn) {
 	r := bufio.NewReader(conn)
 	for {
@@ -162,7 +170,7 @@
 		}
 		started := e.checker.elapsed()
 		conn.SetReadDeadline(time.Time{})
-		if kind, chance := e.faultAndChance(); kind == ConnectionResets && chance < 0.15 { // before it has come whole
+		if kind, chance := e.faultAndChance(); kind == ConnectionResets && chance < 0.15 { // before the request has been read
 			resetConn(conn)
 			return
 		}
@@ -180,13 +188,13 @@
 	}
 }
 
-// bulkItem is one message of a call with several.
+// bulkItem is one message in a bulk call.
 type bulkItem struct {
 	ID   string `json:"id"`
 	Body []byte `json:"body"`
 }
 
-// call answers one request and says whether the connection goes on.
+// handle answers one request. It reports whether the connection stays open.
 func (e *endpoint) handle(conn net.Conn, r *bufio.Reader, req *http.Request, body []byte, started time.Duration) bool {
 	var ids, bodies []string
 	bulk := false
@@ -196,7 +204,7 @@
 	case "/inbox/bulk":
 		var items []bulkItem
 		if err := json.Unmarshal(body, &items); err != nil || len(items) == 0 || len(items) > e.checker.scenario.MaxBatch {
-			e.checker.report(RuleMismatch, -1, "a bulk call that cannot be read: %.80q", body)
+			e.checker.report(RuleMismatch, -1, "malformed bulk call: %.80q", body)
 			io.WriteString(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}
@@ -217,7 +225,7 @@
 	return x.respond(r)
 }
 
-// exchange is a call and its answer.
+// exchange is a call with one or more messages, and its response.
 type exchange struct {
 	endpoint *endpoint
 	conn     net.Conn
@@ -226,12 +234,12 @@
 	bulk     bool
 }
 
-// end notes the end of the call.
+// recordEnd records the end of the call.
 func (x *exchange) recordEnd(notExecuted, delivered bool) {
 	x.endpoint.checker.recordEnd(x.attempts, x.messages, notExecuted, delivered)
 }
 
-// run plays what becomes of a call.
+// respond processes the call according to the current fault and the load. It reports whether the connection stays open.
 func (x *exchange) respond(r *bufio.Reader) bool {
 	e, sender := x.endpoint, x.messages[0].sender
 	fault, chance := e.faultAndChance()
@@ -278,7 +286,11 @@
 		return false
 	case fault == MalformedResponses && chance < 0.3:
 		x.recordEnd(false, false)
-		io.WriteString(x.conn, []string{"HTTP/1.1 2", "garbage\r\n\r\n", "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 99\r\n\r\nx"}[int(chance*10)])
+		io.WriteString(x.conn, []string{
+			"HTTP/1.1 2",
+			"garbage\r\n\r\n",
+			"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 99\r\n\r\nx",
+		}[int(chance*10)])
 		if chance < 0.15 {
 			<-gone
 		}
@@ -289,7 +301,7 @@
 	return x.respondDelivered()
 }
 
-// refuse answers that the call never ran, with a wait if that is not 0.
+// respondNotExecuted answers that the call was not executed, and asks for a retry delay if retryAfter is not 0.
 func (x *exchange) respondNotExecuted(status string, retryAfter time.Duration) bool {
 	header := ""
 	if retryAfter > 0 {
@@ -303,14 +315,14 @@
 	return err == nil
 }
 
-// fail answers with an error.
+// respondError answers with an error that does not say whether the call was executed.
 func (x *exchange) respondError() bool {
 	x.recordEnd(false, false)
 	_, err := io.WriteString(x.conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
 }
 
-// deliver answers that all is done.
+// respondDelivered answers that all messages were executed.
 func (x *exchange) respondDelivered() bool {
 	body := ""
 	if x.bulk {
@@ -325,7 +337,8 @@
 	return err == nil
 }
 
-// watchEnd sees the end of a connection while a call on it is under way. Gone is closed at that end; stop ends the watch.
+// watchClose detects the end of a connection while a call on it is in progress. It then calls onClose and closes gone.
+// stop ends the detection, so that the connection can be read again.
 func watchClose(conn net.Conn, r *bufio.Reader, onClose func()) (gone <-chan struct{}, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	closed, finished := make(chan struct{}), make(chan struct{})
@@ -345,7 +358,8 @@
 	}
 }
 
-// arrive counts a call and says whether the destination has no room for it.
+// addLoad adds a call to the backlog, or returns true if the backlog is full. During an outage it only marks the sender
+// as informed.
 func (d *destination) addLoad(checker *Checker, sender int, down bool, work float64) (full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -367,7 +381,7 @@
 	return false
 }
 
-// share is the part of its capacity that a destination has.
+// capacityShare returns the share of its capacity that a destination has; it is below 1 while it warms up.
 func (d *destination) capacityShare(cold ColdStart, now time.Duration) float64 {
 	if d.recoveredAt == 0 || now >= d.recoveredAt+cold.WarmupTime {
 		return 1
@@ -375,7 +389,9 @@
 	return cold.InitialShare + (1-cold.InitialShare)*float64(now-d.recoveredAt)/float64(cold.WarmupTime)
 }
 
-// checkRamp holds what came in the last window against what topples a cold destination.
+// checkRamp checks that the calls in the last window do not overload a destination that is warming up. It reports a
+// violation only if at least two thirds of these calls came from senders that had a call fail during the outage; the
+// other senders cannot know of it.
 func (d *destination) checkRamp(checker *Checker, now time.Duration) {
 	cold := checker.scenario.ColdStart
 	from := now - cold.OverloadWindow
@@ -389,15 +405,20 @@
 		}
 	}
 	rampStart := max(from, d.recoveredAt)
-	mean := (cold.InitialShare*(rampStart-from).Seconds() + (d.capacityShare(cold, rampStart)+d.capacityShare(cold, now))/2*(now-rampStart).Seconds()) / cold.OverloadWindow.Seconds()
+	mean := (cold.InitialShare*(rampStart-from).Seconds() +
+		(d.capacityShare(cold, rampStart)+d.capacityShare(cold, now))/2*(now-rampStart).Seconds()) /
+		cold.OverloadWindow.Seconds()
 	allowed := cold.OverloadFactor * mean * d.capacity * cold.OverloadWindow.Seconds()
 	if limit := MaxRampCalls(allowed); float64(calls) > limit && 3*informed >= 2*calls && !d.reported {
 		d.reported = true
-		checker.report(RuleColdRamp, -1, "destination %d: %d calls in %v, at most %.1f, %.1f s after its return", d.number, calls, cold.OverloadWindow, limit, (now - d.recoveredAt).Seconds())
+		checker.report(RuleColdRamp, -1,
+			"destination %d: %d calls in %v, limit %.1f, %.1f s after its outage",
+			d.number, calls, cold.OverloadWindow, limit, (now - d.recoveredAt).Seconds())
 	}
 }
 
-// RampBound is how many calls a cold destination bears in a window in which the settings allow it n.
+// MaxRampCalls returns how many calls are tolerated in a window in which the settings allow the given number. The
+// margin of 2 to 3 times its square root covers random variation of the traffic.
 func MaxRampCalls(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
@@ -405,7 +426,7 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// fails begins an outage of a destination, recovers ends it.
+// beginOutage marks the start of an outage; endOutage marks its end.
 func (d *destination) beginOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -419,7 +440,7 @@
 	d.recoveredAt, d.backlogAt, d.backlog = checker.elapsed(), checker.elapsed(), 0
 }
 
-// forget notes that a sender was started anew: it has been told of nothing.
+// forgetSender records that a sender was restarted: the new process knows of no failed calls.
 func (d *destination) forgetSender(sender int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -19,40 +19,40 @@
 	"rundeal/internal/faultinject"
 )
 
-// Times of a process, as the platform has them.
+// Timing of process control, as on the platform.
 const (
 	stopTimeout    = 3700 * time.Millisecond // from SIGTERM to SIGKILL
 	restartDelay   = 600 * time.Millisecond  // from SIGKILL to the next start
-	upgradeTimeout = 6 * time.Second         // for the new process to say that it is ready
+	upgradeTimeout = 6 * time.Second         // for the new process to report that it is ready
 	pollInterval   = 15 * time.Millisecond
 )
 
-// sender is one place of the fleet, and the process in it.
+// sender is one member of the fleet. Restarts and upgrades replace its process.
 type sender struct {
 	number      int
 	run         *run
 	dir         string
 	listenAddr  string
 	agent       *discoveryAgent
-	processLock sync.Mutex    // held by what moves the process
-	started     chan struct{} // closed once there is a process, or there will be none
+	processLock sync.Mutex    // held while the process is started, stopped, replaced or reconfigured
+	started     chan struct{} // closed when startFirst returns
 
 	mu               sync.Mutex
 	current          *process
-	discoveryMovedAt time.Duration // when it was last told of another discovery
+	discoveryMovedAt time.Duration // when it was last told of a new discovery address; 0 if never
 }
 
-// process is one process of a sender.
+// process is one operating system process of a sender.
 type process struct {
 	cmd         *exec.Cmd
 	adminAddr   string
 	log         *os.File
 	done        chan struct{}
-	endExpected bool // its end is; under the lock of sender
+	endExpected bool // it is being stopped, so its exit is no violation; protected by sender.mu
 }
 
-// Ports of senders lie below those that the system gives to outgoing connections, which would take one that is free
-// for the time of a restart.
+// Ports of senders are below the ephemeral range. Otherwise an outgoing connection could take a port while its sender
+// restarts.
 const (
 	minPort = 10000
 	maxPort = 32000
@@ -62,7 +62,7 @@
 
 func init() { nextPort.Store(int64(os.Getpid()) * 131) }
 
-// freeAddress finds a port that nobody has now and that no other run of this process was given.
+// freeAddress returns an address with a port that is free and that was not given to another run of this process.
 func freeAddress() (string, error) {
 	for range maxPort - minPort {
 		addr := fmt.Sprintf("127.0.0.1:%d", minPort+nextPort.Add(1)%(maxPort-minPort))
@@ -76,7 +76,7 @@
 
 func (s *sender) stateDir() string { return filepath.Join(s.dir, "state") }
 
-// prepare makes the folder, the plan and the configuration of a sender.
+// prepare creates the state folder and the configuration of a sender.
 func (s *sender) prepare() error {
 	if err := os.MkdirAll(s.stateDir(), 0o700); err != nil {
 		return err
@@ -92,10 +92,15 @@
 // writeConfig replaces the configuration file.
 func (s *sender) writeConfig() error {
 	sc := s.run.scenario
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", s.number), "listen": s.listenAddr, "discovery": s.agent.address(),
-		"seed":   fmt.Sprintf("%x", sc.Seed<<8+uint64(s.number)),
-		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 512, "disk_mb": sc.DiskMB},
-		"known":  s.run.initialList, "settings": sc.settings(s.number)})
+	text, err := json.Marshal(map[string]any{
+		"name":      fmt.Sprint("n", s.number),
+		"listen":    s.listenAddr,
+		"discovery": s.agent.address(),
+		"seed":      fmt.Sprintf("%x", sc.Seed<<8+uint64(s.number)),
+		"limits":    map[string]any{"cores": 1, "memory_mb": 128, "sockets": 512, "disk_mb": sc.DiskMB},
+		"known":     s.run.initialList,
+		"settings":  sc.settings(s.number),
+	})
 	if err != nil {
 		return err
 	}
@@ -106,7 +111,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// start starts a process.
+// startProcess starts a process without waiting until it is ready.
 func (s *sender) startProcess() (*process, error) {
 	adminAddr, err := freeAddress()
 	if err != nil {
@@ -118,9 +123,15 @@
 	}
 	p := &process{cmd: exec.Command(s.run.options.Program), adminAddr: adminAddr, log: logFile, done: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = logFile, logFile
-	p.cmd.Env = append(os.Environ(), "BALANCER_NAME="+fmt.Sprint("n", s.number), "BALANCER_LISTEN="+s.listenAddr, "BALANCER_ADMIN_ADDR="+adminAddr,
-		"BALANCER_DISCOVERY="+s.agent.address(), "BALANCER_STATE="+s.stateDir(), "BALANCER_CONFIG="+filepath.Join(s.dir, "config.json"),
-		faultinject.EnvPlan+"="+filepath.Join(s.dir, "plan"))
+	p.cmd.Env = append(os.Environ(),
+		"BALANCER_NAME="+fmt.Sprint("n", s.number),
+		"BALANCER_LISTEN="+s.listenAddr,
+		"BALANCER_ADMIN_ADDR="+adminAddr,
+		"BALANCER_DISCOVERY="+s.agent.address(),
+		"BALANCER_STATE="+s.stateDir(),
+		"BALANCER_CONFIG="+filepath.Join(s.dir, "config.json"),
+		faultinject.EnvPlan+"="+filepath.Join(s.dir, "plan"),
+	)
 	if err := p.cmd.Start(); err != nil {
 		logFile.Close()
 		return nil, err
@@ -132,13 +143,14 @@
 		expected := p.endExpected
 		s.mu.Unlock()
 		if !expected {
-			s.run.checker.report(RuleCrash, s.number, "the process ended: %v: %s", err, crashSummary(logFile.Name()))
+			s.run.checker.report(RuleCrash, s.number, "the process exited unexpectedly: %v: %s", err, crashSummary(logFile.Name()))
 		}
 		close(p.done)
 	}()
 	return p, nil
 }
 
+// crashSummary returns the start of the panic or fatal error in a log, or its last line if there is none.
 func crashSummary(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -153,7 +165,7 @@
 	return lines[len(lines)-1]
 }
 
-// ask makes one call to the operators' address.
+// adminCall sends one command to the admin address and returns the answer.
 func (p *process) adminCall(call string) (string, error) {
 	conn, err := net.DialTimeout("tcp", p.adminAddr, time.Second)
 	if err != nil {
@@ -168,7 +180,7 @@
 	return string(text), err
 }
 
-// pings says whether clients are served.
+// answersPing reports whether the sender answers a PING of a client.
 func (s *sender) answersPing() bool {
 	conn, err := net.DialTimeout("tcp", s.listenAddr, time.Second)
 	if err != nil {
@@ -183,7 +195,8 @@
 	return err == nil && line == "+PONG\r\n"
 }
 
-// awaitReady waits until a process serves. It has soonReady from its start, or from the end of what hinders it.
+// waitReady waits until a process answers clients. It must do so within readyTimeout after its start, or after the end of
+// the faults in its system calls and clock.
 func (s *sender) waitReady(p *process) bool {
 	deadline := max(s.run.checker.elapsed(), s.run.scenario.systemFaultsEnd(s.number)) + readyTimeout
 	for !s.answersPing() {
@@ -193,14 +206,14 @@
 		case <-time.After(pollInterval):
 		}
 		if s.run.checker.elapsed() > deadline {
-			s.run.checker.report(RuleNotReady, s.number, "does not serve")
+			s.run.checker.report(RuleNotReady, s.number, "does not answer a PING in time")
 			return false
 		}
 	}
 	return true
 }
 
-// begin starts the first process of a sender.
+// startFirst starts the first process of a sender and waits until it is ready.
 func (s *sender) startFirst() {
 	s.processLock.Lock()
 	defer s.processLock.Unlock()
@@ -222,14 +235,14 @@
 	return s.current
 }
 
-// want notes that the end of a process is wanted.
+// expectEnd records that a process is about to be stopped.
 func (s *sender) expectEnd(p *process) {
 	s.mu.Lock()
 	p.endExpected = true
 	s.mu.Unlock()
 }
 
-// end kills a process, after SIGTERM and its time if the end is planned.
+// stop kills a process. If graceful is set, it sends SIGTERM first and waits up to stopTimeout.
 func (s *sender) stop(p *process, graceful bool) {
 	s.expectEnd(p)
 	if graceful {
@@ -244,7 +257,7 @@
 	<-p.done
 }
 
-// restart replaces the process after its end.
+// restart stops the process and starts a new one.
 func (s *sender) restart(graceful bool) {
 	s.processLock.Lock()
 	defer s.processLock.Unlock()
@@ -270,7 +283,7 @@
 	}
 }
 
-// upgrade starts a second process beside the first, which goes once the other is ready.
+// upgrade starts a second process and stops the first one once the second one is ready.
 func (s *sender) upgrade() {
 	s.processLock.Lock()
 	defer s.processLock.Unlock()
@@ -288,7 +301,7 @@
 	s.mu.Lock()
 	s.current = next
 	s.mu.Unlock()
-	// Where the old process hands over, the new one goes on at once; where it cannot, this is a restart.
+	// If the old process hands over, the new one serves at once; if it cannot, this is a restart.
 	downtime := s.run.checker.beginDowntime(s.number)
 	s.stop(old, true)
 	if s.waitReady(next) {
@@ -296,7 +309,7 @@
 	}
 }
 
-// reload moves discovery and tells the process.
+// reload moves discovery to its other address and makes the process reload its configuration.
 func (s *sender) reload() {
 	s.processLock.Lock()
 	defer s.processLock.Unlock()
@@ -316,7 +329,7 @@
 	time.AfterFunc(1500*time.Millisecond, closeOld)
 }
 
-// drain has an operator send the clients away for a while.
+// drain makes the process turn its clients away for a while, as an operator would.
 func (s *sender) drain(duration time.Duration) {
 	s.processLock.Lock()
 	defer s.processLock.Unlock()
@@ -326,7 +339,7 @@
 	p.adminCall("resume")
 }
 
-// violations is what the sender's own checks counted, as its operators are told.
+// violations returns the first nonzero figure for violations of the process's internal checks, or an empty string.
 func (p *process) violations() string {
 	text, err := p.adminCall("show-stat")
 	if err != nil {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -12,21 +12,21 @@
 	"time"
 )
 
-// Options say how to play a scenario.
+// Options configures a run.
 type Options struct {
-	Program string // a sender built with package faultinject
-	Dir     string // for state and logs
+	Program string // path of a sender built with package faultinject
+	Dir     string // for the state folders and logs of the senders
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Scenario      *Scenario
 	Counts        Counts
 	Violations    []Violation
-	MaxTimerDelay time.Duration // the longest that a timer of this side was late
+	MaxTimerDelay time.Duration // greatest lateness of a timer in this process, a measure of the load on the machine
 }
 
-// run is a scenario under way.
+// run is a run in progress.
 type run struct {
 	scenario     *Scenario
 	options      Options
@@ -37,7 +37,7 @@
 	senders      []*sender
 
 	mu            sync.Mutex
-	endpoints     [][]*endpoint // by destination: those on the list
+	endpoints     [][]*endpoint // by destination: those on the list that are not being retired
 	allEndpoints  []*endpoint
 	err           error
 	maxTimerDelay time.Duration
@@ -49,15 +49,15 @@
 	r.err = errors.Join(r.err, err)
 }
 
-// troubled says whether a trouble of one of the kinds touches a sender now or did just before.
+// faultActive reports whether a fault of one of the kinds affects a sender now or did within the last second.
 func (r *run) faultActive(sender int, kinds ...FaultKind) bool {
 	now := r.checker.elapsed()
-	return slices.ContainsFunc(r.scenario.Faults, func(t Fault) bool {
-		return slices.Contains(kinds, t.Kind) && t.Sender == sender && t.From <= now && now < t.To+time.Second
+	return slices.ContainsFunc(r.scenario.Faults, func(fault Fault) bool {
+		return slices.Contains(kinds, fault.Kind) && fault.Sender == sender && fault.From <= now && now < fault.To+time.Second
 	})
 }
 
-// Play plays a scenario to its end.
+// Run runs a scenario to its end and checks the rules.
 func Run(ctx context.Context, sc *Scenario, opt Options) (*Result, error) {
 	r := &run{scenario: sc, options: opt, registry: newRegistry()}
 	r.checker = newChecker(sc, time.Now())
@@ -85,17 +85,17 @@
 			c.run(traffic)
 		})
 	}
-	for _, t := range sc.Faults {
+	for _, fault := range sc.Faults {
 		activity.Go(func() {
-			if sleep(ctx, t.From-r.checker.elapsed()) {
-				r.applyFault(ctx, t)
+			if sleep(ctx, fault.From-r.checker.elapsed()) {
+				r.applyFault(ctx, fault)
 			}
 		})
 	}
 	activity.Wait()
 	sleep(ctx, r.finalWait())
 	for _, s := range r.senders {
-		if s.currentProcess() == nil { // it could not be started, which is an error of the run
+		if s.currentProcess() == nil { // it could not be started, which has been recorded as an error of the run
 			continue
 		}
 		if violation := s.currentProcess().violations(); violation != "" {
@@ -112,7 +112,7 @@
 	return &Result{sc, counts, violations, r.maxTimerDelay}, errors.Join(ctx.Err(), r.err)
 }
 
-// drainTime is how long messages may still be owed their end.
+// finalWait returns how long after the traffic ends the outcome of a message may still be due.
 func (r *run) finalWait() (longest time.Duration) {
 	for _, c := range r.scenario.Classes {
 		longest = max(longest, c.Deadline)
@@ -120,7 +120,7 @@
 	return longest + outcomeSlack + 2*schedulingSlack
 }
 
-// open makes the peers and the folders of the senders.
+// setUp creates the simulated peers and the folders of the senders.
 func (r *run) setUp() error {
 	trafficPerDestination := r.scenario.Rate * float64(r.scenario.Senders) / float64(r.scenario.Destinations)
 	for i := range r.scenario.Destinations {
@@ -144,7 +144,14 @@
 		if err != nil {
 			return err
 		}
-		s := &sender{number: i, run: r, dir: filepath.Join(r.options.Dir, fmt.Sprint("n", i)), listenAddr: listenAddr, agent: agent, started: make(chan struct{})}
+		s := &sender{
+			number:     i,
+			run:        r,
+			dir:        filepath.Join(r.options.Dir, fmt.Sprint("n", i)),
+			listenAddr: listenAddr,
+			agent:      agent,
+			started:    make(chan struct{}),
+		}
 		r.senders = append(r.senders, s)
 		if err := s.prepare(); err != nil {
 			return err
@@ -172,7 +179,7 @@
 	return e, nil
 }
 
-// closeAll ends what is left of a run.
+// closeAll kills all processes and closes all servers.
 func (r *run) closeAll() {
 	for _, s := range r.senders {
 		if p := s.currentProcess(); p != nil {
@@ -187,7 +194,7 @@
 	}
 }
 
-// watch has what counts as told noted in time, and sees how late this side's timers are.
+// monitor periodically records which retired endpoints each sender should know of, and measures how late timers fire.
 func (r *run) monitor(ctx context.Context) {
 	const interval = 50 * time.Millisecond
 	for {
@@ -208,50 +215,51 @@
 	}
 }
 
-// happen plays a trouble. Those of the system calls are in the plans of the processes.
-func (r *run) applyFault(ctx context.Context, t Fault) {
-	duration := t.To - t.From
-	if slices.Contains(processFaults, t.Kind) {
-		s := r.senders[t.Sender]
+// applyFault applies a fault for its duration. Faults in system calls and clocks are not handled here: they are in the
+// plans of the processes.
+func (r *run) applyFault(ctx context.Context, fault Fault) {
+	duration := fault.To - fault.From
+	if slices.Contains(processFaults, fault.Kind) {
+		s := r.senders[fault.Sender]
 		if <-s.started; s.currentProcess() == nil {
 			return
 		}
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case Kill:
-		r.senders[t.Sender].restart(false)
+		r.senders[fault.Sender].restart(false)
 	case KillTwice:
-		r.senders[t.Sender].restart(false)
+		r.senders[fault.Sender].restart(false)
 		sleep(ctx, 200*time.Millisecond)
-		r.senders[t.Sender].restart(false)
+		r.senders[fault.Sender].restart(false)
 	case Stop:
-		r.senders[t.Sender].restart(true)
+		r.senders[fault.Sender].restart(true)
 	case Upgrade:
-		r.senders[t.Sender].upgrade()
+		r.senders[fault.Sender].upgrade()
 	case Reload:
-		r.senders[t.Sender].reload()
+		r.senders[fault.Sender].reload()
 	case OperatorDrain:
-		r.senders[t.Sender].drain(duration)
+		r.senders[fault.Sender].drain(duration)
 	case ConnectionsRefused, Unresponsive, Unavailable, ServerErrors:
-		r.takeDown(ctx, t)
+		r.takeDown(ctx, fault)
 	case ConnectionResets, MalformedResponses, RetryAfter, SlowResponses, EarlyIdleClose:
-		if e := r.faultEndpoint(t); e != nil {
-			e.setFault(t.Kind)
+		if e := r.faultEndpoint(fault); e != nil {
+			e.setFault(fault.Kind)
 			sleep(ctx, duration)
 			e.setFault("")
 		}
 	case EndpointDrain, EndpointReplacement:
-		r.replaceEndpoint(ctx, t)
+		r.replaceEndpoint(ctx, fault)
 	case DiscoveryDown, DiscoverySlow:
-		agent := r.senders[t.Sender].agent
-		agent.setFault(t.Kind)
+		agent := r.senders[fault.Sender].agent
+		agent.setFault(fault.Kind)
 		sleep(ctx, duration)
 		agent.setFault("")
 	case IncompleteRequests, CommandFloods:
-		c := newClients(r.senders[t.Sender])
+		c := newClients(r.senders[fault.Sender])
 		var requests sync.WaitGroup
 		for range 5 {
-			if t.Kind == CommandFloods {
+			if fault.Kind == CommandFloods {
 				requests.Go(c.flood)
 			} else {
 				requests.Go(c.sendIncompleteRequest)
@@ -262,29 +270,29 @@
 	}
 }
 
-// endpoint is the one that a trouble names, of those on the list.
-func (r *run) faultEndpoint(t Fault) *endpoint {
+// faultEndpoint returns the endpoint that a fault affects, or nil if its destination has none.
+func (r *run) faultEndpoint(fault Fault) *endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	listed := r.endpoints[t.Destination]
+	listed := r.endpoints[fault.Destination]
 	if len(listed) == 0 {
 		return nil
 	}
-	return listed[t.Endpoint%len(listed)]
+	return listed[fault.Endpoint%len(listed)]
 }
 
-// fails takes a whole destination out for a while.
-func (r *run) takeDown(ctx context.Context, t Fault) {
-	d := r.destinations[t.Destination]
+// takeDown applies a fault to all endpoints of a destination for a while.
+func (r *run) takeDown(ctx context.Context, fault Fault) {
+	d := r.destinations[fault.Destination]
 	r.mu.Lock()
-	listed := slices.Clone(r.endpoints[t.Destination])
+	listed := slices.Clone(r.endpoints[fault.Destination])
 	r.mu.Unlock()
 	d.beginOutage()
 	for _, e := range listed {
-		e.setFault(t.Kind)
+		e.setFault(fault.Kind)
 	}
-	sleep(ctx, t.To-t.From)
-	if t.Kind == ConnectionsRefused { // calls that find no listener tell nothing here
+	sleep(ctx, fault.To-fault.From)
+	if fault.Kind == ConnectionsRefused { // failed connection attempts are not seen here
 		d.mu.Lock()
 		for i := range r.senders {
 			d.informed[i] = true
@@ -297,9 +305,9 @@
 	}
 }
 
-// replace puts a new endpoint on the list and lets an old one go: it drains first, or is taken off at once.
-func (r *run) replaceEndpoint(ctx context.Context, t Fault) {
-	old := r.faultEndpoint(t)
+// replaceEndpoint adds a new endpoint to the list and removes an old one: after a drain for EndpointDrain, else at once.
+func (r *run) replaceEndpoint(ctx context.Context, fault Fault) {
+	old := r.faultEndpoint(fault)
 	if old == nil {
 		return
 	}
@@ -309,16 +317,18 @@
 	}
 	sleep(ctx, 300*time.Millisecond)
 	r.mu.Lock()
-	r.endpoints[t.Destination] = slices.DeleteFunc(r.endpoints[t.Destination], func(e *endpoint) bool { return e == old })
+	r.endpoints[fault.Destination] = slices.DeleteFunc(r.endpoints[fault.Destination], func(e *endpoint) bool {
+		return e == old
+	})
 	r.mu.Unlock()
-	if t.Kind == EndpointDrain {
+	if fault.Kind == EndpointDrain {
 		r.registry.retire(old, "draining")
-		sleep(ctx, t.To-t.From)
+		sleep(ctx, fault.To-fault.From)
 	}
 	r.registry.retire(old, "removed")
 }
 
-// scanLogs looks for what a sender says of its own checks.
+// scanLogs reports violations of the senders' internal checks that are in their logs.
 func (r *run) scanLogs() {
 	for _, s := range r.senders {
 		text, err := os.ReadFile(filepath.Join(s.dir, "log"))
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -11,59 +11,60 @@
 	"rundeal/internal/faultinject"
 )
 
-// Effect is what a repeat of a message does, in the words of the settings.
+// Effect says whether a message may be executed more than once. Its values are those of the settings.
 type Effect string
 
-// The effects.
+// The values of Effect.
 const (
-	Retryable Effect = "retryable"
-	Dedup     Effect = "dedup"
-	Fragile   Effect = "fragile"
+	Retryable Effect = "retryable" // repeats are harmless
+	Dedup     Effect = "dedup"     // endpoints deduplicate by idempotency key, for a while
+	Fragile   Effect = "fragile"   // must not be sent again once it may have been executed
 )
 
-// Class is a class of messages.
+// Class describes the messages of one class.
 type Class struct {
 	Name         string
 	Effect       Effect
-	DedupPerZone bool
+	DedupPerZone bool // each zone deduplicates on its own
 	Deadline     time.Duration
-	DedupWindow  time.Duration
+	DedupWindow  time.Duration // how long after the first attempt repeats are recognized
 }
 
-// Cold are the rules of a destination's return from an outage.
+// ColdStart describes how a destination recovers from an outage: its capacity grows linearly, and calls that exceed it
+// too far overload the destination.
 type ColdStart struct {
-	OverloadFactor float64
+	OverloadFactor float64 // calls above this multiple of the capacity in an OverloadWindow overload it
 	OverloadWindow time.Duration
-	InitialShare   float64
-	WarmupTime     time.Duration
+	InitialShare   float64       // of the full capacity, right after the outage
+	WarmupTime     time.Duration // until the full capacity is reached
 }
 
-// Scenario is all that a seed decides.
+// Scenario is everything that a seed determines.
 type Scenario struct {
 	Seed                    uint64
 	Senders                 int
-	Duration                time.Duration // of the traffic and the troubles
-	PushDiscovery           bool          // lists are pushed to an agent of each sender
+	Duration                time.Duration // of the traffic and the faults
+	PushDiscovery           bool          // discovery pushes changes to each sender's agent
 	Classes                 []Class
 	Destinations            int
-	EndpointsPerDestination int     // of each destination
-	Rate                    float64 // messages a second at each sender
-	Headroom                float64 // capacity of a destination over its traffic
-	MaxBatch                int
-	MaxAttempts             int
+	EndpointsPerDestination int
+	Rate                    float64 // messages per second at each sender
+	Headroom                float64 // capacity of a destination divided by its traffic
+	MaxBatch                int     // messages per call
+	MaxAttempts             int     // calls per message
 	MaxOpen                 int
-	ConcurrentCopies        bool
-	DrainGrace              time.Duration // of a drain
+	ConcurrentCopies        bool          // a message may be sent again while an earlier call with it is in progress
+	DrainGrace              time.Duration // how long calls are still allowed after an endpoint starts to drain
 	ColdStart               ColdStart
 	DiskMB                  float64
 	Faults                  []Fault
 }
 
-// Kind is a kind of trouble.
+// FaultKind names a kind of fault. The command line calls faults troubles.
 type FaultKind string
 
-// The kinds of trouble. Those of the first group happen to a sender's process, the second to its system calls and its
-// clock, the third to destinations, the fourth to discovery, the last to clients.
+// The kinds of fault, grouped by what they affect: a sender's process, its system calls and wall clock, a destination,
+// discovery, or the clients of a sender.
 const (
 	Kill          FaultKind = "kill"
 	KillTwice     FaultKind = "kill-twice"
@@ -104,65 +105,92 @@
 	CommandFloods      FaultKind = "floods"
 )
 
-// processKinds stop or move a process; others of them must not touch it meanwhile.
+// processFaults stop, replace or reconfigure a process. They must not overlap on the same sender.
 var processFaults = []FaultKind{Kill, KillTwice, Stop, Upgrade, Reload, OperatorDrain}
 
+// faultGroups lists the kinds of each group. A kind that appears twice is twice as likely.
 var faultGroups = map[string][]FaultKind{
-	"process":     processFaults,
-	"system":      {WallClockStep, WallClockStep, DiskFull, DiskErrors, ShortDiskWrites, DiskReadErrors, SocketErrors, ConnectErrors, AcceptErrors, ConnectionErrors, InterruptedCalls, ShortTransfers, DelayedWrites},
-	"destination": {ConnectionsRefused, Unresponsive, Unavailable, ServerErrors, ConnectionResets, MalformedResponses, RetryAfter, SlowResponses, EarlyIdleClose, EndpointDrain, EndpointReplacement},
-	"discovery":   {DiscoveryDown, DiscoverySlow},
-	"client":      {IncompleteRequests, CommandFloods},
+	"process": processFaults,
+	"system": {WallClockStep, WallClockStep, DiskFull, DiskErrors, ShortDiskWrites, DiskReadErrors, SocketErrors, ConnectErrors,
+		AcceptErrors, ConnectionErrors, InterruptedCalls, ShortTransfers, DelayedWrites},
+	"destination": {ConnectionsRefused, Unresponsive, Unavailable, ServerErrors, ConnectionResets, MalformedResponses,
+		RetryAfter, SlowResponses, EarlyIdleClose, EndpointDrain, EndpointReplacement},
+	"discovery": {DiscoveryDown, DiscoverySlow},
+	"client":    {IncompleteRequests, CommandFloods},
 }
 
-// Trouble is something that goes wrong for a while.
+// Fault is one fault of a scenario.
 type Fault struct {
 	Kind        FaultKind
-	From, To    time.Duration
-	Sender      int // -1 if it is not of one
-	Destination int // -1 if it is not of one
-	Endpoint    int // of the destination
-	Offset      time.Duration
+	From, To    time.Duration // since the start of the run
+	Sender      int           // -1 if the fault does not affect a particular sender
+	Destination int           // -1 if the fault does not affect a destination
+	Endpoint    int           // index among the endpoints of the destination
+	Offset      time.Duration // of the wall clock, for WallClockStep
 }
 
-func (t Fault) String() string {
+func (f Fault) String() string {
 	where := ""
 	switch {
-	case t.Sender >= 0:
-		where = fmt.Sprintf(" sender %d", t.Sender)
-	case t.Destination >= 0:
-		where = fmt.Sprintf(" destination %d.%d", t.Destination, t.Endpoint)
+	case f.Sender >= 0:
+		where = fmt.Sprintf(" sender %d", f.Sender)
+	case f.Destination >= 0:
+		where = fmt.Sprintf(" destination %d.%d", f.Destination, f.Endpoint)
 	}
-	if t.Offset != 0 {
-		where += fmt.Sprintf(" by %v", t.Offset)
+	if f.Offset != 0 {
+		where += fmt.Sprintf(" by %v", f.Offset)
 	}
-	return fmt.Sprintf("%s%s %.1f-%.1fs", t.Kind, where, t.From.Seconds(), t.To.Seconds())
+	return fmt.Sprintf("%s%s %.1f-%.1fs", f.Kind, where, f.From.Seconds(), f.To.Seconds())
 }
 
-// overlaps says whether two troubles of one sender, or of anything that it meets, happen at one time.
-func (t Fault) overlaps(other Fault) bool {
-	return t.From < other.To && other.From < t.To && (t.Sender < 0 || other.Sender < 0 || t.Sender == other.Sender)
+// overlaps reports whether two faults that may affect the same sender overlap in time.
+func (f Fault) overlaps(other Fault) bool {
+	return f.From < other.To && other.From < f.To && (f.Sender < 0 || other.Sender < 0 || f.Sender == other.Sender)
 }
 
-// Draw makes the scenario of a seed. Only, if not empty, bounds the kinds of trouble.
-func Generate(seed uint64, senders int, length time.Duration, only []FaultKind) *Scenario {
+// Generate returns the scenario of a seed. If only is not empty, it lists the kinds of fault to use.
+func Generate(seed uint64, senders int, duration time.Duration, only []FaultKind) *Scenario {
 	rng := rand.New(rand.NewPCG(seed, 17))
 	randomDuration := func(from, to float64) time.Duration {
 		return time.Duration((from + (to-from)*rng.Float64()) * float64(time.Second))
 	}
-	sc := &Scenario{Seed: seed, Senders: senders, Duration: length, PushDiscovery: rng.IntN(2) == 0, Destinations: 2 + rng.IntN(2),
-		EndpointsPerDestination: 1 + rng.IntN(3), Rate: 4 + 8*rng.Float64(), Headroom: 1.5 + rng.Float64(), MaxBatch: []int{1, 1, 10}[rng.IntN(3)],
-		MaxAttempts: 4 + rng.IntN(5), MaxOpen: 60 + rng.IntN(200), ConcurrentCopies: rng.IntN(2) == 0, DrainGrace: randomDuration(0.8, 1.5),
-		ColdStart: ColdStart{OverloadFactor: 2.5, OverloadWindow: 3 * time.Second, InitialShare: 0.15, WarmupTime: 9500 * time.Millisecond},
-		DiskMB:    []float64{0.5, 3, 3}[rng.IntN(3)]}
+	sc := &Scenario{
+		Seed:                    seed,
+		Senders:                 senders,
+		Duration:                duration,
+		PushDiscovery:           rng.IntN(2) == 0,
+		Destinations:            2 + rng.IntN(2),
+		EndpointsPerDestination: 1 + rng.IntN(3),
+		Rate:                    4 + 8*rng.Float64(),
+		Headroom:                1.5 + rng.Float64(),
+		MaxBatch:                []int{1, 1, 10}[rng.IntN(3)],
+		MaxAttempts:             4 + rng.IntN(5),
+		MaxOpen:                 60 + rng.IntN(200),
+		ConcurrentCopies:        rng.IntN(2) == 0,
+		DrainGrace:              randomDuration(0.8, 1.5),
+		ColdStart: ColdStart{
+			OverloadFactor: 2.5,
+			OverloadWindow: 3 * time.Second,
+			InitialShare:   0.15,
+			WarmupTime:     9500 * time.Millisecond,
+		},
+		DiskMB: []float64{0.5, 3, 3}[rng.IntN(3)],
+	}
 	sc.Classes = []Class{
 		{Name: "status", Effect: Retryable, Deadline: randomDuration(2, 7)},
-		{Name: "order", Effect: Dedup, Deadline: randomDuration(3, 7), DedupWindow: randomDuration(1.2, 6), DedupPerZone: rng.IntN(3) == 0},
-		{Name: "charge", Effect: Fragile, Deadline: randomDuration(2, 7)}}
-	for n := int(float64(senders)/2*length.Seconds()/6) + 4; n > 0; n-- {
+		{
+			Name:         "order",
+			Effect:       Dedup,
+			Deadline:     randomDuration(3, 7),
+			DedupWindow:  randomDuration(1.2, 6),
+			DedupPerZone: rng.IntN(3) == 0,
+		},
+		{Name: "charge", Effect: Fragile, Deadline: randomDuration(2, 7)},
+	}
+	for n := int(float64(senders)/2*duration.Seconds()/6) + 4; n > 0; n-- {
 		sc.Faults = append(sc.Faults, sc.randomFault(rng, only))
 	}
-	for range len(sc.Faults) / 3 { // beside some, another of the same sender
+	for range len(sc.Faults) / 3 { // add overlapping faults of the same sender
 		first := sc.Faults[rng.IntN(len(sc.Faults))]
 		second := sc.randomFault(rng, only)
 		if first.Sender >= 0 && second.Sender >= 0 {
@@ -178,8 +206,8 @@
 	return sc
 }
 
-// addCompanions puts beside restarts what they most often meet in a fault: a step of the wall clock, a disk that fails, and
-// a destination that is out, so that there is something to lose.
+// addCoincidentFaults adds faults around restarts, where bugs are most likely to show: steps of the wall clock, disk
+// faults, and destination outages, which leave undelivered messages that a restart could lose.
 func (sc *Scenario) addCoincidentFaults(rng *rand.Rand, only []FaultKind) {
 	add := func(fault Fault) {
 		if len(only) == 0 || slices.Contains(only, fault.Kind) {
@@ -193,7 +221,14 @@
 		}
 		if rng.IntN(2) == 0 {
 			at := restart.From + time.Duration(rng.IntN(600))*time.Millisecond
-			add(Fault{Kind: WallClockStep, From: at, To: at + time.Second, Sender: restart.Sender, Destination: -1, Offset: randomClockOffset(rng)})
+			add(Fault{
+				Kind:        WallClockStep,
+				From:        at,
+				To:          at + time.Second,
+				Sender:      restart.Sender,
+				Destination: -1,
+				Offset:      randomClockOffset(rng),
+			})
 		}
 		if rng.IntN(2) == 0 {
 			kind := []FaultKind{DiskFull, DiskErrors, ShortDiskWrites, DiskReadErrors}[rng.IntN(4)]
@@ -208,64 +243,80 @@
 	}
 }
 
-// drawOffset draws how far a wall clock is stepped.
+// randomClockOffset returns a random offset for a step of the wall clock.
 func randomClockOffset(rng *rand.Rand) time.Duration {
-	offsets := []time.Duration{-time.Hour, time.Hour, -5 * time.Second, 5 * time.Second, -700 * time.Millisecond, 30 * time.Minute}
+	offsets := []time.Duration{
+		-time.Hour,
+		time.Hour,
+		-5 * time.Second,
+		5 * time.Second,
+		-700 * time.Millisecond,
+		30 * time.Minute,
+	}
 	return offsets[rng.IntN(len(offsets))]
 }
 
-// trouble draws one.
+// randomFault returns a random fault of a kind in only, or of any kind if only is empty.
 func (sc *Scenario) randomFault(rng *rand.Rand, only []FaultKind) Fault {
-	groups := []string{"process", "process", "process", "system", "system", "system", "destination", "destination", "discovery", "client"}
+	groups := []string{ // a group is drawn as often as it is listed
+		"process", "process", "process",
+		"system", "system", "system",
+		"destination", "destination",
+		"discovery",
+		"client",
+	}
 	for {
 		group := groups[rng.IntN(len(groups))]
-		list := faultGroups[group]
-		t := Fault{Kind: list[rng.IntN(len(list))], Sender: -1, Destination: -1}
-		if len(only) > 0 && !slices.Contains(only, t.Kind) {
+		kinds := faultGroups[group]
+		fault := Fault{Kind: kinds[rng.IntN(len(kinds))], Sender: -1, Destination: -1}
+		if len(only) > 0 && !slices.Contains(only, fault.Kind) {
 			continue
 		}
-		t.From = time.Duration(rng.Float64() * 0.85 * float64(sc.Duration))
-		t.To = t.From + time.Duration((0.4+3*rng.Float64())*float64(time.Second))
+		fault.From = time.Duration(rng.Float64() * 0.85 * float64(sc.Duration))
+		fault.To = fault.From + time.Duration((0.4+3*rng.Float64())*float64(time.Second))
 		switch group {
 		case "destination":
-			t.Destination, t.Endpoint = rng.IntN(sc.Destinations), rng.IntN(sc.EndpointsPerDestination)
-			if t.Kind == ConnectionsRefused || t.Kind == Unavailable || t.Kind == ServerErrors || t.Kind == Unresponsive {
-				t.To += 2 * time.Second
+			fault.Destination, fault.Endpoint = rng.IntN(sc.Destinations), rng.IntN(sc.EndpointsPerDestination)
+			if fault.Kind == ConnectionsRefused || fault.Kind == Unavailable ||
+				fault.Kind == ServerErrors || fault.Kind == Unresponsive {
+				fault.To += 2 * time.Second
 			}
 		default:
-			t.Sender = rng.IntN(sc.Senders)
+			fault.Sender = rng.IntN(sc.Senders)
 		}
-		if t.Kind == WallClockStep {
-			t.Offset = randomClockOffset(rng)
-			t.To = t.From + time.Second
+		if fault.Kind == WallClockStep {
+			fault.Offset = randomClockOffset(rng)
+			fault.To = fault.From + time.Second
 		}
-		return t
+		return fault
 	}
 }
 
-// settle is the time after a process trouble in which the process is left to itself.
+// processSettleTime is a part of the time that a process is left alone after a process fault.
 const processSettleTime = 2500 * time.Millisecond
 
-// separate drops troubles that move a process while another does, and a second trouble of one endpoint at a time.
-func (sc *Scenario) withoutConflicts() (kept []Fault) {
-	for _, t := range sc.Faults {
-		conflict := slices.ContainsFunc(kept, func(other Fault) bool {
+// withoutConflicts returns the faults without those that would overlap another process fault of the same sender, another
+// fault of the same destination, or a fault of the same kind and place.
+func (sc *Scenario) withoutConflicts() (faults []Fault) {
+	for _, fault := range sc.Faults {
+		conflict := slices.ContainsFunc(faults, func(other Fault) bool {
 			switch {
-			case slices.Contains(processFaults, t.Kind) && slices.Contains(processFaults, other.Kind):
-				return t.Sender == other.Sender && t.From < other.To+processSettleTime+4*time.Second
-			case t.Destination >= 0 && other.Destination >= 0:
-				return t.Destination == other.Destination && t.From < other.To+time.Second
+			case slices.Contains(processFaults, fault.Kind) && slices.Contains(processFaults, other.Kind):
+				return fault.Sender == other.Sender && fault.From < other.To+processSettleTime+4*time.Second
+			case fault.Destination >= 0 && other.Destination >= 0:
+				return fault.Destination == other.Destination && fault.From < other.To+time.Second
 			}
-			return t.Kind == other.Kind && t.Sender == other.Sender && t.Destination == other.Destination && t.From < other.To
+			return fault.Kind == other.Kind && fault.Sender == other.Sender && fault.Destination == other.Destination &&
+				fault.From < other.To
 		})
 		if !conflict {
-			kept = append(kept, t)
+			faults = append(faults, fault)
 		}
 	}
-	return kept
+	return faults
 }
 
-// Overlaps counts the pairs of kinds that happened at one time.
+// OverlapCounts returns how often each pair of kinds overlaps.
 func (sc *Scenario) OverlapCounts() map[string]int {
 	counts := map[string]int{}
 	for i, a := range sc.Faults {
@@ -280,25 +331,26 @@
 	return counts
 }
 
-// ends is when the last system trouble of a sender ends.
+// systemFaultsEnd returns when the last fault in a sender's system calls or wall clock ends.
 func (sc *Scenario) systemFaultsEnd(sender int) (end time.Duration) {
-	for _, t := range sc.Faults {
-		if t.Sender == sender && slices.Contains(faultGroups["system"], t.Kind) {
-			end = max(end, t.To)
+	for _, fault := range sc.Faults {
+		if fault.Sender == sender && slices.Contains(faultGroups["system"], fault.Kind) {
+			end = max(end, fault.To)
 		}
 	}
 	return end
 }
 
-// plan is what happens to a sender's system calls and clock, for a run that began at a time.
+// syscallPlan returns the plan for a sender's system calls and wall clock. runStart is the start of the run on the clock
+// of [faultinject.Now].
 func (sc *Scenario) syscallPlan(sender int, runStart time.Duration, stateDir string) faultinject.Plan {
 	plan := faultinject.Plan{StateDir: stateDir}
-	for _, t := range sc.Faults {
-		if t.Sender != sender {
+	for _, fault := range sc.Faults {
+		if fault.Sender != sender {
 			continue
 		}
 		add := func(f faultinject.Fault) {
-			f.From, f.To = runStart+t.From, runStart+t.To
+			f.From, f.To = runStart+fault.From, runStart+fault.To
 			plan.Faults = append(plan.Faults, f)
 		}
 		stateFileErrors := func(errno syscall.Errno, chance float64, calls ...string) {
@@ -311,9 +363,9 @@
 				add(faultinject.Fault{Call: call, Errno: errno, Probability: chance})
 			}
 		}
-		switch t.Kind {
+		switch fault.Kind {
 		case WallClockStep:
-			plan.ClockSteps = append(plan.ClockSteps, faultinject.ClockStep{At: runStart + t.From, Offset: t.Offset})
+			plan.ClockSteps = append(plan.ClockSteps, faultinject.ClockStep{At: runStart + fault.From, Offset: fault.Offset})
 		case DiskFull:
 			stateFileErrors(syscall.ENOSPC, 1, "pwrite", "open", "rename")
 		case DiskErrors:
@@ -348,14 +400,24 @@
 				add(faultinject.Fault{Call: "write", Target: target, MaxBytes: 7, Probability: 0.5})
 			}
 		case DelayedWrites:
-			add(faultinject.Fault{Call: "write", Target: faultinject.OutgoingSockets, Delay: 120 * time.Millisecond, Probability: 0.15})
-			add(faultinject.Fault{Call: "pwrite", Target: faultinject.StateFiles, Delay: 60 * time.Millisecond, Probability: 0.05})
+			add(faultinject.Fault{
+				Call:        "write",
+				Target:      faultinject.OutgoingSockets,
+				Delay:       120 * time.Millisecond,
+				Probability: 0.15,
+			})
+			add(faultinject.Fault{
+				Call:        "pwrite",
+				Target:      faultinject.StateFiles,
+				Delay:       60 * time.Millisecond,
+				Probability: 0.05,
+			})
 		}
 	}
 	return plan
 }
 
-// wire is the settings object of the protocol.
+// settings returns the settings object that the configuration of a sender contains.
 func (sc *Scenario) settings(sender int) map[string]any {
 	var classes []map[string]any
 	for _, c := range sc.Classes {
@@ -363,20 +425,60 @@
 		if c.DedupPerZone {
 			group = "zone"
 		}
-		classes = append(classes, map[string]any{"name": c.Name, "aim_s": c.Deadline.Seconds() / 3, "deadline_s": c.Deadline.Seconds(),
-			"worth": 1, "late_worth": 0.4, "idempotency": c.Effect, "group": group, "window_s": max(c.DedupWindow, time.Second).Seconds()})
+		classes = append(classes, map[string]any{
+			"name":        c.Name,
+			"aim_s":       c.Deadline.Seconds() / 3,
+			"deadline_s":  c.Deadline.Seconds(),
+			"worth":       1,
+			"late_worth":  0.4,
+			"idempotency": c.Effect,
+			"group":       group,
+			"window_s":    max(c.DedupWindow, time.Second).Seconds(),
+		})
 	}
 	mode := "on_request"
 	if sc.PushDiscovery {
 		mode = "pushed"
 	}
-	return map[string]any{"balancers": sc.Senders, "me": sender, "zone": sender % 2, "zones": []string{"a", "b"}, "tick_s": 0.005,
-		"membership_mode": mode, "weights": "off", "over_share_worth": 0.2, "machine_types": []string{"std"}, "classes": classes,
-		"tenants": []any{},
-		"limits": map[string]any{"conn_idle_s": 4, "connect_timeout_s": 1.0, "max_attempts": sc.MaxAttempts, "max_open": sc.MaxOpen,
-			"max_retry_after_s": 2, "multiplex": 1, "may_cancel": true, "probing": true, "retry_after": true, "second_copies": sc.ConcurrentCopies},
+	return map[string]any{
+		"balancers":        sc.Senders,
+		"me":               sender,
+		"zone":             sender % 2,
+		"zones":            []string{"a", "b"},
+		"tick_s":           0.005,
+		"membership_mode":  mode,
+		"weights":          "off",
+		"over_share_worth": 0.2,
+		"machine_types":    []string{"std"},
+		"classes":          classes,
+		"tenants":          []any{},
+		"limits": map[string]any{
+			"conn_idle_s":       4,
+			"connect_timeout_s": 1.0,
+			"max_attempts":      sc.MaxAttempts,
+			"max_open":          sc.MaxOpen,
+			"max_retry_after_s": 2,
+			"multiplex":         1,
+			"may_cancel":        true,
+			"probing":           true,
+			"retry_after":       true,
+			"second_copies":     sc.ConcurrentCopies,
+		},
 		"load_info": map[string]any{"how": "off", "names": []string{}},
-		"rules": map[string]any{"cold_from": sc.ColdStart.InitialShare, "drain_grace_s": sc.DrainGrace.Seconds(), "fall_multiple": sc.ColdStart.OverloadFactor,
-			"fall_s": sc.ColdStart.OverloadWindow.Seconds(), "warm_after_s": sc.ColdStart.WarmupTime.Seconds(), "answer_slack_s": 0.02, "ask_every_s": 10},
-		"specifics": map[string]any{"batch_by_kind": []int{sc.MaxBatch}, "call_slots": 16, "late": "halves", "separate_routes": []bool{false}}}
+		"rules": map[string]any{
+			"cold_from":      sc.ColdStart.InitialShare,
+			"drain_grace_s":  sc.DrainGrace.Seconds(),
+			"fall_multiple":  sc.ColdStart.OverloadFactor,
+			"fall_s":         sc.ColdStart.OverloadWindow.Seconds(),
+			"warm_after_s":   sc.ColdStart.WarmupTime.Seconds(),
+			"answer_slack_s": 0.02,
+			"ask_every_s":    10,
+		},
+		"specifics": map[string]any{
+			"batch_by_kind":   []int{sc.MaxBatch},
+			"call_slots":      16,
+			"late":            "halves",
+			"separate_routes": []bool{false},
+		},
+	}
 }
