--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -33,8 +33,8 @@
 // registry holds the endpoint list as a log of changes. The generation of the list is the length of the log.
 type registry struct {
 	mu          sync.Mutex
-	changes     []instance // starts with the entries of the initial list
-	initial     int
+	changes     []instance    // starts with the entries of the initial list
+	initial     int           // number of entries in the initial list
 	changed     chan struct{} // closed and replaced at every change
 	retirements []retirement
 }
@@ -94,13 +94,13 @@
 			index[entry.ID] = len(list.Instances)
 			list.Instances = append(list.Instances, entry)
 		}
-		kept := list.Instances[:0]
+		remaining := list.Instances[:0]
 		for _, entry := range list.Instances {
 			if entry.Lifecycle != "removed" {
-				kept = append(kept, entry)
+				remaining = append(remaining, entry)
 			}
 		}
-		list.Instances = kept
+		list.Instances = remaining
 		return list, r.changed
 	}
 	return hostList{Generation: len(r.changes), Instances: append([]instance{}, r.changes[generation:]...)}, r.changed
@@ -225,24 +225,24 @@
 	if err != nil {
 		from = -1
 	}
-	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	until := time.After(time.Duration(hold) * time.Millisecond)
+	holdMS, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	holdEnd := time.After(time.Duration(holdMS) * time.Millisecond)
 	for {
-		fault, changed := a.currentFault()
-		list, news := a.registry.changesSince(from)
+		fault, faultChanged := a.currentFault()
+		list, listChanged := a.registry.changesSince(from)
 		if fault != DiscoveryDown && (list.Reset || len(list.Instances) > 0) {
 			a.writeList(w, list, fault)
 			return
 		}
 		select {
-		case <-news:
-		case <-changed:
-		case <-until:
+		case <-listChanged:
+		case <-faultChanged:
+		case <-holdEnd:
 			if fault != DiscoveryDown {
 				a.writeList(w, list, fault)
 				return
 			}
-			until = nil
+			holdEnd = nil
 		case <-r.Context().Done():
 			return
 		}
@@ -251,20 +251,20 @@
 
 // writeList writes a list and records what the sender learns from it.
 func (a *discoveryAgent) writeList(w http.ResponseWriter, list hostList, fault FaultKind) {
-	text, err := json.MarshalIndent(list, "", " ")
+	data, err := json.MarshalIndent(list, "", " ")
 	if err != nil {
 		panic(err) // cannot happen: a hostList is always encodable
 	}
 	if fault == DiscoverySlow {
-		half := len(text) / 2
-		w.Write(text[:half])
+		half := len(data) / 2
+		w.Write(data[:half])
 		if f, ok := w.(http.Flusher); ok {
 			f.Flush()
 		}
 		time.Sleep(slowListDelay)
-		text = text[half:]
+		data = data[half:]
 	}
-	w.Write(text)
+	w.Write(data)
 	if f, ok := w.(http.Flusher); ok {
 		f.Flush()
 	}
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -46,12 +46,12 @@
 
 // Tolerances and timeouts in addition to those in the settings.
 const (
-	outcomeSlack      = 350 * time.Millisecond // from a message's deadline to its outcome: 300 ms, and 50 ms for socket I/O
-	schedulingSlack   = 250 * time.Millisecond // for scheduling delays, as senders and peers share one machine
-	restartGrace      = 1500*time.Millisecond + schedulingSlack
-	retryAfterSlack   = 100 * time.Millisecond
-	maxDiscoveryDelay = 6 * time.Second // for a change to reach a sender if lists are not pushed or come slowly
-	maxReloadDelay    = 4 * time.Second // from a reload to the first list from the new discovery address
+	outcomeSlack      = 350 * time.Millisecond                  // from a message's deadline to its outcome: 300 ms, and 50 ms for socket I/O
+	schedulingSlack   = 250 * time.Millisecond                  // for scheduling delays, as senders and peers share one machine
+	restartGrace      = 1500*time.Millisecond + schedulingSlack // from a restart to the outcome of overdue messages
+	retryAfterSlack   = 100 * time.Millisecond                  // for a sender to act on a retry delay
+	maxDiscoveryDelay = 6 * time.Second                         // for a change to reach a sender if lists are not pushed or come slowly
+	maxReloadDelay    = 4 * time.Second                         // from a reload to the first list from the new discovery address
 	readyTimeout      = 10 * time.Second
 	clientTimeout     = 400 * time.Millisecond // for a client to connect, and for its answers
 	copyOverlapSlack  = 60 * time.Millisecond  // to notice that a connection was closed
@@ -85,7 +85,7 @@
 	sender      int
 	body        string
 	sentAt      time.Duration
-	deadline    time.Duration // relative to the submission until the message is sent
+	deadline    time.Duration // time left until the message is first sent; from then on since the start of the run
 	answer      clientAnswer
 	answeredAt  time.Duration
 	attempts    []*attempt
@@ -273,10 +273,10 @@
 		if m.class.DedupPerZone && a.endpoint.zone != first.endpoint.zone {
 			c.reportLocked(RuleDuplicate, m.sender, "%s of class %s sent again to another zone", m.id, m.class.Name)
 		}
-		if late := a.started - first.started - m.class.DedupWindow; late > 50*time.Millisecond+schedulingSlack {
+		if overrun := a.started - first.started - m.class.DedupWindow; overrun > 50*time.Millisecond+schedulingSlack {
 			c.reportLocked(RuleDuplicate, m.sender,
 				"%s of class %s sent again %.2f s after the end of its deduplication window",
-				m.id, m.class.Name, late.Seconds())
+				m.id, m.class.Name, overrun.Seconds())
 		}
 	}
 }
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -63,8 +63,8 @@
 	defer submissions.Wait()
 	sc := c.sender.run.scenario
 	for {
-		gap := time.Duration(c.rng.ExpFloat64() / sc.Rate * float64(time.Second))
-		if !sleep(ctx, gap) {
+		interval := time.Duration(c.rng.ExpFloat64() / sc.Rate * float64(time.Second))
+		if !sleep(ctx, interval) {
 			return
 		}
 		size := 1
