--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -57,12 +57,12 @@
 	now := faultTime()
 	for _, call := range calls {
 		faults = append(faults, faultinject.Fault{
-			Call:   call,
-			On:     faultinject.StateFiles,
-			Errno:  errno,
-			From:   now,
-			To:     now + span,
-			Chance: 1,
+			Call:        call,
+			Target:      faultinject.StateFiles,
+			Errno:       errno,
+			From:        now,
+			To:          now + span,
+			Probability: 1,
 		})
 	}
 	return faults
@@ -112,14 +112,14 @@
 			proc := startProcess(t, p, dir, known)
 			ids := acceptHeld(t, proc, e, 16000, 6)
 			proc.kill()
-			step := faultinject.Plan{Steps: []faultinject.Step{{At: faultTime(), Offset: offset}}}
+			step := faultinject.Plan{ClockSteps: []faultinject.ClockStep{{At: faultTime(), Offset: offset}}}
 			proc = startWithFaults(t, p, dir, configText(p, known), step)
 			proc.addr = receive(t, proc.ready, "ready program")
 			expectDelivered(t, p, e, ids)
 			proc.kill()
 			e.expectNoCall(t)
 			// A message without a usable endpoint must end by its deadline.
-			step.Steps[0].Offset = -offset
+			step.ClockSteps[0].Offset = -offset
 			at := time.Now()
 			p.update(func() {
 				p.list = EndpointList{Generation: 2, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1", Zone: "a",
@@ -131,7 +131,7 @@
 				t.Fatalf("got %q", got)
 			}
 			proc.kill()
-			step.Steps[0].Offset = 0
+			step.ClockSteps[0].Offset = 0
 			proc = startWithFaults(t, p, dir, configText(p, p.list), step)
 			receive(t, proc.ready, "ready program")
 			notice := receive(t, p.notices, "notice")
@@ -198,7 +198,7 @@
 func faultsAnywhere(span time.Duration, errno syscall.Errno, calls ...string) []faultinject.Fault {
 	faults := faultsFor(span, errno, calls...)
 	for i := range faults {
-		faults[i].On = faultinject.Anything
+		faults[i].Target = faultinject.AnyTarget
 	}
 	return faults
 }
@@ -212,21 +212,21 @@
 	var faults []faultinject.Fault
 	for _, call := range []string{"open", "rename"} {
 		faults = append(faults, faultinject.Fault{
-			Call:   call,
-			On:     faultinject.StateFiles,
-			Errno:  syscall.EIO,
-			From:   later,
-			To:     now + time.Minute,
-			Chance: 1,
+			Call:        call,
+			Target:      faultinject.StateFiles,
+			Errno:       syscall.EIO,
+			From:        later,
+			To:          now + time.Minute,
+			Probability: 1,
 		})
 	}
 	faults = append(faults, faultinject.Fault{
-		Call:   "pwrite",
-		On:     faultinject.StateFiles,
-		Errno:  syscall.ENOSPC,
-		From:   later,
-		To:     later + time.Second,
-		Chance: 1,
+		Call:        "pwrite",
+		Target:      faultinject.StateFiles,
+		Errno:       syscall.ENOSPC,
+		From:        later,
+		To:          later + time.Second,
+		Probability: 1,
 	})
 	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: faults})
 	proc.addr = receive(t, proc.ready, "ready program")
@@ -255,7 +255,7 @@
 	old.list, fresh.list = known, known
 	now := faultTime()
 	proc := startWithFaults(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "open",
-		Errno: syscall.ENFILE, From: now + 800*time.Millisecond, To: now + 1800*time.Millisecond, Chance: 1}}})
+		Errno: syscall.ENFILE, From: now + 800*time.Millisecond, To: now + 1800*time.Millisecond, Probability: 1}}})
 	receive(t, proc.ready, "ready program")
 	for faultinject.Now() < now+time.Second {
 		time.Sleep(10 * time.Millisecond)
@@ -274,8 +274,8 @@
 func TestReturnedIsNotSentAfterRestart(t *testing.T) {
 	p, e, dir, known := newSingleEndpoint(t)
 	now := faultTime()
-	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", On: faultinject.StateFiles,
-		Errno: syscall.EIO, From: now + faultDelay, To: now + time.Minute, Chance: 1}}})
+	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", Target: faultinject.StateFiles,
+		Errno: syscall.EIO, From: now + faultDelay, To: now + time.Minute, Probability: 1}}})
 	proc.addr = receive(t, proc.ready, "ready program")
 	c := dialClient(t, proc.addr)
 	const usual = time.Second // duration of a call; a message with less time left is returned
@@ -320,7 +320,7 @@
 	p, e, dir, known := newSingleEndpoint(t)
 	now := faultTime()
 	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "receive",
-		Errno: syscall.EINTR, From: now, To: now + time.Minute, Chance: 0.5}}})
+		Errno: syscall.EINTR, From: now, To: now + time.Minute, Probability: 0.5}}})
 	proc.addr = receive(t, proc.ready, "ready program")
 	c := dialClient(t, proc.addr)
 	for i := range 40 {
@@ -338,7 +338,7 @@
 			p, e, dir, known := newSingleEndpoint(t)
 			now := faultTime()
 			proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "accept",
-				Errno: errno, From: now + 700*time.Millisecond, To: now + 1700*time.Millisecond, Chance: 0.9}}})
+				Errno: errno, From: now + 700*time.Millisecond, To: now + 1700*time.Millisecond, Probability: 0.9}}})
 			proc.addr = receive(t, proc.ready, "ready program")
 			resting := dialClient(t, proc.addr)
 			resting.put("before", "safe", "+OK")
@@ -428,7 +428,7 @@
 	p, e, dir, known := newSingleEndpoint(t)
 	now := faultTime()
 	state := func(call string, errno syscall.Errno, most int, chance float64) faultinject.Fault {
-		return faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: errno, Most: most, Chance: chance,
+		return faultinject.Fault{Call: call, Target: faultinject.StateFiles, Errno: errno, MaxBytes: most, Probability: chance,
 			From: now + faultDelay, To: now + time.Minute}
 	}
 	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{
