--- a/cmd/cometrack/log.go
+++ b/cmd/cometrack/log.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	logLines = 1024                   // that may wait for whoever reads the log
-	logEnd   = 200 * time.Millisecond // for them to be written at the end of the process
+	maxQueuedLines = 1024                   // that may wait for whoever reads the log
+	closeTimeout   = 200 * time.Millisecond // for them to be written at the end of the process
 )
 
 // logWriter writes log lines in the background: a reader that stalls must not stop the sender. Lines that find no room
 // are dropped, and counted in the log once it is read again.
 type logWriter struct {
 	out     io.Writer
-	lines   chan []byte
+	queue   chan []byte
 	closing chan struct{} // closed at the end of the process
-	written chan struct{} // closed when what waited then has been written
+	flushed chan struct{} // closed when what waited then has been written
 	dropped atomic.Int64
 }
 
 func newLogWriter(out io.Writer) *logWriter {
-	w := &logWriter{out: out, lines: make(chan []byte, logLines), closing: make(chan struct{}), written: make(chan struct{})}
+	w := &logWriter{out: out, queue: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), flushed: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -31,7 +31,7 @@
 // Write takes a line. It never waits and never fails.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
-	case w.lines <- append([]byte(nil), line...):
+	case w.queue <- append([]byte(nil), line...):
 	default:
 		w.dropped.Add(1)
 	}
@@ -39,14 +39,14 @@
 }
 
 func (w *logWriter) run() {
-	defer close(w.written)
+	defer close(w.flushed)
 	for {
 		select {
-		case line := <-w.lines:
+		case line := <-w.queue:
 			w.write(line)
 		case <-w.closing:
-			for len(w.lines) > 0 {
-				w.write(<-w.lines)
+			for len(w.queue) > 0 {
+				w.write(<-w.queue)
 			}
 			return
 		}
@@ -64,7 +64,7 @@
 func (w *logWriter) close() {
 	close(w.closing)
 	select {
-	case <-w.written:
-	case <-time.After(logEnd):
+	case <-w.flushed:
+	case <-time.After(closeTimeout):
 	}
 }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -20,11 +20,11 @@
 	}
 }
 
-// inbox holds the events of one instance in the frame at hand.
-type inbox struct {
-	who    int
-	sender *logic.Sender
-	events []logic.Event
+// instanceBatch holds the events of one instance in the frame at hand.
+type instanceBatch struct {
+	instance int
+	sender   *logic.Sender
+	events   []logic.Event
 }
 
 // run answers frames until the input ends.
@@ -38,17 +38,17 @@
 		} else if err != nil {
 			return err
 		}
-		boxes, err := deal(f, senders)
+		boxes, err := applyFrame(f, senders)
 		if err != nil {
 			return err
 		}
 		var b []byte
 		for _, box := range boxes {
 			for _, a := range box.sender.Step(f.Clock, box.events) {
-				b = wire.AppendAction(b, box.who, a)
+				b = wire.AppendAction(b, box.instance, a)
 			}
 		}
-		b = append(b, "eor "+f.Seq+"\n"...)
+		b = append(b, "eor "+f.Round+"\n"...)
 		if _, err := w.Write(b); err != nil {
 			return err
 		}
@@ -58,38 +58,38 @@
 	}
 }
 
-// deal starts and stops instances as the frame says and sorts its events by
+// applyFrame starts and stops instances as the frame says and sorts its events by
 // instance, in the order in which instances first appear.
-func deal(f *wire.Frame, senders map[int]*logic.Sender) ([]*inbox, error) {
-	var boxes []*inbox
-	at := map[int]*inbox{}
-	for _, it := range f.Items {
+func applyFrame(f *wire.Frame, senders map[int]*logic.Sender) ([]*instanceBatch, error) {
+	var boxes []*instanceBatch
+	at := map[int]*instanceBatch{}
+	for _, it := range f.Events {
 		switch {
 		case it.Create != nil:
 			s, err := logic.New(it.Create.Settings, it.Create.Seed)
 			if err != nil {
-				return nil, fmt.Errorf("instance %d: %w", it.Who, err)
+				return nil, fmt.Errorf("instance %d: %w", it.Instance, err)
 			}
-			senders[it.Who] = s
-			box := at[it.Who]
+			senders[it.Instance] = s
+			box := at[it.Instance]
 			if box == nil {
-				box = &inbox{who: it.Who}
-				at[it.Who] = box
+				box = &instanceBatch{instance: it.Instance}
+				at[it.Instance] = box
 				boxes = append(boxes, box)
 			}
 			box.sender, box.events = s, nil
 		case it.Halt:
-			delete(senders, it.Who)
-			if box := at[it.Who]; box != nil {
+			delete(senders, it.Instance)
+			if box := at[it.Instance]; box != nil {
 				box.sender = nil
 			}
-		case senders[it.Who] == nil:
+		case senders[it.Instance] == nil:
 			// An event for an instance that is not up: nobody is there to hear it.
 		default:
-			box := at[it.Who]
+			box := at[it.Instance]
 			if box == nil {
-				box = &inbox{who: it.Who, sender: senders[it.Who]}
-				at[it.Who] = box
+				box = &instanceBatch{instance: it.Instance, sender: senders[it.Instance]}
+				at[it.Instance] = box
 				boxes = append(boxes, box)
 			}
 			if it.Event != nil {
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-const setup = `{"balancers":3,"zones":["a"],"tick_s":0.005,"classes":[{"name":"x","aim_s":1,"deadline_s":8,"idempotency":"retryable","worth":1}],` +
+const settingsJSON = `{"balancers":3,"zones":["a"],"tick_s":0.005,"classes":[{"name":"x","aim_s":1,"deadline_s":8,"idempotency":"retryable","worth":1}],` +
 	`"machine_types":["k"],"limits":{"max_attempts":6,"max_open":40,"may_cancel":true},"membership_mode":"pushed","weights":"off",` +
 	`"rules":{"cold_from":0.2,"drain_grace_s":1,"fall_multiple":2,"fall_s":2,"warm_after_s":14},"specifics":{"call_slots":4,"batch_by_kind":[1],"separate_routes":[false]}}`
 
-// script makes frames for the given instances: starts, a list, messages that are refused or time out.
-func script(who ...int) string {
+// buildFrames makes frames for the given instances: starts, a list, messages that are refused or time out.
+func buildFrames(who ...int) string {
 	var b strings.Builder
 	fmt.Fprint(&b, "frame 1 1\nregister 0 2\nentry 11 0 0 5 0 0 -\nentry 12 0 0 5 0 0 -\n")
 	for _, w := range who {
-		fmt.Fprintf(&b, "create %d %d %s\nendpoints %d 2 1 0\n", w, 100+w, setup, w)
+		fmt.Fprintf(&b, "create %d %d %s\nendpoints %d 2 1 0\n", w, 100+w, settingsJSON, w)
 	}
 	fmt.Fprint(&b, "eob\n")
 	for n := 2; n < 60; n++ {
@@ -30,8 +30,8 @@
 	return b.String()
 }
 
-// answers runs the adapter and returns the actions of each instance.
-func answers(t *testing.T, in string) map[string][]string {
+// actionsByInstance runs the adapter and returns the actions of each instance.
+func actionsByInstance(t *testing.T, in string) map[string][]string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil {
@@ -46,10 +46,10 @@
 	return by
 }
 
-func TestOneProcessOrThree(t *testing.T) {
-	together := answers(t, script(0, 1, 2))
+func TestInstancesActIndependently(t *testing.T) {
+	together := actionsByInstance(t, buildFrames(0, 1, 2))
 	for w := range 3 {
-		alone := answers(t, script(w))
+		alone := actionsByInstance(t, buildFrames(w))
 		if !slices.Equal(together[fmt.Sprint(w)], alone[fmt.Sprint(w)]) {
 			t.Errorf("instance %d acts otherwise in company", w)
 		}
@@ -59,9 +59,9 @@
 	}
 }
 
-func TestRepliesAndRestarts(t *testing.T) {
+func TestRepliesInOrderAcrossRestarts(t *testing.T) {
 	var out bytes.Buffer
-	in := "frame 1 1\neob\n\nframe 2 2\ncreate 4 9 " + setup + "\nhalt 4\ncreate 4 10 " + setup + "\ncall 4 a 0 8 0 - - 0 5 - 0\neob\n" +
+	in := "frame 1 1\neob\n\nframe 2 2\ncreate 4 9 " + settingsJSON + "\nhalt 4\ncreate 4 10 " + settingsJSON + "\ncall 4 a 0 8 0 - - 0 5 - 0\neob\n" +
 		"frame 3 3\nhalt 4\ndue 4 1\nclient_gone 7 nobody\neob\n"
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestBadInputIsOneLine(t *testing.T) {
+func TestMalformedInputGivesOneLineError(t *testing.T) {
 	for in, want := range map[string]string{
 		"frame 1 1\ndue x 1\neob\n":                                   "line 2: field who",
 		"frame 1 1\ncreate 0 1 {\"balancers\":1,\"zones\":[]}\neob\n": "Classes",
@@ -86,16 +86,16 @@
 }
 
 // A fleet of a thousand endpoints changes nothing in how bad input is met.
-func TestThousandEndpoints(t *testing.T) {
+func TestUnexpectedInputWithThousandEndpoints(t *testing.T) {
 	var b strings.Builder
 	fmt.Fprint(&b, "frame 1 1\nregister 0 1000\n")
 	for i := range 1000 {
 		fmt.Fprintf(&b, "entry %d 0 0 %d 0 0 -\n", 100+i, i/2)
 	}
-	fmt.Fprintf(&b, "create 0 7 %s\nendpoints 0 2 1 0\neob\n", setup)
+	fmt.Fprintf(&b, "create 0 7 %s\nendpoints 0 2 1 0\neob\n", settingsJSON)
 	start := b.String()
 	odd := start + "frame 2 2\nreply 0 nobody 1 100 0 completed 0.1 - -\ndue 0 9\ncall 0 rq 0 8 0 - - 0 499 - 0\neob\n"
-	if got := answers(t, odd)["0"]; !slices.ContainsFunc(got, func(l string) bool { return strings.HasPrefix(l, "call_out 0 rq ") }) {
+	if got := actionsByInstance(t, odd)["0"]; !slices.ContainsFunc(got, func(l string) bool { return strings.HasPrefix(l, "call_out 0 rq ") }) {
 		t.Errorf("after events that nothing called for: %v", got)
 	}
 	for _, bad := range []string{"frame x 2\neob\n", "frame 2 2\ncall 0\neob\n", "frame 2 2\nnonsense 0\neob\n"} {
--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -23,8 +23,8 @@
 	"rundeal/internal/hollow"
 )
 
-// commands is the command line.
-type commands struct {
+// commandLine is the command line.
+type commandLine struct {
 	Dir    string  `help:"Folder of the scenarios." default:"scenarios" type:"path"`
 	Memory float64 `help:"Most memory that a run may need, in MB." default:"12000"`
 
@@ -38,9 +38,9 @@
 // environment is what the commands run in.
 type environment struct {
 	ctx         context.Context
-	out, errors io.Writer
-	dir         string
-	memory      float64
+	out, errOut io.Writer
+	scenarioDir string
+	maxMemoryMB float64
 }
 
 type runCommand struct {
@@ -52,7 +52,7 @@
 }
 
 func (c *runCommand) Run(env *environment) error {
-	sc, err := env.load(c.Scenario)
+	sc, err := env.loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 	if c.Seed != 0 {
 		sc.Seed = c.Seed
 	}
-	r, err := env.play(sc)
+	r, err := env.simulate(sc)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 }
 
 func (c *sweepCommand) Run(env *environment) error {
-	sc, err := env.load(c.Scenario)
+	sc, err := env.loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 	var reports []*hollow.Report
 	for _, n := range sizes {
 		*field = n
-		r, err := env.play(sc)
+		r, err := env.simulate(sc)
 		if err != nil {
 			return fmt.Errorf("%d %s: %w", n, axis, err)
 		}
@@ -120,7 +120,7 @@
 }
 
 func (c *liveCommand) Run(env *environment) error {
-	sc, err := env.load(c.Scenario)
+	sc, err := env.loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -130,12 +130,12 @@
 	if c.Rate != 0 {
 		sc.Traffic.Rate = c.Rate
 	}
-	fmt.Fprintf(env.errors, "real time: about %s\n", sc.Length())
+	fmt.Fprintf(env.errOut, "real time: about %s\n", sc.Length())
 	real, err := hollow.Live(env.ctx, sc, c.Program)
 	if err != nil {
 		return err
 	}
-	model, err := env.play(sc)
+	model, err := env.simulate(sc)
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 }
 
 func (c *checkCommand) Run(env *environment) error {
-	sc, err := env.load(c.Scenario)
+	sc, err := env.loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -159,7 +159,7 @@
 type listCommand struct{}
 
 func (c *listCommand) Run(env *environment) error {
-	files, err := filepath.Glob(filepath.Join(env.dir, "*.toml"))
+	files, err := filepath.Glob(filepath.Join(env.scenarioDir, "*.toml"))
 	if err != nil {
 		return err
 	}
@@ -173,17 +173,17 @@
 	return nil
 }
 
-// load reads a scenario by its name in the folder or by its path.
-func (env *environment) load(name string) (*hollow.Scenario, error) {
+// loadScenario reads a scenario by its name in the folder or by its path.
+func (env *environment) loadScenario(name string) (*hollow.Scenario, error) {
 	if filepath.Ext(name) != ".toml" {
-		name = filepath.Join(env.dir, name+".toml")
+		name = filepath.Join(env.scenarioDir, name+".toml")
 	}
 	return hollow.Load(name)
 }
 
-func (env *environment) play(sc *hollow.Scenario) (*hollow.Report, error) {
-	log := slog.New(slog.NewTextHandler(env.errors, nil))
-	return hollow.Run(env.ctx, sc, hollow.Options{MemoryMB: env.memory, Progress: func(p hollow.Progress) {
+func (env *environment) simulate(sc *hollow.Scenario) (*hollow.Report, error) {
+	log := slog.New(slog.NewTextHandler(env.errOut, nil))
+	return hollow.Run(env.ctx, sc, hollow.Options{MemoryMB: env.maxMemoryMB, Progress: func(p hollow.Progress) {
 		log.Info("played", "now", p.Now, "end", p.End, "senders", sc.Fleet.Senders, "offered", p.Offered)
 	}})
 }
@@ -197,7 +197,7 @@
 
 // run carries out a command line and returns the exit code.
 func run(ctx context.Context, args []string, out, errs io.Writer) int {
-	var c commands
+	var c commandLine
 	helped := false
 	parser, err := kong.New(&c, kong.Name("hollow"), kong.Description("Plays scenarios of a fleet of senders on one machine."),
 		kong.Writers(out, errs), kong.Exit(func(int) { helped = true }))
@@ -214,7 +214,7 @@
 		return 2
 	}
 	debug.SetMemoryLimit(int64(c.Memory * 1e6))
-	err = line.Run(&environment{ctx: ctx, out: out, errors: errs, dir: c.Dir, memory: c.Memory})
+	err = line.Run(&environment{ctx: ctx, out: out, errOut: errs, scenarioDir: c.Dir, maxMemoryMB: c.Memory})
 	var bad *hollow.FieldError
 	switch {
 	case err == nil:
--- a/cmd/hollow/main_test.go
+++ b/cmd/hollow/main_test.go
@@ -11,13 +11,13 @@
 	"rundeal/internal/hollow"
 )
 
-const quick = "title = \"a quick one\"\nduration = \"2s\"\ndrain = \"1s\"\n[fleet]\nsenders = 2\n"
+const quickScenario = "title = \"a quick one\"\nduration = \"2s\"\ndrain = \"1s\"\n[fleet]\nsenders = 2\n"
 
-// folder holds a good scenario and a bad one.
-func folder(t *testing.T) string {
+// scenarioDir holds a good scenario and a bad one.
+func scenarioDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	for name, text := range map[string]string{"quick.toml": quick, "bad.txt": "", "sub/bad.toml": "[fleet]\nsenders = 0\n"} {
+	for name, text := range map[string]string{"quick.toml": quickScenario, "bad.txt": "", "sub/bad.toml": "[fleet]\nsenders = 0\n"} {
 		path := filepath.Join(dir, name)
 		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 			t.Fatal(err)
@@ -30,7 +30,7 @@
 }
 
 func TestCommands(t *testing.T) {
-	dir := folder(t)
+	dir := scenarioDir(t)
 	report := filepath.Join(dir, "report.json")
 	bad := filepath.Join(dir, "sub", "bad.toml")
 	for _, x := range []struct {
@@ -72,7 +72,7 @@
 }
 
 // Ctrl-C ends a run with what was measured so far, and a sweep with the sizes that are whole.
-func TestInterrupted(t *testing.T) {
+func TestInterruptReportsPartialResults(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	dir := t.TempDir()
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -55,7 +55,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	broken, err := opt.play(ctx, out)
+	broken, err := opt.runSeeds(ctx, out)
 	if err != nil {
 		fmt.Fprintln(errs, "soak:", err)
 		return 1
@@ -66,8 +66,8 @@
 	return 0
 }
 
-// play plays all seeds and says whether a rule was broken.
-func (o *options) play(ctx context.Context, out io.Writer) (broken bool, err error) {
+// runSeeds plays all seeds and says whether a rule was broken.
+func (o *options) runSeeds(ctx context.Context, out io.Writer) (broken bool, err error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return false, err
@@ -91,15 +91,15 @@
 	for range max(o.Parallel, 1) {
 		all.Go(func() {
 			for seed := range seeds {
-				res, playErr := o.one(ctx, seed, filepath.Join(dir, fmt.Sprint(seed)))
+				res, playErr := o.runSeed(ctx, seed, filepath.Join(dir, fmt.Sprint(seed)))
 				mu.Lock()
 				if playErr != nil {
 					err = errors.Join(err, fmt.Errorf("seed %d: %w", seed, playErr))
 				}
 				if res != nil {
 					runs++
-					o.print(out, res)
-					add(&total, res.Counts)
+					o.printResult(out, res)
+					addCounts(&total, res.Counts)
 					for _, v := range res.Violations {
 						rules[v.Rule]++
 					}
@@ -120,15 +120,15 @@
 	}
 	close(seeds)
 	all.Wait()
-	fmt.Fprintf(out, "total: %d runs, %d with violations; %s; %d pairs of kinds overlapped\n", runs, failed, countsText(total), len(pairs))
+	fmt.Fprintf(out, "total: %d runs, %d with violations; %s; %d pairs of kinds overlapped\n", runs, failed, formatCounts(total), len(pairs))
 	for _, rule := range slices.Sorted(maps.Keys(rules)) {
 		fmt.Fprintf(out, "  %s: %d\n", rule, rules[rule])
 	}
 	return broken, err
 }
 
-// one plays a seed.
-func (o *options) one(ctx context.Context, seed uint64, dir string) (*soak.Result, error) {
+// runSeed plays a seed.
+func (o *options) runSeed(ctx context.Context, seed uint64, dir string) (*soak.Result, error) {
 	var only []soak.Kind
 	for _, k := range o.Only {
 		only = append(only, soak.Kind(k))
@@ -137,13 +137,13 @@
 	res, err := soak.Play(ctx, sc, soak.Options{Program: o.Program, Dir: dir})
 	if res != nil && len(res.Violations) > 0 && o.Keep != "" {
 		kept := filepath.Join(o.Keep, fmt.Sprint(seed))
-		err = errors.Join(err, keepLogs(dir, kept))
+		err = errors.Join(err, copyLogs(dir, kept))
 	}
 	return res, errors.Join(err, os.RemoveAll(dir))
 }
 
-// keepLogs copies the logs of all senders.
-func keepLogs(from, to string) error {
+// copyLogs copies the logs of all senders.
+func copyLogs(from, to string) error {
 	logs, err := filepath.Glob(filepath.Join(from, "*", "log"))
 	if err != nil {
 		return err
@@ -164,7 +164,7 @@
 	return nil
 }
 
-func add(total *soak.Counts, c soak.Counts) {
+func addCounts(total *soak.Counts, c soak.Counts) {
 	total.Offered += c.Offered
 	total.TakenOn += c.TakenOn
 	total.Refused += c.Refused
@@ -178,17 +178,17 @@
 	total.Restarts += c.Restarts
 }
 
-func countsText(c soak.Counts) string {
+func formatCounts(c soak.Counts) string {
 	return fmt.Sprintf("offered %d, taken on %d, refused %d, failed %d, not heard %d; delivered %d, returned %d, failed later %d; calls %d, repeats %d, restarts %d",
 		c.Offered, c.TakenOn, c.Refused, c.Failed, c.NotHeard, c.Delivered, c.Returned, c.FailedLater, c.Calls, c.Repeats, c.Restarts)
 }
 
-// mostPrinted bounds the violations that are printed of a run.
-const mostPrinted = 12
+// maxPrintedViolations bounds the violations that are printed of a run.
+const maxPrintedViolations = 12
 
-func (o *options) print(out io.Writer, res *soak.Result) {
+func (o *options) printResult(out io.Writer, res *soak.Result) {
 	sc := res.Scenario
-	fmt.Fprintf(out, "seed %d: %d violations; %s; %d troubles, late timers %d ms\n", sc.Seed, len(res.Violations), countsText(res.Counts),
+	fmt.Fprintf(out, "seed %d: %d violations; %s; %d troubles, late timers %d ms\n", sc.Seed, len(res.Violations), formatCounts(res.Counts),
 		len(sc.Troubles), res.Lateness.Milliseconds())
 	if o.Troubles || len(res.Violations) > 0 {
 		for _, t := range sc.Troubles {
@@ -196,7 +196,7 @@
 		}
 	}
 	for i, v := range res.Violations {
-		if i == mostPrinted {
+		if i == maxPrintedViolations {
 			fmt.Fprintf(out, "  and %d more\n", len(res.Violations)-i)
 			break
 		}
--- a/cmd/soak/main_test.go
+++ b/cmd/soak/main_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestCommandLineThatMakesNoSense(t *testing.T) {
+func TestInvalidCommandLine(t *testing.T) {
 	var out, errs strings.Builder
 	if code := run([]string{"--from", "many"}, &out, &errs); code != 2 || !strings.Contains(errs.String(), "--from") {
 		t.Errorf("exit code %d, said %q", code, errs.String())
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -3,8 +3,8 @@
 // Deadlines, windows and waits are spans of real time, and the wall clock may be
 // stepped by seconds or an hour. Within a process the time package's monotonic
 // readings do; they mean nothing to the next process. The kernel's boot clock
-// does, as long as the machine runs. A [Lasting] clock counts microseconds from
-// the Unix epoch, as the wall clock was when a [Stamp] was first made, and goes
+// does, as long as the machine runs. A [Persistent] clock counts microseconds from
+// the Unix epoch, as the wall clock was when a [Anchor] was first made, and goes
 // on by the boot clock from one process to the next. It is never set.
 //
 // After another boot the boot clock has begun anew: then the wall clock says how
@@ -24,10 +24,10 @@
 // KernelClock is the number of one of the kernel's clocks (clock_gettime(2)).
 type KernelClock uintptr
 
-// The clocks that are used here: both count from the boot, and Boot counts suspensions too.
+// The clocks that are used here: both count from the boot, and BootTime counts suspensions too.
 const (
 	Monotonic KernelClock = 1
-	Boot      KernelClock = 7
+	BootTime  KernelClock = 7
 )
 
 // Read is what a clock of the kernel says, the same for all processes of a machine.
@@ -39,87 +39,89 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// bootFile holds the identity of the boot (random(4)).
-const bootFile = "/proc/sys/kernel/random/boot_id"
+// bootIDPath holds the identity of the boot (random(4)).
+const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// bootTries is how often the identity is read before it counts as unknown.
-const bootTries = 3
+// bootIDReadAttempts is how often the identity is read before it counts as unknown.
+const bootIDReadAttempts = 3
 
-// Stamp ties a lasting clock to the clocks of a machine, at one moment. All times are in microseconds.
-type Stamp struct {
-	At   int64  `json:"at"`             // the lasting clock
-	Run  int64  `json:"run"`            // the boot clock
-	Wall int64  `json:"wall"`           // the wall clock, from the Unix epoch
-	Boot string `json:"boot,omitempty"` // identity of the boot; empty if it is not known
+// Anchor ties a lasting clock to the clocks of a machine, at one moment. All times are in microseconds.
+type Anchor struct {
+	Time     int64  `json:"at"`             // the lasting clock
+	BootTime int64  `json:"run"`            // the boot clock
+	WallTime int64  `json:"wall"`           // the wall clock, from the Unix epoch
+	BootID   string `json:"boot,omitempty"` // identity of the boot; empty if it is not known
 }
 
-// Lasting is a clock that goes on over restarts. It is safe for concurrent use.
-type Lasting struct {
-	base  int64
-	start time.Time
+// Persistent is a clock that goes on over restarts. It is safe for concurrent use.
+type Persistent struct {
+	startMicros int64
+	startTime   time.Time
 }
 
 // New makes a clock that begins with the wall clock.
-func New() *Lasting {
-	l, _ := Begin()
+func New() *Persistent {
+	l, _ := NewWithAnchor()
 	return l
 }
 
 // Resume makes the clock of a stamp go on. Latest is the latest time that is on record, 0 for none: the clock never
 // goes back behind it. It returns a stamp that holds for this boot, which is the old one if that does.
-func Resume(s Stamp, latest int64) (*Lasting, Stamp) {
-	return resume(s, latest, read())
+func Resume(s Anchor, latest int64) (*Persistent, Anchor) {
+	return resumeFrom(s, latest, readClocks())
 }
 
-// Begin makes a clock that begins with the wall clock, and its stamp.
-func Begin() (*Lasting, Stamp) {
-	m := read()
-	return &Lasting{base: m.now.UnixMicro(), start: m.now}, m.stamp(m.now.UnixMicro())
+// NewWithAnchor makes a clock that begins with the wall clock, and its stamp.
+func NewWithAnchor() (*Persistent, Anchor) {
+	m := readClocks()
+	return &Persistent{startMicros: m.wallTime.UnixMicro(), startTime: m.wallTime}, m.anchorAt(m.wallTime.UnixMicro())
 }
 
-func resume(s Stamp, latest int64, m machine) (*Lasting, Stamp) {
-	sameBoot := s.Boot == m.boot || s.Boot == "" || m.boot == ""
-	if sameBoot && m.run >= s.Run && m.run != 0 {
-		return &Lasting{base: s.At + m.run - s.Run, start: m.now}, s
+func resumeFrom(s Anchor, latest int64, m clockReadings) (*Persistent, Anchor) {
+	sameBoot := s.BootID == m.bootID || s.BootID == "" || m.bootID == ""
+	if sameBoot && m.bootTime >= s.BootTime && m.bootTime != 0 {
+		return &Persistent{startMicros: s.Time + m.bootTime - s.BootTime, startTime: m.wallTime}, s
 	}
-	at := max(s.At+max(m.now.UnixMicro()-s.Wall, 0), latest)
-	return &Lasting{base: at, start: m.now}, m.stamp(at)
+	at := max(s.Time+max(m.wallTime.UnixMicro()-s.WallTime, 0), latest)
+	return &Persistent{startMicros: at, startTime: m.wallTime}, m.anchorAt(at)
 }
 
 // Now is the time.
-func (l *Lasting) Now() int64 { return l.Of(time.Now()) }
+func (l *Persistent) Now() int64 { return l.Micros(time.Now()) }
 
-// Of is the time at a moment of this process, which must have a monotonic reading.
-func (l *Lasting) Of(t time.Time) int64 { return l.base + t.Sub(l.start).Microseconds() }
+// Micros is the time at a moment of this process, which must have a monotonic reading.
+func (l *Persistent) Micros(t time.Time) int64 {
+	return l.startMicros + t.Sub(l.startTime).Microseconds()
+}
 
-// At is the moment of a time, with a monotonic reading.
-func (l *Lasting) At(micros int64) time.Time {
-	return l.start.Add(time.Duration(micros-l.base) * time.Microsecond)
+// Time is the moment of a time, with a monotonic reading.
+func (l *Persistent) Time(micros int64) time.Time {
+	return l.startTime.Add(time.Duration(micros-l.startMicros) * time.Microsecond)
 }
 
-// machine is what the clocks of a machine say at one moment.
-type machine struct {
-	now  time.Time
-	run  int64 // microseconds since the boot; 0 if that cannot be had
-	boot string
+// clockReadings is what the clocks of a clockReadings say at one moment.
+type clockReadings struct {
+	wallTime time.Time
+	bootTime int64 // microseconds since the boot; 0 if that cannot be had
+	bootID   string
 }
 
-func (m machine) stamp(at int64) Stamp {
-	return Stamp{At: at, Run: m.run, Wall: m.now.UnixMicro(), Boot: m.boot}
+func (m clockReadings) anchorAt(at int64) Anchor {
+	return Anchor{Time: at, BootTime: m.bootTime, WallTime: m.wallTime.UnixMicro(), BootID: m.bootID}
 }
 
-func read() machine {
-	m := machine{now: time.Now(), boot: bootIdentity()}
-	if run, err := Boot.Read(); err == nil {
-		m.run = run.Microseconds()
+func readClocks() clockReadings {
+	m := clockReadings{wallTime: time.Now(), bootID: readBootID()}
+	if run, err := BootTime.Read(); err == nil {
+		m.bootTime = run.Microseconds()
 	}
 	return m
 }
 
-// bootIdentity is read once: it cannot change under a process.
-var bootIdentity = sync.OnceValue(func() string {
-	for range bootTries {
-		if text, err := os.ReadFile(bootFile); err == nil {
+// readBootID is read once: it cannot change under a process.
+var readBootID = sync.OnceValue(func() string {
+	for range bootIDReadAttempts {
+		if text, err := os.ReadFile(bootIDPath); err == nil {
 			return strings.TrimSpace(string(text))
 		}
 	}
--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -427,7 +427,7 @@
 func TestLoadReportReachesModule(t *testing.T) {
 	for _, status := range []int{200, 503, 500} {
 		n, e := bulkStep(t, map[string]string{"a": "x"})
-		n.cfg.Deploy.Reports = []string{"x0", "x1"}
+		n.cfg.Deploy.LoadMetricNames = []string{"x0", "x1"}
 		n.launch(t.Context())
 		await(t, e.calls, "call").reply(status, "Endpoint-Load-Metrics: x0=0.4,x1=25")
 		n.reply(await(t, n.events, "outcome").(replyEvent))
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -32,7 +32,7 @@
 	cfg      *Config
 	log      *slog.Logger
 	events   chan<- any
-	clock    *clock.Lasting // set before clients are served
+	clock    *clock.Persistent // set before clients are served
 	figures  *figures
 	most     int           // connections
 	large    chan struct{} // a place for each large request that is not answered
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -199,7 +199,7 @@
 	open := 0
 	for i := range st.Held {
 		x := &st.Held[i]
-		h := &held{msg: &x.Message, tries: x.Tries, over: x.Over, trail: trail{n.clock.At(x.Came), []byte(x.Trail)}}
+		h := &held{msg: &x.Message, tries: x.Tries, over: x.Over, trail: trail{n.clock.Time(x.Came), []byte(x.Trail)}}
 		if !x.Over {
 			e := n.journal.Entry(x.Message.ID)
 			if e == nil || e.End != nil {
@@ -228,7 +228,7 @@
 	n.held, n.open = all, open
 	maps.Copy(n.recent, st.Recent)
 	n.dir.restore(st, n.clock)
-	n.start = n.clock.At(st.Wall).Add(-span(st.Now))
+	n.start = n.clock.Time(st.Wall).Add(-span(st.Now))
 	for _, e := range n.journal.Entries() {
 		if e.End != nil {
 			n.notices.add(*e.End)
@@ -449,7 +449,7 @@
 // handoverState collects what the journal does not hold.
 func (n *Node) handoverState() (*handover, error) {
 	now := time.Now()
-	st := &handover{Now: micros(now.Sub(n.start)), Wall: n.clock.Of(now), Recent: maps.Clone(n.recent), Last: n.dir.last,
+	st := &handover{Now: micros(now.Sub(n.start)), Wall: n.clock.Micros(now), Recent: maps.Clone(n.recent), Last: n.dir.last,
 		Discovery: n.disc.addr, Gen: n.disc.gen, Started: n.disc.started,
 		Heard: n.disc.heard, Watching: n.disc.watching}
 	var err error
@@ -457,7 +457,7 @@
 		return nil, err
 	}
 	for _, h := range n.held {
-		x := heldState{Message: *h.msg, Tries: h.tries, Over: h.over, Came: n.clock.Of(h.trail.came), Trail: string(h.trail.text)}
+		x := heldState{Message: *h.msg, Tries: h.tries, Over: h.over, Came: n.clock.Micros(h.trail.came), Trail: string(h.trail.text)}
 		x.Message.Body = nil
 		if h.call != nil {
 			c := callState(h.call)
@@ -468,7 +468,7 @@
 	for id, to := range n.dir.eps {
 		x := targetState{ID: id, Name: to.name, Addr: to.addr, Zone: to.zone, Kind: to.kind, Dest: to.dest, Shut: n.dir.shut[id]}
 		if at, ok := n.dir.gone[id]; ok {
-			x.Gone = n.clock.Of(at)
+			x.Gone = n.clock.Micros(at)
 		}
 		st.Targets = append(st.Targets, x)
 	}
@@ -476,12 +476,12 @@
 }
 
 // restore brings the directory back.
-func (d *Directory) restore(st *handover, clock *clock.Lasting) {
+func (d *Directory) restore(st *handover, clock *clock.Persistent) {
 	d.last = st.Last
 	for _, x := range st.Targets {
 		to := target{name: x.Name, addr: x.Addr, zone: x.Zone, kind: x.Kind, dest: x.Dest}
 		if x.Gone != 0 {
-			d.gone[x.ID] = clock.At(x.Gone)
+			d.gone[x.ID] = clock.Time(x.Gone)
 		}
 		if x.Shut || x.Gone != 0 {
 			d.shut[x.ID] = true
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -79,7 +79,7 @@
 	Unsent bool    `json:"unsent,omitempty"` // with opOutcome: the attempt does not count
 	Notice *Notice `json:"notice,omitempty"`
 
-	Clock *clock.Stamp `json:"clock,omitempty"`
+	Clock *clock.Anchor `json:"clock,omitempty"`
 }
 
 // binds says whether a record must be in the file before what it tells of may happen. Others only tell of the past.
@@ -123,8 +123,8 @@
 	live    int64 // rough size of what a rewrite keeps
 	seq     int
 	entries map[string]*Entry
-	clock   *clock.Lasting
-	stamp   clock.Stamp
+	clock   *clock.Persistent
+	stamp   clock.Anchor
 	stamped bool     // a stamp was read
 	latest  int64    // the latest time on record
 	pending []record // of the past, in order: they could not be written yet
@@ -171,7 +171,7 @@
 	if j.stamped {
 		j.clock, j.stamp = clock.Resume(j.stamp, j.latest)
 	} else { // a journal of an older build: its times are Unix time
-		j.clock, j.stamp = clock.Begin()
+		j.clock, j.stamp = clock.NewWithAnchor()
 	}
 	if !j.stamped || j.stamp != was {
 		j.pending = append(j.pending, record{Op: opClock, Clock: &j.stamp})
@@ -254,7 +254,7 @@
 	case opClock:
 		if rec.Clock != nil {
 			j.stamp, j.stamped = *rec.Clock, true
-			j.latest = max(j.latest, rec.Clock.At)
+			j.latest = max(j.latest, rec.Clock.Time)
 		}
 		return
 	case opAccept:
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -104,7 +104,7 @@
 	puts    []putEvent
 	records []record
 	calling []outgoing // calls of the step at hand
-	clock   *clock.Lasting
+	clock   *clock.Persistent
 	decided int64 // when the step at hand began, on the clock
 	permits *permits
 	unsaid  []unsaid    // ends that the journal has not got yet
@@ -639,7 +639,7 @@
 		delete(n.held, ev.call.id)
 	}
 	n.next = append(n.next, logic.Reply{ID: ev.call.id, NoMore: ended || done, Endpoint: ev.call.ep,
-		Attempt: ev.call.attempt, Outcome: r.outcome, Took: micros(ev.took), Wait: micros(r.wait), Load: loadOf(r.load, n.cfg.Deploy.Reports)})
+		Attempt: ev.call.attempt, Outcome: r.outcome, Took: micros(ev.took), Wait: micros(r.wait), Load: loadOf(r.load, n.cfg.Deploy.LoadMetricNames)})
 }
 
 // badEnd logs the course of a message that was not delivered in the time wanted.
@@ -851,7 +851,7 @@
 	c := n.cfg.classOf(h.msg)
 	in.fragile = c.Effect == logic.Unsafe
 	if e := n.journal.Entry(a.ID); e != nil && e.MayRun && c.Effect == logic.Keyed { // a repeat: by the end of the window it must be written
-		in.writeBy = n.clock.At(e.FirstMay).Add(span(c.Window))
+		in.writeBy = n.clock.Time(e.FirstMay).Add(span(c.Window))
 	}
 	ctx, stop := context.WithCancel(work)
 	n.goesOut(h, in, stop)
--- a/internal/node/window_test.go
+++ b/internal/node/window_test.go
@@ -112,7 +112,7 @@
 		}
 	}
 	await(t, a.calls, "call").reply(200)
-	if got, want := n.held["m"].call.writeBy, n.clock.At(first.UnixMicro()).Add(time.Second); !got.Equal(want) {
+	if got, want := n.held["m"].call.writeBy, n.clock.Time(first.UnixMicro()).Add(time.Second); !got.Equal(want) {
 		t.Errorf("to be written by %v, want %v", got, want)
 	}
 	if e := n.journal.Entry("m"); e.Tries != 2 || e.FirstMay != first.UnixMicro() {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,85 +8,87 @@
 	"rundeal/logic"
 )
 
-// setup is the JSON object that an instance gets at start. Unknown keys are
+// settingsJSON is the JSON object that an instance gets at start. Unknown keys are
 // ignored.
-type setup struct {
-	Balancers int      `json:"balancers"`
-	Zone      int      `json:"zone"`
-	Zones     []string `json:"zones"`
-	Tick      float64  `json:"tick_s"`
-	Mode      string   `json:"membership_mode"`
-	Me        int      `json:"me"`
-	Weights   string   `json:"weights"`
-	Over      float64  `json:"over_share_worth"`
-	Classes   []struct {
-		Name      string  `json:"name"`
-		Aim       float64 `json:"aim_s"`
-		Deadline  float64 `json:"deadline_s"`
-		Worth     float64 `json:"worth"`
-		Late      float64 `json:"late_worth"`
-		Effect    string  `json:"idempotency"`
-		Group     string  `json:"group"`
-		Window    float64 `json:"window_s"`
-		KeepOrder bool    `json:"keep_order"`
+type settingsJSON struct {
+	Balancers      int      `json:"balancers"`
+	Zone           int      `json:"zone"`
+	Zones          []string `json:"zones"`
+	TickSeconds    float64  `json:"tick_s"`
+	MembershipMode string   `json:"membership_mode"`
+	Me             int      `json:"me"`
+	Weights        string   `json:"weights"`
+	OverShareWorth float64  `json:"over_share_worth"`
+	Classes        []struct {
+		Name            string  `json:"name"`
+		AimSeconds      float64 `json:"aim_s"`
+		DeadlineSeconds float64 `json:"deadline_s"`
+		Worth           float64 `json:"worth"`
+		LateWorth       float64 `json:"late_worth"`
+		Idempotency     string  `json:"idempotency"`
+		Group           string  `json:"group"`
+		WindowSeconds   float64 `json:"window_s"`
+		KeepOrder       bool    `json:"keep_order"`
 	} `json:"classes"`
 	Tenants []struct {
-		Name  string  `json:"name"`
-		Quota float64 `json:"quota_rps"`
+		Name     string  `json:"name"`
+		QuotaRPS float64 `json:"quota_rps"`
 	} `json:"tenants"`
-	Kinds  []string `json:"machine_types"`
-	Limits struct {
-		MaxTries      int     `json:"max_attempts"`
-		MaxOpen       int     `json:"max_open"`
-		ConnIdle      float64 `json:"conn_idle_s"`
-		ConnTimeout   float64 `json:"connect_timeout_s"`
-		ConnCalls     int     `json:"multiplex"`
-		MaxRetryAfter float64 `json:"max_retry_after_s"`
-		MayCancel     bool    `json:"may_cancel"`
-		Probing       bool    `json:"probing"`
-		RetryAfter    bool    `json:"retry_after"`
-		SecondCopies  bool    `json:"second_copies"`
+	MachineTypes []string `json:"machine_types"`
+	Limits       struct {
+		MaxAttempts           int     `json:"max_attempts"`
+		MaxOpen               int     `json:"max_open"`
+		ConnIdleSeconds       float64 `json:"conn_idle_s"`
+		ConnectTimeoutSeconds float64 `json:"connect_timeout_s"`
+		Multiplex             int     `json:"multiplex"`
+		MaxRetryAfterSeconds  float64 `json:"max_retry_after_s"`
+		MayCancel             bool    `json:"may_cancel"`
+		Probing               bool    `json:"probing"`
+		RetryAfter            bool    `json:"retry_after"`
+		SecondCopies          bool    `json:"second_copies"`
 	} `json:"limits"`
 	Charges struct {
 		Handshake float64 `json:"handshake"`
 	} `json:"charges"`
-	Load struct {
+	LoadInfo struct {
 		How   string   `json:"how"`
 		Names []string `json:"names"`
 	} `json:"load_info"`
 	Rules struct {
-		DrainGrace   float64 `json:"drain_grace_s"`
-		FallMultiple float64 `json:"fall_multiple"`
-		Fall         float64 `json:"fall_s"`
-		ColdFrom     float64 `json:"cold_from"`
-		WarmAfter    float64 `json:"warm_after_s"`
-		KeyQuiet     float64 `json:"key_quiet_s"`
+		DrainGraceSeconds float64 `json:"drain_grace_s"`
+		FallMultiple      float64 `json:"fall_multiple"`
+		FallSeconds       float64 `json:"fall_s"`
+		ColdFrom          float64 `json:"cold_from"`
+		WarmAfterSeconds  float64 `json:"warm_after_s"`
+		KeyQuietSeconds   float64 `json:"key_quiet_s"`
 	} `json:"rules"`
-	Facts struct {
-		Slots int    `json:"call_slots"`
-		Late  string `json:"late"`
-		Batch []int  `json:"batch_by_kind"`
-		Apart []bool `json:"separate_routes"`
+	Specifics struct {
+		CallSlots      int    `json:"call_slots"`
+		Late           string `json:"late"`
+		BatchByKind    []int  `json:"batch_by_kind"`
+		SeparateRoutes []bool `json:"separate_routes"`
 	} `json:"specifics"`
 }
 
-var effects = map[string]logic.Effect{"retryable": logic.Safe, "dedup": logic.Keyed, "fragile": logic.Unsafe}
+var effectByIdempotency = map[string]logic.Effect{"retryable": logic.Safe, "dedup": logic.Keyed, "fragile": logic.Unsafe}
 
-var weightModes = map[string]logic.WeightsMode{"": logic.WeightsOff, "off": logic.WeightsOff,
+var weightsModeByName = map[string]logic.WeightsMode{"": logic.WeightsOff, "off": logic.WeightsOff,
 	"nominal": logic.WeightsNominal, "rough": logic.WeightsRough, "live": logic.WeightsRough}
 
-// micros turns seconds of the JSON text into whole microseconds.
-func micros(s float64) logic.Micros { return logic.Micros(math.Round(s * float64(logic.Second))) }
+// secondsToMicros turns seconds of the JSON text into whole microseconds.
+func secondsToMicros(s float64) logic.Micros {
+	return logic.Micros(math.Round(s * float64(logic.Second)))
+}
 
 // Deployment is what the JSON object states: the module's settings, and what only
 // the program around it needs.
 type Deployment struct {
-	Settings       logic.Settings
-	Me             int      // number of this sender
-	Zones          []string // names, in the order of logic.Entry.Zone
-	ConnectTimeout logic.Micros
-	SecondCopies   bool     // a message may be sent again while a call with it is out
-	Reports        []string // names of the values of a load report, in the order of logic.Reply.Load; nil if none come
+	Settings        logic.Settings
+	SenderNumber    int      // number of this sender
+	Zones           []string // names, in the order of logic.Entry.Zone
+	ConnectTimeout  logic.Micros
+	SecondCopies    bool     // a message may be sent again while a call with it is out
+	LoadMetricNames []string // names of the values of a load report, in the order of logic.Reply.Load; nil if none come
 }
 
 // ParseSettings reads the module's settings from the JSON object of a create
@@ -98,58 +100,58 @@
 
 // ParseDeployment reads the whole JSON object.
 func ParseDeployment(text []byte) (Deployment, error) {
-	var in setup
+	var in settingsJSON
 	if err := json.Unmarshal(text, &in); err != nil {
 		return Deployment{}, err
 	}
-	set, err := in.settings()
-	out := Deployment{Settings: set, Me: in.Me, Zones: in.Zones, ConnectTimeout: micros(in.Limits.ConnTimeout),
+	set, err := in.toSettings()
+	out := Deployment{Settings: set, SenderNumber: in.Me, Zones: in.Zones, ConnectTimeout: secondsToMicros(in.Limits.ConnectTimeoutSeconds),
 		SecondCopies: in.Limits.SecondCopies}
-	if in.Load.How != "off" {
-		out.Reports = in.Load.Names
+	if in.LoadInfo.How != "off" {
+		out.LoadMetricNames = in.LoadInfo.Names
 	}
 	return out, err
 }
 
-func (in *setup) settings() (logic.Settings, error) {
-	out := logic.Settings{Senders: in.Balancers, Zone: in.Zone, Zones: len(in.Zones), Slots: in.Facts.Slots,
-		ConnIdle: micros(in.Limits.ConnIdle), ConnCalls: in.Limits.ConnCalls, ConnPrice: in.Charges.Handshake,
-		MaxOpen: in.Limits.MaxOpen, MaxTries: in.Limits.MaxTries, Tick: micros(in.Tick),
-		OnRequest: in.Mode == "on_request", Probing: in.Limits.Probing, MayCancel: in.Limits.MayCancel,
-		RetryAfter: in.Limits.RetryAfter, Halves: in.Facts.Late == "halves",
-		MaxRetryAfter: micros(in.Limits.MaxRetryAfter), OverShareWorth: in.Over,
-		DrainGrace: micros(in.Rules.DrainGrace), FallMultiple: in.Rules.FallMultiple,
-		FallWindow: micros(in.Rules.Fall), ColdFrom: in.Rules.ColdFrom, WarmAfter: micros(in.Rules.WarmAfter),
-		KeyQuiet: micros(in.Rules.KeyQuiet), ReportLeft: -1, ReportLimit: -1}
-	mode, ok := weightModes[in.Weights]
+func (in *settingsJSON) toSettings() (logic.Settings, error) {
+	out := logic.Settings{Senders: in.Balancers, Zone: in.Zone, Zones: len(in.Zones), Slots: in.Specifics.CallSlots,
+		ConnIdle: secondsToMicros(in.Limits.ConnIdleSeconds), ConnCalls: in.Limits.Multiplex, ConnPrice: in.Charges.Handshake,
+		MaxOpen: in.Limits.MaxOpen, MaxTries: in.Limits.MaxAttempts, Tick: secondsToMicros(in.TickSeconds),
+		OnRequest: in.MembershipMode == "on_request", Probing: in.Limits.Probing, MayCancel: in.Limits.MayCancel,
+		RetryAfter: in.Limits.RetryAfter, Halves: in.Specifics.Late == "halves",
+		MaxRetryAfter: secondsToMicros(in.Limits.MaxRetryAfterSeconds), OverShareWorth: in.OverShareWorth,
+		DrainGrace: secondsToMicros(in.Rules.DrainGraceSeconds), FallMultiple: in.Rules.FallMultiple,
+		FallWindow: secondsToMicros(in.Rules.FallSeconds), ColdFrom: in.Rules.ColdFrom, WarmAfter: secondsToMicros(in.Rules.WarmAfterSeconds),
+		KeyQuiet: secondsToMicros(in.Rules.KeyQuietSeconds), ReportLeft: -1, ReportLimit: -1}
+	mode, ok := weightsModeByName[in.Weights]
 	if !ok {
 		return out, fmt.Errorf("weights: unknown value %q", in.Weights)
 	}
 	out.Weights = mode
 	for i, c := range in.Classes {
-		effect, ok := effects[c.Effect]
+		effect, ok := effectByIdempotency[c.Idempotency]
 		if !ok {
-			return out, fmt.Errorf("classes[%d].idempotency: unknown value %q", i, c.Effect)
+			return out, fmt.Errorf("classes[%d].idempotency: unknown value %q", i, c.Idempotency)
 		}
-		out.Classes = append(out.Classes, logic.Class{Name: c.Name, Aim: micros(c.Aim), Deadline: micros(c.Deadline),
-			Worth: c.Worth, LateWorth: c.Late, Effect: effect, ByZone: c.Group != "all" && c.Group != "",
-			Window: micros(c.Window), KeepOrder: c.KeepOrder})
+		out.Classes = append(out.Classes, logic.Class{Name: c.Name, Aim: secondsToMicros(c.AimSeconds), Deadline: secondsToMicros(c.DeadlineSeconds),
+			Worth: c.Worth, LateWorth: c.LateWorth, Effect: effect, ByZone: c.Group != "all" && c.Group != "",
+			Window: secondsToMicros(c.WindowSeconds), KeepOrder: c.KeepOrder})
 	}
 	for _, t := range in.Tenants {
-		out.Tenants = append(out.Tenants, logic.Tenant{Name: t.Name, QuotaRPS: t.Quota})
+		out.Tenants = append(out.Tenants, logic.Tenant{Name: t.Name, QuotaRPS: t.QuotaRPS})
 	}
-	for i, name := range in.Kinds {
+	for i, name := range in.MachineTypes {
 		k := logic.Kind{Name: name, Batch: 1}
-		if i < len(in.Facts.Batch) {
-			k.Batch = in.Facts.Batch[i]
+		if i < len(in.Specifics.BatchByKind) {
+			k.Batch = in.Specifics.BatchByKind[i]
 		}
-		if i < len(in.Facts.Apart) {
-			k.Apart = in.Facts.Apart[i]
+		if i < len(in.Specifics.SeparateRoutes) {
+			k.Apart = in.Specifics.SeparateRoutes[i]
 		}
 		out.Kinds = append(out.Kinds, k)
 	}
-	if in.Load.How != "off" {
-		for i, name := range in.Load.Names {
+	if in.LoadInfo.How != "off" {
+		for i, name := range in.LoadInfo.Names {
 			switch name {
 			case "x0":
 				out.ReportLeft = i
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -12,13 +12,13 @@
 	"rundeal/logic"
 )
 
-// Item is one event of a frame with the instance that it is for. Exactly one of
+// InstanceEvent is one event of a frame with the instance that it is for. Exactly one of
 // Create, Halt and Event is set.
-type Item struct {
-	Who    int
-	Create *Create
-	Halt   bool
-	Event  logic.Event
+type InstanceEvent struct {
+	Instance int
+	Create   *Create
+	Halt     bool
+	Event    logic.Event
 }
 
 // Create brings an instance up.
@@ -29,9 +29,9 @@
 
 // Frame is one batch of events.
 type Frame struct {
-	Clock logic.Micros
-	Seq   string
-	Items []Item
+	Clock  logic.Micros
+	Round  string
+	Events []InstanceEvent
 }
 
 // Error tells where a frame is malformed.
@@ -48,14 +48,14 @@
 	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Msg)
 }
 
-// lists is how many list numbers the wire has.
-const lists = 16
+// maxLists is how many list numbers the wire has.
+const maxLists = 16
 
 // Decoder reads frames.
 type Decoder struct {
-	r    *bufio.Reader
-	line int
-	kept [lists][]logic.Entry
+	r     *bufio.Reader
+	line  int
+	lists [maxLists][]logic.Entry
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -87,15 +87,15 @@
 	if err != nil {
 		return nil, err
 	}
-	f := d.fields(s)
+	f := d.newFieldReader(s)
 	if f.name != "frame" {
 		return nil, &Error{d.line, "", "want a frame, got " + strconv.Quote(f.name)}
 	}
-	out := &Frame{Clock: f.time("clock_s"), Seq: f.word("round")}
-	if _, err := strconv.ParseUint(out.Seq, 10, 64); err != nil {
+	out := &Frame{Clock: f.seconds("clock_s"), Round: f.word("round")}
+	if _, err := strconv.ParseUint(out.Round, 10, 64); err != nil {
 		f.fail("round", "not a whole number")
 	}
-	if err := f.end(); err != nil {
+	if err := f.finish(); err != nil {
 		return nil, err
 	}
 	for {
@@ -110,11 +110,11 @@
 		case "eob":
 			return out, nil
 		case "register":
-			err = d.register(d.fields(s))
+			err = d.decodeList(d.newFieldReader(s))
 		default:
-			var it Item
-			if it, err = d.item(d.fields(s)); err == nil {
-				out.Items = append(out.Items, it)
+			var it InstanceEvent
+			if it, err = d.decodeEvent(d.newFieldReader(s)); err == nil {
+				out.Events = append(out.Events, it)
 			}
 		}
 		if err != nil {
@@ -123,15 +123,15 @@
 	}
 }
 
-func (d *Decoder) register(f *fields) error {
-	set, n := f.whole("set_id"), f.whole("rows")
-	if set < 0 || set >= lists {
+func (d *Decoder) decodeList(f *fieldReader) error {
+	set, n := f.integer("set_id"), f.integer("rows")
+	if set < 0 || set >= maxLists {
 		f.fail("set_id", "out of range")
 	}
 	if n < 0 {
 		f.fail("rows", "negative")
 	}
-	if err := f.end(); err != nil {
+	if err := f.finish(); err != nil {
 		return err
 	}
 	var rows []logic.Entry
@@ -142,28 +142,28 @@
 		} else if err != nil {
 			return err
 		}
-		e := d.fields(s)
+		e := d.newFieldReader(s)
 		if e.name != "entry" {
 			return &Error{d.line, "", "want an entry, got " + strconv.Quote(e.name)}
 		}
-		row := logic.Entry{Endpoint: e.endpoint(), Zone: int(e.whole("zone")), Kind: int(e.whole("kind")),
-			Dest: e.whole("cell"), State: e.readiness(), Nominal: e.number("nominal")}
-		e.time("born_s")
-		if err := e.end(); err != nil {
+		row := logic.Entry{Endpoint: e.endpointID(), Zone: int(e.integer("zone")), Kind: int(e.integer("kind")),
+			Dest: e.integer("cell"), State: e.readiness(), Nominal: e.number("nominal")}
+		e.seconds("born_s")
+		if err := e.finish(); err != nil {
 			return err
 		}
 		rows = append(rows, row)
 	}
-	d.kept[set] = rows
+	d.lists[set] = rows
 	return nil
 }
 
-func (d *Decoder) item(f *fields) (Item, error) {
-	it := Item{Who: int(f.whole("who"))}
+func (d *Decoder) decodeEvent(f *fieldReader) (InstanceEvent, error) {
+	it := InstanceEvent{Instance: int(f.integer("who"))}
 	switch f.name {
 	case "create":
 		c := &Create{Seed: f.seed("random_seed")}
-		text := f.rest()
+		text := f.takeRemaining()
 		if f.err != nil {
 			return it, f.err
 		}
@@ -177,37 +177,37 @@
 	case "halt":
 		it.Halt = true
 	case "endpoints":
-		it.Event = d.endpoints(f)
+		it.Event = d.decodeEndpoints(f)
 	case "call":
-		it.Event = call(f)
+		it.Event = decodeCall(f)
 	case "started":
-		it.Event = logic.Started{ID: f.word("req"), Attempt: int(f.whole("copy"))}
-		f.endpoint()
-		f.time("time_taken_s")
+		it.Event = logic.Started{ID: f.word("req"), Attempt: int(f.integer("copy"))}
+		f.endpointID()
+		f.seconds("time_taken_s")
 	case "reply":
-		it.Event = reply(f)
+		it.Event = decodeReply(f)
 	case "client_gone":
 		it.Event = logic.ClientGone{ID: f.word("req")}
 	case "due":
 		it.Event = logic.Due{Token: f.token("ctx")}
 	case "health_result":
 		o := f.outcome()
-		f.time("time_taken_s")
-		it.Event = logic.HealthResult{Outcome: o, Endpoint: f.endpoint(), Load: f.load()}
+		f.seconds("time_taken_s")
+		it.Event = logic.HealthResult{Outcome: o, Endpoint: f.endpointID(), Load: f.loadReport()}
 	case "peer":
 		// The module uses no messages between senders; the line is checked and dropped.
-		f.whole("neighbour")
+		f.integer("neighbour")
 		f.word("msg")
 		it.Event = nil
 	default:
 		return it, &Error{d.line, "", "unknown event " + strconv.Quote(f.name)}
 	}
-	return it, f.end()
+	return it, f.finish()
 }
 
-func (d *Decoder) endpoints(f *fields) logic.Event {
-	form := f.whole("form")
-	f.whole("stamp")
+func (d *Decoder) decodeEndpoints(f *fieldReader) logic.Event {
+	form := f.integer("form")
+	f.integer("stamp")
 	if form < int64(logic.ListDelta) || form > int64(logic.ListFailed) {
 		f.fail("form", "out of range")
 		return nil
@@ -217,88 +217,88 @@
 		f.word("set_id")
 		return ev
 	}
-	set := f.whole("set_id")
-	if set < 0 || set >= lists {
+	set := f.integer("set_id")
+	if set < 0 || set >= maxLists {
 		f.fail("set_id", "out of range")
 		return nil
 	}
-	ev.Entries = d.kept[set]
+	ev.Entries = d.lists[set]
 	return ev
 }
 
-func call(f *fields) logic.Event {
+func decodeCall(f *fieldReader) logic.Event {
 	c := logic.Call{ID: f.word("req")}
 	f.flag("repeat")
-	c.Left = f.time("grace_s")
+	c.Left = f.seconds("grace_s")
 	f.flag("came_back")
 	f.number("expected_s")
-	c.Key = f.optional("key")
+	c.Key = f.optionalWord("key")
 	f.flag("is_write")
-	c.Dest = f.whole("to_exchange")
+	c.Dest = f.integer("to_exchange")
 	c.Tenant = -1
-	if w := f.optional("realm"); w != "" {
-		c.Tenant = int(f.parseWhole("realm", w))
+	if w := f.optionalWord("realm"); w != "" {
+		c.Tenant = int(f.parseInteger("realm", w))
 	}
-	c.Class = int(f.whole("category"))
+	c.Class = int(f.integer("category"))
 	return c
 }
 
-func reply(f *fields) logic.Event {
-	r := logic.Reply{ID: f.word("req"), NoMore: f.flag("no_more"), Endpoint: f.endpoint(),
-		Attempt: int(f.whole("copy")), Outcome: f.outcome(), Took: f.time("time_taken_s")}
+func decodeReply(f *fieldReader) logic.Event {
+	r := logic.Reply{ID: f.word("req"), NoMore: f.flag("no_more"), Endpoint: f.endpointID(),
+		Attempt: int(f.integer("copy")), Outcome: f.outcome(), Took: f.seconds("time_taken_s")}
 	detail := int64(0)
-	if w := f.optional("detail"); w != "" {
-		detail = f.parseWhole("detail", w)
+	if w := f.optionalWord("detail"); w != "" {
+		detail = f.parseInteger("detail", w)
 	}
 	if r.Outcome == logic.Full && detail > 0 {
 		r.Wait = logic.Micros(detail) * logic.Second / 1000
 	}
-	r.Load = f.load()
+	r.Load = f.loadReport()
 	return r
 }
 
-// fields takes the values of one line in order and keeps the first error.
-type fields struct {
-	name, left string
-	line       int
-	err        error
+// fieldReader takes the values of one line in order and keeps the first error.
+type fieldReader struct {
+	name, remaining string
+	line            int
+	err             error
 }
 
-func (d *Decoder) fields(s string) *fields {
+func (d *Decoder) newFieldReader(s string) *fieldReader {
 	name, left, _ := strings.Cut(s, " ")
-	return &fields{name: name, left: left, line: d.line}
+	return &fieldReader{name: name, remaining: left, line: d.line}
 }
 
-func (f *fields) fail(field, msg string) {
+func (f *fieldReader) fail(field, msg string) {
 	if f.err == nil {
 		f.err = &Error{f.line, field, msg}
 	}
 }
 
-func (f *fields) end() error {
-	if f.err == nil && f.left != "" {
+func (f *fieldReader) finish() error {
+	if f.err == nil && f.remaining != "" {
 		f.fail("", "more values than "+f.name+" has")
 	}
 	return f.err
 }
 
-func (f *fields) rest() string {
-	s := f.left
-	f.left = ""
+func (f *fieldReader) takeRemaining() string {
+	s := f.remaining
+	f.remaining = ""
 	return s
 }
 
-func (f *fields) word(field string) string {
-	w, left, _ := strings.Cut(f.left, " ")
-	f.left = left
+func (f *fieldReader) word(field string) string {
+	w, left, _ := strings.Cut(f.remaining, " ")
+	f.remaining = left
 	if w == "" {
 		f.fail(field, "missing")
 	}
 	return w
 }
 
-// optional is a word that may be absent; then it is empty.
-func (f *fields) optional(field string) string {
+// optionalWord is a word that may be absent; then it is empty.
+func (f *fieldReader) optionalWord(field string) string {
 	w := f.word(field)
 	if w == "-" {
 		return ""
@@ -306,7 +306,7 @@
 	return w
 }
 
-func (f *fields) parseWhole(field, w string) int64 {
+func (f *fieldReader) parseInteger(field, w string) int64 {
 	n, err := strconv.ParseInt(w, 10, 64)
 	if err != nil {
 		// A whole number in a field of type number may come with a fraction of nought.
@@ -319,9 +319,9 @@
 	return n
 }
 
-func (f *fields) whole(field string) int64 { return f.parseWhole(field, f.word(field)) }
+func (f *fieldReader) integer(field string) int64 { return f.parseInteger(field, f.word(field)) }
 
-func (f *fields) token(field string) uint64 {
+func (f *fieldReader) token(field string) uint64 {
 	n, err := strconv.ParseUint(f.word(field), 10, 64)
 	if err != nil {
 		f.fail(field, "not a token")
@@ -329,7 +329,7 @@
 	return n
 }
 
-func (f *fields) seed(field string) uint64 {
+func (f *fieldReader) seed(field string) uint64 {
 	w := f.word(field)
 	if n, err := strconv.ParseInt(w, 10, 64); err == nil {
 		return uint64(n)
@@ -341,15 +341,15 @@
 	return n
 }
 
-func (f *fields) endpoint() logic.EndpointID {
-	n := f.whole("endpoint")
+func (f *fieldReader) endpointID() logic.EndpointID {
+	n := f.integer("endpoint")
 	if n < 0 || n > 1<<32-1 {
 		f.fail("endpoint", "out of range")
 	}
 	return logic.EndpointID(n)
 }
 
-func (f *fields) flag(field string) bool {
+func (f *fieldReader) flag(field string) bool {
 	w := f.word(field)
 	if w != "0" && w != "1" && w != "-" {
 		f.fail(field, "not 0 or 1: "+strconv.Quote(w))
@@ -357,8 +357,8 @@
 	return w == "1"
 }
 
-func (f *fields) number(field string) float64 {
-	w := f.optional(field)
+func (f *fieldReader) number(field string) float64 {
+	w := f.optionalWord(field)
 	if w == "" {
 		return 0
 	}
@@ -370,20 +370,20 @@
 	return x
 }
 
-func (f *fields) time(field string) logic.Micros {
-	w := f.optional(field)
+func (f *fieldReader) seconds(field string) logic.Micros {
+	w := f.optionalWord(field)
 	if w == "" {
 		return 0
 	}
-	t, err := ParseTime(w)
+	t, err := ParseSeconds(w)
 	if err != nil {
 		f.fail(field, err.Error())
 	}
 	return t
 }
 
-func (f *fields) load() []float64 {
-	w := f.optional("pressure")
+func (f *fieldReader) loadReport() []float64 {
+	w := f.optionalWord("pressure")
 	if w == "" {
 		return nil
 	}
@@ -399,9 +399,9 @@
 	return out
 }
 
-func (f *fields) outcome() logic.Outcome {
+func (f *fieldReader) outcome() logic.Outcome {
 	w := f.word("reason")
-	for i, name := range outcomes {
+	for i, name := range outcomeNames {
 		if w == name {
 			return logic.Outcome(i)
 		}
@@ -410,12 +410,12 @@
 	return 0
 }
 
-var outcomes = [...]string{logic.Completed: "completed", logic.Errored: "errored", logic.Full: "saturated",
+var outcomeNames = [...]string{logic.Completed: "completed", logic.Errored: "errored", logic.Full: "saturated",
 	logic.Overdue: "overdue", logic.RefusedConn: "refused_conn", logic.Severed: "severed",
 	logic.Recalled: "recalled", logic.Moot: "superseded"}
 
-func (f *fields) readiness() logic.Readiness {
-	switch n := f.whole("readiness"); n {
+func (f *fieldReader) readiness() logic.Readiness {
+	switch n := f.integer("readiness"); n {
 	case 0:
 		return logic.Ready
 	case 3:
@@ -428,8 +428,8 @@
 	}
 }
 
-// ParseTime reads a time in seconds as whole microseconds, exactly.
-func ParseTime(w string) (logic.Micros, error) {
+// ParseSeconds reads a time in seconds as whole microseconds, exactly.
+func ParseSeconds(w string) (logic.Micros, error) {
 	body, neg := strings.CutPrefix(w, "-")
 	whole, frac, _ := strings.Cut(body, ".")
 	if strings.ContainsAny(body, "eE") {
@@ -459,9 +459,9 @@
 	return logic.Micros(n), nil
 }
 
-// AppendTime writes whole microseconds as seconds, exactly and without needless
+// AppendSeconds writes whole microseconds as seconds, exactly and without needless
 // digits.
-func AppendTime(b []byte, t logic.Micros) []byte {
+func AppendSeconds(b []byte, t logic.Micros) []byte {
 	if t < 0 {
 		b = append(b, '-')
 		t = -t
@@ -480,7 +480,7 @@
 	switch a := a.(type) {
 	case logic.CallOut:
 		b = append(b, "call_out "+w+" "+a.ID+" "...)
-		b = AppendTime(b, a.GiveUp)
+		b = AppendSeconds(b, a.GiveUp)
 		b = append(b, ' ')
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
 	case logic.Cancel:
@@ -488,7 +488,7 @@
 	case logic.Refuse:
 		b = append(b, "say_no "+w+" "+a.ID+" "...)
 		if a.RetryIn > 0 {
-			b = AppendTime(b, a.RetryIn)
+			b = AppendSeconds(b, a.RetryIn)
 		} else {
 			b = append(b, '-')
 		}
@@ -496,7 +496,7 @@
 		b = append(b, "surrender "+w+" "+a.ID...)
 	case logic.SetTimer:
 		b = append(b, "notify_me "+w+" "...)
-		b = AppendTime(b, a.Wait)
+		b = AppendSeconds(b, a.Wait)
 		b = append(b, ' ')
 		b = strconv.AppendUint(b, a.Token, 10)
 	case logic.Probe:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,25 +10,25 @@
 	"rundeal/logic"
 )
 
-func TestTimesAreExact(t *testing.T) {
+func TestSecondsConvertExactly(t *testing.T) {
 	for text, want := range map[string]logic.Micros{"0": 0, "8.41225": 8_412_250, "0.5": 500_000, "665093.69785": 665_093_697_850,
 		"0.000001": 1, "12": 12_000_000, "-0.25": -250_000, "9007199254.740993": 9_007_199_254_740_993, "1e-05": 10} {
-		got, err := ParseTime(text)
+		got, err := ParseSeconds(text)
 		if err != nil || got != want {
 			t.Errorf("%s: got %d, %v; want %d", text, got, err, want)
 		}
-		if text != "1e-05" && string(AppendTime(nil, want)) != text {
-			t.Errorf("%d printed as %s, want %s", want, AppendTime(nil, want), text)
+		if text != "1e-05" && string(AppendSeconds(nil, want)) != text {
+			t.Errorf("%d printed as %s, want %s", want, AppendSeconds(nil, want), text)
 		}
 	}
 	for _, text := range []string{"", "x", "1.x", ".5", "1.0000001x", "1e", "--1", "1e300"} {
-		if got, err := ParseTime(text); err == nil {
+		if got, err := ParseSeconds(text); err == nil {
 			t.Errorf("%q was read as %d", text, got)
 		}
 	}
 }
 
-func TestGoldenFrame(t *testing.T) {
+func TestDecodeFrame(t *testing.T) {
 	dec := NewDecoder(strings.NewReader(`frame 8.41225 12
 register 0 2
 entry 51530247 0 0 57 0 1 -
@@ -53,8 +53,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev := func(who int, e logic.Event) Item { return Item{Who: who, Event: e} }
-	want := []Item{
+	ev := func(who int, e logic.Event) InstanceEvent { return InstanceEvent{Instance: who, Event: e} }
+	want := []InstanceEvent{
 		ev(3, logic.Endpoints{Form: logic.ListCached, Entries: []logic.Entry{{Endpoint: 51530247, Dest: 57, Nominal: 1},
 			{Endpoint: 747639282, Zone: 1, Dest: 57, State: logic.Draining, Nominal: 1.5}}}),
 		ev(3, logic.Endpoints{Entries: []logic.Entry{{Endpoint: 1, Dest: 58, State: logic.Gone}}}),
@@ -68,17 +68,17 @@
 		ev(5, logic.ClientGone{ID: "rq_ahg8m23"}),
 		ev(3, logic.HealthResult{Endpoint: 747639282, Outcome: logic.RefusedConn}),
 		ev(3, logic.Due{Token: 77}),
-		{Who: 5, Halt: true},
+		{Instance: 5, Halt: true},
 	}
-	if f.Clock != 8_412_250 || f.Seq != "12" || !reflect.DeepEqual(f.Items, want) {
-		t.Errorf("got %+v\nwant %+v", f.Items, want)
+	if f.Clock != 8_412_250 || f.Round != "12" || !reflect.DeepEqual(f.Events, want) {
+		t.Errorf("got %+v\nwant %+v", f.Events, want)
 	}
 	if _, err := dec.Next(); err != io.EOF {
 		t.Errorf("after the last frame: %v", err)
 	}
 }
 
-func TestGoldenActions(t *testing.T) {
+func TestAppendAction(t *testing.T) {
 	for want, a := range map[string]logic.Action{
 		"call_out 3 rq_a 0.08 51530247": logic.CallOut{ID: "rq_a", GiveUp: 80_000, Endpoint: 51530247},
 		"stop_attempt 3 rq_a 1":         logic.Cancel{ID: "rq_a", Attempt: 1},
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestMalformedFramesNameLineAndField(t *testing.T) {
+func TestMalformedFrameErrorNamesLineAndField(t *testing.T) {
 	for text, want := range map[string]Error{
 		"hello\n":                                                  {Line: 1},
 		"frame x 1\neob\n":                                         {Line: 1, Field: "clock_s"},
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
+func TestParseSettings(t *testing.T) {
 	set, err := ParseSettings([]byte(`{"balancers":3,"zone":1,"zones":["a","b"],"tick_s":0.005,"unknown":[1],
 "classes":[{"name":"x","aim_s":2.5,"deadline_s":24,"group":"zone","idempotency":"dedup","late_worth":0.4,"window_s":25,"worth":2,"keep_order":true}],
 "tenants":[{"name":"t","quota_rps":10}],"machine_types":["k","l"],"membership_mode":"on_request","weights":"rough",
