--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,15 +1,17 @@
-// Package clock has the time that outlives a process.
+// Package clock provides a clock that stays consistent across process restarts.
 //
-// Deadlines, windows and waits are spans of real time, and the wall clock may be
-// stepped by seconds or an hour. Within a process the time package's monotonic
-// readings do; they mean nothing to the next process. The kernel's boot clock
-// does, as long as the machine runs. A [Persistent] clock counts microseconds from
-// the Unix epoch, as the wall clock was when a [Anchor] was first made, and goes
-// on by the boot clock from one process to the next. It is never set.
+// Deadlines, windows and waits are spans of real time, but the wall clock may be
+// stepped by seconds or an hour. Within a process, the monotonic readings of
+// package time are immune to such steps, but they mean nothing to the next
+// process. The kernel's boot-time clock is valid across processes until the
+// machine reboots. A [Persistent] clock counts microseconds since the Unix epoch:
+// it takes the wall clock when its first [Anchor] is made and then advances with
+// the boot-time clock, from one process to the next. It is never adjusted.
 //
-// After another boot the boot clock has begun anew: then the wall clock says how
-// long the machine was away, but no less than what is already on record. A boot
-// whose identity cannot be read counts as the same one if its clock has gone on.
+// After a reboot the boot-time clock starts again. The time that the machine was
+// down is then taken from the wall clock, but the clock never resumes before the
+// latest recorded time. If either boot ID is unknown, the boot counts as the same
+// one as long as the boot-time clock has not gone backwards.
 package clock
 
 import (
@@ -21,16 +23,16 @@
 	"unsafe"
 )
 
-// KernelClock is the number of one of the kernel's clocks (clock_gettime(2)).
+// KernelClock is a clock ID for clock_gettime(2).
 type KernelClock uintptr
 
-// The clocks that are used here: both count from the boot, and BootTime counts suspensions too.
+// Both clocks count from boot; BootTime also includes time spent suspended.
 const (
 	Monotonic KernelClock = 1
 	BootTime  KernelClock = 7
 )
 
-// Read is what a clock of the kernel says, the same for all processes of a machine.
+// Read returns the current value of c, which is the same for all processes on a machine.
 func (c KernelClock) Read() (time.Duration, error) {
 	var ts syscall.Timespec
 	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, uintptr(c), uintptr(unsafe.Pointer(&ts)), 0); errno != 0 {
@@ -39,86 +41,89 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// bootIDPath holds the identity of the boot (random(4)).
+// bootIDPath is the file with the ID of the current boot (random(4)).
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// bootIDReadAttempts is how often the identity is read before it counts as unknown.
+// bootIDReadAttempts is the number of attempts to read the boot ID before it counts as unknown.
 const bootIDReadAttempts = 3
 
-// Anchor ties a lasting clock to the clocks of a machine, at one moment. All times are in microseconds.
+// Anchor relates a persistent clock to the clocks of the machine at one instant. All times are in microseconds.
 type Anchor struct {
-	Time     int64  `json:"at"`             // the lasting clock
-	BootTime int64  `json:"run"`            // the boot clock
-	WallTime int64  `json:"wall"`           // the wall clock, from the Unix epoch
-	BootID   string `json:"boot,omitempty"` // identity of the boot; empty if it is not known
+	Time     int64  `json:"at"`             // time of the persistent clock
+	BootTime int64  `json:"run"`            // boot-time clock
+	WallTime int64  `json:"wall"`           // wall clock, since the Unix epoch
+	BootID   string `json:"boot,omitempty"` // empty if unknown
 }
 
-// Persistent is a clock that goes on over restarts. It is safe for concurrent use.
+// Persistent is a clock that continues across process restarts. It is safe for concurrent use.
 type Persistent struct {
 	startMicros int64
 	startTime   time.Time
 }
 
-// New makes a clock that begins with the wall clock.
+// New returns a clock that starts at the current wall time.
 func New() *Persistent {
-	l, _ := NewWithAnchor()
-	return l
+	c, _ := NewWithAnchor()
+	return c
 }
 
-// Resume makes the clock of a stamp go on. Latest is the latest time that is on record, 0 for none: the clock never
-// goes back behind it. It returns a stamp that holds for this boot, which is the old one if that does.
-func Resume(s Anchor, latest int64) (*Persistent, Anchor) {
-	return resumeFrom(s, latest, readClocks())
+// Resume continues the clock that anchor describes. Latest is the latest recorded time, or 0 if there is none; after a
+// reboot the clock does not start before it. Resume also returns an anchor that is valid for the current boot, which is
+// the given one if that still is.
+func Resume(anchor Anchor, latest int64) (*Persistent, Anchor) {
+	return resumeFrom(anchor, latest, readClocks())
 }
 
-// NewWithAnchor makes a clock that begins with the wall clock, and its stamp.
+// NewWithAnchor returns a clock that starts at the current wall time, and its anchor.
 func NewWithAnchor() (*Persistent, Anchor) {
-	m := readClocks()
-	return &Persistent{startMicros: m.wallTime.UnixMicro(), startTime: m.wallTime}, m.anchorAt(m.wallTime.UnixMicro())
+	r := readClocks()
+	return &Persistent{startMicros: r.wallTime.UnixMicro(), startTime: r.wallTime}, r.anchorAt(r.wallTime.UnixMicro())
 }
 
-func resumeFrom(s Anchor, latest int64, m clockReadings) (*Persistent, Anchor) {
-	sameBoot := s.BootID == m.bootID || s.BootID == "" || m.bootID == ""
-	if sameBoot && m.bootTime >= s.BootTime && m.bootTime != 0 {
-		return &Persistent{startMicros: s.Time + m.bootTime - s.BootTime, startTime: m.wallTime}, s
+func resumeFrom(anchor Anchor, latest int64, r clockReadings) (*Persistent, Anchor) {
+	sameBoot := anchor.BootID == r.bootID || anchor.BootID == "" || r.bootID == ""
+	if sameBoot && r.bootTime >= anchor.BootTime && r.bootTime != 0 {
+		return &Persistent{startMicros: anchor.Time + r.bootTime - anchor.BootTime, startTime: r.wallTime}, anchor
 	}
-	at := max(s.Time+max(m.wallTime.UnixMicro()-s.WallTime, 0), latest)
-	return &Persistent{startMicros: at, startTime: m.wallTime}, m.anchorAt(at)
+	start := max(anchor.Time+max(r.wallTime.UnixMicro()-anchor.WallTime, 0), latest)
+	return &Persistent{startMicros: start, startTime: r.wallTime}, r.anchorAt(start)
 }
 
-// Now is the time.
-func (l *Persistent) Now() int64 { return l.Micros(time.Now()) }
+// Now returns the current time in microseconds.
+func (c *Persistent) Now() int64 { return c.Micros(time.Now()) }
 
-// Micros is the time at a moment of this process, which must have a monotonic reading.
-func (l *Persistent) Micros(t time.Time) int64 {
-	return l.startMicros + t.Sub(l.startTime).Microseconds()
+// Micros returns this clock's time at t, which must have a monotonic reading of this process.
+func (c *Persistent) Micros(t time.Time) int64 {
+	return c.startMicros + t.Sub(c.startTime).Microseconds()
 }
 
-// Time is the moment of a time, with a monotonic reading.
-func (l *Persistent) Time(micros int64) time.Time {
-	return l.startTime.Add(time.Duration(micros-l.startMicros) * time.Microsecond)
+// Time returns the time.Time at which this clock shows micros. It has a monotonic reading.
+func (c *Persistent) Time(micros int64) time.Time {
+	return c.startTime.Add(time.Duration(micros-c.startMicros) * time.Microsecond)
 }
 
-// clockReadings is what the clocks of a clockReadings say at one moment.
+// clockReadings holds readings of the clocks of the machine at one instant.
 type clockReadings struct {
-	wallTime time.Time
-	bootTime int64 // microseconds since the boot; 0 if that cannot be had
+	wallTime time.Time // with a monotonic reading
+	bootTime int64     // microseconds since boot; 0 if the clock cannot be read
 	bootID   string
 }
 
-func (m clockReadings) anchorAt(at int64) Anchor {
-	return Anchor{Time: at, BootTime: m.bootTime, WallTime: m.wallTime.UnixMicro(), BootID: m.bootID}
+// anchorAt returns the anchor of a clock that showed the time micros when r was read.
+func (r clockReadings) anchorAt(micros int64) Anchor {
+	return Anchor{Time: micros, BootTime: r.bootTime, WallTime: r.wallTime.UnixMicro(), BootID: r.bootID}
 }
 
 func readClocks() clockReadings {
-	m := clockReadings{wallTime: time.Now(), bootID: readBootID()}
-	if run, err := BootTime.Read(); err == nil {
-		m.bootTime = run.Microseconds()
+	r := clockReadings{wallTime: time.Now(), bootID: readBootID()}
+	if sinceBoot, err := BootTime.Read(); err == nil {
+		r.bootTime = sinceBoot.Microseconds()
 	}
-	return m
+	return r
 }
 
-// readBootID is read once: it cannot change under a process.
+// readBootID returns the boot ID, or "" if it is unknown. The file is read once, as the boot ID cannot change while a
+// process runs.
 var readBootID = sync.OnceValue(func() string {
 	for range bootIDReadAttempts {
 		if text, err := os.ReadFile(bootIDPath); err == nil {
