--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,8 +8,8 @@
 	"rundeal/logic"
 )
 
-// settingsJSON is the JSON object that an instance gets at start. Unknown keys are
-// ignored.
+// settingsJSON is the JSON object that an instance is started with. Unknown keys
+// are ignored.
 type settingsJSON struct {
 	Balancers      int      `json:"balancers"`
 	Zone           int      `json:"zone"`
@@ -70,85 +70,125 @@
 	} `json:"specifics"`
 }
 
-var effectByIdempotency = map[string]logic.Effect{"retryable": logic.Safe, "dedup": logic.Keyed, "fragile": logic.Unsafe}
+var effectByIdempotency = map[string]logic.Effect{
+	"retryable": logic.Safe,
+	"dedup":     logic.Keyed,
+	"fragile":   logic.Unsafe,
+}
 
-var weightsModeByName = map[string]logic.WeightsMode{"": logic.WeightsOff, "off": logic.WeightsOff,
-	"nominal": logic.WeightsNominal, "rough": logic.WeightsRough, "live": logic.WeightsRough}
+var weightsModeByName = map[string]logic.WeightsMode{
+	"":        logic.WeightsOff,
+	"off":     logic.WeightsOff,
+	"nominal": logic.WeightsNominal,
+	"rough":   logic.WeightsRough,
+	"live":    logic.WeightsRough,
+}
 
-// secondsToMicros turns seconds of the JSON text into whole microseconds.
+// secondsToMicros converts seconds to microseconds, rounded to the nearest.
 func secondsToMicros(s float64) logic.Micros {
 	return logic.Micros(math.Round(s * float64(logic.Second)))
 }
 
-// Deployment is what the JSON object states: the module's settings, and what only
-// the program around it needs.
+// Deployment holds the content of the JSON object: the settings of the decision
+// module, and values that only the program around it needs.
 type Deployment struct {
 	Settings        logic.Settings
 	SenderNumber    int      // number of this sender
-	Zones           []string // names, in the order of logic.Entry.Zone
+	Zones           []string // zone names, indexed by logic.Entry.Zone
 	ConnectTimeout  logic.Micros
-	SecondCopies    bool     // a message may be sent again while a call with it is out
-	LoadMetricNames []string // names of the values of a load report, in the order of logic.Reply.Load; nil if none come
+	SecondCopies    bool     // a message may be sent again while an attempt is still in flight
+	LoadMetricNames []string // indexed as logic.Reply.Load; nil if endpoints report no load
 }
 
-// ParseSettings reads the module's settings from the JSON object of a create
-// event. Whether the values make sense is for logic.New to say.
+// ParseSettings parses the module's settings from the JSON object of a create
+// event. It does not validate the values; logic.New does.
 func ParseSettings(text []byte) (logic.Settings, error) {
 	d, err := ParseDeployment(text)
 	return d.Settings, err
 }
 
-// ParseDeployment reads the whole JSON object.
+// ParseDeployment parses the whole JSON object.
 func ParseDeployment(text []byte) (Deployment, error) {
 	var in settingsJSON
 	if err := json.Unmarshal(text, &in); err != nil {
 		return Deployment{}, err
 	}
-	set, err := in.toSettings()
-	out := Deployment{Settings: set, SenderNumber: in.Me, Zones: in.Zones, ConnectTimeout: secondsToMicros(in.Limits.ConnectTimeoutSeconds),
-		SecondCopies: in.Limits.SecondCopies}
+	settings, err := in.toSettings()
+	deployment := Deployment{
+		Settings:       settings,
+		SenderNumber:   in.Me,
+		Zones:          in.Zones,
+		ConnectTimeout: secondsToMicros(in.Limits.ConnectTimeoutSeconds),
+		SecondCopies:   in.Limits.SecondCopies,
+	}
 	if in.LoadInfo.How != "off" {
-		out.LoadMetricNames = in.LoadInfo.Names
+		deployment.LoadMetricNames = in.LoadInfo.Names
 	}
-	return out, err
+	return deployment, err
 }
 
 func (in *settingsJSON) toSettings() (logic.Settings, error) {
-	out := logic.Settings{Senders: in.Balancers, Zone: in.Zone, Zones: len(in.Zones), Slots: in.Specifics.CallSlots,
-		ConnIdle: secondsToMicros(in.Limits.ConnIdleSeconds), ConnCalls: in.Limits.Multiplex, ConnPrice: in.Charges.Handshake,
-		MaxOpen: in.Limits.MaxOpen, MaxTries: in.Limits.MaxAttempts, Tick: secondsToMicros(in.TickSeconds),
-		OnRequest: in.MembershipMode == "on_request", Probing: in.Limits.Probing, MayCancel: in.Limits.MayCancel,
-		RetryAfter: in.Limits.RetryAfter, Halves: in.Specifics.Late == "halves",
-		MaxRetryAfter: secondsToMicros(in.Limits.MaxRetryAfterSeconds), OverShareWorth: in.OverShareWorth,
-		DrainGrace: secondsToMicros(in.Rules.DrainGraceSeconds), FallMultiple: in.Rules.FallMultiple,
-		FallWindow: secondsToMicros(in.Rules.FallSeconds), ColdFrom: in.Rules.ColdFrom, WarmAfter: secondsToMicros(in.Rules.WarmAfterSeconds),
-		KeyQuiet: secondsToMicros(in.Rules.KeyQuietSeconds), ReportLeft: -1, ReportLimit: -1}
+	out := logic.Settings{
+		Senders:        in.Balancers,
+		Zone:           in.Zone,
+		Zones:          len(in.Zones),
+		Slots:          in.Specifics.CallSlots,
+		ConnIdle:       secondsToMicros(in.Limits.ConnIdleSeconds),
+		ConnCalls:      in.Limits.Multiplex,
+		ConnPrice:      in.Charges.Handshake,
+		MaxOpen:        in.Limits.MaxOpen,
+		MaxTries:       in.Limits.MaxAttempts,
+		Tick:           secondsToMicros(in.TickSeconds),
+		OnRequest:      in.MembershipMode == "on_request",
+		Probing:        in.Limits.Probing,
+		MayCancel:      in.Limits.MayCancel,
+		RetryAfter:     in.Limits.RetryAfter,
+		Halves:         in.Specifics.Late == "halves",
+		MaxRetryAfter:  secondsToMicros(in.Limits.MaxRetryAfterSeconds),
+		OverShareWorth: in.OverShareWorth,
+		DrainGrace:     secondsToMicros(in.Rules.DrainGraceSeconds),
+		FallMultiple:   in.Rules.FallMultiple,
+		FallWindow:     secondsToMicros(in.Rules.FallSeconds),
+		ColdFrom:       in.Rules.ColdFrom,
+		WarmAfter:      secondsToMicros(in.Rules.WarmAfterSeconds),
+		KeyQuiet:       secondsToMicros(in.Rules.KeyQuietSeconds),
+		ReportLeft:     -1,
+		ReportLimit:    -1,
+	}
 	mode, ok := weightsModeByName[in.Weights]
 	if !ok {
 		return out, fmt.Errorf("weights: unknown value %q", in.Weights)
 	}
 	out.Weights = mode
-	for i, c := range in.Classes {
-		effect, ok := effectByIdempotency[c.Idempotency]
+	for i, class := range in.Classes {
+		effect, ok := effectByIdempotency[class.Idempotency]
 		if !ok {
-			return out, fmt.Errorf("classes[%d].idempotency: unknown value %q", i, c.Idempotency)
+			return out, fmt.Errorf("classes[%d].idempotency: unknown value %q", i, class.Idempotency)
 		}
-		out.Classes = append(out.Classes, logic.Class{Name: c.Name, Aim: secondsToMicros(c.AimSeconds), Deadline: secondsToMicros(c.DeadlineSeconds),
-			Worth: c.Worth, LateWorth: c.LateWorth, Effect: effect, ByZone: c.Group != "all" && c.Group != "",
-			Window: secondsToMicros(c.WindowSeconds), KeepOrder: c.KeepOrder})
+		out.Classes = append(out.Classes, logic.Class{
+			Name:      class.Name,
+			Aim:       secondsToMicros(class.AimSeconds),
+			Deadline:  secondsToMicros(class.DeadlineSeconds),
+			Worth:     class.Worth,
+			LateWorth: class.LateWorth,
+			Effect:    effect,
+			ByZone:    class.Group != "all" && class.Group != "",
+			Window:    secondsToMicros(class.WindowSeconds),
+			KeepOrder: class.KeepOrder,
+		})
 	}
-	for _, t := range in.Tenants {
-		out.Tenants = append(out.Tenants, logic.Tenant{Name: t.Name, QuotaRPS: t.QuotaRPS})
+	for _, tenant := range in.Tenants {
+		out.Tenants = append(out.Tenants, logic.Tenant{Name: tenant.Name, QuotaRPS: tenant.QuotaRPS})
 	}
 	for i, name := range in.MachineTypes {
-		k := logic.Kind{Name: name, Batch: 1}
+		kind := logic.Kind{Name: name, Batch: 1}
 		if i < len(in.Specifics.BatchByKind) {
-			k.Batch = in.Specifics.BatchByKind[i]
+			kind.Batch = in.Specifics.BatchByKind[i]
 		}
 		if i < len(in.Specifics.SeparateRoutes) {
-			k.Apart = in.Specifics.SeparateRoutes[i]
+			kind.Apart = in.Specifics.SeparateRoutes[i]
 		}
-		out.Kinds = append(out.Kinds, k)
+		out.Kinds = append(out.Kinds, kind)
 	}
 	if in.LoadInfo.How != "off" {
 		for i, name := range in.LoadInfo.Names {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire reads and writes the line protocol that drives the decision
-// module: frames of events in, frames of actions out. It decides nothing.
+// Package wire encodes and decodes the line protocol between the simulator and the
+// decision module of package logic: frames of events in, lines of actions out. It
+// also parses the JSON settings of a deployment. It makes no decisions itself.
 package wire
 
 import (
@@ -12,8 +13,9 @@
 	"rundeal/logic"
 )
 
-// InstanceEvent is one event of a frame with the instance that it is for. Exactly one of
-// Create, Halt and Event is set.
+// InstanceEvent is one event of a frame, addressed to an instance. At most one of
+// Create, Halt and Event is set; none is set for a line that the module has no use
+// for.
 type InstanceEvent struct {
 	Instance int
 	Create   *Create
@@ -21,7 +23,7 @@
 	Event    logic.Event
 }
 
-// Create brings an instance up.
+// Create starts an instance.
 type Create struct {
 	Seed     uint64
 	Settings logic.Settings
@@ -34,7 +36,7 @@
 	Events []InstanceEvent
 }
 
-// Error tells where a frame is malformed.
+// Error reports where a frame is malformed.
 type Error struct {
 	Line  int
 	Field string
@@ -48,14 +50,15 @@
 	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Msg)
 }
 
-// maxLists is how many list numbers the wire has.
+// maxLists is the number of endpoint lists that the protocol can address by set_id.
 const maxLists = 16
 
-// Decoder reads frames.
+// Decoder reads frames. It keeps the endpoint lists that were registered in earlier
+// frames, as later ones refer to them by number.
 type Decoder struct {
 	r     *bufio.Reader
 	line  int
-	lists [maxLists][]logic.Entry
+	lists [maxLists][]logic.Entry // by set_id
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -63,8 +66,8 @@
 	return &Decoder{r: bufio.NewReaderSize(r, 1<<16)}
 }
 
-// readLine returns the next line without its end; io.EOF only before the first
-// byte of a line.
+// readLine returns the next line without its line ending. It returns io.EOF only
+// when no byte of a line is left; a last line may lack its line ending.
 func (d *Decoder) readLine() (string, error) {
 	s, err := d.r.ReadString('\n')
 	if err == io.EOF && s != "" {
@@ -77,8 +80,7 @@
 	return strings.TrimRight(s, "\r\n"), nil
 }
 
-// Next returns the next frame, or io.EOF when the input has ended between two
-// frames.
+// Next returns the next frame, or io.EOF if the input ends between two frames.
 func (d *Decoder) Next() (*Frame, error) {
 	s, err := d.readLine()
 	for err == nil && s == "" {
@@ -89,18 +91,18 @@
 	}
 	f := d.newFieldReader(s)
 	if f.name != "frame" {
-		return nil, &Error{d.line, "", "want a frame, got " + strconv.Quote(f.name)}
+		return nil, &Error{d.line, "", "expected frame, got " + strconv.Quote(f.name)}
 	}
-	out := &Frame{Clock: f.seconds("clock_s"), Round: f.word("round")}
-	if _, err := strconv.ParseUint(out.Round, 10, 64); err != nil {
-		f.fail("round", "not a whole number")
+	frame := &Frame{Clock: f.seconds("clock_s"), Round: f.word("round")}
+	if _, err := strconv.ParseUint(frame.Round, 10, 64); err != nil {
+		f.fail("round", "not an integer")
 	}
 	if err := f.finish(); err != nil {
 		return nil, err
 	}
 	for {
 		if s, err = d.readLine(); err == io.EOF {
-			return nil, &Error{d.line + 1, "", "input ends inside a frame"}
+			return nil, &Error{d.line + 1, "", "unexpected end of input in a frame"}
 		} else if err != nil {
 			return nil, err
 		}
@@ -108,13 +110,13 @@
 		case "":
 			continue
 		case "eob":
-			return out, nil
+			return frame, nil
 		case "register":
 			err = d.decodeList(d.newFieldReader(s))
 		default:
-			var it InstanceEvent
-			if it, err = d.decodeEvent(d.newFieldReader(s)); err == nil {
-				out.Events = append(out.Events, it)
+			var event InstanceEvent
+			if event, err = d.decodeEvent(d.newFieldReader(s)); err == nil {
+				frame.Events = append(frame.Events, event)
 			}
 		}
 		if err != nil {
@@ -123,86 +125,93 @@
 	}
 }
 
+// decodeList reads a register line and the entries that follow it.
 func (d *Decoder) decodeList(f *fieldReader) error {
-	set, n := f.integer("set_id"), f.integer("rows")
-	if set < 0 || set >= maxLists {
+	setID, rowCount := f.integer("set_id"), f.integer("rows")
+	if setID < 0 || setID >= maxLists {
 		f.fail("set_id", "out of range")
 	}
-	if n < 0 {
+	if rowCount < 0 {
 		f.fail("rows", "negative")
 	}
 	if err := f.finish(); err != nil {
 		return err
 	}
 	var rows []logic.Entry
-	for i := int64(0); i < n; i++ {
+	for i := int64(0); i < rowCount; i++ {
 		s, err := d.readLine()
 		if err == io.EOF {
-			return &Error{d.line + 1, "rows", "input ends inside a list"}
+			return &Error{d.line + 1, "rows", "unexpected end of input in an endpoint list"}
 		} else if err != nil {
 			return err
 		}
-		e := d.newFieldReader(s)
-		if e.name != "entry" {
-			return &Error{d.line, "", "want an entry, got " + strconv.Quote(e.name)}
+		fields := d.newFieldReader(s)
+		if fields.name != "entry" {
+			return &Error{d.line, "", "expected entry, got " + strconv.Quote(fields.name)}
 		}
-		row := logic.Entry{Endpoint: e.endpointID(), Zone: int(e.integer("zone")), Kind: int(e.integer("kind")),
-			Dest: e.integer("cell"), State: e.readiness(), Nominal: e.number("nominal")}
-		e.seconds("born_s")
-		if err := e.finish(); err != nil {
+		row := logic.Entry{
+			Endpoint: fields.endpointID(),
+			Zone:     int(fields.integer("zone")),
+			Kind:     int(fields.integer("kind")),
+			Dest:     fields.integer("cell"),
+			State:    fields.readiness(),
+			Nominal:  fields.number("nominal"),
+		}
+		fields.seconds("born_s")
+		if err := fields.finish(); err != nil {
 			return err
 		}
 		rows = append(rows, row)
 	}
-	d.lists[set] = rows
+	d.lists[setID] = rows
 	return nil
 }
 
 func (d *Decoder) decodeEvent(f *fieldReader) (InstanceEvent, error) {
-	it := InstanceEvent{Instance: int(f.integer("who"))}
+	event := InstanceEvent{Instance: int(f.integer("who"))}
 	switch f.name {
 	case "create":
-		c := &Create{Seed: f.seed("random_seed")}
+		create := &Create{Seed: f.seed("random_seed")}
 		text := f.takeRemaining()
 		if f.err != nil {
-			return it, f.err
+			return event, f.err
 		}
-		set, err := ParseSettings([]byte(text))
+		settings, err := ParseSettings([]byte(text))
 		if err != nil {
-			return it, &Error{d.line, "setup", err.Error()}
+			return event, &Error{d.line, "setup", err.Error()}
 		}
-		c.Settings = set
-		it.Create = c
-		return it, nil
+		create.Settings = settings
+		event.Create = create
+		return event, nil
 	case "halt":
-		it.Halt = true
+		event.Halt = true
 	case "endpoints":
-		it.Event = d.decodeEndpoints(f)
+		event.Event = d.decodeEndpoints(f)
 	case "call":
-		it.Event = decodeCall(f)
+		event.Event = decodeCall(f)
 	case "started":
-		it.Event = logic.Started{ID: f.word("req"), Attempt: int(f.integer("copy"))}
+		event.Event = logic.Started{ID: f.word("req"), Attempt: int(f.integer("copy"))}
 		f.endpointID()
 		f.seconds("time_taken_s")
 	case "reply":
-		it.Event = decodeReply(f)
+		event.Event = decodeReply(f)
 	case "client_gone":
-		it.Event = logic.ClientGone{ID: f.word("req")}
+		event.Event = logic.ClientGone{ID: f.word("req")}
 	case "due":
-		it.Event = logic.Due{Token: f.token("ctx")}
+		event.Event = logic.Due{Token: f.token("ctx")}
 	case "health_result":
-		o := f.outcome()
+		outcome := f.outcome()
 		f.seconds("time_taken_s")
-		it.Event = logic.HealthResult{Outcome: o, Endpoint: f.endpointID(), Load: f.loadReport()}
+		event.Event = logic.HealthResult{Outcome: outcome, Endpoint: f.endpointID(), Load: f.loadReport()}
 	case "peer":
-		// The module uses no messages between senders; the line is checked and dropped.
+		// The module does not use messages between senders: the line is validated and discarded.
 		f.integer("neighbour")
 		f.word("msg")
-		it.Event = nil
+		event.Event = nil
 	default:
-		return it, &Error{d.line, "", "unknown event " + strconv.Quote(f.name)}
+		return event, &Error{d.line, "", "unknown event " + strconv.Quote(f.name)}
 	}
-	return it, f.finish()
+	return event, f.finish()
 }
 
 func (d *Decoder) decodeEndpoints(f *fieldReader) logic.Event {
@@ -212,52 +221,59 @@
 		f.fail("form", "out of range")
 		return nil
 	}
-	ev := logic.Endpoints{Form: logic.ListForm(form)}
-	if ev.Form == logic.ListFailed {
+	event := logic.Endpoints{Form: logic.ListForm(form)}
+	if event.Form == logic.ListFailed {
 		f.word("set_id")
-		return ev
+		return event
 	}
-	set := f.integer("set_id")
-	if set < 0 || set >= maxLists {
+	setID := f.integer("set_id")
+	if setID < 0 || setID >= maxLists {
 		f.fail("set_id", "out of range")
 		return nil
 	}
-	ev.Entries = d.lists[set]
-	return ev
+	event.Entries = d.lists[setID]
+	return event
 }
 
 func decodeCall(f *fieldReader) logic.Event {
-	c := logic.Call{ID: f.word("req")}
+	call := logic.Call{ID: f.word("req")}
 	f.flag("repeat")
-	c.Left = f.seconds("grace_s")
+	call.Left = f.seconds("grace_s")
 	f.flag("came_back")
 	f.number("expected_s")
-	c.Key = f.optionalWord("key")
+	call.Key = f.optionalWord("key")
 	f.flag("is_write")
-	c.Dest = f.integer("to_exchange")
-	c.Tenant = -1
-	if w := f.optionalWord("realm"); w != "" {
-		c.Tenant = int(f.parseInteger("realm", w))
+	call.Dest = f.integer("to_exchange")
+	call.Tenant = -1
+	if tenant := f.optionalWord("realm"); tenant != "" {
+		call.Tenant = int(f.parseInteger("realm", tenant))
 	}
-	c.Class = int(f.integer("category"))
-	return c
+	call.Class = int(f.integer("category"))
+	return call
 }
 
 func decodeReply(f *fieldReader) logic.Event {
-	r := logic.Reply{ID: f.word("req"), NoMore: f.flag("no_more"), Endpoint: f.endpointID(),
-		Attempt: int(f.integer("copy")), Outcome: f.outcome(), Took: f.seconds("time_taken_s")}
+	reply := logic.Reply{
+		ID:       f.word("req"),
+		NoMore:   f.flag("no_more"),
+		Endpoint: f.endpointID(),
+		Attempt:  int(f.integer("copy")),
+		Outcome:  f.outcome(),
+		Took:     f.seconds("time_taken_s"),
+	}
 	detail := int64(0)
 	if w := f.optionalWord("detail"); w != "" {
 		detail = f.parseInteger("detail", w)
 	}
-	if r.Outcome == logic.Full && detail > 0 {
-		r.Wait = logic.Micros(detail) * logic.Second / 1000
+	// With a saturated endpoint, the detail is the wait that it asked for, in milliseconds.
+	if reply.Outcome == logic.Full && detail > 0 {
+		reply.Wait = logic.Micros(detail) * logic.Second / 1000
 	}
-	r.Load = f.loadReport()
-	return r
+	reply.Load = f.loadReport()
+	return reply
 }
 
-// fieldReader takes the values of one line in order and keeps the first error.
+// fieldReader reads the values of one line in order and records the first error.
 type fieldReader struct {
 	name, remaining string
 	line            int
@@ -265,8 +281,8 @@
 }
 
 func (d *Decoder) newFieldReader(s string) *fieldReader {
-	name, left, _ := strings.Cut(s, " ")
-	return &fieldReader{name: name, remaining: left, line: d.line}
+	name, remaining, _ := strings.Cut(s, " ")
+	return &fieldReader{name: name, remaining: remaining, line: d.line}
 }
 
 func (f *fieldReader) fail(field, msg string) {
@@ -275,9 +291,10 @@
 	}
 }
 
+// finish returns the first error. Values that were not read are an error too.
 func (f *fieldReader) finish() error {
 	if f.err == nil && f.remaining != "" {
-		f.fail("", "more values than "+f.name+" has")
+		f.fail("", "more values than "+f.name+" takes")
 	}
 	return f.err
 }
@@ -289,15 +306,15 @@
 }
 
 func (f *fieldReader) word(field string) string {
-	w, left, _ := strings.Cut(f.remaining, " ")
-	f.remaining = left
+	w, remaining, _ := strings.Cut(f.remaining, " ")
+	f.remaining = remaining
 	if w == "" {
 		f.fail(field, "missing")
 	}
 	return w
 }
 
-// optionalWord is a word that may be absent; then it is empty.
+// optionalWord reads a word that may be absent, which is written as "-"; it is then empty.
 func (f *fieldReader) optionalWord(field string) string {
 	w := f.word(field)
 	if w == "-" {
@@ -309,10 +326,10 @@
 func (f *fieldReader) parseInteger(field, w string) int64 {
 	n, err := strconv.ParseInt(w, 10, 64)
 	if err != nil {
-		// A whole number in a field of type number may come with a fraction of nought.
+		// The simulator may write an integer as a float with a zero fraction.
 		x, ferr := strconv.ParseFloat(w, 64)
 		if ferr != nil || x != float64(int64(x)) {
-			f.fail(field, "not a whole number: "+strconv.Quote(w))
+			f.fail(field, "not an integer: "+strconv.Quote(w))
 		}
 		n = int64(x)
 	}
@@ -324,11 +341,12 @@
 func (f *fieldReader) token(field string) uint64 {
 	n, err := strconv.ParseUint(f.word(field), 10, 64)
 	if err != nil {
-		f.fail(field, "not a token")
+		f.fail(field, "not an unsigned integer")
 	}
 	return n
 }
 
+// seed reads a signed or unsigned 64-bit integer.
 func (f *fieldReader) seed(field string) uint64 {
 	w := f.word(field)
 	if n, err := strconv.ParseInt(w, 10, 64); err == nil {
@@ -336,7 +354,7 @@
 	}
 	n, err := strconv.ParseUint(w, 10, 64)
 	if err != nil {
-		f.fail(field, "not a whole number: "+strconv.Quote(w))
+		f.fail(field, "not an integer: "+strconv.Quote(w))
 	}
 	return n
 }
@@ -352,7 +370,7 @@
 func (f *fieldReader) flag(field string) bool {
 	w := f.word(field)
 	if w != "0" && w != "1" && w != "-" {
-		f.fail(field, "not 0 or 1: "+strconv.Quote(w))
+		f.fail(field, "expected 0, 1 or -, got "+strconv.Quote(w))
 	}
 	return w == "1"
 }
@@ -387,16 +405,16 @@
 	if w == "" {
 		return nil
 	}
-	var out []float64
+	var values []float64
 	for _, part := range strings.Split(w, ",") {
 		x, err := strconv.ParseFloat(part, 64)
 		if err != nil || x-x != 0 {
 			f.fail("pressure", "not a number: "+strconv.Quote(part))
 			return nil
 		}
-		out = append(out, x)
+		values = append(values, x)
 	}
-	return out
+	return values
 }
 
 func (f *fieldReader) outcome() logic.Outcome {
@@ -410,9 +428,16 @@
 	return 0
 }
 
-var outcomeNames = [...]string{logic.Completed: "completed", logic.Errored: "errored", logic.Full: "saturated",
-	logic.Overdue: "overdue", logic.RefusedConn: "refused_conn", logic.Severed: "severed",
-	logic.Recalled: "recalled", logic.Moot: "superseded"}
+var outcomeNames = [...]string{
+	logic.Completed:   "completed",
+	logic.Errored:     "errored",
+	logic.Full:        "saturated",
+	logic.Overdue:     "overdue",
+	logic.RefusedConn: "refused_conn",
+	logic.Severed:     "severed",
+	logic.Recalled:    "recalled",
+	logic.Moot:        "superseded",
+}
 
 func (f *fieldReader) readiness() logic.Readiness {
 	switch n := f.integer("readiness"); n {
@@ -428,11 +453,12 @@
 	}
 }
 
-// ParseSeconds reads a time in seconds as whole microseconds, exactly.
+// ParseSeconds parses a decimal number of seconds into microseconds. Without an
+// exponent the result is exact; digits past the sixth decimal are cut off.
 func ParseSeconds(w string) (logic.Micros, error) {
-	body, neg := strings.CutPrefix(w, "-")
-	whole, frac, _ := strings.Cut(body, ".")
-	if strings.ContainsAny(body, "eE") {
+	unsigned, negative := strings.CutPrefix(w, "-")
+	whole, frac, _ := strings.Cut(unsigned, ".")
+	if strings.ContainsAny(unsigned, "eE") {
 		x, err := strconv.ParseFloat(w, 64)
 		if err != nil || x-x != 0 || x > 1e12 || x < -1e12 {
 			return 0, fmt.Errorf("not a time: %q", w)
@@ -453,14 +479,13 @@
 	if err != nil || whole == "" {
 		return 0, fmt.Errorf("not a time: %q", w)
 	}
-	if neg {
+	if negative {
 		return -logic.Micros(n), nil
 	}
 	return logic.Micros(n), nil
 }
 
-// AppendSeconds writes whole microseconds as seconds, exactly and without needless
-// digits.
+// AppendSeconds appends t in seconds, exactly and without trailing zeros.
 func AppendSeconds(b []byte, t logic.Micros) []byte {
 	if t < 0 {
 		b = append(b, '-')
@@ -474,41 +499,41 @@
 	return append(b, strings.TrimRight(fmt.Sprintf(".%06d", frac), "0")...)
 }
 
-// AppendAction writes one action of an instance as a line.
-func AppendAction(b []byte, who int, a logic.Action) []byte {
-	w := strconv.Itoa(who)
+// AppendAction appends one action of an instance as a line.
+func AppendAction(b []byte, instance int, a logic.Action) []byte {
+	id := strconv.Itoa(instance)
 	switch a := a.(type) {
 	case logic.CallOut:
-		b = append(b, "call_out "+w+" "+a.ID+" "...)
+		b = append(b, "call_out "+id+" "+a.ID+" "...)
 		b = AppendSeconds(b, a.GiveUp)
 		b = append(b, ' ')
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
 	case logic.Cancel:
-		b = append(b, "stop_attempt "+w+" "+a.ID+" "+strconv.Itoa(a.Attempt)...)
+		b = append(b, "stop_attempt "+id+" "+a.ID+" "+strconv.Itoa(a.Attempt)...)
 	case logic.Refuse:
-		b = append(b, "say_no "+w+" "+a.ID+" "...)
+		b = append(b, "say_no "+id+" "+a.ID+" "...)
 		if a.RetryIn > 0 {
 			b = AppendSeconds(b, a.RetryIn)
 		} else {
 			b = append(b, '-')
 		}
 	case logic.Fail:
-		b = append(b, "surrender "+w+" "+a.ID...)
+		b = append(b, "surrender "+id+" "+a.ID...)
 	case logic.SetTimer:
-		b = append(b, "notify_me "+w+" "...)
+		b = append(b, "notify_me "+id+" "...)
 		b = AppendSeconds(b, a.Wait)
 		b = append(b, ' ')
 		b = strconv.AppendUint(b, a.Token, 10)
 	case logic.Probe:
-		b = append(b, "sample "+w+" "...)
+		b = append(b, "sample "+id+" "...)
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
 	case logic.Release:
-		b = append(b, "release "+w+" "...)
+		b = append(b, "release "+id+" "...)
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
 	case logic.Listen:
-		b = append(b, "listen "+w+" 1"...)
+		b = append(b, "listen "+id+" 1"...)
 	case logic.Log:
-		b = append(b, "journal_line "+w+" "+strings.ReplaceAll(a.Text, "\n", " ")...)
+		b = append(b, "journal_line "+id+" "+strings.ReplaceAll(a.Text, "\n", " ")...)
 	}
 	return append(b, '\n')
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,19 +11,28 @@
 )
 
 func TestSecondsConvertExactly(t *testing.T) {
-	for text, want := range map[string]logic.Micros{"0": 0, "8.41225": 8_412_250, "0.5": 500_000, "665093.69785": 665_093_697_850,
-		"0.000001": 1, "12": 12_000_000, "-0.25": -250_000, "9007199254.740993": 9_007_199_254_740_993, "1e-05": 10} {
+	for text, want := range map[string]logic.Micros{
+		"0":                 0,
+		"8.41225":           8_412_250,
+		"0.5":               500_000,
+		"665093.69785":      665_093_697_850,
+		"0.000001":          1,
+		"12":                12_000_000,
+		"-0.25":             -250_000,
+		"9007199254.740993": 9_007_199_254_740_993,
+		"1e-05":             10,
+	} {
 		got, err := ParseSeconds(text)
 		if err != nil || got != want {
 			t.Errorf("%s: got %d, %v; want %d", text, got, err, want)
 		}
 		if text != "1e-05" && string(AppendSeconds(nil, want)) != text {
-			t.Errorf("%d printed as %s, want %s", want, AppendSeconds(nil, want), text)
+			t.Errorf("%d formatted as %s, want %s", want, AppendSeconds(nil, want), text)
 		}
 	}
 	for _, text := range []string{"", "x", "1.x", ".5", "1.0000001x", "1e", "--1", "1e300"} {
 		if got, err := ParseSeconds(text); err == nil {
-			t.Errorf("%q was read as %d", text, got)
+			t.Errorf("%q was accepted as %d", text, got)
 		}
 	}
 }
@@ -49,37 +58,37 @@
 halt 5
 eob
 `))
-	f, err := dec.Next()
+	frame, err := dec.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev := func(who int, e logic.Event) InstanceEvent { return InstanceEvent{Instance: who, Event: e} }
+	event := func(instance int, e logic.Event) InstanceEvent { return InstanceEvent{Instance: instance, Event: e} }
 	want := []InstanceEvent{
-		ev(3, logic.Endpoints{Form: logic.ListCached, Entries: []logic.Entry{{Endpoint: 51530247, Dest: 57, Nominal: 1},
+		event(3, logic.Endpoints{Form: logic.ListCached, Entries: []logic.Entry{{Endpoint: 51530247, Dest: 57, Nominal: 1},
 			{Endpoint: 747639282, Zone: 1, Dest: 57, State: logic.Draining, Nominal: 1.5}}}),
-		ev(3, logic.Endpoints{Entries: []logic.Entry{{Endpoint: 1, Dest: 58, State: logic.Gone}}}),
-		ev(3, logic.Endpoints{Form: logic.ListFailed}),
-		ev(3, logic.Call{ID: "rq_brwyere", Left: 240_000, Key: "91f03b7c55d20a64", Dest: 57}),
-		ev(3, logic.Call{ID: "rq_b", Left: 2_000_000, Dest: 57, Tenant: -1, Class: 1}),
-		ev(3, logic.Reply{ID: "rq_brwyere", NoMore: true, Endpoint: 51530247, Took: 18_500}),
-		ev(3, logic.Reply{ID: "rq_b", Endpoint: 51530247, Attempt: 2, Outcome: logic.Full, Took: 20_000, Wait: 1_500_000,
+		event(3, logic.Endpoints{Entries: []logic.Entry{{Endpoint: 1, Dest: 58, State: logic.Gone}}}),
+		event(3, logic.Endpoints{Form: logic.ListFailed}),
+		event(3, logic.Call{ID: "rq_brwyere", Left: 240_000, Key: "91f03b7c55d20a64", Dest: 57}),
+		event(3, logic.Call{ID: "rq_b", Left: 2_000_000, Dest: 57, Tenant: -1, Class: 1}),
+		event(3, logic.Reply{ID: "rq_brwyere", NoMore: true, Endpoint: 51530247, Took: 18_500}),
+		event(3, logic.Reply{ID: "rq_b", Endpoint: 51530247, Attempt: 2, Outcome: logic.Full, Took: 20_000, Wait: 1_500_000,
 			Load: []float64{0.25, 12}}),
-		ev(3, logic.Started{ID: "rq_b", Attempt: 1}),
-		ev(5, logic.ClientGone{ID: "rq_ahg8m23"}),
-		ev(3, logic.HealthResult{Endpoint: 747639282, Outcome: logic.RefusedConn}),
-		ev(3, logic.Due{Token: 77}),
+		event(3, logic.Started{ID: "rq_b", Attempt: 1}),
+		event(5, logic.ClientGone{ID: "rq_ahg8m23"}),
+		event(3, logic.HealthResult{Endpoint: 747639282, Outcome: logic.RefusedConn}),
+		event(3, logic.Due{Token: 77}),
 		{Instance: 5, Halt: true},
 	}
-	if f.Clock != 8_412_250 || f.Round != "12" || !reflect.DeepEqual(f.Events, want) {
-		t.Errorf("got %+v\nwant %+v", f.Events, want)
+	if frame.Clock != 8_412_250 || frame.Round != "12" || !reflect.DeepEqual(frame.Events, want) {
+		t.Errorf("got %+v\nwant %+v", frame.Events, want)
 	}
 	if _, err := dec.Next(); err != io.EOF {
-		t.Errorf("after the last frame: %v", err)
+		t.Errorf("after the last frame: got %v, want io.EOF", err)
 	}
 }
 
 func TestAppendAction(t *testing.T) {
-	for want, a := range map[string]logic.Action{
+	for want, action := range map[string]logic.Action{
 		"call_out 3 rq_a 0.08 51530247": logic.CallOut{ID: "rq_a", GiveUp: 80_000, Endpoint: 51530247},
 		"stop_attempt 3 rq_a 1":         logic.Cancel{ID: "rq_a", Attempt: 1},
 		"say_no 3 rq_a 1.5":             logic.Refuse{ID: "rq_a", RetryIn: 1_500_000},
@@ -91,7 +100,7 @@
 		"listen 3 1":                    logic.Listen{},
 		"journal_line 3 two servers":    logic.Log{Text: "two\nservers"},
 	} {
-		if got := string(AppendAction(nil, 3, a)); got != want+"\n" {
+		if got := string(AppendAction(nil, 3, action)); got != want+"\n" {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
@@ -124,33 +133,35 @@
 		if !errors.As(err, &got) || got.Line != want.Line || got.Field != want.Field {
 			t.Errorf("%q: got %v, want line %d, field %q", text, err, want.Line, want.Field)
 		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: the message has more than one line", text)
+			t.Errorf("%q: the error message has more than one line", text)
 		}
 	}
 }
 
 func TestParseSettings(t *testing.T) {
-	set, err := ParseSettings([]byte(`{"balancers":3,"zone":1,"zones":["a","b"],"tick_s":0.005,"unknown":[1],
+	settings, err := ParseSettings([]byte(`{"balancers":3,"zone":1,"zones":["a","b"],"tick_s":0.005,"unknown":[1],
 "classes":[{"name":"x","aim_s":2.5,"deadline_s":24,"group":"zone","idempotency":"dedup","late_worth":0.4,"window_s":25,"worth":2,"keep_order":true}],
 "tenants":[{"name":"t","quota_rps":10}],"machine_types":["k","l"],"membership_mode":"on_request","weights":"rough",
 "limits":{"conn_idle_s":10,"multiplex":8,"max_attempts":6,"max_open":69,"max_retry_after_s":2,"may_cancel":true,"probing":true,"retry_after":true},
 "charges":{"handshake":0.02},"load_info":{"how":"inline","names":["x1","qps","x0"]},"over_share_worth":0.2,
 "rules":{"cold_from":0.19,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":14,"key_quiet_s":1.5},
 "specifics":{"batch_by_kind":[1,4],"call_slots":6,"late":"halves","separate_routes":[true,false]}}`))
-	want := logic.Settings{Senders: 3, Zone: 1, Zones: 2, Tick: 5000, OverShareWorth: 0.2, Slots: 6, MaxOpen: 69, MaxTries: 6,
+	want := logic.Settings{
+		Senders: 3, Zone: 1, Zones: 2, Tick: 5000, OverShareWorth: 0.2, Slots: 6, MaxOpen: 69, MaxTries: 6,
 		OnRequest: true, Probing: true, MayCancel: true, RetryAfter: true, Halves: true, Weights: logic.WeightsRough,
 		MaxRetryAfter: 2_000_000, DrainGrace: 2_000_000, FallMultiple: 2, FallWindow: 3_000_000, ColdFrom: 0.19,
 		WarmAfter: 14_000_000, KeyQuiet: 1_500_000, ConnIdle: 10_000_000, ConnCalls: 8, ConnPrice: 0.02, ReportLeft: 2, ReportLimit: 0,
 		Classes: []logic.Class{{Name: "x", Aim: 2_500_000, Deadline: 24_000_000, Worth: 2, LateWorth: 0.4,
 			Effect: logic.Keyed, ByZone: true, Window: 25_000_000, KeepOrder: true}},
 		Tenants: []logic.Tenant{{Name: "t", QuotaRPS: 10}},
-		Kinds:   []logic.Kind{{Name: "k", Apart: true, Batch: 1}, {Name: "l", Batch: 4}}}
-	if err != nil || !reflect.DeepEqual(set, want) {
-		t.Errorf("got %+v, %v\nwant %+v", set, err, want)
+		Kinds:   []logic.Kind{{Name: "k", Apart: true, Batch: 1}, {Name: "l", Batch: 4}},
+	}
+	if err != nil || !reflect.DeepEqual(settings, want) {
+		t.Errorf("got %+v, %v\nwant %+v", settings, err, want)
 	}
 	for _, text := range []string{`{"weights":"heavy"}`, `{"classes":[{"idempotency":"perhaps"}]}`, `[]`} {
 		if _, err := ParseSettings([]byte(text)); err == nil {
-			t.Errorf("%s: no error", text)
+			t.Errorf("%s: no error for invalid settings", text)
 		}
 	}
 }
