--- a/cmd/cometrack/log.go
+++ b/cmd/cometrack/log.go
@@ -8,27 +8,32 @@
 )
 
 const (
-	maxQueuedLines = 1024                   // that may wait for whoever reads the log
-	closeTimeout   = 200 * time.Millisecond // for them to be written at the end of the process
+	maxQueuedLines = 1024                   // lines that may be queued while the log reader is slow
+	closeTimeout   = 200 * time.Millisecond // most time to write the queued lines when the process ends
 )
 
-// logWriter writes log lines in the background: a reader that stalls must not stop the sender. Lines that find no room
-// are dropped, and counted in the log once it is read again.
+// logWriter writes log lines in the background, because a stalled log reader must not block the sender. When the queue
+// is full, lines are dropped; their number is logged once writing succeeds again.
 type logWriter struct {
 	out     io.Writer
 	queue   chan []byte
-	closing chan struct{} // closed at the end of the process
-	flushed chan struct{} // closed when what waited then has been written
+	closing chan struct{} // closed when the process ends
+	flushed chan struct{} // closed once the lines queued by then have been written
 	dropped atomic.Int64
 }
 
 func newLogWriter(out io.Writer) *logWriter {
-	w := &logWriter{out: out, queue: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), flushed: make(chan struct{})}
+	w := &logWriter{
+		out:     out,
+		queue:   make(chan []byte, maxQueuedLines),
+		closing: make(chan struct{}),
+		flushed: make(chan struct{}),
+	}
 	go w.run()
 	return w
 }
 
-// Write takes a line. It never waits and never fails.
+// Write queues a line. It never blocks and never fails.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.queue <- append([]byte(nil), line...):
@@ -54,13 +59,13 @@
 }
 
 func (w *logWriter) write(line []byte) {
-	w.out.Write(line) // there is nobody to tell of an error
+	w.out.Write(line) // the error cannot be reported anywhere
 	if n := w.dropped.Swap(0); n > 0 {
 		fmt.Fprintf(w.out, "%d log lines were dropped\n", n)
 	}
 }
 
-// close writes what waits, for a short while at most. Lines that come later may be lost.
+// close waits until the queued lines are written, up to closeTimeout. Lines written later may be lost.
 func (w *logWriter) close() {
 	close(w.closing)
 	select {
--- a/cmd/cometrack/main.go
+++ b/cmd/cometrack/main.go
@@ -1,5 +1,5 @@
-// Command cometrack is one sender on real sockets: it takes messages from clients
-// over RESP2 and delivers them to the endpoints of their destinations over HTTP.
+// Command cometrack runs one sender: it accepts messages from clients over RESP2 and
+// delivers them to the endpoints of their destinations over HTTP.
 package main
 
 import (
@@ -15,16 +15,16 @@
 )
 
 func main() {
-	hup := make(chan os.Signal, 1) // from the first line on: SIGHUP must not end the process
+	hup := make(chan os.Signal, 1) // set up first, because SIGHUP must never terminate the process
 	signal.Notify(hup, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may be gone
-	lines := newLogWriter(os.Stderr)
-	log := slog.New(slog.NewTextHandler(lines, nil))
+	signal.Ignore(syscall.SIGPIPE) // the log reader may have exited
+	logOutput := newLogWriter(os.Stderr)
+	log := slog.New(slog.NewTextHandler(logOutput, nil))
 	err := run(log, hup)
 	if err != nil {
 		log.Error("cometrack", "err", err)
 	}
-	lines.close()
+	logOutput.close()
 	if err != nil {
 		os.Exit(1)
 	}
@@ -39,13 +39,13 @@
 		return err
 	})
 	switch {
-	case ctx.Err() != nil: // told to end before it owned anything
+	case ctx.Err() != nil: // stopped before it owned any state
 		return nil
 	case err != nil:
 		return err
 	}
-	if c := cfg.Limits.Cores; c > 0 {
-		runtime.GOMAXPROCS(max(int(math.Ceil(c)), 1))
+	if cores := cfg.Limits.Cores; cores > 0 {
+		runtime.GOMAXPROCS(max(int(math.Ceil(cores)), 1))
 	}
 	cfg.Limits.BindMemory()
 	n, err := node.New(cfg, log)
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,6 +1,6 @@
-// Command drill hosts instances of the decision module on the simulator's wire:
-// frames of events on standard input, one reply to each on standard output.
-// Instances share nothing.
+// Command drill runs instances of the decision module for the simulator. It reads
+// frames of events on standard input and writes one reply to each on standard
+// output. Instances share no state.
 package main
 
 import (
@@ -20,36 +20,36 @@
 	}
 }
 
-// instanceBatch holds the events of one instance in the frame at hand.
+// instanceBatch holds the events of one instance in the current frame.
 type instanceBatch struct {
 	instance int
 	sender   *logic.Sender
 	events   []logic.Event
 }
 
-// run answers frames until the input ends.
+// run replies to frames until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	dec, w := wire.NewDecoder(in), bufio.NewWriterSize(out, 1<<16)
 	senders := map[int]*logic.Sender{}
 	for {
-		f, err := dec.Next()
+		frame, err := dec.Next()
 		if err == io.EOF {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		boxes, err := applyFrame(f, senders)
+		batches, err := applyFrame(frame, senders)
 		if err != nil {
 			return err
 		}
-		var b []byte
-		for _, box := range boxes {
-			for _, a := range box.sender.Step(f.Clock, box.events) {
-				b = wire.AppendAction(b, box.instance, a)
+		var reply []byte
+		for _, batch := range batches {
+			for _, action := range batch.sender.Step(frame.Clock, batch.events) {
+				reply = wire.AppendAction(reply, batch.instance, action)
 			}
 		}
-		b = append(b, "eor "+f.Round+"\n"...)
-		if _, err := w.Write(b); err != nil {
+		reply = append(reply, "eor "+frame.Round+"\n"...)
+		if _, err := w.Write(reply); err != nil {
 			return err
 		}
 		if err := w.Flush(); err != nil {
@@ -58,50 +58,51 @@
 	}
 }
 
-// applyFrame starts and stops instances as the frame says and sorts its events by
-// instance, in the order in which instances first appear.
-func applyFrame(f *wire.Frame, senders map[int]*logic.Sender) ([]*instanceBatch, error) {
-	var boxes []*instanceBatch
-	at := map[int]*instanceBatch{}
-	for _, it := range f.Events {
+// applyFrame starts and stops instances as the frame requests and groups its events
+// by instance, in the order in which instances first appear. The result leaves out
+// instances that are stopped at the end of the frame.
+func applyFrame(frame *wire.Frame, senders map[int]*logic.Sender) ([]*instanceBatch, error) {
+	var batches []*instanceBatch
+	byInstance := map[int]*instanceBatch{}
+	for _, event := range frame.Events {
 		switch {
-		case it.Create != nil:
-			s, err := logic.New(it.Create.Settings, it.Create.Seed)
+		case event.Create != nil:
+			sender, err := logic.New(event.Create.Settings, event.Create.Seed)
 			if err != nil {
-				return nil, fmt.Errorf("instance %d: %w", it.Instance, err)
+				return nil, fmt.Errorf("instance %d: %w", event.Instance, err)
 			}
-			senders[it.Instance] = s
-			box := at[it.Instance]
-			if box == nil {
-				box = &instanceBatch{instance: it.Instance}
-				at[it.Instance] = box
-				boxes = append(boxes, box)
+			senders[event.Instance] = sender
+			batch := byInstance[event.Instance]
+			if batch == nil {
+				batch = &instanceBatch{instance: event.Instance}
+				byInstance[event.Instance] = batch
+				batches = append(batches, batch)
 			}
-			box.sender, box.events = s, nil
-		case it.Halt:
-			delete(senders, it.Instance)
-			if box := at[it.Instance]; box != nil {
-				box.sender = nil
+			batch.sender, batch.events = sender, nil
+		case event.Halt:
+			delete(senders, event.Instance)
+			if batch := byInstance[event.Instance]; batch != nil {
+				batch.sender = nil
 			}
-		case senders[it.Instance] == nil:
-			// An event for an instance that is not up: nobody is there to hear it.
+		case senders[event.Instance] == nil:
+			// The instance is not running: ignore the event.
 		default:
-			box := at[it.Instance]
-			if box == nil {
-				box = &instanceBatch{instance: it.Instance, sender: senders[it.Instance]}
-				at[it.Instance] = box
-				boxes = append(boxes, box)
+			batch := byInstance[event.Instance]
+			if batch == nil {
+				batch = &instanceBatch{instance: event.Instance, sender: senders[event.Instance]}
+				byInstance[event.Instance] = batch
+				batches = append(batches, batch)
 			}
-			if it.Event != nil {
-				box.events = append(box.events, it.Event)
+			if event.Event != nil {
+				batch.events = append(batch.events, event.Event)
 			}
 		}
 	}
-	live := boxes[:0]
-	for _, box := range boxes {
-		if box.sender != nil {
-			live = append(live, box)
+	running := batches[:0]
+	for _, batch := range batches {
+		if batch.sender != nil {
+			running = append(running, batch)
 		}
 	}
-	return live, nil
+	return running, nil
 }
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -12,49 +12,51 @@
 	`"machine_types":["k"],"limits":{"max_attempts":6,"max_open":40,"may_cancel":true},"membership_mode":"pushed","weights":"off",` +
 	`"rules":{"cold_from":0.2,"drain_grace_s":1,"fall_multiple":2,"fall_s":2,"warm_after_s":14},"specifics":{"call_slots":4,"batch_by_kind":[1],"separate_routes":[false]}}`
 
-// buildFrames makes frames for the given instances: starts, a list, messages that are refused or time out.
-func buildFrames(who ...int) string {
+// buildFrames returns frames that start the given instances, send them an endpoint list, and then messages that are
+// refused or time out.
+func buildFrames(instances ...int) string {
 	var b strings.Builder
 	fmt.Fprint(&b, "frame 1 1\nregister 0 2\nentry 11 0 0 5 0 0 -\nentry 12 0 0 5 0 0 -\n")
-	for _, w := range who {
-		fmt.Fprintf(&b, "create %d %d %s\nendpoints %d 2 1 0\n", w, 100+w, settingsJSON, w)
+	for _, id := range instances {
+		fmt.Fprintf(&b, "create %d %d %s\nendpoints %d 2 1 0\n", id, 100+id, settingsJSON, id)
 	}
 	fmt.Fprint(&b, "eob\n")
 	for n := 2; n < 60; n++ {
 		fmt.Fprintf(&b, "frame %d.5 %d\n", n, n)
-		for _, w := range who {
-			fmt.Fprintf(&b, "call %d rq_%d_%d 0 8 0 - - 0 5 - 0\ndue %d %d\n", w, w, n, w, n)
+		for _, id := range instances {
+			fmt.Fprintf(&b, "call %d rq_%d_%d 0 8 0 - - 0 5 - 0\ndue %d %d\n", id, id, n, id, n)
 		}
 		fmt.Fprint(&b, "eob\n")
 	}
 	return b.String()
 }
 
-// actionsByInstance runs the adapter and returns the actions of each instance.
+// actionsByInstance runs the program on the input and returns the actions of each instance.
 func actionsByInstance(t *testing.T, in string) map[string][]string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	by := map[string][]string{}
+	actions := map[string][]string{}
 	for _, line := range strings.Split(strings.TrimSpace(out.String()), "\n") {
-		if p := strings.Fields(line); p[0] != "eor" {
-			by[p[1]] = append(by[p[1]], line)
+		if fields := strings.Fields(line); fields[0] != "eor" {
+			actions[fields[1]] = append(actions[fields[1]], line)
 		}
 	}
-	return by
+	return actions
 }
 
+// An instance must act the same whether or not others share its process.
 func TestInstancesActIndependently(t *testing.T) {
 	together := actionsByInstance(t, buildFrames(0, 1, 2))
-	for w := range 3 {
-		alone := actionsByInstance(t, buildFrames(w))
-		if !slices.Equal(together[fmt.Sprint(w)], alone[fmt.Sprint(w)]) {
-			t.Errorf("instance %d acts otherwise in company", w)
+	for id := range 3 {
+		alone := actionsByInstance(t, buildFrames(id))
+		if !slices.Equal(together[fmt.Sprint(id)], alone[fmt.Sprint(id)]) {
+			t.Errorf("instance %d acts differently when others run in the same process", id)
 		}
-		if len(alone[fmt.Sprint(w)]) < 50 {
-			t.Errorf("instance %d did only %d things", w, len(alone[fmt.Sprint(w)]))
+		if len(alone[fmt.Sprint(id)]) < 50 {
+			t.Errorf("instance %d produced only %d actions", id, len(alone[fmt.Sprint(id)]))
 		}
 	}
 }
@@ -80,12 +82,12 @@
 	} {
 		err := run(strings.NewReader(in), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: got %v, want one line with %q", in, err, want)
+			t.Errorf("%q: got %v, want a one-line error with %q", in, err, want)
 		}
 	}
 }
 
-// A fleet of a thousand endpoints changes nothing in how bad input is met.
+// With a thousand endpoints, unexpected events must still be ignored, and malformed input must still give a one-line error.
 func TestUnexpectedInputWithThousandEndpoints(t *testing.T) {
 	var b strings.Builder
 	fmt.Fprint(&b, "frame 1 1\nregister 0 1000\n")
@@ -94,15 +96,15 @@
 	}
 	fmt.Fprintf(&b, "create 0 7 %s\nendpoints 0 2 1 0\neob\n", settingsJSON)
 	start := b.String()
-	odd := start + "frame 2 2\nreply 0 nobody 1 100 0 completed 0.1 - -\ndue 0 9\ncall 0 rq 0 8 0 - - 0 499 - 0\neob\n"
-	if got := actionsByInstance(t, odd)["0"]; !slices.ContainsFunc(got, func(l string) bool { return strings.HasPrefix(l, "call_out 0 rq ") }) {
-		t.Errorf("after events that nothing called for: %v", got)
+	unexpected := start + "frame 2 2\nreply 0 nobody 1 100 0 completed 0.1 - -\ndue 0 9\ncall 0 rq 0 8 0 - - 0 499 - 0\neob\n"
+	if got := actionsByInstance(t, unexpected)["0"]; !slices.ContainsFunc(got, func(line string) bool { return strings.HasPrefix(line, "call_out 0 rq ") }) {
+		t.Errorf("no call_out after unexpected events: %v", got)
 	}
 	for _, bad := range []string{"frame x 2\neob\n", "frame 2 2\ncall 0\neob\n", "frame 2 2\nnonsense 0\neob\n"} {
 		var out bytes.Buffer
 		err := run(strings.NewReader(start+bad), &out)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: error %v, want one plain line", bad, err)
+			t.Errorf("%q: error %v, want a one-line error", bad, err)
 		}
 	}
 }
--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -1,8 +1,9 @@
-// Command hollow plays scenarios of a fleet of senders on one machine and says
-// what it measured; see package hollow for what is real in it.
+// Command hollow runs scenarios of a fleet of senders on one machine and reports
+// what it measured. Package hollow documents which parts are real and which are
+// simulated.
 //
-// Its exit code is 0 after a run, also after one that was cut short, 2 for a
-// scenario or a command line that makes no sense, and 1 for anything else.
+// The exit code is 0 after a run, even if it was interrupted, 2 for an invalid
+// scenario or command line, and 1 for any other error.
 package main
 
 import (
@@ -23,19 +24,19 @@
 	"rundeal/internal/hollow"
 )
 
-// commandLine is the command line.
+// commandLine defines the commands and flags.
 type commandLine struct {
-	Dir    string  `help:"Folder of the scenarios." default:"scenarios" type:"path"`
-	Memory float64 `help:"Most memory that a run may need, in MB." default:"12000"`
+	Dir    string  `help:"Directory of the scenarios." default:"scenarios" type:"path"`
+	Memory float64 `help:"Limit for the estimated memory of a run, in MB." default:"12000"`
 
-	Run   runCommand   `cmd:"" help:"Play a scenario and say what was measured."`
-	Sweep sweepCommand `cmd:"" help:"Play a scenario at several sizes."`
-	Live  liveCommand  `cmd:"" help:"Play a scenario with real processes on loopback and hollow, and compare."`
-	Check checkCommand `cmd:"" help:"Check a scenario without playing it."`
+	Run   runCommand   `cmd:"" help:"Run a scenario and report the measurements."`
+	Sweep sweepCommand `cmd:"" help:"Run a scenario at several fleet sizes."`
+	Live  liveCommand  `cmd:"" help:"Run a scenario with real processes on loopback, simulate it, and compare the results."`
+	Check checkCommand `cmd:"" help:"Validate a scenario without running it."`
 	List  listCommand  `cmd:"" help:"List the scenarios."`
 }
 
-// environment is what the commands run in.
+// environment holds what the commands share.
 type environment struct {
 	ctx         context.Context
 	out, errOut io.Writer
@@ -44,11 +45,11 @@
 }
 
 type runCommand struct {
-	Scenario     string `arg:"" help:"Name of a scenario, or its file."`
-	Senders      int    `help:"Senders, instead of those of the scenario."`
-	Destinations int    `help:"Destinations, instead of those of the scenario."`
-	Seed         uint64 `help:"Seed, instead of that of the scenario."`
-	JSON         string `name:"json" help:"Write the report to this file too." type:"path"`
+	Scenario     string `arg:"" help:"Name or path of a scenario."`
+	Senders      int    `help:"Number of senders, overriding the scenario."`
+	Destinations int    `help:"Number of destinations, overriding the scenario."`
+	Seed         uint64 `help:"Random seed, overriding the scenario."`
+	JSON         string `name:"json" help:"Also write the report to this file, as JSON." type:"path"`
 }
 
 func (c *runCommand) Run(env *environment) error {
@@ -65,12 +66,12 @@
 	if c.Seed != 0 {
 		sc.Seed = c.Seed
 	}
-	r, err := env.simulate(sc)
+	report, err := env.simulate(sc)
 	if err != nil {
 		return err
 	}
 	if c.JSON != "" {
-		text, err := json.MarshalIndent(r, "", "  ")
+		text, err := json.MarshalIndent(report, "", "  ")
 		if err != nil {
 			return err
 		}
@@ -78,13 +79,13 @@
 			return err
 		}
 	}
-	return r.WriteText(env.out)
+	return report.WriteText(env.out)
 }
 
 type sweepCommand struct {
-	Scenario     string `arg:"" help:"Name of a scenario, or its file."`
-	Senders      []int  `help:"Numbers of senders." xor:"axis" required:""`
-	Destinations []int  `help:"Numbers of destinations." xor:"axis" required:""`
+	Scenario     string `arg:"" help:"Name or path of a scenario."`
+	Senders      []int  `help:"Numbers of senders to run with, separated by commas." xor:"axis" required:""`
+	Destinations []int  `help:"Numbers of destinations to run with, separated by commas." xor:"axis" required:""`
 }
 
 func (c *sweepCommand) Run(env *environment) error {
@@ -99,24 +100,24 @@
 	var reports []*hollow.Report
 	for _, n := range sizes {
 		*field = n
-		r, err := env.simulate(sc)
+		report, err := env.simulate(sc)
 		if err != nil {
 			return fmt.Errorf("%d %s: %w", n, axis, err)
 		}
-		if r.Cut {
-			fmt.Fprintf(env.out, "CUT SHORT at %d %s: the sizes before are whole\n", n, axis)
+		if report.Cut {
+			fmt.Fprintf(env.out, "CUT SHORT at %d %s: the sizes before it are complete\n", n, axis)
 			break
 		}
-		reports = append(reports, r)
+		reports = append(reports, report)
 	}
 	return hollow.WriteSweep(env.out, axis, sizes, reports)
 }
 
 type liveCommand struct {
-	Scenario string  `arg:"" help:"Name of a scenario, or its file."`
-	Senders  int     `help:"Senders, instead of those of the scenario."`
-	Rate     float64 `help:"Events a second over the fleet, instead of that of the scenario."`
-	Program  string  `help:"The sender." default:"bin/cometrack" type:"path"`
+	Scenario string  `arg:"" help:"Name or path of a scenario."`
+	Senders  int     `help:"Number of senders, overriding the scenario."`
+	Rate     float64 `help:"Events per second of the whole fleet, overriding the scenario."`
+	Program  string  `help:"Path of the sender program." default:"bin/cometrack" type:"path"`
 }
 
 func (c *liveCommand) Run(env *environment) error {
@@ -130,20 +131,20 @@
 	if c.Rate != 0 {
 		sc.Traffic.Rate = c.Rate
 	}
-	fmt.Fprintf(env.errOut, "real time: about %s\n", sc.Length())
-	real, err := hollow.Live(env.ctx, sc, c.Program)
+	fmt.Fprintf(env.errOut, "runs in real time, for about %s\n", sc.Length())
+	measured, err := hollow.Live(env.ctx, sc, c.Program)
 	if err != nil {
 		return err
 	}
-	model, err := env.simulate(sc)
+	simulated, err := env.simulate(sc)
 	if err != nil {
 		return err
 	}
-	return hollow.Compare(env.out, real, model)
+	return hollow.Compare(env.out, measured, simulated)
 }
 
 type checkCommand struct {
-	Scenario string `arg:"" help:"Name of a scenario, or its file."`
+	Scenario string `arg:"" help:"Name or path of a scenario."`
 }
 
 func (c *checkCommand) Run(env *environment) error {
@@ -173,7 +174,7 @@
 	return nil
 }
 
-// loadScenario reads a scenario by its name in the folder or by its path.
+// loadScenario reads a scenario by its name in the scenario directory or by its path.
 func (env *environment) loadScenario(name string) (*hollow.Scenario, error) {
 	if filepath.Ext(name) != ".toml" {
 		name = filepath.Join(env.scenarioDir, name+".toml")
@@ -184,7 +185,7 @@
 func (env *environment) simulate(sc *hollow.Scenario) (*hollow.Report, error) {
 	log := slog.New(slog.NewTextHandler(env.errOut, nil))
 	return hollow.Run(env.ctx, sc, hollow.Options{MemoryMB: env.maxMemoryMB, Progress: func(p hollow.Progress) {
-		log.Info("played", "now", p.Now, "end", p.End, "senders", sc.Fleet.Senders, "offered", p.Offered)
+		log.Info("simulation progress", "now", p.Now, "end", p.End, "senders", sc.Fleet.Senders, "offered", p.Offered)
 	}})
 }
 
@@ -195,34 +196,34 @@
 	os.Exit(code)
 }
 
-// run carries out a command line and returns the exit code.
-func run(ctx context.Context, args []string, out, errs io.Writer) int {
-	var c commandLine
-	helped := false
-	parser, err := kong.New(&c, kong.Name("hollow"), kong.Description("Plays scenarios of a fleet of senders on one machine."),
-		kong.Writers(out, errs), kong.Exit(func(int) { helped = true }))
+// run executes a command line and returns the exit code.
+func run(ctx context.Context, args []string, out, errOut io.Writer) int {
+	var cli commandLine
+	helpPrinted := false
+	parser, err := kong.New(&cli, kong.Name("hollow"), kong.Description("Runs scenarios of a fleet of senders on one machine."),
+		kong.Writers(out, errOut), kong.Exit(func(int) { helpPrinted = true }))
 	if err != nil {
-		fmt.Fprintln(errs, "hollow:", err)
+		fmt.Fprintln(errOut, "hollow:", err)
 		return 1
 	}
-	line, err := parser.Parse(args)
-	if helped {
+	command, err := parser.Parse(args)
+	if helpPrinted {
 		return 0
 	}
 	if err != nil {
-		fmt.Fprintln(errs, "hollow:", err)
+		fmt.Fprintln(errOut, "hollow:", err)
 		return 2
 	}
-	debug.SetMemoryLimit(int64(c.Memory * 1e6))
-	err = line.Run(&environment{ctx: ctx, out: out, errOut: errs, scenarioDir: c.Dir, maxMemoryMB: c.Memory})
-	var bad *hollow.FieldError
+	debug.SetMemoryLimit(int64(cli.Memory * 1e6))
+	err = command.Run(&environment{ctx: ctx, out: out, errOut: errOut, scenarioDir: cli.Dir, maxMemoryMB: cli.Memory})
+	var fieldErr *hollow.FieldError
 	switch {
 	case err == nil:
 		return 0
-	case errors.As(err, &bad):
-		fmt.Fprintln(errs, err)
+	case errors.As(err, &fieldErr):
+		fmt.Fprintln(errOut, err)
 		return 2
 	}
-	fmt.Fprintln(errs, "hollow:", err)
+	fmt.Fprintln(errOut, "hollow:", err)
 	return 1
 }
--- a/cmd/hollow/main_test.go
+++ b/cmd/hollow/main_test.go
@@ -13,7 +13,7 @@
 
 const quickScenario = "title = \"a quick one\"\nduration = \"2s\"\ndrain = \"1s\"\n[fleet]\nsenders = 2\n"
 
-// scenarioDir holds a good scenario and a bad one.
+// scenarioDir returns a directory with a valid scenario and an invalid one.
 func scenarioDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -33,11 +33,11 @@
 	dir := scenarioDir(t)
 	report := filepath.Join(dir, "report.json")
 	bad := filepath.Join(dir, "sub", "bad.toml")
-	for _, x := range []struct {
+	for _, test := range []struct {
 		args string
 		code int
-		out  string // part of what is written to the output
-		errs string // and to the errors
+		out  string // expected in the output
+		errs string // expected in the error output
 	}{
 		{"run quick --json " + report, 0, "a quick one, seed 1", ""},
 		{"run quick --senders 3 --destinations 4 --seed 9", 0, "3 senders, 4 destinations", ""},
@@ -53,25 +53,25 @@
 		{"check " + bad, 2, "", ":2: fleet.senders"},
 		{"list", 0, "a quick one", ""},
 		{"walk", 2, "", "walk"},
-		{"--help", 0, "Play a scenario", ""},
+		{"--help", 0, "Run a scenario and report the measurements.", ""},
 	} {
 		var out, errs strings.Builder
-		code := run(context.Background(), append([]string{"--dir", dir}, strings.Fields(x.args)...), &out, &errs)
-		if code != x.code || !strings.Contains(out.String(), x.out) || !strings.Contains(errs.String(), x.errs) {
-			t.Errorf("%s: code %d, want %d\n%s%s", x.args, code, x.code, out.String(), errs.String())
+		code := run(context.Background(), append([]string{"--dir", dir}, strings.Fields(test.args)...), &out, &errs)
+		if code != test.code || !strings.Contains(out.String(), test.out) || !strings.Contains(errs.String(), test.errs) {
+			t.Errorf("%s: code %d, want %d\n%s%s", test.args, code, test.code, out.String(), errs.String())
 		}
 	}
-	var r hollow.Report
+	var parsed hollow.Report
 	text, err := os.ReadFile(report)
 	if err == nil {
-		err = json.Unmarshal(text, &r)
+		err = json.Unmarshal(text, &parsed)
 	}
-	if err != nil || r.Offered == 0 || r.Senders != 2 || r.Until.String() != "3s" {
-		t.Errorf("report %+v, %v", r, err)
+	if err != nil || parsed.Offered == 0 || parsed.Senders != 2 || parsed.Until.String() != "3s" {
+		t.Errorf("report %+v, %v", parsed, err)
 	}
 }
 
-// Ctrl-C ends a run with what was measured so far, and a sweep with the sizes that are whole.
+// An interrupt must end a run with the measurements so far, and a sweep with the sizes that are complete.
 func TestInterruptReportsPartialResults(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,8 +1,8 @@
-// Command soak plays fleets of real senders on loopback under random faults,
-// and checks the rules of the protocol from outside; see package soak.
+// Command soak runs fleets of real sender processes on loopback under random
+// faults and checks the rules of the protocol from outside; see package soak.
 //
-// Its exit code is 0 if no rule was broken, 1 if one was or a run failed, and 2
-// for a command line that makes no sense.
+// The exit code is 0 if no rule was violated, 1 if one was or a run failed, and 2
+// for an invalid command line.
 package main
 
 import (
@@ -26,48 +26,48 @@
 	"rundeal/internal/soak"
 )
 
-// options is the command line.
+// options defines the flags.
 type options struct {
 	From     uint64        `help:"First seed." default:"1"`
-	To       uint64        `help:"Last seed; the first one if less."`
-	Senders  int           `help:"Processes of a run." default:"10"`
-	Length   time.Duration `help:"Time of traffic and troubles." default:"12s"`
-	Parallel int           `help:"Runs at a time." default:"3"`
-	Only     []string      `help:"Kinds of trouble, instead of all."`
-	Program  string        `help:"A sender that was built with fault injection, instead of one built now." type:"path"`
-	Keep     string        `help:"Folder for the logs of failing runs." type:"path"`
+	To       uint64        `help:"Last seed. A value below the first seed runs only that one."`
+	Senders  int           `help:"Number of sender processes in a run." default:"10"`
+	Length   time.Duration `help:"Duration of the traffic and the faults." default:"12s"`
+	Parallel int           `help:"Number of runs at the same time." default:"3"`
+	Only     []string      `help:"Kinds of faults to inject; all if not given."`
+	Program  string        `help:"Sender program built with fault injection; built by this command if not given." type:"path"`
+	Keep     string        `help:"Directory for the logs of runs with violations." type:"path"`
 	Race     bool          `help:"Build the sender with the race detector."`
-	Troubles bool          `help:"Print the troubles of each run."`
+	Troubles bool          `help:"Print the faults of each run."`
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-func run(args []string, out, errs io.Writer) int {
+func run(args []string, out, errOut io.Writer) int {
 	var opt options
-	parser, err := kong.New(&opt, kong.Name("soak"), kong.Writers(out, errs), kong.Description("Plays real senders under random faults."))
+	parser, err := kong.New(&opt, kong.Name("soak"), kong.Writers(out, errOut), kong.Description("Runs real senders under random faults."))
 	if err != nil {
-		fmt.Fprintln(errs, err)
+		fmt.Fprintln(errOut, err)
 		return 2
 	}
 	if _, err := parser.Parse(args); err != nil {
-		fmt.Fprintln(errs, "soak:", err)
+		fmt.Fprintln(errOut, "soak:", err)
 		return 2
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	broken, err := opt.runSeeds(ctx, out)
+	violated, err := opt.runSeeds(ctx, out)
 	if err != nil {
-		fmt.Fprintln(errs, "soak:", err)
+		fmt.Fprintln(errOut, "soak:", err)
 		return 1
 	}
-	if broken {
+	if violated {
 		return 1
 	}
 	return 0
 }
 
-// runSeeds plays all seeds and says whether a rule was broken.
-func (o *options) runSeeds(ctx context.Context, out io.Writer) (broken bool, err error) {
+// runSeeds runs all seeds and reports whether a rule was violated.
+func (o *options) runSeeds(ctx context.Context, out io.Writer) (violated bool, err error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return false, err
@@ -85,30 +85,30 @@
 	}
 	var mu sync.Mutex
 	var total soak.Counts
-	rules, pairs, runs, failed := map[soak.Rule]int{}, map[string]int{}, 0, 0
+	violationsByRule, overlaps, runs, failed := map[soak.Rule]int{}, map[string]int{}, 0, 0
 	seeds := make(chan uint64)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range max(o.Parallel, 1) {
-		all.Go(func() {
+		workers.Go(func() {
 			for seed := range seeds {
-				res, playErr := o.runSeed(ctx, seed, filepath.Join(dir, fmt.Sprint(seed)))
+				result, runErr := o.runSeed(ctx, seed, filepath.Join(dir, fmt.Sprint(seed)))
 				mu.Lock()
-				if playErr != nil {
-					err = errors.Join(err, fmt.Errorf("seed %d: %w", seed, playErr))
+				if runErr != nil {
+					err = errors.Join(err, fmt.Errorf("seed %d: %w", seed, runErr))
 				}
-				if res != nil {
+				if result != nil {
 					runs++
-					o.printResult(out, res)
-					addCounts(&total, res.Counts)
-					for _, v := range res.Violations {
-						rules[v.Rule]++
+					o.printResult(out, result)
+					addCounts(&total, result.Counts)
+					for _, violation := range result.Violations {
+						violationsByRule[violation.Rule]++
 					}
-					for pair, n := range res.Scenario.Overlaps() {
-						pairs[pair] += n
+					for pair, n := range result.Scenario.Overlaps() {
+						overlaps[pair] += n
 					}
-					if len(res.Violations) > 0 {
+					if len(result.Violations) > 0 {
 						failed++
-						broken = true
+						violated = true
 					}
 				}
 				mu.Unlock()
@@ -119,30 +119,31 @@
 		seeds <- seed
 	}
 	close(seeds)
-	all.Wait()
-	fmt.Fprintf(out, "total: %d runs, %d with violations; %s; %d pairs of kinds overlapped\n", runs, failed, formatCounts(total), len(pairs))
-	for _, rule := range slices.Sorted(maps.Keys(rules)) {
-		fmt.Fprintf(out, "  %s: %d\n", rule, rules[rule])
+	workers.Wait()
+	fmt.Fprintf(out, "total: %d runs, %d with violations; %s; %d pairs of fault kinds overlapped\n", runs, failed,
+		formatCounts(total), len(overlaps))
+	for _, rule := range slices.Sorted(maps.Keys(violationsByRule)) {
+		fmt.Fprintf(out, "  %s: %d\n", rule, violationsByRule[rule])
 	}
-	return broken, err
+	return violated, err
 }
 
-// runSeed plays a seed.
+// runSeed runs one seed. It keeps the logs of a run with violations if asked to.
 func (o *options) runSeed(ctx context.Context, seed uint64, dir string) (*soak.Result, error) {
 	var only []soak.Kind
-	for _, k := range o.Only {
-		only = append(only, soak.Kind(k))
+	for _, kind := range o.Only {
+		only = append(only, soak.Kind(kind))
 	}
 	sc := soak.Draw(seed, o.Senders, o.Length, only)
-	res, err := soak.Play(ctx, sc, soak.Options{Program: o.Program, Dir: dir})
-	if res != nil && len(res.Violations) > 0 && o.Keep != "" {
-		kept := filepath.Join(o.Keep, fmt.Sprint(seed))
-		err = errors.Join(err, copyLogs(dir, kept))
+	result, err := soak.Play(ctx, sc, soak.Options{Program: o.Program, Dir: dir})
+	if result != nil && len(result.Violations) > 0 && o.Keep != "" {
+		keepDir := filepath.Join(o.Keep, fmt.Sprint(seed))
+		err = errors.Join(err, copyLogs(dir, keepDir))
 	}
-	return res, errors.Join(err, os.RemoveAll(dir))
+	return result, errors.Join(err, os.RemoveAll(dir))
 }
 
-// copyLogs copies the logs of all senders.
+// copyLogs copies the logs of all senders to a directory per sender.
 func copyLogs(from, to string) error {
 	logs, err := filepath.Glob(filepath.Join(from, "*", "log"))
 	if err != nil {
@@ -179,34 +180,34 @@
 }
 
 func formatCounts(c soak.Counts) string {
-	return fmt.Sprintf("offered %d, taken on %d, refused %d, failed %d, not heard %d; delivered %d, returned %d, failed later %d; calls %d, repeats %d, restarts %d",
+	return fmt.Sprintf("offered %d, accepted %d, refused %d, failed %d, unanswered %d; delivered %d, returned %d, failed later %d; calls %d, repeats %d, restarts %d",
 		c.Offered, c.TakenOn, c.Refused, c.Failed, c.NotHeard, c.Delivered, c.Returned, c.FailedLater, c.Calls, c.Repeats, c.Restarts)
 }
 
-// maxPrintedViolations bounds the violations that are printed of a run.
+// maxPrintedViolations is the maximum number of violations printed for a run.
 const maxPrintedViolations = 12
 
-func (o *options) printResult(out io.Writer, res *soak.Result) {
-	sc := res.Scenario
-	fmt.Fprintf(out, "seed %d: %d violations; %s; %d troubles, late timers %d ms\n", sc.Seed, len(res.Violations), formatCounts(res.Counts),
-		len(sc.Troubles), res.Lateness.Milliseconds())
-	if o.Troubles || len(res.Violations) > 0 {
-		for _, t := range sc.Troubles {
-			fmt.Fprintf(out, "    %s\n", t)
+func (o *options) printResult(out io.Writer, result *soak.Result) {
+	sc := result.Scenario
+	fmt.Fprintf(out, "seed %d: %d violations; %s; %d faults, timers up to %d ms late\n", sc.Seed, len(result.Violations),
+		formatCounts(result.Counts), len(sc.Troubles), result.Lateness.Milliseconds())
+	if o.Troubles || len(result.Violations) > 0 {
+		for _, fault := range sc.Troubles {
+			fmt.Fprintf(out, "    %s\n", fault)
 		}
 	}
-	for i, v := range res.Violations {
+	for i, violation := range result.Violations {
 		if i == maxPrintedViolations {
-			fmt.Fprintf(out, "  and %d more\n", len(res.Violations)-i)
+			fmt.Fprintf(out, "  and %d more\n", len(result.Violations)-i)
 			break
 		}
-		fmt.Fprintf(out, "  %s\n", v)
+		fmt.Fprintf(out, "  %s\n", violation)
 	}
-	if len(res.Violations) > 0 {
+	if len(result.Violations) > 0 {
 		only := ""
 		if len(o.Only) > 0 {
 			only = " --only " + strings.Join(o.Only, ",")
 		}
-		fmt.Fprintf(out, "  again: soak --from %d --senders %d --length %v%s --keep DIR\n", sc.Seed, o.Senders, o.Length, only)
+		fmt.Fprintf(out, "  rerun: soak --from %d --senders %d --length %v%s --keep DIR\n", sc.Seed, o.Senders, o.Length, only)
 	}
 }
