--- a/cmd/hollow/main_test.go
+++ b/cmd/hollow/main_test.go
@@ -11,13 +11,13 @@
 	"rundeal/internal/hollow"
 )
 
-const quick = "title = \"a quick one\"\nduration = \"2s\"\ndrain = \"1s\"\n[fleet]\nsenders = 2\n"
+const quickScenario = "title = \"a quick one\"\nduration = \"2s\"\ndrain = \"1s\"\n[fleet]\nsenders = 2\n"
 
-// folder holds a good scenario and a bad one.
-func folder(t *testing.T) string {
+// scenarioDir returns a directory with a valid scenario and an invalid one.
+func scenarioDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	for name, text := range map[string]string{"quick.toml": quick, "bad.txt": "", "sub/bad.toml": "[fleet]\nsenders = 0\n"} {
+	for name, text := range map[string]string{"quick.toml": quickScenario, "bad.txt": "", "sub/bad.toml": "[fleet]\nsenders = 0\n"} {
 		path := filepath.Join(dir, name)
 		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 			t.Fatal(err)
@@ -30,14 +30,14 @@
 }
 
 func TestCommands(t *testing.T) {
-	dir := folder(t)
+	dir := scenarioDir(t)
 	report := filepath.Join(dir, "report.json")
 	bad := filepath.Join(dir, "sub", "bad.toml")
-	for _, x := range []struct {
+	for _, test := range []struct {
 		args string
 		code int
-		out  string // part of what is written to the output
-		errs string // and to the errors
+		out  string // expected in the output
+		errs string // expected in the error output
 	}{
 		{"run quick --json " + report, 0, "a quick one, seed 1", ""},
 		{"run quick --senders 3 --destinations 4 --seed 9", 0, "3 senders, 4 destinations", ""},
@@ -53,26 +53,26 @@
 		{"check " + bad, 2, "", ":2: fleet.senders"},
 		{"list", 0, "a quick one", ""},
 		{"walk", 2, "", "walk"},
-		{"--help", 0, "Play a scenario", ""},
+		{"--help", 0, "Run a scenario and report the measurements.", ""},
 	} {
 		var out, errs strings.Builder
-		code := run(context.Background(), append([]string{"--dir", dir}, strings.Fields(x.args)...), &out, &errs)
-		if code != x.code || !strings.Contains(out.String(), x.out) || !strings.Contains(errs.String(), x.errs) {
-			t.Errorf("%s: code %d, want %d\n%s%s", x.args, code, x.code, out.String(), errs.String())
+		code := run(context.Background(), append([]string{"--dir", dir}, strings.Fields(test.args)...), &out, &errs)
+		if code != test.code || !strings.Contains(out.String(), test.out) || !strings.Contains(errs.String(), test.errs) {
+			t.Errorf("%s: code %d, want %d\n%s%s", test.args, code, test.code, out.String(), errs.String())
 		}
 	}
-	var r hollow.Report
+	var parsed hollow.Report
 	text, err := os.ReadFile(report)
 	if err == nil {
-		err = json.Unmarshal(text, &r)
+		err = json.Unmarshal(text, &parsed)
 	}
-	if err != nil || r.Offered == 0 || r.Senders != 2 || r.VirtualTime.String() != "3s" {
-		t.Errorf("report %+v, %v", r, err)
+	if err != nil || parsed.Offered == 0 || parsed.Senders != 2 || parsed.VirtualTime.String() != "3s" {
+		t.Errorf("report %+v, %v", parsed, err)
 	}
 }
 
-// Ctrl-C ends a run with what was measured so far, and a sweep with the sizes that are whole.
-func TestInterrupted(t *testing.T) {
+// An interrupt must end a run with the measurements so far, and a sweep with the sizes that are complete.
+func TestInterruptReportsPartialResults(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	dir := t.TempDir()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-const minute = 60_000_000
+const minuteMicros = 60_000_000
 
 func TestResume(t *testing.T) {
 	now := time.Now()
 	wall := now.UnixMicro()
-	s := Stamp{At: 1000 * minute, Run: 10 * minute, Wall: wall - 5*minute, Boot: "a"}
-	for _, x := range []struct {
-		name   string
-		m      machine
-		latest int64
-		want   int64
-		kept   bool
+	anchor := Anchor{Time: 1000 * minuteMicros, BootTime: 10 * minuteMicros, WallTime: wall - 5*minuteMicros, BootID: "a"}
+	for _, test := range []struct {
+		name       string
+		readings   clockReadings
+		latest     int64
+		want       int64
+		keepAnchor bool
 	}{
-		{"same boot", machine{now, 15 * minute, "a"}, 0, 1005 * minute, true},
-		{"same boot, wall clock stepped forward", machine{now.Add(time.Hour), 15 * minute, "a"}, 0, 1005 * minute, true},
-		{"same boot, wall clock stepped back", machine{now.Add(-time.Hour), 15 * minute, "a"}, 0, 1005 * minute, true},
-		{"identity not known", machine{now, 15 * minute, ""}, 0, 1005 * minute, true},
-		{"identity not known, clock began anew", machine{now, 2 * minute, ""}, 0, 1005 * minute, false},
-		{"another boot", machine{now, 50 * minute, "b"}, 0, 1005 * minute, false},
-		{"another boot, wall clock stepped back", machine{now.Add(-time.Hour), 50 * minute, "b"}, 0, 1000 * minute, false},
-		{"another boot, later times on record", machine{now.Add(-time.Hour), 50 * minute, "b"}, 1004 * minute, 1004 * minute, false},
-		{"no boot clock", machine{now, 0, "a"}, 0, 1005 * minute, false},
+		{"same boot", clockReadings{now, 15 * minuteMicros, "a"}, 0, 1005 * minuteMicros, true},
+		{"same boot, wall clock stepped forward", clockReadings{now.Add(time.Hour), 15 * minuteMicros, "a"}, 0, 1005 * minuteMicros, true},
+		{"same boot, wall clock stepped back", clockReadings{now.Add(-time.Hour), 15 * minuteMicros, "a"}, 0, 1005 * minuteMicros, true},
+		{"boot ID unknown", clockReadings{now, 15 * minuteMicros, ""}, 0, 1005 * minuteMicros, true},
+		{"boot ID unknown, boot-time clock restarted", clockReadings{now, 2 * minuteMicros, ""}, 0, 1005 * minuteMicros, false},
+		{"another boot", clockReadings{now, 50 * minuteMicros, "b"}, 0, 1005 * minuteMicros, false},
+		{"another boot, wall clock stepped back", clockReadings{now.Add(-time.Hour), 50 * minuteMicros, "b"}, 0, 1000 * minuteMicros, false},
+		{"another boot, later time on record", clockReadings{now.Add(-time.Hour), 50 * minuteMicros, "b"}, 1004 * minuteMicros, 1004 * minuteMicros, false},
+		{"no boot-time clock", clockReadings{now, 0, "a"}, 0, 1005 * minuteMicros, false},
 	} {
-		l, stamp := resume(s, x.latest, x.m)
-		if l.base != x.want {
-			t.Errorf("%s: goes on at %d, want %d", x.name, l.base, x.want)
+		c, resumed := resumeFrom(anchor, test.latest, test.readings)
+		if c.startMicros != test.want {
+			t.Errorf("%s: resumed at %d, want %d", test.name, c.startMicros, test.want)
 		}
-		if kept := stamp == s; kept != x.kept {
-			t.Errorf("%s: stamp kept: %v, want %v", x.name, kept, x.kept)
+		if kept := resumed == anchor; kept != test.keepAnchor {
+			t.Errorf("%s: anchor kept: %v, want %v", test.name, kept, test.keepAnchor)
 		}
-		if again, _ := resume(stamp, 0, x.m); again.base != l.base {
-			t.Errorf("%s: the next process goes on at %d, want %d", x.name, again.base, l.base)
+		if next, _ := resumeFrom(resumed, 0, test.readings); next.startMicros != c.startMicros {
+			t.Errorf("%s: the next process resumed at %d, want %d", test.name, next.startMicros, c.startMicros)
 		}
 	}
 }
 
-func TestMomentsAndTimes(t *testing.T) {
-	l, stamp := Begin()
+func TestTimeConversionRoundTrip(t *testing.T) {
+	c, anchor := NewWithAnchor()
 	now := time.Now()
-	if got := l.At(l.Of(now)); got.Sub(now).Abs() > time.Microsecond {
+	if got := c.Time(c.Micros(now)); got.Sub(now).Abs() > time.Microsecond {
 		t.Errorf("%v became %v", now, got)
 	}
-	next, _ := Resume(stamp, 0)
-	if d := next.Now() - l.Now(); d < -1000 || d > 1000 {
-		t.Errorf("clocks of one stamp are %d us apart", d)
+	next, _ := Resume(anchor, 0)
+	if d := next.Now() - c.Now(); d < -1000 || d > 1000 {
+		t.Errorf("clocks with the same anchor are %d us apart", d)
 	}
 }
--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -439,7 +439,7 @@
 func TestLoadReportReachesLogic(t *testing.T) {
 	for _, status := range []int{200, 503, 500} {
 		n, e := newBulkNode(t, map[string]string{"a": "x"})
-		n.cfg.Deployment.Reports = []string{"x0", "x1"}
+		n.cfg.Deployment.LoadMetricNames = []string{"x0", "x1"}
 		n.sendPendingCalls(t.Context())
 		receive(t, e.calls, "call").reply(status, "Endpoint-Load-Metrics: x0=0.4,x1=25")
 		n.handleAttemptResult(receive(t, n.events, "outcome").(attemptResultEvent))
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -32,7 +32,7 @@
 	cfg            *Config
 	log            *slog.Logger
 	events         chan<- any
-	clock          *clock.Lasting // set before clients are served
+	clock          *clock.Persistent // set before clients are served
 	metrics        *metrics
 	maxConns       int
 	largeSlots     chan struct{} // holds one element per large request that is not answered
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -209,7 +209,7 @@
 			msg:      &saved.Message,
 			attempts: saved.Attempts,
 			ended:    saved.Ended,
-			log:      attemptLog{n.clock.At(saved.ReceivedAt), []byte(saved.AttemptLog)},
+			log:      attemptLog{n.clock.Time(saved.ReceivedAt), []byte(saved.AttemptLog)},
 		}
 		if !saved.Ended {
 			e := n.journal.Entry(saved.Message.ID)
@@ -239,7 +239,7 @@
 	n.active, n.openCount = all, open
 	maps.Copy(n.recentIDs, state.Recent)
 	n.directory.restore(state, n.clock)
-	n.moduleEpoch = n.clock.At(state.ClockNow).Add(-toDuration(state.Now))
+	n.moduleEpoch = n.clock.Time(state.ClockNow).Add(-toDuration(state.Now))
 	for _, e := range n.journal.Entries() {
 		if e.End != nil {
 			n.notices.add(*e.End)
@@ -467,7 +467,7 @@
 	now := time.Now()
 	state := &handoverState{
 		Now:               toMicros(now.Sub(n.moduleEpoch)),
-		ClockNow:          n.clock.Of(now),
+		ClockNow:          n.clock.Micros(now),
 		Recent:            maps.Clone(n.recentIDs),
 		LastEndpoint:      n.directory.lastID,
 		Discovery:         n.discovery.addr,
@@ -485,7 +485,7 @@
 			Message:    *h.msg,
 			Attempts:   h.attempts,
 			Ended:      h.ended,
-			ReceivedAt: n.clock.Of(h.log.receivedAt),
+			ReceivedAt: n.clock.Micros(h.log.receivedAt),
 			AttemptLog: string(h.log.text),
 		}
 		entry.Message.Body = nil
@@ -506,7 +506,7 @@
 			NoNewCalls: n.directory.unavailable[id],
 		}
 		if at, ok := n.directory.removedAt[id]; ok {
-			entry.RemovedAt = n.clock.Of(at)
+			entry.RemovedAt = n.clock.Micros(at)
 		}
 		state.Targets = append(state.Targets, entry)
 	}
@@ -514,12 +514,12 @@
 }
 
 // restore fills an empty directory from the state of a handover.
-func (d *Directory) restore(state *handoverState, clock *clock.Lasting) {
+func (d *Directory) restore(state *handoverState, clock *clock.Persistent) {
 	d.lastID = state.LastEndpoint
 	for _, saved := range state.Targets {
 		to := endpointInfo{instanceID: saved.Name, addr: saved.Addr, zone: saved.Zone, kind: saved.Kind, dest: saved.Dest}
 		if saved.RemovedAt != 0 {
-			d.removedAt[saved.ID] = clock.At(saved.RemovedAt)
+			d.removedAt[saved.ID] = clock.Time(saved.RemovedAt)
 		}
 		if saved.NoNewCalls || saved.RemovedAt != 0 {
 			d.unavailable[saved.ID] = true
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -79,7 +79,7 @@
 	Unsent     bool    `json:"unsent,omitempty"` // with opOutcome: the attempt does not count
 	Notice     *Notice `json:"notice,omitempty"`
 
-	Clock *clock.Stamp `json:"clock,omitempty"`
+	Clock *clock.Anchor `json:"clock,omitempty"`
 }
 
 // writeAhead reports whether the record must be in the file before the step that it describes may be taken. All other
@@ -124,8 +124,8 @@
 	liveBytes       int64 // estimated size of the file after a rewrite
 	seq             int
 	entries         map[string]*Entry
-	clock           *clock.Lasting
-	stamp           clock.Stamp
+	clock           *clock.Persistent
+	stamp           clock.Anchor
 	hasStamp        bool     // replay has read a stamp
 	latestTime      int64    // latest time in any record
 	pending         []record // records of past events that could not be written yet, in order
@@ -177,7 +177,7 @@
 	if j.hasStamp {
 		j.clock, j.stamp = clock.Resume(j.stamp, j.latestTime)
 	} else { // written by an older build: its times are Unix time
-		j.clock, j.stamp = clock.Begin()
+		j.clock, j.stamp = clock.NewWithAnchor()
 	}
 	if !j.hasStamp || j.stamp != old {
 		j.pending = append(j.pending, record{Op: opClock, Clock: &j.stamp})
@@ -262,7 +262,7 @@
 	case opClock:
 		if rec.Clock != nil {
 			j.stamp, j.hasStamp = *rec.Clock, true
-			j.latestTime = max(j.latestTime, rec.Clock.At)
+			j.latestTime = max(j.latestTime, rec.Clock.Time)
 		}
 		return
 	case opAccept:
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -105,7 +105,7 @@
 	pendingPuts     []putEvent                // puts to be answered by the next step
 	pendingRecords  []record                  // journal records for the next step
 	pendingCalls    []pendingCall             // calls decided in the current step
-	clock           *clock.Lasting            // persistent clock, which continues across restarts
+	clock           *clock.Persistent         // persistent clock, which continues across restarts
 	stepTime        int64                     // start of the current step on the persistent clock
 	guard           *protocolGuard
 	deferredNotices []delayedNotice // notices of ends that are not in the journal yet
@@ -681,7 +681,7 @@
 		Outcome:    r.outcome,
 		Latency:    toMicros(ev.duration),
 		RetryAfter: toMicros(r.retryAfter),
-		Load:       parseLoadReport(r.loadReport, n.cfg.Deployment.Reports),
+		Load:       parseLoadReport(r.loadReport, n.cfg.Deployment.LoadMetricNames),
 	})
 }
 
@@ -910,7 +910,7 @@
 	c.nonRetryable = class.Idempotency == logic.NonIdempotent
 	if entry := n.journal.Entry(a.ID); entry != nil && entry.MayHaveRun && class.Idempotency == logic.IdempotentByKey {
 		// A repeat must be written before the deduplication window ends.
-		c.writeBy = n.clock.At(entry.FirstMayRunAt).Add(toDuration(class.DedupWindow))
+		c.writeBy = n.clock.Time(entry.FirstMayRunAt).Add(toDuration(class.DedupWindow))
 	}
 	ctx, cancel := context.WithCancel(workCtx)
 	n.attemptStarted(m, c, cancel)
--- a/internal/node/window_test.go
+++ b/internal/node/window_test.go
@@ -112,7 +112,7 @@
 		}
 	}
 	receive(t, a.calls, "call").reply(200)
-	if got, want := n.active["m"].call.writeBy, n.clock.At(first.UnixMicro()).Add(time.Second); !got.Equal(want) {
+	if got, want := n.active["m"].call.writeBy, n.clock.Time(first.UnixMicro()).Add(time.Second); !got.Equal(want) {
 		t.Errorf("to be written before %v, want %v", got, want)
 	}
 	if e := n.journal.Entry("m"); e.Attempts != 2 || e.FirstMayRunAt != first.UnixMicro() {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,25 +10,34 @@
 	"rundeal/logic"
 )
 
-func TestTimesAreExact(t *testing.T) {
-	for text, want := range map[string]logic.Micros{"0": 0, "8.41225": 8_412_250, "0.5": 500_000, "665093.69785": 665_093_697_850,
-		"0.000001": 1, "12": 12_000_000, "-0.25": -250_000, "9007199254.740993": 9_007_199_254_740_993, "1e-05": 10} {
-		got, err := ParseTime(text)
+func TestSecondsConvertExactly(t *testing.T) {
+	for text, want := range map[string]logic.Micros{
+		"0":                 0,
+		"8.41225":           8_412_250,
+		"0.5":               500_000,
+		"665093.69785":      665_093_697_850,
+		"0.000001":          1,
+		"12":                12_000_000,
+		"-0.25":             -250_000,
+		"9007199254.740993": 9_007_199_254_740_993,
+		"1e-05":             10,
+	} {
+		got, err := ParseSeconds(text)
 		if err != nil || got != want {
 			t.Errorf("%s: got %d, %v; want %d", text, got, err, want)
 		}
-		if text != "1e-05" && string(AppendTime(nil, want)) != text {
-			t.Errorf("%d printed as %s, want %s", want, AppendTime(nil, want), text)
+		if text != "1e-05" && string(AppendSeconds(nil, want)) != text {
+			t.Errorf("%d formatted as %s, want %s", want, AppendSeconds(nil, want), text)
 		}
 	}
 	for _, text := range []string{"", "x", "1.x", ".5", "1.0000001x", "1e", "--1", "1e300"} {
-		if got, err := ParseTime(text); err == nil {
-			t.Errorf("%q was read as %d", text, got)
+		if got, err := ParseSeconds(text); err == nil {
+			t.Errorf("%q was accepted as %d", text, got)
 		}
 	}
 }
 
-func TestGoldenFrame(t *testing.T) {
+func TestDecodeFrame(t *testing.T) {
 	dec := NewDecoder(strings.NewReader(`frame 8.41225 12
 register 0 2
 entry 51530247 0 0 57 0 1 -
@@ -49,37 +58,37 @@
 halt 5
 eob
 `))
-	f, err := dec.Next()
+	frame, err := dec.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev := func(who int, e logic.Event) Item { return Item{Who: who, Event: e} }
-	want := []Item{
-		ev(3, logic.EndpointUpdate{Kind: logic.UpdateCached, Entries: []logic.EndpointEntry{{Endpoint: 51530247, Dest: 57, NominalRate: 1},
+	event := func(instance int, e logic.Event) InstanceEvent { return InstanceEvent{Instance: instance, Event: e} }
+	want := []InstanceEvent{
+		event(3, logic.EndpointUpdate{Kind: logic.UpdateCached, Entries: []logic.EndpointEntry{{Endpoint: 51530247, Dest: 57, NominalRate: 1},
 			{Endpoint: 747639282, Zone: 1, Dest: 57, State: logic.Draining, NominalRate: 1.5}}}),
-		ev(3, logic.EndpointUpdate{Entries: []logic.EndpointEntry{{Endpoint: 1, Dest: 58, State: logic.Removed}}}),
-		ev(3, logic.EndpointUpdate{Kind: logic.UpdateFailed}),
-		ev(3, logic.Message{ID: "rq_brwyere", TimeLeft: 240_000, OrderKey: "91f03b7c55d20a64", Dest: 57}),
-		ev(3, logic.Message{ID: "rq_b", TimeLeft: 2_000_000, Dest: 57, Tenant: -1, Class: 1}),
-		ev(3, logic.AttemptResult{ID: "rq_brwyere", Final: true, Endpoint: 51530247, Latency: 18_500}),
-		ev(3, logic.AttemptResult{ID: "rq_b", Endpoint: 51530247, Attempt: 2, Outcome: logic.Refused, Latency: 20_000, RetryAfter: 1_500_000,
+		event(3, logic.EndpointUpdate{Entries: []logic.EndpointEntry{{Endpoint: 1, Dest: 58, State: logic.Removed}}}),
+		event(3, logic.EndpointUpdate{Kind: logic.UpdateFailed}),
+		event(3, logic.Message{ID: "rq_brwyere", TimeLeft: 240_000, OrderKey: "91f03b7c55d20a64", Dest: 57}),
+		event(3, logic.Message{ID: "rq_b", TimeLeft: 2_000_000, Dest: 57, Tenant: -1, Class: 1}),
+		event(3, logic.AttemptResult{ID: "rq_brwyere", Final: true, Endpoint: 51530247, Latency: 18_500}),
+		event(3, logic.AttemptResult{ID: "rq_b", Endpoint: 51530247, Attempt: 2, Outcome: logic.Refused, Latency: 20_000, RetryAfter: 1_500_000,
 			Load: []float64{0.25, 12}}),
-		ev(3, logic.StreamStarted{ID: "rq_b", Attempt: 1}),
-		ev(5, logic.ClientGone{ID: "rq_ahg8m23"}),
-		ev(3, logic.ProbeResult{Endpoint: 747639282, Outcome: logic.ConnRefused}),
-		ev(3, logic.TimerFired{Token: 77}),
-		{Who: 5, Halt: true},
+		event(3, logic.StreamStarted{ID: "rq_b", Attempt: 1}),
+		event(5, logic.ClientGone{ID: "rq_ahg8m23"}),
+		event(3, logic.ProbeResult{Endpoint: 747639282, Outcome: logic.ConnRefused}),
+		event(3, logic.TimerFired{Token: 77}),
+		{Instance: 5, Halt: true},
 	}
-	if f.Clock != 8_412_250 || f.Seq != "12" || !reflect.DeepEqual(f.Items, want) {
-		t.Errorf("got %+v\nwant %+v", f.Items, want)
+	if frame.Clock != 8_412_250 || frame.Round != "12" || !reflect.DeepEqual(frame.Events, want) {
+		t.Errorf("got %+v\nwant %+v", frame.Events, want)
 	}
 	if _, err := dec.Next(); err != io.EOF {
-		t.Errorf("after the last frame: %v", err)
+		t.Errorf("after the last frame: got %v, want io.EOF", err)
 	}
 }
 
-func TestGoldenActions(t *testing.T) {
-	for want, a := range map[string]logic.Action{
+func TestAppendAction(t *testing.T) {
+	for want, action := range map[string]logic.Action{
 		"call_out 3 rq_a 0.08 51530247": logic.Send{ID: "rq_a", Timeout: 80_000, Endpoint: 51530247},
 		"stop_attempt 3 rq_a 1":         logic.Cancel{ID: "rq_a", Attempt: 1},
 		"say_no 3 rq_a 1.5":             logic.Reject{ID: "rq_a", RetryAfter: 1_500_000},
@@ -91,13 +100,13 @@
 		"listen 3 1":                    logic.Subscribe{},
 		"journal_line 3 two servers":    logic.Log{Text: "two\nservers"},
 	} {
-		if got := string(AppendAction(nil, 3, a)); got != want+"\n" {
+		if got := string(AppendAction(nil, 3, action)); got != want+"\n" {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
 
-func TestMalformedFramesNameLineAndField(t *testing.T) {
+func TestMalformedFrameErrorNamesLineAndField(t *testing.T) {
 	for text, want := range map[string]Error{
 		"hello\n":                                                  {Line: 1},
 		"frame x 1\neob\n":                                         {Line: 1, Field: "clock_s"},
@@ -124,33 +133,35 @@
 		if !errors.As(err, &got) || got.Line != want.Line || got.Field != want.Field {
 			t.Errorf("%q: got %v, want line %d, field %q", text, err, want.Line, want.Field)
 		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: the message has more than one line", text)
+			t.Errorf("%q: the error message has more than one line", text)
 		}
 	}
 }
 
-func TestSettings(t *testing.T) {
-	set, err := ParseSettings([]byte(`{"balancers":3,"zone":1,"zones":["a","b"],"tick_s":0.005,"unknown":[1],
+func TestParseSettings(t *testing.T) {
+	settings, err := ParseSettings([]byte(`{"balancers":3,"zone":1,"zones":["a","b"],"tick_s":0.005,"unknown":[1],
 "classes":[{"name":"x","aim_s":2.5,"deadline_s":24,"group":"zone","idempotency":"dedup","late_worth":0.4,"window_s":25,"worth":2,"keep_order":true}],
 "tenants":[{"name":"t","quota_rps":10}],"machine_types":["k","l"],"membership_mode":"on_request","weights":"rough",
 "limits":{"conn_idle_s":10,"multiplex":8,"max_attempts":6,"max_open":69,"max_retry_after_s":2,"may_cancel":true,"probing":true,"retry_after":true},
 "charges":{"handshake":0.02},"load_info":{"how":"inline","names":["x1","qps","x0"]},"over_share_worth":0.2,
 "rules":{"cold_from":0.19,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":14,"key_quiet_s":1.5},
 "specifics":{"batch_by_kind":[1,4],"call_slots":6,"late":"halves","separate_routes":[true,false]}}`))
-	want := logic.Settings{Senders: 3, Zone: 1, Zones: 2, Tick: 5000, OverQuotaValue: 0.2, CallSlots: 6, MaxOpen: 69, MaxAttempts: 6,
+	want := logic.Settings{
+		Senders: 3, Zone: 1, Zones: 2, Tick: 5000, OverQuotaValue: 0.2, CallSlots: 6, MaxOpen: 69, MaxAttempts: 6,
 		ListOnRequest: true, Probing: true, MayCancel: true, RetryAfter: true, ExponentialDecay: true, Weights: logic.WeightsApproximate,
 		MaxRetryAfter: 2_000_000, DrainGrace: 2_000_000, OverloadMultiple: 2, OverloadWindow: 3_000_000, ColdCapacity: 0.19,
 		WarmupTime: 14_000_000, KeyCooldown: 1_500_000, ConnIdleTimeout: 10_000_000, CallsPerConn: 8, ConnCost: 0.02, LoadRemainingIndex: 2, LoadLimitIndex: 0,
 		Classes: []logic.Class{{Name: "x", TargetLatency: 2_500_000, Deadline: 24_000_000, Value: 2, LateValue: 0.4,
 			Idempotency: logic.IdempotentByKey, DedupPerZone: true, DedupWindow: 25_000_000, KeepOrder: true}},
 		Tenants: []logic.Tenant{{Name: "t", QuotaRPS: 10}},
-		Kinds:   []logic.DestinationKind{{Name: "k", SeparateRoutes: true, MaxBatch: 1}, {Name: "l", MaxBatch: 4}}}
-	if err != nil || !reflect.DeepEqual(set, want) {
-		t.Errorf("got %+v, %v\nwant %+v", set, err, want)
+		Kinds:   []logic.DestinationKind{{Name: "k", SeparateRoutes: true, MaxBatch: 1}, {Name: "l", MaxBatch: 4}},
+	}
+	if err != nil || !reflect.DeepEqual(settings, want) {
+		t.Errorf("got %+v, %v\nwant %+v", settings, err, want)
 	}
 	for _, text := range []string{`{"weights":"heavy"}`, `{"classes":[{"idempotency":"perhaps"}]}`, `[]`} {
 		if _, err := ParseSettings([]byte(text)); err == nil {
-			t.Errorf("%s: no error", text)
+			t.Errorf("%s: no error for invalid settings", text)
 		}
 	}
 }
