--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -45,7 +45,7 @@
 }
 
 // Calls sent while a lane had no pace count as a debt of at most one second once a refusal sets its pace.
-func TestUnpacedLaneDebtIsBounded(t *testing.T) {
+func TestUnpacedLimiterDebtIsBounded(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(1))
 	at := 0.0
@@ -75,10 +75,10 @@
 // The budget of a window follows the mean capacity over the window, which is less than the capacity at its end.
 func TestBudgetUsesMeanCapacityOfWindow(t *testing.T) {
 	const rate = 40.0
-	set := baseSettings()
-	set.Senders, set.CallSlots, set.MaxOpen, set.Weights = 1, 4000, 0, WeightsNominal
-	set.OverloadMultiple, set.OverloadWindow, set.ColdCapacity, set.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.Senders, cfg.CallSlots, cfg.MaxOpen, cfg.Weights = 1, 4000, 0, WeightsNominal
+	cfg.OverloadMultiple, cfg.OverloadWindow, cfg.ColdCapacity, cfg.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
+	h := newHarness(t, cfg)
 	news := fullList(1)
 	news.Entries[0].NominalRate = rate
 	evs := []Event{news}
@@ -98,7 +98,7 @@
 		}
 		most := 0.0
 		for x := at - 3; x < at; x += 0.01 {
-			most += 0.01 * set.OverloadMultiple * rate * (0.15 + 0.85*max(x-1, 0)/9.5)
+			most += 0.01 * cfg.OverloadMultiple * rate * (0.15 + 0.85*max(x-1, 0)/9.5)
 		}
 		if n := countAfter(sent, sec(at-3)); float64(n) > most+1 {
 			t.Fatalf("%.2f s after the recovery: %d calls in a window, want at most %.0f", at-1, n, most)
--- a/logic/churn_test.go
+++ b/logic/churn_test.go
@@ -8,9 +8,9 @@
 // Endpoints, destinations and keys keep changing over the life of a process. State that nothing refers to must be
 // removed, or memory use would grow without bound. An endpoint with a call in flight is kept.
 func TestUnreferencedStateIsRemoved(t *testing.T) {
-	set := Settings{Senders: 1, CallSlots: 4, MaxAttempts: 6, Tick: 5000, MayCancel: true,
+	cfg := Settings{Senders: 1, CallSlots: 4, MaxAttempts: 6, Tick: 5000, MayCancel: true,
 		Classes: []Class{{Name: "c", TargetLatency: Second, Deadline: 10 * Second, Value: 1, KeepOrder: true}}}
-	s, err := New(set, 1)
+	s, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,9 +56,9 @@
 
 // Any endpoint may send an unreadable answer now and then: only several in a row are an outage.
 func TestUnreadableAnswersAndOutage(t *testing.T) {
-	set := Settings{Senders: 1, CallSlots: 4, MaxAttempts: 100, Tick: 5000, MayCancel: true,
+	cfg := Settings{Senders: 1, CallSlots: 4, MaxAttempts: 100, Tick: 5000, MayCancel: true,
 		Classes: []Class{{Name: "c", TargetLatency: Second, Deadline: 10 * Second, Value: 1}}}
-	s, err := New(set, 1)
+	s, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 // Connections break now and then without an outage: with answers in between, an endpoint stays in use. Several broken
 // connections in a row, or one followed by a refused connection, are an outage.
 func TestResetsAndOutage(t *testing.T) {
-	set := Settings{Senders: 1, CallSlots: 4, MaxAttempts: 100, Tick: 5000, MayCancel: true,
+	cfg := Settings{Senders: 1, CallSlots: 4, MaxAttempts: 100, Tick: 5000, MayCancel: true,
 		Classes: []Class{{Name: "c", TargetLatency: Second, Deadline: 100 * Second, Value: 1}}}
 	for _, x := range []struct {
 		name     string
@@ -92,7 +92,7 @@
 		{"refused once, just after an answer", []Outcome{Delivered, ConnRefused}, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s, err := New(set, 1)
+			s, err := New(cfg, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/logic/decisions_test.go
+++ b/logic/decisions_test.go
@@ -85,9 +85,9 @@
 
 func TestCancelAtRestartTimeAndResendElsewhere(t *testing.T) {
 	for class, again := range []bool{true, true, false} {
-		set := baseSettings()
-		set.Weights = WeightsNominal
-		h := newHarness(t, set)
+		cfg := baseSettings()
+		cfg.Weights = WeightsNominal
+		h := newHarness(t, cfg)
 		ev := fullList(2)
 		ev.Entries[0].NominalRate, ev.Entries[1].NominalRate = 40, 40
 		h.step(0, ev)
@@ -173,9 +173,9 @@
 }
 
 func TestBurstLargerThanPace(t *testing.T) {
-	set := baseSettings()
-	set.Weights, set.CallSlots = WeightsNominal, 40
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.Weights, cfg.CallSlots = WeightsNominal, 40
+	h := newHarness(t, cfg)
 	ev := fullList(1)
 	ev.Entries[0].NominalRate = 4
 	h.step(0, ev)
@@ -190,11 +190,11 @@
 	}
 }
 
-func TestRetryAfterHoldsLane(t *testing.T) {
+func TestRetryAfterHoldsLimiter(t *testing.T) {
 	for _, apart := range []bool{false, true} {
-		set := baseSettings()
-		set.Kinds[0].SeparateRoutes = apart
-		h := newHarness(t, set)
+		cfg := baseSettings()
+		cfg.Kinds[0].SeparateRoutes = apart
+		h := newHarness(t, cfg)
 		h.step(0, fullList(2))
 		c := actionsOf[Send](h.step(1, h.message(0)))[0]
 		full := result(c.ID, c.Endpoint, 0, Refused)
@@ -278,7 +278,7 @@
 			t.Fatal(err)
 		}
 		s.Step(0, []Event{EndpointUpdate{Kind: UpdateFailed}})
-		at[s.askAt/50_000] = true
+		at[s.subscribeAt/50_000] = true
 	}
 	if len(at) < 8 {
 		t.Errorf("20 senders retry at %d different times, want 8 or more", len(at))
@@ -286,9 +286,9 @@
 }
 
 func TestListUpdates(t *testing.T) {
-	set := baseSettings()
-	set.ListOnRequest = true
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.ListOnRequest = true
+	h := newHarness(t, cfg)
 	if n := len(actionsOf[Subscribe](h.step(0, EndpointUpdate{Kind: UpdateCached, Entries: fullList(2).Entries}))); n != 1 {
 		t.Fatal("did not subscribe at once")
 	}
@@ -367,11 +367,11 @@
 }
 
 // Messages used to be rejected because of a low pace although the buffer was nearly empty.
-func TestLowPaceKeepsMessagesWhileBufferHasRoom(t *testing.T) {
+func TestLowPaceKeepsMessagesWhileFewAreHeld(t *testing.T) {
 	for _, c := range []struct{ buffer, ends int }{{200, 0}, {30, 1}} {
-		set := baseSettings()
-		set.MaxOpen = c.buffer
-		h := newHarness(t, set)
+		cfg := baseSettings()
+		cfg.MaxOpen = c.buffer
+		h := newHarness(t, cfg)
 		h.step(0, fullList(1))
 		h.s.dests[9].limiter.pace = 1
 		h.s.dests[9].limiter.waitUntil = sec(2)
@@ -424,8 +424,8 @@
 	c := actionsOf[Send](h.step(6, h.message(0)))[0]
 	h.step(6.1, ClientGone{c.ID})
 	acts = h.step(6.2, result(c.ID, c.Endpoint, 0, Errored), result(c.ID, c.Endpoint, 0, Errored))
-	if len(acts) != 0 || h.s.busy != 0 {
-		t.Errorf("a late result of a withdrawn message caused %v; %d slots busy", acts, h.s.busy)
+	if len(acts) != 0 || h.s.slotsUsed != 0 {
+		t.Errorf("a late result of a withdrawn message caused %v; %d slots busy", acts, h.s.slotsUsed)
 	}
 	before := h.s.now
 	h.step(1, h.message(0)) // a clock that steps back is ignored
@@ -435,18 +435,18 @@
 }
 
 func TestBatchTakesOneSlot(t *testing.T) {
-	set := baseSettings()
-	set.Kinds[0].MaxBatch = 10
-	set.CallSlots = 1
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.Kinds[0].MaxBatch = 10
+	cfg.CallSlots = 1
+	h := newHarness(t, cfg)
 	h.step(0, fullList(1))
 	var calls []Event
 	for range 15 {
 		calls = append(calls, h.message(0))
 	}
 	out := actionsOf[Send](h.step(1, calls...))
-	if len(out) != 10 || h.s.busy != 1 {
-		t.Fatalf("%d sends in %d slots, want 10 in one", len(out), h.s.busy)
+	if len(out) != 10 || h.s.slotsUsed != 1 {
+		t.Fatalf("%d sends in %d slots, want 10 in one", len(out), h.s.slotsUsed)
 	}
 	for _, c := range out {
 		h.step(1.2, result(c.ID, c.Endpoint, 0, Delivered))
@@ -490,9 +490,9 @@
 }
 
 func TestNonIdempotentCallFreesLastSlot(t *testing.T) {
-	set := baseSettings()
-	set.CallSlots = 2
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.CallSlots = 2
+	h := newHarness(t, cfg)
 	h.step(0, fullList(1), EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 7, Dest: 8}}, Kind: UpdateDelta})
 	out := actionsOf[Send](h.step(1, h.message(2)))
 	other := h.message(2)
@@ -514,9 +514,9 @@
 
 // An endpoint that was not tried while its siblings were out used to have no budget.
 func TestUntriedSiblingSharesBudget(t *testing.T) {
-	set := baseSettings()
-	set.Weights = WeightsNominal
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.Weights = WeightsNominal
+	h := newHarness(t, cfg)
 	ev := fullList(2)
 	ev.Entries[0].NominalRate, ev.Entries[1].NominalRate = 4, 4
 	h.step(0, ev)
@@ -536,7 +536,7 @@
 
 // Answers to calls that were in flight at the siblings when a destination went down used to mark them as working, so
 // that they got calls without a budget when it returned.
-func TestOldAnswerDoesNotShowSiblingWell(t *testing.T) {
+func TestOldAnswerDoesNotMarkSiblingHealthy(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(2))
 	a := actionsOf[Send](h.step(1, h.message(0)))[0]
@@ -551,9 +551,9 @@
 }
 
 func TestTenantOverQuotaHasLessValue(t *testing.T) {
-	set := baseSettings()
-	set.Tenants, set.OverQuotaValue = []Tenant{{"x", 2}, {"y", 2}}, 0.2
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.Tenants, cfg.OverQuotaValue = []Tenant{{"x", 2}, {"y", 2}}, 0.2
+	h := newHarness(t, cfg)
 	for i := range 40 {
 		h.s.now = sec(0.1 * float64(i))
 		h.s.quotaFactor(0)
@@ -565,14 +565,14 @@
 
 // With many senders and little traffic, endpoints used to be full of idle connections.
 func TestRareConnectionsReleasedAmongManySenders(t *testing.T) {
-	for _, senders := range []int{2, manySenders + 1} {
-		set := baseSettings()
-		set.Senders = senders
-		h := newHarness(t, set)
+	for _, senders := range []int{2, fewSendersMax + 1} {
+		cfg := baseSettings()
+		cfg.Senders = senders
+		h := newHarness(t, cfg)
 		h.step(0, fullList(2))
 		c := actionsOf[Send](h.step(0.1, h.message(0)))[0]
 		got := actionsOf[ReleaseConns](h.step(0.2, result(c.ID, c.Endpoint, 0, Delivered)))
-		if (len(got) > 0) != (senders > manySenders) {
+		if (len(got) > 0) != (senders > fewSendersMax) {
 			t.Errorf("%d senders: released %v", senders, got)
 		}
 	}
@@ -585,10 +585,10 @@
 		senders int
 		first   Outcome
 		back    int
-	}{{2, Refused, 0}, {manySenders + 1, Delivered, 0}, {manySenders + 1, Refused, 1}} {
-		set := baseSettings()
-		set.Senders, set.ConnCost = x.senders, expensiveConnCost
-		h := newHarness(t, set)
+	}{{2, Refused, 0}, {fewSendersMax + 1, Delivered, 0}, {fewSendersMax + 1, Refused, 1}} {
+		cfg := baseSettings()
+		cfg.Senders, cfg.ConnCost = x.senders, expensiveConnCost
+		h := newHarness(t, cfg)
 		a, b := h.message(0), h.message(0)
 		out := actionsOf[Send](h.step(0, fullList(2), a, b))
 		if len(out) != 2 {
@@ -605,9 +605,9 @@
 // In a large fleet, senders used to keep idle connections again 32 calls after a connection shortage. A sender that holds
 // a connection is never refused, so small destinations were half idle while unused connections kept others out.
 func TestScarceConnectionsReleasedForAMinute(t *testing.T) {
-	set := baseSettings()
-	set.Senders, set.ConnCost, set.LoadRemainingIndex, set.LoadLimitIndex = 80, 2*expensiveConnCost, 0, 1
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.Senders, cfg.ConnCost, cfg.LoadRemainingIndex, cfg.LoadLimitIndex = 80, 2*expensiveConnCost, 0, 1
+	h := newHarness(t, cfg)
 	h.step(0, fullList(1))
 	deliver := func(at float64) (released int) {
 		c := actionsOf[Send](h.step(at, h.message(0)))[0]
@@ -634,9 +634,9 @@
 // newHarnessAmongMany is a harness for one of several senders at one destination with a known rate.
 func newHarnessAmongMany(t *testing.T, senders int, rate float64, seed uint64) *harness {
 	t.Helper()
-	set := baseSettings()
-	set.Senders, set.Weights = senders, WeightsNominal
-	s, err := New(set, seed)
+	cfg := baseSettings()
+	cfg.Senders, cfg.Weights = senders, WeightsNominal
+	s, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -660,19 +660,19 @@
 		for at := seen + 0.1; at < 30; at += 0.1 {
 			for _, x := range actionsOf[Send](h.step(at, TimerFired{})) {
 				calls[int(at)]++
-				h.step(at+0.01, result(x.ID, 1, h.s.msgs[x.ID].tries-1, ConnRefused))
+				h.step(at+0.01, result(x.ID, 1, h.s.msgs[x.ID].attempts-1, ConnRefused))
 			}
 		}
 	}
-	set := baseSettings()
-	window := int(set.OverloadWindow / Second)
+	cfg := baseSettings()
+	window := int(cfg.OverloadWindow / Second)
 	for at := 6; at+window <= 20; at++ {
 		sum := 0
 		for _, n := range calls[at : at+window] {
 			sum += n
 		}
 		// Sixty senders per second notice it, six times the rate: the sum may go up to that.
-		if most := set.OverloadMultiple * set.ColdCapacity * 60 * 1.5 * float64(window); float64(sum) > most {
+		if most := cfg.OverloadMultiple * cfg.ColdCapacity * 60 * 1.5 * float64(window); float64(sum) > most {
 			t.Errorf("second %d: %d calls in an overload window, want at most %.0f", at, sum, most)
 		}
 		if sum > 0 && slices.Max(calls[at:at+window]) == sum && sum > 20 {
@@ -714,9 +714,9 @@
 		{80, 1, 3 * limit, 4 * limit},
 		{2, 0, 1.5 * limit, 3 * limit}, // a few senders see enough refusals of their own
 	} {
-		set := baseSettings()
-		set.Senders, set.LoadRemainingIndex, set.LoadLimitIndex, set.MaxOpen, set.CallSlots = x.senders, 0, 1, 0, 4000
-		h := newHarness(t, set)
+		cfg := baseSettings()
+		cfg.Senders, cfg.LoadRemainingIndex, cfg.LoadLimitIndex, cfg.MaxOpen, cfg.CallSlots = x.senders, 0, 1, 0, 4000
+		h := newHarness(t, cfg)
 		c := actionsOf[Send](h.step(0, fullList(1), h.message(0)))[0]
 		reported := result(c.ID, 1, 0, Delivered)
 		reported.Load = []float64{x.left, limit}
@@ -744,9 +744,9 @@
 
 // After a refusal above the limit the paces leave headroom, so that the refusals end, and no message is ended.
 func TestPacesAfterRefusalLeaveHeadroom(t *testing.T) {
-	set := baseSettings()
-	set.Senders, set.LoadRemainingIndex, set.LoadLimitIndex = 80, 0, 1
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.Senders, cfg.LoadRemainingIndex, cfg.LoadLimitIndex = 80, 0, 1
+	h := newHarness(t, cfg)
 	c := actionsOf[Send](h.step(0, fullList(1), h.message(0)))[0]
 	refused := result(c.ID, 1, 0, Refused)
 	refused.Load = []float64{0, 40}
@@ -761,10 +761,10 @@
 
 // New connections cost time and points: among many senders an endpoint with an open connection is preferred.
 func TestOpenConnectionPreferredAmongManySenders(t *testing.T) {
-	for _, senders := range []int{2, manySenders + 1} {
-		set := baseSettings()
-		set.Senders, set.ConnIdleTimeout, set.CallsPerConn, set.ConnCost = senders, 10*Second, 1, 2*expensiveConnCost
-		h := newHarness(t, set)
+	for _, senders := range []int{2, fewSendersMax + 1} {
+		cfg := baseSettings()
+		cfg.Senders, cfg.ConnIdleTimeout, cfg.CallsPerConn, cfg.ConnCost = senders, 10*Second, 1, 2*expensiveConnCost
+		h := newHarness(t, cfg)
 		h.step(0, fullList(3))
 		used := map[EndpointID]bool{}
 		for i := range 6 {
@@ -775,7 +775,7 @@
 			}
 			used[c.Endpoint] = true
 		}
-		if (len(used) == 1) != (senders > manySenders) {
+		if (len(used) == 1) != (senders > fewSendersMax) {
 			t.Errorf("%d senders: %d endpoints used", senders, len(used))
 		}
 	}
@@ -790,12 +790,12 @@
 		for n, at := 0, 1.0; n < 2; at += 0.1 {
 			for _, c := range actionsOf[Send](acts) {
 				n++
-				h.step(at+0.01, result(c.ID, 1, h.s.msgs[c.ID].tries-1, Refused))
+				h.step(at+0.01, result(c.ID, 1, h.s.msgs[c.ID].attempts-1, Refused))
 			}
 			acts = h.step(at+0.1, TimerFired{})
 			h.s.endpoints[1].limiter.firstRefusalAt -= sec(0.1) // the pauses differ: the span is not under test
 		}
-		if cold := h.s.endpoints[1].cold; cold != (senders > manySenders) {
+		if cold := h.s.endpoints[1].cold; cold != (senders > fewSendersMax) {
 			t.Errorf("%d senders: cold %v after two refusals", senders, cold)
 		}
 	}
@@ -803,9 +803,9 @@
 
 // The pace counts calls, but used to grow with each message of a batch, and so doubled with each delivered call.
 func TestPaceGrowsPerCall(t *testing.T) {
-	set := baseSettings()
-	set.Kinds[0].MaxBatch = 10
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.Kinds[0].MaxBatch = 10
+	h := newHarness(t, cfg)
 	h.step(0, fullList(1))
 	l := h.s.dests[9].limiter
 	l.pace, l.refilledAt = 10, sec(0.5)
@@ -831,9 +831,9 @@
 		load []float64
 		slow bool
 	}{{nil, false}, {[]float64{0, 200}, true}} {
-		set := baseSettings()
-		set.Senders, set.LoadRemainingIndex, set.LoadLimitIndex, set.MaxAttempts = 80, 0, 1, 60
-		h := newHarness(t, set)
+		cfg := baseSettings()
+		cfg.Senders, cfg.LoadRemainingIndex, cfg.LoadLimitIndex, cfg.MaxAttempts = 80, 0, 1, 60
+		h := newHarness(t, cfg)
 		c := actionsOf[Send](h.step(0, fullList(1), h.message(0)))[0]
 		ok := result(c.ID, 1, 0, Delivered)
 		ok.Load = []float64{1, 200}
@@ -853,7 +853,7 @@
 		}
 		for at := 1.2; at < 10; at += 0.05 {
 			for _, c := range out {
-				h.step(at, result(c.ID, 1, h.s.msgs[c.ID].tries-1, Refused))
+				h.step(at, result(c.ID, 1, h.s.msgs[c.ID].attempts-1, Refused))
 			}
 			out = actionsOf[Send](h.step(at+0.01, TimerFired{}))
 			if at < 1.9 && h.s.endpoints[1].ejected {
@@ -868,10 +868,10 @@
 
 // A local failure may occur any number of times: it uses up no attempt and says nothing about the endpoint.
 func TestLocalFailureCountsAsNoAttempt(t *testing.T) {
-	set := baseSettings()
-	set.MaxAttempts = 2
-	for class := range set.Classes {
-		h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.MaxAttempts = 2
+	for class := range cfg.Classes {
+		h := newHarness(t, cfg)
 		h.step(0, fullList(1))
 		acts := h.step(1, h.message(class))
 		for i := range 10 {
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -14,7 +14,7 @@
 // The destination fails from outageStart to outageEnd, returns with ColdCapacity of its capacity and has all of it
 // after WarmupTime. It queues calls for half a second and refuses calls beyond that.
 type fleetPlan struct {
-	set         Settings
+	cfg         Settings
 	seed        uint64
 	rate        float64 // messages per second, all senders together
 	headroom    float64 // ratio of capacity to rate
@@ -106,7 +106,7 @@
 	shared := &server{capacity: p.rate * p.headroom}
 	for i := range p.endpoints {
 		srv := shared
-		if p.set.Kinds[0].SeparateRoutes {
+		if p.cfg.Kinds[0].SeparateRoutes {
 			srv = &server{capacity: shared.capacity / float64(p.endpoints)}
 		}
 		f.servers = append(f.servers, srv)
@@ -115,8 +115,8 @@
 	}
 	var cumulative []float64 // running sum of the shares
 	sum := 0.0
-	for i := range p.set.Senders {
-		s, err := New(p.set, p.seed<<10+uint64(i))
+	for i := range p.cfg.Senders {
+		s, err := New(p.cfg, p.seed<<10+uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -126,7 +126,7 @@
 		cumulative = append(cumulative, sum)
 		f.after(Micros(f.rng.IntN(50_000)), func() { f.step(sender, list) })
 	}
-	burst, id, end := max(int(p.rate), 1), 0, outageEnd+p.set.WarmupTime
+	burst, id, end := max(int(p.rate), 1), 0, outageEnd+p.cfg.WarmupTime
 	for at := 100_000.0; Micros(at) < end; {
 		n := 1
 		if f.rng.Float64() < p.burstShare/float64(burst) {
@@ -138,7 +138,7 @@
 		for range n {
 			id++
 			c := Message{ID: fmt.Sprint(id), Dest: 9, Tenant: -1, Class: 2 * f.rng.IntN(2)} // idempotent or not
-			c.TimeLeft = p.set.Classes[c.Class].Deadline
+			c.TimeLeft = p.cfg.Classes[c.Class].Deadline
 			f.after(Micros(at)+Micros(f.rng.IntN(10_000)*(n-1)/burst), func() { f.step(sender, c) })
 		}
 	}
@@ -159,7 +159,7 @@
 		switch a := a.(type) {
 		case Send:
 			call := opened[a.Endpoint]
-			if call == nil || call.size == max(f.set.Kinds[0].MaxBatch, 1) {
+			if call == nil || call.size == max(f.cfg.Kinds[0].MaxBatch, 1) {
 				call = &fleetCall{sender: sender, endpoint: a.Endpoint, sent: f.now}
 				opened[a.Endpoint] = call
 				f.after(f.networkDelay(), func() { f.arrive(call) })
@@ -173,7 +173,7 @@
 				f.after(0, func() { f.deliver(call, Cancelled, nil, a.ID) })
 			}
 		case SetTimer:
-			f.after(max(a.Wait, f.set.Tick), func() { f.step(sender, TimerFired{a.Token}) })
+			f.after(max(a.Wait, f.cfg.Tick), func() { f.step(sender, TimerFired{a.Token}) })
 		case Probe:
 			if x := f.servers[a.Endpoint]; f.now >= outageEnd {
 				x.arrived, x.fromInformed = append(x.arrived, f.now), append(x.fromInformed, sender.knowsOutage)
@@ -199,7 +199,7 @@
 	srv.backlog, srv.at = max(0, srv.backlog-capacity*seconds(f.now-srv.at)), f.now
 	full := srv.backlog > capacity/2
 	var load []float64
-	if f.set.LoadLimitIndex >= 0 { // rate limit over one second
+	if f.cfg.LoadLimitIndex >= 0 { // rate limit over one second
 		limit := srv.capacity * f.limitRatio
 		srv.accepted = dropBefore(srv.accepted, f.now-Second)
 		n := float64(countAfter(srv.accepted, f.now-Second) + 1)
@@ -250,21 +250,21 @@
 	if at < outageStart {
 		return 1
 	}
-	up := seconds(max(at-outageEnd, 0)) / seconds(f.set.WarmupTime)
-	return f.set.ColdCapacity + (1-f.set.ColdCapacity)*min(up, 1)
+	up := seconds(max(at-outageEnd, 0)) / seconds(f.cfg.WarmupTime)
+	return f.cfg.ColdCapacity + (1-f.cfg.ColdCapacity)*min(up, 1)
 }
 
 // worstLoad is the largest ratio, over all spans of OverloadWindow after the outage, of the calls that arrived to the
 // calls allowed: N plus 2√N + 2 for chance, with N being OverloadMultiple times the destination's capacity in that span.
 func (f *fleet) worstLoad() (worst float64) {
-	w := f.set.OverloadWindow
+	w := f.cfg.OverloadWindow
 	for _, srv := range slices.Compact(slices.Clone(f.servers)) {
 		for i, at := range srv.arrived {
 			from := at - w
 			ramp := max(from, outageEnd) // until then it has ColdCapacity
-			mean := (f.set.ColdCapacity*seconds(ramp-from) +
+			mean := (f.cfg.ColdCapacity*seconds(ramp-from) +
 				(f.capacityShare(ramp)+f.capacityShare(at))/2*seconds(at-ramp)) / seconds(w)
-			n := f.set.OverloadMultiple * mean * srv.capacity * seconds(w)
+			n := f.cfg.OverloadMultiple * mean * srv.capacity * seconds(w)
 			worst = max(worst, float64(countAfter(srv.arrived[:i+1], from))/(n+2*math.Sqrt(n)+2))
 		}
 	}
@@ -280,17 +280,17 @@
 	}{
 		{"plain", func(p *fleetPlan) {}},
 		{"two endpoints", func(p *fleetPlan) { p.endpoints = 2 }},
-		{"separate routes", func(p *fleetPlan) { p.endpoints, p.set.Kinds[0].SeparateRoutes = 2, true }},
-		{"batches", func(p *fleetPlan) { p.set.Kinds[0].MaxBatch = 10 }},
+		{"separate routes", func(p *fleetPlan) { p.endpoints, p.cfg.Kinds[0].SeparateRoutes = 2, true }},
+		{"batches", func(p *fleetPlan) { p.cfg.Kinds[0].MaxBatch = 10 }},
 		{"uneven traffic", func(p *fleetPlan) { p.trafficSkew = 1.2 }},
 		{"bursts", func(p *fleetPlan) { p.burstShare = 0.2 }},
 		{"reported limit", func(p *fleetPlan) {
-			p.limitRatio, p.set.LoadRemainingIndex, p.set.LoadLimitIndex = 1/1.15, 0, 1
+			p.limitRatio, p.cfg.LoadRemainingIndex, p.cfg.LoadLimitIndex = 1/1.15, 0, 1
 		}},
-		{"weights", func(p *fleetPlan) { p.limitRatio, p.set.Weights = 1, WeightsNominal }},
-		{"approximate weights", func(p *fleetPlan) { p.limitRatio, p.set.Weights = 1.5, WeightsApproximate }},
+		{"weights", func(p *fleetPlan) { p.limitRatio, p.cfg.Weights = 1, WeightsNominal }},
+		{"approximate weights", func(p *fleetPlan) { p.limitRatio, p.cfg.Weights = 1.5, WeightsApproximate }},
 		{"reported limit, high traffic", func(p *fleetPlan) {
-			p.rate, p.limitRatio, p.set.LoadRemainingIndex, p.set.LoadLimitIndex = 80, 1/1.15, 0, 1
+			p.rate, p.limitRatio, p.cfg.LoadRemainingIndex, p.cfg.LoadLimitIndex = 80, 1/1.15, 0, 1
 		}},
 		{"high traffic", func(p *fleetPlan) { p.rate = 80 }},
 	}
@@ -301,10 +301,10 @@
 			for _, c := range cases {
 				for _, failure := range []Outcome{ConnRefused, Refused, Errored, TimedOut} {
 					seed++
-					p := fleetPlan{set: baseSettings(), seed: seed, rate: 27, headroom: 1.5, endpoints: 1,
+					p := fleetPlan{cfg: baseSettings(), seed: seed, rate: 27, headroom: 1.5, endpoints: 1,
 						failure: failure, trafficSkew: 0.4}
-					p.set.Senders, p.set.CallSlots, p.set.MaxOpen = senders, 64, 300
-					p.set.OverloadMultiple, p.set.OverloadWindow, p.set.ColdCapacity, p.set.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
+					p.cfg.Senders, p.cfg.CallSlots, p.cfg.MaxOpen = senders, 64, 300
+					p.cfg.OverloadMultiple, p.cfg.OverloadWindow, p.cfg.ColdCapacity, p.cfg.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
 					c.vary(&p)
 					got := p.play(t).worstLoad()
 					if worst = max(worst, got); got > 1 {
@@ -333,14 +333,14 @@
 
 // windowLoads are the loads of all windows that end with a call.
 func (f *fleet) windowLoads() (all []windowLoad) {
-	w := f.set.OverloadWindow
+	w := f.cfg.OverloadWindow
 	for _, srv := range slices.Compact(slices.Clone(f.servers)) {
 		for i, at := range srv.arrived {
 			from := at - w
 			ramp := max(from, outageEnd)
-			mean := (f.set.ColdCapacity*seconds(ramp-from) +
+			mean := (f.cfg.ColdCapacity*seconds(ramp-from) +
 				(f.capacityShare(ramp)+f.capacityShare(at))/2*seconds(at-ramp)) / seconds(w)
-			n := f.set.OverloadMultiple * mean * srv.capacity * seconds(w)
+			n := f.cfg.OverloadMultiple * mean * srv.capacity * seconds(w)
 			calls := countAfter(srv.arrived[:i+1], from)
 			informed := 0
 			for _, known := range srv.fromInformed[i+1-calls : i+1] {
@@ -369,10 +369,10 @@
 			for seed := range uint64(seeds) {
 				for _, rate := range []float64{6, 27} {
 					for _, failure := range []Outcome{ConnRefused, Refused, Errored, TimedOut} {
-						p := fleetPlan{set: baseSettings(), seed: 7000 + seed, rate: rate, headroom: 1.5, endpoints: 2,
+						p := fleetPlan{cfg: baseSettings(), seed: 7000 + seed, rate: rate, headroom: 1.5, endpoints: 2,
 							failure: failure, trafficSkew: 0.4}
-						p.set.Senders, p.set.CallSlots, p.set.MaxOpen = senders, 64, 300
-						p.set.OverloadMultiple, p.set.OverloadWindow, p.set.ColdCapacity, p.set.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
+						p.cfg.Senders, p.cfg.CallSlots, p.cfg.MaxOpen = senders, 64, 300
+						p.cfg.OverloadMultiple, p.cfg.OverloadWindow, p.cfg.ColdCapacity, p.cfg.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
 						informed := 0.0
 						for _, load := range p.play(t).windowLoads() {
 							overall = max(overall, load.ratio)
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -31,9 +31,9 @@
 	messages int // created so far
 }
 
-func newHarness(t *testing.T, set Settings) *harness {
+func newHarness(t *testing.T, cfg Settings) *harness {
 	t.Helper()
-	s, err := New(set, 7)
+	s, err := New(cfg, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 // simulation feeds a Sender random valid events and checks the rules for sending. It models no server.
 type simulation struct {
 	t                *testing.T
-	set              Settings
+	cfg              Settings
 	rng              *rand.Rand
 	s                *Sender
 	now              Micros
@@ -94,8 +94,8 @@
 	waitUntil        map[string]Micros
 	probed           map[EndpointID]int
 	keys             map[string][]*simMessage
-	pausedUntil      map[string]Micros
-	pausedBy         map[string]*simMessage
+	cooldownUntil    map[string]Micros
+	cooldownExempt   map[string]*simMessage
 	slotsUsed        int
 	outage           [2]Micros // all of destination 1 refuses connections
 	sawOutage        bool
@@ -118,7 +118,7 @@
 	deadline        Micros
 	ended, inFlight bool
 	mayHaveRun      bool
-	firstMayHaveRun Micros
+	mayHaveRunAt    Micros
 	zone            int
 	attempts        int
 }
@@ -138,9 +138,9 @@
 
 type simCall struct{ open int }
 
-// laneKey names the route or destination whose limits an endpoint shares.
-func (sim *simulation) laneKey(e *simEndpoint) string {
-	if sim.set.Kinds[e.entry.Kind].SeparateRoutes {
+// limiterKey names the route or destination whose limits an endpoint shares.
+func (sim *simulation) limiterKey(e *simEndpoint) string {
+	if sim.cfg.Kinds[e.entry.Kind].SeparateRoutes {
 		return fmt.Sprint("route", e.entry.Endpoint)
 	}
 	return fmt.Sprint("dest", e.entry.Dest)
@@ -151,14 +151,14 @@
 	sim.t.Fatalf("at %d: "+format, append([]any{sim.now}, args...)...)
 }
 
-func newSimulation(t *testing.T, set Settings, seed uint64) *simulation {
-	s, err := New(set, seed)
+func newSimulation(t *testing.T, cfg Settings, seed uint64) *simulation {
+	s, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &simulation{t: t, set: set, rng: rand.New(rand.NewPCG(seed, 1)), s: s, msgs: map[string]*simMessage{},
+	return &simulation{t: t, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), s: s, msgs: map[string]*simMessage{},
 		endpoints: map[EndpointID]*simEndpoint{}, waitUntil: map[string]Micros{}, probed: map[EndpointID]int{},
-		keys: map[string][]*simMessage{}, pausedUntil: map[string]Micros{}, pausedBy: map[string]*simMessage{},
+		keys: map[string][]*simMessage{}, cooldownUntil: map[string]Micros{}, cooldownExempt: map[string]*simMessage{},
 		outage: [2]Micros{12 * Second, 20 * Second}, burst: 15}
 }
 
@@ -167,8 +167,8 @@
 	var first EndpointUpdate
 	first.Kind = UpdateCached
 	for i := 0; i < 8; i++ {
-		entry := EndpointEntry{Endpoint: EndpointID(100 + i), Dest: int64(1 + i/2), Kind: (i / 2) % len(sim.set.Kinds),
-			Zone: i % max(sim.set.Zones, 1), NominalRate: 6}
+		entry := EndpointEntry{Endpoint: EndpointID(100 + i), Dest: int64(1 + i/2), Kind: (i / 2) % len(sim.cfg.Kinds),
+			Zone: i % max(sim.cfg.Zones, 1), NominalRate: 6}
 		sim.endpoints[entry.Endpoint] = &simEndpoint{entry: entry}
 		sim.order = append(sim.order, entry.Endpoint)
 		first.Entries = append(first.Entries, entry)
@@ -176,7 +176,7 @@
 	sim.run(first)
 	next := Micros(0)
 	for sim.now < 60*Second {
-		sim.now += sim.set.Tick
+		sim.now += sim.cfg.Tick
 		var evs []Event
 		evs = append(evs, sim.dueEvents()...)
 		if sim.now < 40*Second && sim.now >= next {
@@ -210,8 +210,8 @@
 
 // arrival is a new random message.
 func (sim *simulation) arrival() Event {
-	ci := sim.rng.IntN(len(sim.set.Classes))
-	c := sim.set.Classes[ci]
+	ci := sim.rng.IntN(len(sim.cfg.Classes))
+	c := sim.cfg.Classes[ci]
 	m := &simMessage{id: fmt.Sprint("r", len(sim.ids)), class: c, dest: int64(1 + sim.rng.IntN(5))}
 	left := c.Deadline
 	if sim.rng.IntN(5) == 0 {
@@ -226,7 +226,7 @@
 	sim.ids = append(sim.ids, m.id)
 	sim.live = append(sim.live, m)
 	tenant := -1
-	if n := len(sim.set.Tenants); n > 0 {
+	if n := len(sim.cfg.Tenants); n > 0 {
 		tenant = sim.rng.IntN(n)
 	}
 	return Message{ID: m.id, TimeLeft: left, OrderKey: m.key, Dest: m.dest, Tenant: tenant, Class: ci}
@@ -282,11 +282,11 @@
 	}
 	r.Final = m.ended
 	if m.key != "" && (r.Outcome == TimedOut || r.Outcome == ConnLost || r.Outcome == Cancelled) {
-		sim.pausedUntil[m.key], sim.pausedBy[m.key] = sim.now+sim.set.KeyCooldown, m
+		sim.cooldownUntil[m.key], sim.cooldownExempt[m.key] = sim.now+sim.cfg.KeyCooldown, m
 	}
 	e := sim.endpoints[r.Endpoint]
 	if r.RetryAfter > 0 {
-		sim.waitUntil[sim.laneKey(e)] = max(sim.waitUntil[sim.laneKey(e)], sim.now+r.RetryAfter)
+		sim.waitUntil[sim.limiterKey(e)] = max(sim.waitUntil[sim.limiterKey(e)], sim.now+r.RetryAfter)
 	}
 	if e.entry.Dest == 1 && sim.now > sim.outage[0] && sim.now < sim.outage[1] && r.Outcome == ConnRefused {
 		sim.sawOutage = true
@@ -342,10 +342,10 @@
 			m, e := sim.msgs[a.ID], sim.endpoints[a.Endpoint]
 			sim.checkSend(m, e)
 			c := opened[a.Endpoint]
-			if c == nil || count[a.Endpoint]%max(sim.set.Kinds[e.entry.Kind].MaxBatch, 1) == 0 {
+			if c == nil || count[a.Endpoint]%max(sim.cfg.Kinds[e.entry.Kind].MaxBatch, 1) == 0 {
 				c = &simCall{}
 				opened[a.Endpoint] = c
-				if sim.slotsUsed++; sim.slotsUsed > sim.set.CallSlots {
+				if sim.slotsUsed++; sim.slotsUsed > sim.cfg.CallSlots {
 					sim.fatalf("more concurrent calls than slots")
 				}
 				sim.checkCold(e)
@@ -360,13 +360,13 @@
 				Attempt: m.attempts, Outcome: o, Latency: took, RetryAfter: wait, Load: sim.load()}, m, c})
 			m.attempts++
 		case Cancel:
-			if !sim.set.MayCancel {
+			if !sim.cfg.MayCancel {
 				sim.fatalf("cancelled although MayCancel is not set")
 			}
 			for i, q := range sim.queue {
 				if r, ok := q.ev.(AttemptResult); ok && r.ID == a.ID && r.Attempt == a.Attempt {
 					r.Outcome, r.RetryAfter = Cancelled, 0
-					sim.queue[i].ev, sim.queue[i].at = r, sim.now+sim.set.Tick
+					sim.queue[i].ev, sim.queue[i].at = r, sim.now+sim.cfg.Tick
 				}
 			}
 		case Reject:
@@ -378,7 +378,7 @@
 				m.inFlight {
 				sim.fatalf("rejected %s, which may have run", a.ID)
 			}
-			if a.RetryAfter > sim.set.MaxRetryAfter || a.RetryAfter > 0 && !sim.set.RetryAfter {
+			if a.RetryAfter > sim.cfg.MaxRetryAfter || a.RetryAfter > 0 && !sim.cfg.RetryAfter {
 				sim.fatalf("rejected with a retry advice of %d", a.RetryAfter)
 			}
 			sim.endMessage(m)
@@ -387,7 +387,7 @@
 		case SetTimer:
 			sim.queue = append(sim.queue, simEvent{sim.now + max(a.Wait, 1), TimerFired{a.Token}, nil, nil})
 		case Probe:
-			if !sim.set.Probing {
+			if !sim.cfg.Probing {
 				sim.fatalf("probe although Probing is not set")
 			}
 			e := sim.endpoints[a.Endpoint]
@@ -426,17 +426,17 @@
 }
 
 func (sim *simulation) load() []float64 {
-	if sim.set.LoadLimitIndex < 0 {
+	if sim.cfg.LoadLimitIndex < 0 {
 		return nil
 	}
 	return []float64{sim.rng.Float64(), 4 + 4*sim.rng.Float64()}
 }
 
 func (sim *simulation) checkEndpoint(e *simEndpoint) {
-	if e.closed && sim.now > e.closedAt+sim.set.DrainGrace {
+	if e.closed && sim.now > e.closedAt+sim.cfg.DrainGrace {
 		sim.fatalf("sent to an endpoint that drains or was removed")
 	}
-	if sim.now < sim.waitUntil[sim.laneKey(e)] {
+	if sim.now < sim.waitUntil[sim.limiterKey(e)] {
 		sim.fatalf("sent before a requested wait was over")
 	}
 }
@@ -454,9 +454,9 @@
 	case m.mayHaveRun && c.Idempotency == NonIdempotent:
 		sim.fatalf("resent %s, which is not idempotent", m.id)
 	case m.mayHaveRun && c.Idempotency == IdempotentByKey &&
-		(sim.now > m.firstMayHaveRun+c.DedupWindow || c.DedupPerZone && e.entry.Zone != m.zone):
+		(sim.now > m.mayHaveRunAt+c.DedupWindow || c.DedupPerZone && e.entry.Zone != m.zone):
 		sim.fatalf("resent keyed %s outside its zone or deduplication window", m.id)
-	case sim.set.MaxAttempts > 0 && m.attempts >= sim.set.MaxAttempts:
+	case sim.cfg.MaxAttempts > 0 && m.attempts >= sim.cfg.MaxAttempts:
 		sim.fatalf("too many attempts of %s", m.id)
 	}
 	if m.key != "" {
@@ -468,13 +468,13 @@
 				sim.fatalf("sent %s before %s of the same key had ended", m.id, earlier.id)
 			}
 		}
-		if sim.now < sim.pausedUntil[m.key] && sim.pausedBy[m.key] != m {
+		if sim.now < sim.cooldownUntil[m.key] && sim.cooldownExempt[m.key] != m {
 			sim.fatalf("sent %s during the cooldown of its key", m.id)
 		}
 	}
 	m.inFlight = true
 	if !m.mayHaveRun {
-		m.firstMayHaveRun, m.zone = sim.now, e.entry.Zone
+		m.mayHaveRunAt, m.zone = sim.now, e.entry.Zone
 	}
 }
 
@@ -485,21 +485,21 @@
 		sim.sentBeforeOutage = append(sim.sentBeforeOutage, sim.now)
 		sim.peak = max(sim.peak, float64(countAfter(sim.sentBeforeOutage, sim.now-Second)))
 	}
-	if e.entry.Dest != 1 || !sim.sawOutage || sim.now < sim.outage[1] || sim.now > sim.outage[1]+sim.set.WarmupTime {
+	if e.entry.Dest != 1 || !sim.sawOutage || sim.now < sim.outage[1] || sim.now > sim.outage[1]+sim.cfg.WarmupTime {
 		return
 	}
-	share := sim.set.ColdCapacity + (1-sim.set.ColdCapacity)*seconds(sim.now-sim.outage[1])/seconds(sim.set.WarmupTime)
+	share := sim.cfg.ColdCapacity + (1-sim.cfg.ColdCapacity)*seconds(sim.now-sim.outage[1])/seconds(sim.cfg.WarmupTime)
 	routes := 1.0
-	if sim.set.Kinds[e.entry.Kind].SeparateRoutes {
+	if sim.cfg.Kinds[e.entry.Kind].SeparateRoutes {
 		routes = 2
 	}
 	limit := 8.0 // highest reported limit; without reports the sender's peak rate stands for it
-	if sim.set.Weights == WeightsOff && sim.set.LoadLimitIndex < 0 {
+	if sim.cfg.Weights == WeightsOff && sim.cfg.LoadLimitIndex < 0 {
 		limit = max(limit, sim.peak)
 	}
-	allowed := sim.set.OverloadMultiple*share*limit*routes*seconds(sim.set.OverloadWindow)/float64(sim.set.Senders) + 6*routes
+	allowed := sim.cfg.OverloadMultiple*share*limit*routes*seconds(sim.cfg.OverloadWindow)/float64(sim.cfg.Senders) + 6*routes
 	sim.sentAfterOutage = append(sim.sentAfterOutage, sim.now)
-	if n := countAfter(sim.sentAfterOutage, sim.now-sim.set.OverloadWindow); float64(n) > allowed {
+	if n := countAfter(sim.sentAfterOutage, sim.now-sim.cfg.OverloadWindow); float64(n) > allowed {
 		sim.fatalf("%d calls in an overload window to a cold destination, want at most %.1f", n, allowed)
 	}
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -28,10 +28,10 @@
 	stuckCancelFactor = 2           // a stuck call is cancelled after this multiple of the stuck time
 	defaultStuckTime  = 2 * Second  // stuck time while no latency is known
 
-	// Pace of calls to a lane.
+	// Pace of calls through a limiter.
 	minPace        = 1.0        // lowest pace, calls per second
 	paceInterval   = Second     // interval that sets the first pace, and least time between two halvings
-	burstTime      = Second / 2 // an idle lane saves up calls for this time; more would hit limits in bursts
+	burstTime      = Second / 2 // tokens saved up while idle, as time; more would exceed limits in bursts
 	paceGrowth     = 0.1        // relative growth of the pace with each success
 	limitHeadroom  = 0.75       // fraction of a reported limit that the least paces of many senders add up to
 	minUsedShare   = 0.3        // least used share of a limit to assume; reports are late and noisy
@@ -39,12 +39,12 @@
 
 	// Outages, trials, endpoint selection and connections.
 	failureAlpha       = 0.3        // weight of the newest outcome in an endpoint's failure rate
-	outageFailureRate  = 0.45       // failure rate above which an endpoint is out
+	outageFailureRate  = 0.45       // failure rate above which an endpoint is ejected
 	minFirstPause      = 2 * Second // many senders: least pause after a first refusal; jitter adds up to as much
-	maxMeanPause       = 8 * Second // many senders: longest mean pause of a lane
+	maxMeanPause       = 8 * Second // many senders: longest mean pause between calls of a limiter
 	outageResendFactor = 1.0        // part of the messages of an outage that is resent at the same time
 	assumedOutage      = 5 * Second // assumed length of an outage before this sender noticed it
-	minOutage          = 2 * Second // an endpoint that answers again sooner was not out, and is not cold
+	minOutage          = 2 * Second // an endpoint that answers again sooner had no outage and is not cold
 
 	nonIdempotentFailureRate = 0.2        // failure rate above which unsafe messages avoid an endpoint
 	outageRefusals           = 4          // refusals in a row that count as an outage ...
@@ -62,7 +62,7 @@
 	refusalAlpha           = 0.05        // weight of the newest call in the refusal rate of a destination kind
 	maxIdleConnRefusalRate = 0.01        // refusal rate above which many senders keep no idle connections
 	expensiveConnCost      = 0.04        // cost of a new connection from which none is released for rare use
-	manySenders            = 16          // with more senders, one idle connection each may fill an endpoint
+	fewSendersMax          = 16          // with more senders, one idle connection each may fill an endpoint
 	outageResets           = 3           // broken connections in a row without an answer that count as an outage
 	recentAnswer           = Second      // a refused connection so soon after an answer is no outage by itself
 	outageUnreadable       = 4           // unreadable answers in a row that count as an outage
@@ -71,16 +71,16 @@
 	connShortageBackoff    = 50_000      // mean pause after a connection shortage; doubles with each attempt
 	outageConnShortages    = 8           // shortages in a row, no answer for outageRefusalSpan: an outage
 
-	// Priorities, buffer, scans and list subscription.
-	quotaHalfLife       = 5 * Second // half-life of the count that gives a tenant's rate
-	valueLossHorizon    = Second     // messages are ordered by the value they lose within this time
-	minTryShare         = 0.7        // by protocol, an accepted message is tried for this fraction of its time
-	bufferHighWatermark = 0.7        // fill level above which messages that cannot be sent in time are ended
-	bufferFullWatermark = 0.9        // fill level above which the least valuable messages are rejected
+	// Priorities, held messages, scans and list subscription.
+	quotaHalfLife     = 5 * Second // half-life of the count that gives a tenant's rate
+	valueLossHorizon  = Second     // messages are ordered by the value they lose within this time
+	minTryShare       = 0.7        // by protocol, an accepted message is tried for this fraction of its time
+	heldHighWatermark = 0.7        // fraction of MaxOpen from which messages that cannot be sent in time end
+	heldFullWatermark = 0.9        // fraction of MaxOpen from which the least valuable messages are rejected
 
-	scanAllLimit     = 512 // up to this many waiting messages are all examined in each step ...
-	sampleSize       = 64  // ... else this many of a backlog's front, and of the rest in rotation ...
-	backlogsPerRound = 4   // ... and this many backlogs in rotation, besides those that are due
+	defaultFullScanMax = 512 // up to this many waiting messages are all examined in each step ...
+	sampleSize         = 64  // ... else this many of a backlog's front, and of the rest in turn ...
+	backlogsPerRound   = 4   // ... and this many backlogs in turn, besides those that are due
 
 	cachedListTime       = 6 * Second // by protocol, changes to the list count as known this long after a start
 	minSubscribeDelay    = Second     // first pause before the list is requested again
@@ -92,20 +92,21 @@
 )
 
 // New creates a Sender. The error names the first invalid setting.
-func New(set Settings, seed uint64) (*Sender, error) {
-	if err := validate(&set); err != nil {
+func New(cfg Settings, seed uint64) (*Sender, error) {
+	if err := validate(&cfg); err != nil {
 		return nil, err
 	}
 	source := rand.NewPCG(seed, 0)
-	s := &Sender{cfg: set, rngSource: source, rng: rand.New(source), now: math.MinInt64, askAt: never,
-		askGap: minSubscribeDelay, endpoints: map[EndpointID]*endpoint{}, dests: map[int64]*dest{},
-		msgs: map[string]*msg{}, keyQueues: map[string]*keyQueue{}, rejectRate: map[int]float64{}, scarceUntil: map[int]Micros{}}
-	if set.ListOnRequest {
-		s.askAt = math.MinInt64
-	}
-	s.largeFleet = set.Senders > manySenders
-	s.waiting, s.fullScanMax = newWaitIndex(len(set.Classes)), scanAllLimit
-	s.classLatency, s.tenantUsage = make([]histogram, len(set.Classes)), make([]tenantUsage, len(set.Tenants))
+	s := &Sender{cfg: cfg, rngSource: source, rng: rand.New(source), now: math.MinInt64, subscribeAt: never,
+		subscribeDelay: minSubscribeDelay, endpoints: map[EndpointID]*endpoint{}, dests: map[int64]*dest{},
+		msgs: map[string]*msg{}, keyQueues: map[string]*keyQueue{},
+		refusalRate: map[int]float64{}, scarceUntil: map[int]Micros{}}
+	if cfg.ListOnRequest {
+		s.subscribeAt = math.MinInt64
+	}
+	s.manySenders = cfg.Senders > fewSendersMax
+	s.waiting, s.fullScanMax = newWaitIndex(len(cfg.Classes)), defaultFullScanMax
+	s.classLatency, s.tenantUsage = make([]histogram, len(cfg.Classes)), make([]tenantUsage, len(cfg.Tenants))
 	return s, nil
 }
 
@@ -136,13 +137,13 @@
 		// The request failed or the subscription broke: retry with exponential backoff and jitter. A change
 		// counts as known 6 s after it was made, so the duration of the request counts as well. The jitter
 		// makes the longest pause one and a half times the delay, hence the factor 2/3.
-		delay := min(s.askGap, max(maxSubscribeInterval-ev.RequestTime, 0)*2/3)
-		s.askAt = s.now + Micros((0.5+s.rng.Float64())*float64(delay))
-		s.askGap = min(2*s.askGap, maxSubscribeDelay)
+		delay := min(s.subscribeDelay, max(maxSubscribeInterval-ev.RequestTime, 0)*2/3)
+		s.subscribeAt = s.now + Micros((0.5+s.rng.Float64())*float64(delay))
+		s.subscribeDelay = min(2*s.subscribeDelay, maxSubscribeDelay)
 		return
 	}
-	if s.askAt == never {
-		s.askGap = minSubscribeDelay
+	if s.subscribeAt == never {
+		s.subscribeDelay = minSubscribeDelay
 	}
 	s.listStaleUntil = 0
 	if ev.Kind == UpdateCached {
@@ -203,15 +204,15 @@
 
 // subscribe requests the endpoint list when a request is due.
 func (s *Sender) subscribe() {
-	if s.askAt == never {
+	if s.subscribeAt == never {
 		return
 	}
-	if s.now < s.askAt {
-		s.wakeBy(s.askAt)
+	if s.now < s.subscribeAt {
+		s.wakeBy(s.subscribeAt)
 		return
 	}
 	s.emit(Subscribe{})
-	s.askAt = never
+	s.subscribeAt = never
 }
 
 // ---- Queue ---------------------------------------------------------------------------
@@ -219,9 +220,9 @@
 // priority is the value that m would lose by waiting a little longer, per second that it would hold a slot.
 func (s *Sender) priority(m *msg) float64 {
 	latency := max(s.medianLatency(m), 10_000)
-	value := s.worthAt(m, s.now+latency)
-	loss := value - s.worthAt(m, s.now+latency+valueLossHorizon)
-	return m.worthShare * (loss + 0.02*value) / (float64(latency) * float64(1+m.dest.limiter.inFlight))
+	value := s.valueAt(m, s.now+latency)
+	loss := value - s.valueAt(m, s.now+latency+valueLossHorizon)
+	return m.valueShare * (loss + 0.02*value) / (float64(latency) * float64(1+m.dest.limiter.inFlight))
 }
 
 // quotaFactor counts a new message of a tenant and returns the fraction of its value that the message keeps.
@@ -262,26 +263,28 @@
 		m.priority = s.priority(m)
 		m.dest.queuedAhead = 0
 	}
-	slices.SortFunc(msgs, func(a, b *msg) int { return cmp.Or(cmp.Compare(b.priority, a.priority), a.seq-b.seq) })
+	slices.SortFunc(msgs, func(a, b *msg) int {
+		return cmp.Or(cmp.Compare(b.priority, a.priority), a.seq-b.seq)
+	})
 	for i, m := range msgs {
 		if s.trySend(m) {
 			continue
 		}
-		m.dest.queuedAhead += m.weight
+		m.dest.queuedAhead += m.sampleWeight
 		if !s.mayDrop(m) {
 			continue
 		}
-		// End messages that cannot be sent in time at the current pace, but only if the buffer is filling up,
+		// End messages that cannot be sent in time at the current pace, but only if many messages are held,
 		// since paces and limits recover.
 		pace := s.destPace(m.dest)
 		if pace > 0 && m.dest.queuedAhead/pace > seconds(m.deadline-s.now-s.medianLatency(m)) &&
-			s.heldFraction() > bufferHighWatermark {
+			s.heldFraction() > heldHighWatermark {
 			s.endMessage(m)
 			continue
 		}
-		// When the buffer is nearly full, end the message of least priority rather than reject new messages
+		// When nearly MaxOpen messages are held, end the one of least priority rather than reject new messages
 		// regardless of their value.
-		if s.heldFraction() > bufferFullWatermark && i >= len(msgs)-1 && !m.mayRun {
+		if s.heldFraction() > heldFullWatermark && i >= len(msgs)-1 && !m.mayHaveRun {
 			s.endMessage(m)
 		}
 	}
@@ -291,27 +294,31 @@
 // blockedByItself reports whether m is blocked for a reason that does not affect other messages for its
 // destination, and whether it is blocked until a known time.
 func (s *Sender) blockedByItself(m *msg) (blocked, timed bool) {
-	line, c := m.keyQueue, m.class
-	if line != nil && line.messages[0] != m || m.mayRun && c.DedupPerZone {
+	queue, c := m.keyQueue, m.class
+	if queue != nil && queue.messages[0] != m || m.mayHaveRun && c.DedupPerZone {
 		return true, false
 	}
-	timed = s.now < m.retryAt || line != nil && s.now < line.quietUntil && line.quietExempt != m ||
+	timed = s.now < m.retryAt || queue != nil && s.now < queue.cooldownUntil && queue.cooldownExempt != m ||
 		c.Idempotency == NonIdempotent && s.now < m.submitted+c.TargetLatency
 	return timed, timed
 }
 
 // freeSlots is the number of slots that any call may take, and the number that trials may take.
 func (s *Sender) freeSlots() [2]int {
-	return [2]int{anySlot: max(s.cfg.CallSlots-s.busy, 0), trialSlot: max(s.maxTrials()-s.trialsInFlight, 0)}
+	return [2]int{
+		anySlot:   max(s.cfg.CallSlots-s.slotsUsed, 0),
+		trialSlot: max(s.maxTrials()-s.trialsInFlight, 0),
+	}
 }
 
 func (s *Sender) maxTrials() int { return max(1, s.cfg.CallSlots*2/3) }
 
 // mayDrop reports whether m may be ended for lack of room: on arrival, or when an attempt may have run. An
-// accepted message that never ran may be dropped only once most of its time has passed, since paces recover
-// and a restart finds many messages that were never tried.
+// accepted message that never ran may be dropped only once most of its time has passed, since paces recover,
+// and after a process restart many messages have never been tried.
 func (s *Sender) mayDrop(m *msg) bool {
-	return m.mayRun || m.newInStep == s.step || float64(s.now-m.arrived) >= minTryShare*float64(m.deadline-m.arrived)
+	return m.mayHaveRun || m.newInStep == s.step ||
+		float64(s.now-m.arrived) >= minTryShare*float64(m.deadline-m.arrived)
 }
 
 // trySend picks the best endpoint of m's destination that may be used now, in rotation, and starts an attempt
@@ -338,7 +345,7 @@
 		if !s.joinsOpenCall(e) {
 			penalty++ // prefer a call that is sent anyway
 		}
-		if s.largeFleet && (s.now >= e.idleConnUntil || e.inFlight >= max(s.cfg.CallsPerConn, 1)) {
+		if s.manySenders && (s.now >= e.idleConnUntil || e.inFlight >= max(s.cfg.CallsPerConn, 1)) {
 			penalty++ // among many senders a connection rarely stays open until the rotation returns to it
 		}
 		if e == m.lastEndpoint {
@@ -357,7 +364,7 @@
 	if chosen == nil {
 		return false
 	}
-	if m.tries == 0 && lowest > 0 {
+	if m.attempts == 0 && lowest > 0 {
 		d.nextEndpoint = (slices.Index(d.endpoints, chosen) + 1) % len(d.endpoints)
 	}
 	s.startAttempt(m, chosen)
@@ -368,7 +375,7 @@
 func (s *Sender) startAttempt(m *msg, e *endpoint) {
 	if !s.joinsOpenCall(e) {
 		e.openCall = &call{step: s.step}
-		s.busy++
+		s.slotsUsed++
 		e.limiter.tokens--
 		e.limiter.inFlight++
 		e.inFlight++
@@ -380,7 +387,7 @@
 	}
 	a, timeout := s.recordAttempt(m, e), m.deadline-s.now
 	if stuck := 2 * s.stuckTime(e.dest, m); !s.cfg.MayCancel && (m.class.Idempotency == Idempotent ||
-		m.class.Idempotency == IdempotentByKey && s.now+stuck < m.mayRunAt+m.class.DedupWindow) {
+		m.class.Idempotency == IdempotentByKey && s.now+stuck < m.mayHaveRunAt+m.class.DedupWindow) {
 		timeout = min(timeout, stuck) // where attempts cannot be cancelled, time out while m can still be resent
 	}
 	s.emit(Send{ID: a.msg.id, Timeout: timeout, Endpoint: e.id})
@@ -397,7 +404,7 @@
 		return false, never
 	case s.now < max(e.limiter.waitUntil, m.retryAt): // requested wait
 		return false, max(e.limiter.waitUntil, m.retryAt)
-	case s.cfg.MaxAttempts > 0 && m.tries >= s.cfg.MaxAttempts:
+	case s.cfg.MaxAttempts > 0 && m.attempts >= s.cfg.MaxAttempts:
 		return false, never
 	case m.deadline-s.now <= max(s.medianLatency(m), 2*s.cfg.Tick): // too little time left for a usual call
 		return false, never
@@ -406,28 +413,28 @@
 		// The message stays in the journal for the next start.
 		return false, never
 	}
-	if line := m.keyQueue; line != nil { // order of messages with the same key
-		if line.messages[0] != m {
+	if queue := m.keyQueue; queue != nil { // order of messages with the same key
+		if queue.messages[0] != m {
 			return false, never
 		}
-		if s.now < line.quietUntil && line.quietExempt != m {
-			return false, line.quietUntil
+		if s.now < queue.cooldownUntil && queue.cooldownExempt != m {
+			return false, queue.cooldownUntil
 		}
 	}
-	if m.mayRun { // duplicates
+	if m.mayHaveRun { // duplicates
 		c := m.class
 		switch {
 		case c.Idempotency == NonIdempotent:
 			return false, never
-		case c.Idempotency == IdempotentByKey && (c.DedupPerZone && e.zone != m.mayRunZone ||
-			s.now > m.mayRunAt+c.DedupWindow-s.cfg.Tick):
+		case c.Idempotency == IdempotentByKey && (c.DedupPerZone && e.zone != m.mayHaveRunZone ||
+			s.now > m.mayHaveRunAt+c.DedupWindow-s.cfg.Tick):
 			return false, never
 		}
 	}
 	if s.joinsOpenCall(e) {
 		return true, 0
 	}
-	if s.busy >= s.cfg.CallSlots || e.limiter.inFlight >= (s.cfg.CallSlots+1)/2 { // slots
+	if s.slotsUsed >= s.cfg.CallSlots || e.limiter.inFlight >= (s.cfg.CallSlots+1)/2 { // slots
 		return false, never
 	}
 	if at := s.healthAllowsAt(m, e); at > s.now {
@@ -452,8 +459,8 @@
 	return s.stuckTime(e.dest, m)
 }
 
-// healthAllowsAt is the time from which m may be sent to e, judged by e's health. An endpoint that is out
-// gets single trials only, with unsafe messages last.
+// healthAllowsAt is the time from which m may be sent to e, judged by e's health. An ejected endpoint gets
+// single trials only, with unsafe messages last.
 func (s *Sender) healthAllowsAt(m *msg, e *endpoint) Micros {
 	if e.ejected {
 		switch {
@@ -480,16 +487,16 @@
 	return 0
 }
 
-// maybeRemoved reports whether e, which is out, may only have been removed: it has never answered, and the
-// list is still the cached one from the start, which may be out of date. Its failure then says nothing about
-// its siblings.
+// maybeRemoved reports whether e, which is ejected, may only have been removed: it has never answered, and
+// the list is still the cached one from the start, which may be out of date. Its failure then says nothing
+// about its siblings.
 func (s *Sender) maybeRemoved(e *endpoint) bool {
 	return s.now < s.listStaleUntil && e.lastOK == longAgo
 }
 
 // slowStartAllowsAt is the time from which a call may be sent to e without exceeding this sender's share of
-// the load under which a destination fails again after an outage. The cold endpoints of a lane share one
-// budget, because the lane fails as a whole.
+// the load under which a destination fails again after an outage. The cold endpoints that share a limiter
+// share one budget, because they fail together.
 func (s *Sender) slowStartAllowsAt(e *endpoint) Micros {
 	if e.cold && !e.ejected && s.now >= e.upAt+s.cfg.WarmupTime {
 		e.cold = false
@@ -498,15 +505,15 @@
 		return 0 // an outage cannot have ended yet
 	}
 	if !e.cold && !slices.ContainsFunc(e.dest.endpoints, func(x *endpoint) bool {
-		// e is not known to have answered while x was out
+		// e is not known to have answered while x was ejected
 		return x.cold && x.limiter == e.limiter && x.ejectedAt >= e.healthyAt && !s.maybeRemoved(x)
 	}) {
 		return 0
 	}
 	// Calls sent before the outage are no load on the destination that recovers. Counting them would delay the
 	// first trial, and with it the recovery, by a whole window.
-	guessed := e.limiter.limit == 0 && s.cfg.Senders > 1 // capacity estimated from what this sender alone observed
-	warm, cold, recent, window, countFrom := 1.0, 0, []Micros(nil), s.cfg.OverloadWindow, s.now
+	estimated := e.limiter.limit == 0 && s.cfg.Senders > 1 // only this sender's own calls tell the capacity
+	warmth, shared, recent, window, countFrom := 1.0, 0, []Micros(nil), s.cfg.OverloadWindow, s.now
 	for _, x := range e.dest.endpoints {
 		if x.cold && x.limiter == e.limiter {
 			countFrom = min(countFrom, x.downAt)
@@ -514,30 +521,30 @@
 	}
 	for _, x := range e.dest.endpoints {
 		if (x.cold || x == e) && x.limiter == e.limiter {
-			cold++
+			shared++
 			recent = append(recent, x.sentAt[len(x.sentAt)-countAfter(x.sentAt, countFrom):]...)
 			if x.ejected {
-				warm = min(warm, 0)
+				warmth = min(warmth, 0)
 			} else if x.cold {
 				t, w := seconds(s.now-x.upAt), seconds(window)
-				switch { // use the mean capacity of x over the window; a guessed capacity is less exact than that
-				case guessed:
+				switch { // use the mean capacity of x over the window; an estimated capacity is less exact than that
+				case estimated:
 				case t < w:
 					t *= t / (2 * w)
 				default:
 					t -= w / 2
 				}
-				warm = min(warm, t/seconds(s.cfg.WarmupTime))
+				warmth = min(warmth, t/seconds(s.cfg.WarmupTime))
 			}
 		}
 	}
-	capacity := s.capacityEstimate(e) * float64(max(cold, 1))
-	allowed := s.cfg.OverloadMultiple * (s.cfg.ColdCapacity + (1-s.cfg.ColdCapacity)*warm) * seconds(window)
-	n := float64(s.cfg.Senders)
-	if guessed && !s.largeFleet {
-		n = 2 // among few senders, the peak second of one is about twice its share of the traffic
+	capacity := s.capacityEstimate(e) * float64(max(shared, 1))
+	allowed := s.cfg.OverloadMultiple * (s.cfg.ColdCapacity + (1-s.cfg.ColdCapacity)*warmth) * seconds(window)
+	senders := float64(s.cfg.Senders)
+	if estimated && !s.manySenders {
+		senders = 2 // among few senders, the peak second of one is about twice its share of the traffic
 	}
-	budget := allowed * capacity / n
+	budget := allowed * capacity / senders
 	slices.Sort(recent)
 	if budget < 1 {
 		// Many senders: this sender's share is that of its messages among all messages since the outage began.
@@ -563,9 +570,9 @@
 	return 0
 }
 
-// recordServed counts a call that a lane has served. The peak rate of served calls is a lower bound of the
-// lane's capacity. Calls sent are not: those that a cold lane refuses are resent at once and would raise its
-// budget.
+// recordServed counts a call that was answered with success. The peak rate of such calls is a lower bound of
+// the capacity behind the limiter. The rate of sent calls is not: those that a cold destination refuses are
+// resent at once and would raise its budget.
 func (s *Sender) recordServed(l *limiter) {
 	l.servedAt = append(dropBefore(l.servedAt, s.now-Second), s.now)
 	l.peakRate = max(l.peakRate, float64(countAfter(l.servedAt, s.now-Second)))
@@ -587,7 +594,7 @@
 
 // ---- Pace ----------------------------------------------------------------------------
 
-// paceAllowsAt refills the lane's tokens and returns the time from which it may take its next call. A known
+// paceAllowsAt refills the limiter's tokens and returns the time from which it allows the next call. A known
 // limit bounds the pace from the start. Where reports give the unused fraction of the limit, each of many
 // senders takes its even share of the limit divided by the used fraction, so that all together just use it
 // up. Waiting for refusals would be too late: refused calls count against the limit, so that after a burst
@@ -596,7 +603,7 @@
 	rate := l.pace
 	if l.limit > 0 {
 		limit := l.limit
-		if s.largeFleet && l.reported && s.cfg.LoadRemainingIndex >= 0 {
+		if s.manySenders && l.reported && s.cfg.LoadRemainingIndex >= 0 {
 			limit = max(limit/float64(s.cfg.Senders)/max(1-l.remaining, minUsedShare), 1/seconds(maxMeanPause))
 		}
 		if s.cfg.Weights == WeightsApproximate && !l.reported {
@@ -609,7 +616,7 @@
 	if rate == 0 {
 		return 0
 	}
-	// Calls sent while the lane had no pace are a debt, but for at most one interval.
+	// Calls sent while there was no pace are a debt, but for at most one interval.
 	l.tokens = max(l.tokens+rate*seconds(s.now-l.refilledAt), -rate*seconds(paceInterval))
 	l.tokens = min(l.tokens, max(1, rate*seconds(burstTime)))
 	l.refilledAt = s.now
@@ -619,14 +626,14 @@
 	return s.now + Micros((1-l.tokens)/rate*float64(Second)) + 1
 }
 
-// slowDown lowers a lane's pace after a refusal: it starts at the rate of the last second and is halved at
+// slowDown lowers a limiter's pace after a refusal: it starts at the rate of the last second and is halved at
 // most once per second.
 func (s *Sender) slowDown(l *limiter) {
 	if s.now < l.reducedAt+paceInterval && l.pace > 0 {
 		return
 	}
 	switch floor := s.paceFloor(l); {
-	case floor < minPace && s.largeFleet: // this sender's share of the limit is known: no need to probe for it
+	case floor < minPace && s.manySenders: // this sender's share of the limit is known: no need to probe for it
 		l.pace = max(floor, 1/seconds(maxMeanPause))
 	case l.pace == 0:
 		l.pace = max(floor, float64(countAfter(l.sentAt, s.now-paceInterval)))
@@ -638,7 +645,7 @@
 	// Other senders were refused at the same time. Spread the next calls by up to half an interval early or
 	// late, or up to one interval after a requested wait.
 	l.tokens = min(l.tokens, s.rng.Float64()-0.5)
-	if s.largeFleet && l.limit == 0 && l.refusals == 0 && countAfter(l.servedAt, s.now-recentAnswer) == 0 {
+	if s.manySenders && l.limit == 0 && l.refusals == 0 && countAfter(l.servedAt, s.now-recentAnswer) == 0 {
 		// The destination may be down. Spread the retries of senders that were refused once in its last seconds,
 		// so that they do not all meet it when it returns.
 		l.tokens = min(l.tokens, 1-l.pace*seconds(minFirstPause+Micros(s.rng.Float64()*float64(minFirstPause))))
@@ -648,7 +655,7 @@
 	}
 }
 
-// paceFloor is the lowest pace of a lane: one call per second, but no more than an even share of a known
+// paceFloor is the lowest pace of a limiter: one call per second, but no more than an even share of a known
 // limit. Where refused calls count against the limit, higher floors of all senders alone would use it up. The
 // floors of many senders leave headroom, so that such a state ends.
 func (s *Sender) paceFloor(l *limiter) float64 {
@@ -656,13 +663,13 @@
 		return minPace
 	}
 	share := l.limit / float64(s.cfg.Senders)
-	if s.largeFleet {
+	if s.manySenders {
 		share *= limitHeadroom
 	}
 	return min(minPace, share)
 }
 
-// speedUp raises a lane's pace after a success, and drops a pace far above the actual rate.
+// speedUp raises a limiter's pace after a success, and drops a pace far above the actual rate.
 func (s *Sender) speedUp(l *limiter) {
 	if l.pace == 0 {
 		return
@@ -684,8 +691,9 @@
 	return e
 }()
 
-// add counts an attempt that was answered after took, or that was cancelled or is late without an answer.
-func (h *histogram) add(now, took Micros, cancelled bool) {
+// add counts an attempt that was answered after the given latency or, if censored, one that was cancelled or
+// is overdue without an answer.
+func (h *histogram) add(now, latency Micros, censored bool) {
 	if h.bins == nil {
 		h.bins = new(binWeights)
 	}
@@ -695,10 +703,10 @@
 		h.bins[i] *= decay
 	}
 	h.total, h.censored = h.total*decay, h.censored*decay
-	if cancelled {
+	if censored {
 		h.censored++
 	} else {
-		h.bins[binIndex(took)]++
+		h.bins[binIndex(latency)]++
 		h.total++
 	}
 	h.recompute()
@@ -787,7 +795,8 @@
 			continue
 		}
 		stuckLimit := stuck << a.msg.restarts
-		if a.stuck && e.ejected && (age > stuckCancelFactor*stuckLimit || age > stuckLimit && s.hasHealthySibling(e)) {
+		if a.stuck && e.ejected &&
+			(age > stuckCancelFactor*stuckLimit || age > stuckLimit && s.hasHealthySibling(e)) {
 			a.msg.restarts = min(a.msg.restarts+1, maxRestarts)
 			s.cancel(a)
 			continue
@@ -808,7 +817,7 @@
 		}
 	}
 	// An attempt that cannot be repeated may take its time, but not in the last slot while others wait.
-	if oldest != nil && s.busy >= s.cfg.CallSlots && s.cfg.CallSlots > 0 &&
+	if oldest != nil && s.slotsUsed >= s.cfg.CallSlots && s.cfg.CallSlots > 0 &&
 		s.waiting.count > oldest.msg.dest.waiting() {
 		s.cancel(oldest)
 	}
@@ -819,17 +828,17 @@
 func (s *Sender) isLastAttempt(m *msg) bool {
 	c := m.class
 	return c.Idempotency == NonIdempotent || c.Idempotency == IdempotentByKey &&
-		s.now > m.mayRunAt+c.DedupWindow-min(resendMargin, c.DedupWindow/4)
+		s.now > m.mayHaveRunAt+c.DedupWindow-min(resendMargin, c.DedupWindow/4)
 }
 
 // mayRestart reports whether a may be cancelled at τ and sent again: attempts and time must be left, and it
 // must not add load to a destination that refuses calls or recovers, unless all slots are taken.
 func (s *Sender) mayRestart(a *attempt) bool {
 	m, e := a.msg, a.endpoint
-	if m.restarts >= maxRestarts || s.cfg.MaxAttempts > 0 && m.tries >= s.cfg.MaxAttempts {
+	if m.restarts >= maxRestarts || s.cfg.MaxAttempts > 0 && m.attempts >= s.cfg.MaxAttempts {
 		return false
 	}
-	if s.busy < s.cfg.CallSlots && (e.limiter.pace > 0 || e.cold) {
+	if s.slotsUsed < s.cfg.CallSlots && (e.limiter.pace > 0 || e.cold) {
 		return false
 	}
 	return m.deadline-s.now > 2*max(s.medianLatency(m), e.dest.latency.tau)
@@ -845,29 +854,30 @@
 	}
 	a, e := m.inFlight, m.inFlight.endpoint
 	lastOfCall := s.finishAttempt(a)
-	refusalRate, connShortage := s.rejectRate[e.dest.kind]*(1-refusalAlpha), s.isConnShortage(r)
+	refusalRate, connShortage := s.refusalRate[e.dest.kind]*(1-refusalAlpha), s.isConnShortage(r)
 	switch {
 	case connShortage:
 		s.scarceUntil[e.dest.kind] = s.now + connShortageTime
 	case r.Outcome == Refused && !s.hasLoadReports():
 		refusalRate += refusalAlpha
 	}
-	s.rejectRate[e.dest.kind] = refusalRate
+	s.refusalRate[e.dest.kind] = refusalRate
 	s.applyReport(e, r.Load)
 	if r.Outcome == Delivered || r.Outcome == Refused || r.Outcome == Errored {
 		e.resets = 0
 	}
 	if r.Outcome == LocalFailure {
-		m.tries--
+		m.attempts--
 	}
 	if r.Outcome != Refused && r.Outcome != ConnRefused && r.Outcome != Skipped && r.Outcome != LocalFailure {
-		m.mayRun = true
+		m.mayHaveRun = true
 	}
 	if r.RetryAfter > 0 { // with any outcome: the answer to a batch may accept messages and still request a wait
 		e.limiter.waitUntil = max(e.limiter.waitUntil, s.now+r.RetryAfter)
 	}
 	if m.keyQueue != nil && (r.Outcome == TimedOut || r.Outcome == ConnLost || r.Outcome == Cancelled) {
-		m.keyQueue.quietUntil, m.keyQueue.quietExempt = max(m.keyQueue.quietUntil, s.now+s.cfg.KeyCooldown), m
+		m.keyQueue.cooldownUntil, m.keyQueue.cooldownExempt =
+			max(m.keyQueue.cooldownUntil, s.now+s.cfg.KeyCooldown), m
 	}
 	switch r.Outcome {
 	case Delivered:
@@ -888,7 +898,8 @@
 		}
 	case Refused:
 		if connShortage {
-			m.retryAt = s.now + Micros((0.5+s.rng.Float64())*float64(Micros(connShortageBackoff)<<min(m.tries-1, 5)))
+			m.retryAt = s.now +
+				Micros((0.5+s.rng.Float64())*float64(Micros(connShortageBackoff)<<min(m.attempts-1, 5)))
 			if lastOfCall {
 				s.recordConnShortage(e)
 			}
@@ -909,16 +920,16 @@
 	case ConnLost:
 		m.retryAt = s.now + errorBackoff
 	case Errored:
-		m.retryAt = s.now + errorBackoff<<min(m.tries, 5)
+		m.retryAt = s.now + errorBackoff<<min(m.attempts, 5)
 	}
 	if lastOfCall { // a batch is one call, so one outcome
 		s.recordOutcome(e, r.Outcome)
 		if e.ejected && r.Outcome != Skipped && r.Outcome != LocalFailure {
-			s.recordWellSiblings(e, a.sentAt)
+			s.recordHealthySiblings(e, a.sentAt)
 		}
 	}
 	e.idleConnUntil = s.now + s.cfg.ConnIdleTimeout
-	if s.largeFleet && e.inFlight == 0 {
+	if s.manySenders && e.inFlight == 0 {
 		s.justIdle = append(s.justIdle, e)
 	}
 	s.latencyChanged(e.dest)
@@ -940,7 +951,7 @@
 	for _, e := range s.justIdle {
 		n := len(e.sentAt)
 		rare := s.cfg.ConnCost < expensiveConnCost && (n < 2 || s.now-e.sentAt[n-2] > connReuseInterval)
-		if e.inFlight == 0 && (rare || s.rejectRate[e.dest.kind] > maxIdleConnRefusalRate ||
+		if e.inFlight == 0 && (rare || s.refusalRate[e.dest.kind] > maxIdleConnRefusalRate ||
 			s.now < s.scarceUntil[e.dest.kind]) {
 			e.idleConnUntil = s.now
 			s.emit(ReleaseConns{e.id})
@@ -953,7 +964,7 @@
 func (s *Sender) recordOutcome(e *endpoint, o Outcome) {
 	switch o {
 	case Unreadable: // may come from any endpoint, so only a row of them says something about health
-		if e.badAnswers++; e.badAnswers >= outageUnreadable {
+		if e.unreadable++; e.unreadable >= outageUnreadable {
 			s.recordFailure(e, "unreadable answers")
 		}
 	case ConnRefused:
@@ -980,19 +991,20 @@
 	if e.ejected { // after a long silence it is as cold as after failures that were seen
 		s.logf("endpoint %d recovered", e.id)
 		s.setStatus(e, e.state, false)
-		e.upAt, e.trialPause = s.now, 0
+		e.upAt, e.trialInterval = s.now, 0
 		e.cold = sentAt >= e.downAt+minOutage || e.cold && e.failureRate*(1-failureAlpha) > outageFailureRate
 	}
 	e.lastOKSent = max(e.lastOKSent, sentAt)
 	e.lastOK = s.now
-	e.failures, e.refusals, e.badAnswers, e.limiter.refusals = 0, 0, 0, 0
+	e.failures, e.refusals, e.unreadable, e.limiter.refusals = 0, 0, 0, 0
 	e.failureRate *= 1 - failureAlpha
 }
 
-// recordWellSiblings marks the siblings that work while failed is out: they answered a call sent after failed
-// was ejected and before sentAt, when the call to failed was sent that has now failed as well. An answer
-// alone would not show that: the whole destination may have recovered, with failed not tried since.
-func (s *Sender) recordWellSiblings(failed *endpoint, sentAt Micros) {
+// recordHealthySiblings marks the siblings that are healthy while failed is ejected: they answered a call
+// sent after failed was ejected and before sentAt, when the call to failed was sent that has now failed as
+// well. An answer alone would not show that: the whole destination may have recovered, with failed not tried
+// since.
+func (s *Sender) recordHealthySiblings(failed *endpoint, sentAt Micros) {
 	for _, e := range failed.dest.endpoints {
 		if e != failed && e.limiter == failed.limiter && e.lastOKSent > failed.ejectedAt && e.lastOKSent < sentAt {
 			e.healthyAt = s.now
@@ -1020,8 +1032,9 @@
 	if l.refusals++; l.refusals == 1 {
 		l.firstRefusalAt = s.now
 	}
-	if e.ejected || retryAfter > outageRetryAfter || (l.refusals >= outageRefusals || s.largeFleet && l.refusals > 1) &&
-		s.now-l.firstRefusalAt > outageRefusalSpan {
+	if e.ejected || retryAfter > outageRetryAfter ||
+		(l.refusals >= outageRefusals || s.manySenders && l.refusals > 1) &&
+			s.now-l.firstRefusalAt > outageRefusalSpan {
 		e.lastFail = s.now
 		s.ejectFailed(e, "refuses all calls")
 	}
@@ -1061,7 +1074,7 @@
 		s.logf("endpoint %d ejected: %s", e.id, reason)
 		e.ejectedAt = s.now
 		s.setStatus(e, e.state, true)
-		e.trialPause, e.trialAt = minTrialInterval, s.now+minTrialInterval
+		e.trialInterval, e.trialAt = minTrialInterval, s.now+minTrialInterval
 		if !e.cold {
 			e.downAt = s.now
 		}
@@ -1070,8 +1083,8 @@
 
 // delayNextTrial schedules the next trial of e with exponential backoff and jitter.
 func (s *Sender) delayNextTrial(e *endpoint) {
-	e.trialPause = min(2*max(e.trialPause, minTrialInterval), maxTrialInterval)
-	e.trialAt = s.now + e.trialPause*Micros(80+s.rng.IntN(40))/100
+	e.trialInterval = min(2*max(e.trialInterval, minTrialInterval), maxTrialInterval)
+	e.trialAt = s.now + e.trialInterval*Micros(80+s.rng.IntN(40))/100
 }
 
 // ---- End of messages -----------------------------------------------------------------
@@ -1082,7 +1095,7 @@
 	if m.ended {
 		return
 	}
-	if m.mayRun || m.inFlight != nil {
+	if m.mayHaveRun || m.inFlight != nil {
 		s.emit(Fail{ID: m.id})
 		if m.inFlight != nil {
 			s.cancel(m.inFlight)
@@ -1102,15 +1115,15 @@
 	return s.cfg.MaxRetryAfter
 }
 
-// restoreHistory continues a message after a restart: its earlier attempts count, and one without an outcome
-// may have run. A message that may not be resent ends at once.
+// restoreHistory continues a message after a process restart: its earlier attempts count, and one without an
+// outcome may have run. A message that may not be resent ends at once.
 func (s *Sender) restoreHistory(m *msg, history History) {
 	if history.Attempts == 0 {
 		return
 	}
-	m.tries = history.Attempts
-	if m.mayRun = history.MayHaveRun; m.mayRun {
-		m.mayRunAt, m.mayRunZone = s.now-history.Age, history.Zone
+	m.attempts = history.Attempts
+	if m.mayHaveRun = history.MayHaveRun; m.mayHaveRun {
+		m.mayHaveRunAt, m.mayHaveRunZone = s.now-history.Age, history.Zone
 	}
 	s.endIfExhausted(m)
 }
@@ -1120,9 +1133,9 @@
 	c := m.class
 	switch {
 	case m.inFlight != nil || m.ended:
-	case m.mayRun && c.Idempotency == NonIdempotent,
-		s.cfg.MaxAttempts > 0 && m.tries >= s.cfg.MaxAttempts,
-		m.mayRun && c.Idempotency == IdempotentByKey && s.now > m.mayRunAt+c.DedupWindow-s.cfg.Tick:
+	case m.mayHaveRun && c.Idempotency == NonIdempotent,
+		s.cfg.MaxAttempts > 0 && m.attempts >= s.cfg.MaxAttempts,
+		m.mayHaveRun && c.Idempotency == IdempotentByKey && s.now > m.mayHaveRunAt+c.DedupWindow-s.cfg.Tick:
 		s.endMessage(m)
 	}
 }
@@ -1160,8 +1173,8 @@
 	}
 }
 
-// minTimeLeft is the time that a message must have left to be worth sending. By the end of its deduplication
-// window it only has to be sent, not answered.
+// minTimeLeft is the time that a message must have left for a send to make sense. By the end of its
+// deduplication window it only has to be sent, not answered.
 func (s *Sender) minTimeLeft(g *expiryGroup) Micros {
 	if g.bound == byWindow {
 		return s.endMargin()
--- a/logic/outage_test.go
+++ b/logic/outage_test.go
@@ -5,9 +5,9 @@
 // Calls sent to an endpoint before it failed used to count against the budget of its trials, so that an endpoint that
 // recovered at once stayed out for a whole window.
 func TestCallsBeforeOutageDoNotDelayTrials(t *testing.T) {
-	set := baseSettings()
-	set.OverloadMultiple, set.OverloadWindow = 2.5, 3*Second
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.OverloadMultiple, cfg.OverloadWindow = 2.5, 3*Second
+	h := newHarness(t, cfg)
 	h.step(0, fullList(1))
 	at := 0.0
 	for range 60 {
@@ -43,7 +43,7 @@
 			h.step(back+0.061+0.04*float64(i), result(c.ID, c.Endpoint, 0, Delivered))
 		}
 	}
-	if most := 11 * set.OverloadMultiple * 3 * 0.4 / 2; float64(sent) > most {
+	if most := 11 * cfg.OverloadMultiple * 3 * 0.4 / 2; float64(sent) > most {
 		t.Errorf("%d calls within 2 s of the recovery, want at most %v", sent, most)
 	}
 }
@@ -84,9 +84,9 @@
 // A failed batch used to count as one failure per message, which ejected an endpoint that answered everything else.
 func TestFailedBatchCountsOnce(t *testing.T) {
 	for _, o := range []Outcome{Unreadable, Errored, ConnLost, ConnRefused} {
-		set := baseSettings()
-		set.Kinds[0].MaxBatch = 10
-		h := newHarness(t, set)
+		cfg := baseSettings()
+		cfg.Kinds[0].MaxBatch = 10
+		h := newHarness(t, cfg)
 		h.step(0, fullList(1))
 		c := actionsOf[Send](h.step(1, h.message(0)))[0]
 		h.step(1.1, result(c.ID, c.Endpoint, 0, Delivered))
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -69,18 +69,18 @@
 	// Results of the current scan, or of the last one.
 	scannedStep  int     // step of the scan
 	due          bool    // scanned because nextScanAt had come, not for a free slot or in turn
-	earliestSend Micros  // when the first one held back in this pass may be sent
-	heldBack     int     // scanned messages that were not sent
+	earliestSend Micros  // when the first message that was not sent in this pass may be sent
+	unsentCount  int     // scanned messages that were not sent
 	bestPriority float64 // highest priority among them
 	sendable     int     // messages in front that wait for something shared, such as a slot or the pace
 	sampledCount int     // messages sampled in this pass, which ends once one is sendable or all were seen
 	slotWaitPos  [2]int  // positions in waitIndex.slotWaiters
 }
 
-// What limits the time of a waiting message.
+// The limits that a waiting message may expire by.
 const (
 	byDeadline = iota // it has to be answered by its deadline
-	byWindow          // keyed and may have run: it has to be sent again within the window of its class
+	byWindow          // keyed and may have run: it has to be resent within the deduplication window of its class
 )
 
 // expiryGroup holds the waiting messages of one destination and class that have the same kind of limit,
@@ -95,10 +95,10 @@
 	pos        int    // position in it
 }
 
-// What kind of slot a backlog waits for.
+// The kinds of slots that a backlog may wait for.
 const (
 	anySlot   = iota
-	trialSlot // for calls to ejected endpoints, whose number is limited
+	trialSlot // for trials at ejected endpoints, whose number is limited
 )
 
 // waitIndex indexes all waiting messages.
@@ -148,8 +148,8 @@
 	b.waiting = append(b.waiting, m)
 	m.waitPos = len(b.waiting)
 	s.setExpiry(m, byDeadline, m.deadline)
-	if m.mayRun && m.class.Idempotency == IdempotentByKey {
-		s.setExpiry(m, byWindow, m.mayRunAt+m.class.DedupWindow)
+	if m.mayHaveRun && m.class.Idempotency == IdempotentByKey {
+		s.setExpiry(m, byWindow, m.mayHaveRunAt+m.class.DedupWindow)
 	}
 	s.scanFirst(m)
 }
@@ -200,7 +200,7 @@
 	}
 }
 
-// scanFirst puts a waiting message among those that the next scan looks at first, and schedules that scan.
+// scanFirst puts a waiting message among those that the next scan examines first, and schedules that scan.
 func (s *Sender) scanFirst(m *msg) {
 	if b := m.dest.backlog; len(b.front) < 4*sampleSize {
 		b.front = append(b.front, m)
@@ -208,7 +208,7 @@
 	s.scheduleScan(m.dest)
 }
 
-// scheduleScan has the backlog of a destination scanned in this step, because something has changed there.
+// scheduleScan schedules a scan of a destination's backlog in this step, because something has changed there.
 func (s *Sender) scheduleScan(d *dest) {
 	if b := d.backlog; b != nil {
 		b.nextScanAt = s.now
@@ -228,7 +228,7 @@
 	}
 }
 
-// updateExpiryGroup moves g to the queue and position that its messages and the known latency call for.
+// updateExpiryGroup moves g to the queue and position that follow from its messages and the known latency.
 func (s *Sender) updateExpiryGroup(g *expiryGroup) {
 	target := 0
 	if g.bound == byDeadline && g.dest.latency.total < minSamples {
@@ -247,16 +247,16 @@
 	s.waiting.expiryQueues[target].put(g)
 }
 
-// candidates returns the messages to consider in this step. If few wait, these are all of them. Else they are
-// a sample of each backlog that is due for a scan or that lacked a slot where one is free now, and of a few
-// more in turn.
+// candidates returns the messages to examine in this step. If few wait, these are all of them. Otherwise they
+// are a sample of each backlog that is due for a scan or that lacked a slot where one is free now, and of a
+// few more backlogs in turn.
 func (s *Sender) candidates() (candidates []*msg) {
 	index := &s.waiting
 	index.scanned = index.scanned[:0]
 	if index.count <= s.fullScanMax {
 		for _, m := range s.held {
 			if m.waitPos > 0 {
-				m.weight = 1
+				m.sampleWeight = 1
 				candidates = append(candidates, m)
 			}
 		}
@@ -293,16 +293,16 @@
 }
 
 // sample appends messages of b to candidates: all if they are few, else the front and the next ones in turn.
-// Each of the latter has a weight, 1 at least, that makes it stand for messages that are not in the sample.
+// Each of the latter has a weight of at least 1, since it also stands for messages outside the sample.
 func (b *backlog) sample(step int, candidates []*msg) []*msg {
 	before := len(candidates)
 	add := func(m *msg, weight float64) {
 		if m.waitPos > 0 && m.sampledStep != step {
-			m.sampledStep, m.weight = step, weight
+			m.sampledStep, m.sampleWeight = step, weight
 			candidates = append(candidates, m)
 		}
 	}
-	if b.sampledWhole() {
+	if b.fullySampled() {
 		for _, m := range b.waiting {
 			add(m, 1)
 		}
@@ -319,30 +319,30 @@
 	return candidates
 }
 
-// sampledWhole reports whether a sample takes all messages of b.
-func (b *backlog) sampledWhole() bool { return len(b.waiting) <= 2*sampleSize }
+// fullySampled reports whether a sample takes all messages of b.
+func (b *backlog) fullySampled() bool { return len(b.waiting) <= 2*sampleSize }
 
-// recordScan records the outcome of a scan of candidates, sorted by priority: which messages are left
-// in front of each backlog, and when to scan it next. heldAlone reports whether a message is held back for a
-// reason that does not concern the others of its destination, and whether until a known time.
-func (s *Sender) recordScan(candidates []*msg, heldAlone func(*msg) (held, timed bool)) {
+// recordScan records the outcome of a scan of candidates, sorted by priority: which messages are left in
+// front of each backlog, and when to scan it next. blockedByItself reports whether a message is blocked for a
+// reason that does not affect others for its destination, and whether it is blocked until a known time.
+func (s *Sender) recordScan(candidates []*msg, blockedByItself func(*msg) (blocked, timed bool)) {
 	index := &s.waiting
 	if len(index.scanned) == 0 {
 		return
 	}
 	for _, b := range index.scanned {
-		b.heldBack, b.sendable, b.front = 0, 0, b.front[:0]
+		b.unsentCount, b.sendable, b.front = 0, 0, b.front[:0]
 	}
 	for _, m := range candidates {
 		if m.waitPos == 0 {
 			continue
 		}
 		b := m.dest.backlog
-		if b.heldBack++; b.heldBack == 1 {
+		if b.unsentCount++; b.unsentCount == 1 {
 			b.bestPriority = m.priority
 		}
-		switch held, timed := heldAlone(m); {
-		case !held && b.sendable < sampleSize:
+		switch blocked, timed := blockedByItself(m); {
+		case !blocked && b.sendable < sampleSize:
 			b.sendable++
 			b.front = append(b.front, m)
 		case timed && len(b.front)-b.sendable < sampleSize:
@@ -356,16 +356,16 @@
 		}
 		b.sampledCount += sampleSize
 		switch {
-		case b.sampledWhole() || b.sendable > 0 || b.heldBack > 0 && b.sampledCount >= len(b.waiting):
+		case b.fullySampled() || b.sendable > 0 || b.unsentCount > 0 && b.sampledCount >= len(b.waiting):
 			b.nextScanAt, b.sampledCount = b.earliestSend, 0
-		case b.due || b.heldBack == 0: // the rest of the backlog has not been sampled yet
+		case b.due || b.unsentCount == 0: // the rest of the backlog has not been sampled yet
 			b.nextScanAt = s.now
 		default:
 			b.nextScanAt, b.sampledCount = min(b.nextScanAt, b.earliestSend), 0
 		}
 		index.scanQueue.put(b)
 		for i := range index.slotWaiters {
-			if b.heldBack > 0 && free[i] == 0 {
+			if b.unsentCount > 0 && free[i] == 0 {
 				index.slotWaiters[i].put(b)
 			} else {
 				index.slotWaiters[i].remove(b)
@@ -382,19 +382,19 @@
 	}
 }
 
-// addHeld adds a message to those that have not ended.
+// addHeld adds a message to the held ones.
 func (s *Sender) addHeld(m *msg) {
 	s.held = append(s.held, m)
-	s.openCount++
+	s.heldCount++
 }
 
-// releaseHeld marks a message as ended and takes it off the count. Ended messages are removed from the list
-// together once they are many, not one by one.
+// releaseHeld marks a message as ended, so that it is no longer held. Ended messages are removed from the
+// slice together once they are many, not one by one.
 func (s *Sender) releaseHeld(m *msg) {
 	m.ended = true
-	s.openCount--
+	s.heldCount--
 	s.dequeue(m)
-	if len(s.held) > 2*s.openCount+sampleSize {
+	if len(s.held) > 2*s.heldCount+sampleSize {
 		s.held = slices.DeleteFunc(s.held, func(m *msg) bool { return m.ended })
 	}
 }
--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -17,7 +17,7 @@
 	}
 	s.subscribe()
 	s.dropUnused()
-	s.referenceEndHopeless()
+	s.referenceEndExpired()
 	s.cancelSlow()
 	s.referenceDispatch()
 	s.releaseIdleConns()
@@ -25,7 +25,7 @@
 	return s.actions
 }
 
-func (s *Sender) referenceEndHopeless() {
+func (s *Sender) referenceEndExpired() {
 	last := 2 * max(s.cfg.Tick, 1000)
 	for _, m := range slices.Clone(s.held) {
 		if m.streaming || m.ended {
@@ -35,8 +35,8 @@
 		need := last
 		if m.inFlight == nil {
 			need = max(need, s.medianLatency(m))
-			if m.mayRun && m.class.Idempotency == IdempotentByKey {
-				left = min(left, m.mayRunAt+m.class.DedupWindow-s.now+need-last)
+			if m.mayHaveRun && m.class.Idempotency == IdempotentByKey {
+				left = min(left, m.mayHaveRunAt+m.class.DedupWindow-s.now+need-last)
 			}
 		}
 		if left <= need {
@@ -67,11 +67,11 @@
 			continue
 		}
 		p := s.destPace(m.dest)
-		if p > 0 && m.dest.queuedAhead/p > seconds(m.deadline-s.now-s.medianLatency(m)) && s.heldFraction() > bufferHighWatermark {
+		if p > 0 && m.dest.queuedAhead/p > seconds(m.deadline-s.now-s.medianLatency(m)) && s.heldFraction() > heldHighWatermark {
 			s.endMessage(m)
 			continue
 		}
-		if s.heldFraction() > bufferFullWatermark && i >= len(q)-1 && !m.mayRun {
+		if s.heldFraction() > heldFullWatermark && i >= len(q)-1 && !m.mayHaveRun {
 			s.endMessage(m)
 		}
 	}
@@ -80,13 +80,13 @@
 // checkIndexes compares the indexes and counts of s with all messages that it holds.
 func checkIndexes(t *testing.T, s *Sender) {
 	t.Helper()
-	waiting, openCount, byDest, reported := map[*dest]int{}, 0, map[*dest]int{}, 0
+	waiting, heldCount, byDest, reported := map[*dest]int{}, 0, map[*dest]int{}, 0
 	firstEnd := never
 	for _, m := range s.held {
 		if m.ended {
 			continue
 		}
-		openCount++
+		heldCount++
 		if (m.waitPos > 0) != (m.inFlight == nil) {
 			t.Fatalf("%s: in flight %v, position %d among the waiting messages", m.id, m.inFlight != nil, m.waitPos)
 		}
@@ -97,8 +97,8 @@
 			}
 			last := 2 * max(s.cfg.Tick, 1000)
 			firstEnd = min(firstEnd, m.deadline-max(last, s.medianLatency(m)))
-			if m.mayRun && m.class.Idempotency == IdempotentByKey {
-				firstEnd = min(firstEnd, m.mayRunAt+m.class.DedupWindow-last)
+			if m.mayHaveRun && m.class.Idempotency == IdempotentByKey {
+				firstEnd = min(firstEnd, m.mayHaveRunAt+m.class.DedupWindow-last)
 			}
 		}
 	}
@@ -140,12 +140,12 @@
 			firstDue = min(firstDue, g.messages.items[0].expiresAt[g.bound]-s.minTimeLeft(g))
 		}
 	}
-	if len(s.held) > 2*openCount+sampleSize {
-		t.Fatalf("%d messages listed as held, %d of them have not ended", len(s.held), openCount)
+	if len(s.held) > 2*heldCount+sampleSize {
+		t.Fatalf("%d messages listed as held, %d of them have not ended", len(s.held), heldCount)
 	}
-	if openCount != s.openCount || waitingCount != s.waiting.count || reported != s.reportedLimits {
+	if heldCount != s.heldCount || waitingCount != s.waiting.count || reported != s.reportedLimits {
 		t.Fatalf("%d held, %d waiting, %d reported limits; want %d, %d, %d",
-			s.openCount, s.waiting.count, s.reportedLimits, openCount, waitingCount, reported)
+			s.heldCount, s.waiting.count, s.reportedLimits, heldCount, waitingCount, reported)
 	}
 	if firstDue != firstEnd {
 		t.Fatalf("the first message ends at %d, want %d", firstDue, firstEnd)
@@ -154,9 +154,9 @@
 
 // The indexes and counts match the held messages at each step, also in a Sender restored from a snapshot.
 func TestIndexesMatchHeldMessages(t *testing.T) {
-	for name, set := range deploymentVariants() {
+	for name, cfg := range deploymentVariants() {
 		t.Run(name, func(t *testing.T) {
-			w := newSimulation(t, set, 31)
+			w := newSimulation(t, cfg, 31)
 			w.beforeStep = func() {
 				checkIndexes(t, w.s)
 				if w.rng.IntN(100) == 0 {
@@ -182,14 +182,14 @@
 	wide.Classes = slices.Clone(wide.Classes)
 	wide.Classes[0].KeepOrder, wide.KeyCooldown = true, Second
 	all["hundreds held among many"] = wide
-	for name, set := range all {
+	for name, cfg := range all {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(21); seed <= 22; seed++ {
-				w := newSimulation(t, set, seed)
-				if set.MaxOpen == 400 {
-					w.beforeStep = func() { w.burst = min(200, max(set.MaxOpen-w.s.openCount, 0)) }
+				w := newSimulation(t, cfg, seed)
+				if cfg.MaxOpen == 400 {
+					w.beforeStep = func() { w.burst = min(200, max(cfg.MaxOpen-w.s.heldCount, 0)) }
 				}
-				reference, err := New(set, seed)
+				reference, err := New(cfg, seed)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -199,10 +199,10 @@
 						w.fatalf("the Sender does %v, want %v", acts, want)
 					}
 					checkIndexes(t, w.s)
-					maxHeld = max(maxHeld, w.s.openCount)
+					maxHeld = max(maxHeld, w.s.heldCount)
 				}
 				w.play()
-				if len(w.trace) < 100 || set.MaxOpen == 400 && maxHeld < 280 {
+				if len(w.trace) < 100 || cfg.MaxOpen == 400 && maxHeld < 280 {
 					t.Errorf("%d actions, at most %d held", len(w.trace), maxHeld)
 				}
 			}
@@ -214,10 +214,10 @@
 // delivered as with a full scan. The two runs of a world soon differ, so deliveries are summed over all worlds.
 func TestRulesWithManyWaiting(t *testing.T) {
 	delivered := map[int]int{}
-	for name, set := range deploymentVariants() {
+	for name, cfg := range deploymentVariants() {
 		for seed := uint64(1); seed <= 8; seed++ {
-			for _, fullScanMax := range []int{scanAllLimit, 0} {
-				w := newSimulation(t, set, seed)
+			for _, fullScanMax := range []int{defaultFullScanMax, 0} {
+				w := newSimulation(t, cfg, seed)
 				w.s.fullScanMax = fullScanMax
 				count := 0
 				w.afterStep = func(evs []Event, _ []Action) {
@@ -236,17 +236,17 @@
 			}
 		}
 	}
-	t.Logf("delivered: %d, with full scans %d", delivered[0], delivered[scanAllLimit])
-	if delivered[0]*20 < delivered[scanAllLimit]*19 {
-		t.Errorf("%d delivered, %d with full scans", delivered[0], delivered[scanAllLimit])
+	t.Logf("delivered: %d, with full scans %d", delivered[0], delivered[defaultFullScanMax])
+	if delivered[0]*20 < delivered[defaultFullScanMax]*19 {
+		t.Errorf("%d delivered, %d with full scans", delivered[0], delivered[defaultFullScanMax])
 	}
 }
 
 // The indexes are rebuilt when a Sender is restored from a snapshot while many messages wait.
-func TestRestartWithManyWaiting(t *testing.T) {
-	for name, set := range deploymentVariants() {
+func TestRestoreWithManyWaiting(t *testing.T) {
+	for name, cfg := range deploymentVariants() {
 		t.Run(name, func(t *testing.T) {
-			w := newSimulation(t, set, 13)
+			w := newSimulation(t, cfg, 13)
 			w.s.fullScanMax = 0
 			steps := 0
 			w.beforeStep = func() {
@@ -258,7 +258,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if w.s, err = Restore(set, text); err != nil {
+				if w.s, err = Restore(cfg, text); err != nil {
 					t.Fatal(err)
 				}
 				w.s.fullScanMax = 0
@@ -273,9 +273,9 @@
 
 // The indexes stay right when the latencies of an idle destination are dropped, and when the destination is.
 func TestIndexesAfterStateIsDropped(t *testing.T) {
-	set := baseSettings()
-	set.Classes[0].Deadline, set.LoadRemainingIndex, set.LoadLimitIndex = 1000*Second, 0, 1
-	r := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.Classes[0].Deadline, cfg.LoadRemainingIndex, cfg.LoadLimitIndex = 1000*Second, 0, 1
+	r := newHarness(t, cfg)
 	r.step(0, fullList(1))
 	for at := 1.0; at < 5; at++ {
 		c := actionsOf[Send](r.step(at, r.message(0)))[0]
@@ -303,11 +303,11 @@
 }
 
 // An unsafe call without an answer is cancelled to free its slot for other destinations, but not for its own.
-func TestSilentUnsafeCallKeepsSlotFromItsDestination(t *testing.T) {
+func TestSilentNonIdempotentCallKeepsSlotFromItsDestination(t *testing.T) {
 	for _, dest := range []int64{8, 9} {
-		set := baseSettings()
-		set.CallSlots = 1
-		r := newHarness(t, set)
+		cfg := baseSettings()
+		cfg.CallSlots = 1
+		r := newHarness(t, cfg)
 		r.step(0, fullList(1), EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 7, Dest: 8}}})
 		r.step(1, r.message(2))
 		next := r.message(2)
--- a/logic/restart_test.go
+++ b/logic/restart_test.go
@@ -44,9 +44,9 @@
 
 // With DedupPerZone only endpoints of the zone of the first attempt drop duplicates.
 func TestHistoryKeepsZone(t *testing.T) {
-	set := baseSettings()
-	set.Zones, set.Classes[1].DedupPerZone = 2, true
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.Zones, cfg.Classes[1].DedupPerZone = 2, true
+	h := newHarness(t, cfg)
 	eps := fullList(2)
 	eps.Entries[0].Zone, eps.Entries[1].Zone = 0, 1
 	c := h.message(1)
@@ -115,9 +115,9 @@
 // messages.
 func TestAcceptedMessagesAreTried(t *testing.T) {
 	for _, taken := range []bool{true, false} { // accepted before a restart, or just now
-		set := baseSettings()
-		set.Senders, set.MaxOpen, set.LoadRemainingIndex, set.LoadLimitIndex = 40, 20, 0, 1
-		h := newHarness(t, set)
+		cfg := baseSettings()
+		cfg.Senders, cfg.MaxOpen, cfg.LoadRemainingIndex, cfg.LoadLimitIndex = 40, 20, 0, 1
+		h := newHarness(t, cfg)
 		evs := []Event{fullList(2)}
 		for range 19 {
 			c := h.message(0)
@@ -154,9 +154,9 @@
 // A change of the list counts as known 6 s after discovery has it. However often requests have failed, the next one
 // is made before that.
 func TestSubscribeRetriedInTime(t *testing.T) {
-	set := baseSettings()
-	set.ListOnRequest = true
-	h := newHarness(t, set)
+	cfg := baseSettings()
+	cfg.ListOnRequest = true
+	h := newHarness(t, cfg)
 	h.step(100, fullList(2))
 	at := 100.0
 	for i := range 20 {
@@ -182,11 +182,11 @@
 			}
 			for range 8 {
 				acts := s.Step(0, []Event{EndpointUpdate{Kind: UpdateFailed, RequestTime: took}})
-				if wait := s.askAt; len(actionsOf[Subscribe](acts)) == 0 && wait > max(5_400_000-took, 0) {
+				if wait := s.subscribeAt; len(actionsOf[Subscribe](acts)) == 0 && wait > max(5_400_000-took, 0) {
 					t.Fatalf("a request of %v s: the next one %v s after its end", seconds(took), seconds(wait))
 				}
 			}
-			at[s.askAt/50_000] = true
+			at[s.subscribeAt/50_000] = true
 		}
 		if want := max(5_400_000-took, 0) / 300_000; Micros(len(at)) < want {
 			t.Errorf("after requests of %v s, 200 senders request the list at %d different times, want %d",
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -42,10 +42,10 @@
 }
 
 func TestRulesUnderRandomOutcomes(t *testing.T) {
-	for name, set := range deploymentVariants() {
+	for name, cfg := range deploymentVariants() {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 3; seed++ {
-				newSimulation(t, set, seed).play()
+				newSimulation(t, cfg, seed).play()
 			}
 		})
 	}
@@ -66,15 +66,15 @@
 }
 
 func TestNamesDoNotAffectActions(t *testing.T) {
-	set := deploymentVariants()["tenants"]
-	a := newSimulation(t, set, 5)
+	cfg := deploymentVariants()["tenants"]
+	a := newSimulation(t, cfg, 5)
 	a.play()
-	for i := range set.Classes {
-		set.Classes[i].Name = fmt.Sprint("zebra-", i)
+	for i := range cfg.Classes {
+		cfg.Classes[i].Name = fmt.Sprint("zebra-", i)
 	}
-	set.Tenants = []Tenant{{"q", 2}, {"", 1}, {"other", 0}}
-	set.Kinds[0].Name = "renamed"
-	b := newSimulation(t, set, 5)
+	cfg.Tenants = []Tenant{{"q", 2}, {"", 1}, {"other", 0}}
+	cfg.Kinds[0].Name = "renamed"
+	b := newSimulation(t, cfg, 5)
 	b.play()
 	if !slices.Equal(a.trace, b.trace) {
 		t.Error("renaming changed the actions")
@@ -89,9 +89,9 @@
 		"ColdCapacity": func(s *Settings) { s.ColdCapacity = 2 }, "Classes[1]": func(s *Settings) { s.Classes[1].Deadline = 0 },
 		"Kinds[0]": func(s *Settings) { s.Kinds[0].MaxBatch = -1 }, "Tick": func(s *Settings) { s.Tick = -1 },
 	} {
-		set := baseSettings()
-		f(&set)
-		if _, err := New(set, 1); err == nil || err.Error() != "settings: "+want+" is invalid" {
+		cfg := baseSettings()
+		f(&cfg)
+		if _, err := New(cfg, 1); err == nil || err.Error() != "settings: "+want+" is invalid" {
 			t.Errorf("%s: got error %v", want, err)
 		}
 	}
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -57,18 +57,18 @@
 // fewTrialSlots is mostDestsDown with fewer slots for trials than trials that are due.
 func fewTrialSlots(tb testing.TB, n int) *backlogDriver {
 	d := mostDestsDown(tb, n)
-	d.sender.cfg.Senders, d.sender.cfg.CallSlots, d.sender.largeFleet = 2, 4, false
+	d.sender.cfg.Senders, d.sender.cfg.CallSlots, d.sender.manySenders = 2, 4, false
 	return d
 }
 
 // newBacklogDriver makes a Sender with dests destinations of one endpoint each. Their ids are multiples of idStep.
 func newBacklogDriver(tb testing.TB, dests, idStep int) *backlogDriver {
-	set := baseSettings()
-	set.Senders, set.CallSlots, set.MaxOpen, set.MaxAttempts, set.Weights = 580, 256, 0, 0, WeightsNominal
-	for i := range set.Classes {
-		set.Classes[i].Deadline, set.Classes[i].DedupWindow = 36000*Second, 36000*Second
+	cfg := baseSettings()
+	cfg.Senders, cfg.CallSlots, cfg.MaxOpen, cfg.MaxAttempts, cfg.Weights = 580, 256, 0, 0, WeightsNominal
+	for i := range cfg.Classes {
+		cfg.Classes[i].Deadline, cfg.Classes[i].DedupWindow = 36000*Second, 36000*Second
 	}
-	s, err := New(set, 1)
+	s, err := New(cfg, 1)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	acts := d.sender.Step(d.now, d.events)
 	d.events = nil
 	for _, c := range actionsOf[Send](acts) {
-		r := AttemptResult{ID: c.ID, Endpoint: c.Endpoint, Attempt: d.sender.msgs[c.ID].tries - 1, Outcome: ConnRefused}
+		r := AttemptResult{ID: c.ID, Endpoint: c.Endpoint, Attempt: d.sender.msgs[c.ID].attempts - 1, Outcome: ConnRefused}
 		if isUp(c.Endpoint) {
 			r.Outcome, r.Final, r.Latency = Delivered, true, d.sender.cfg.Tick
 			d.addMessage()
@@ -307,7 +307,7 @@
 	for range 300 {
 		d.step()
 	}
-	if first.tries == 0 {
+	if first.attempts == 0 {
 		t.Error("the first message of its key is not sent after its pause")
 	}
 }
@@ -337,7 +337,7 @@
 }
 
 // A reply frees a slot at its destination, which a waiting message takes in the same step.
-func TestReplyFreesSlotInSameStep(t *testing.T) {
+func TestResultFreesSlotInSameStep(t *testing.T) {
 	d := mostDestsDown(t, 2000)
 	d.sender.cfg.Weights = WeightsOff
 	d.sender.dests[0].limiter.limit = 0
@@ -405,9 +405,9 @@
 		}
 	}
 	timers := actionsOf[SetTimer](d.sender.Step(d.now+1000, append(replies, Shutdown{TimeLeft: 1})))
-	if len(d.sender.waiting.slotWaiters[anySlot].items) == 0 || d.sender.busy > 0 {
+	if len(d.sender.waiting.slotWaiters[anySlot].items) == 0 || d.sender.slotsUsed > 0 {
 		t.Fatalf("%d backlogs wait for a slot, %d slots are in use",
-			len(d.sender.waiting.slotWaiters[anySlot].items), d.sender.busy)
+			len(d.sender.waiting.slotWaiters[anySlot].items), d.sender.slotsUsed)
 	}
 	if len(timers) != 1 || timers[0].Wait > d.sender.cfg.Tick {
 		t.Errorf("timers %v, want one at the next tick", timers)
@@ -432,7 +432,7 @@
 
 // After a late timer or a jump of the clock, all messages whose time is up end in that step.
 func TestLateTimerEndsAllExpired(t *testing.T) {
-	for _, fullScanMax := range []int{0, scanAllLimit} {
+	for _, fullScanMax := range []int{0, defaultFullScanMax} {
 		d := mostDestsDown(t, 2000)
 		d.sender.fullScanMax = fullScanMax
 		d.now += 40000 * Second
@@ -478,19 +478,19 @@
 // are refused and delivered as with full scans.
 func TestNearlyFullWithManyWaiting(t *testing.T) {
 	run := func(fullScanMax int) (delivered, refused int) {
-		set := baseSettings()
-		set.MaxOpen, set.Senders, set.MaxAttempts, set.CallSlots = 1500, 1, 0, 64
-		s, err := New(set, 1)
+		cfg := baseSettings()
+		cfg.MaxOpen, cfg.Senders, cfg.MaxAttempts, cfg.CallSlots = 1500, 1, 0, 64
+		s, err := New(cfg, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.fullScanMax = fullScanMax
 		evs := []Event{EndpointUpdate{Kind: UpdateFull, Entries: []EndpointEntry{{Endpoint: 1, Dest: 1}}}}
 		n := 0
-		for now := Micros(0); now < 40*Second; now += set.Tick {
+		for now := Micros(0); now < 40*Second; now += cfg.Tick {
 			for range 2 { // 400 a second
-				if n++; s.openCount < set.MaxOpen {
-					evs = append(evs, Message{ID: fmt.Sprint(n), TimeLeft: set.Classes[n%2].Deadline, Dest: 1, Tenant: -1, Class: n % 2})
+				if n++; s.heldCount < cfg.MaxOpen {
+					evs = append(evs, Message{ID: fmt.Sprint(n), TimeLeft: cfg.Classes[n%2].Deadline, Dest: 1, Tenant: -1, Class: n % 2})
 				}
 			}
 			s.destByID(1).limiter.pace = 100
@@ -498,7 +498,7 @@
 			evs = nil
 			for _, c := range actionsOf[Send](acts) {
 				delivered++
-				evs = append(evs, AttemptResult{ID: c.ID, Endpoint: 1, Attempt: s.msgs[c.ID].tries - 1, Final: true, Latency: set.Tick})
+				evs = append(evs, AttemptResult{ID: c.ID, Endpoint: 1, Attempt: s.msgs[c.ID].attempts - 1, Final: true, Latency: cfg.Tick})
 			}
 			for _, r := range actionsOf[Reject](acts) {
 				if s.now < Second {
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -3,44 +3,44 @@
 import "fmt"
 
 // validate returns an error that names the first invalid setting.
-func validate(set *Settings) error {
+func validate(cfg *Settings) error {
 	invalid := func(field string) error { return fmt.Errorf("settings: %s is invalid", field) }
 	switch {
-	case len(set.Classes) == 0:
+	case len(cfg.Classes) == 0:
 		return invalid("Classes")
-	case set.Senders < 1:
+	case cfg.Senders < 1:
 		return invalid("Senders")
-	case set.Zones < 0 || set.Zone < 0 || set.Zone >= max(set.Zones, 1):
+	case cfg.Zones < 0 || cfg.Zone < 0 || cfg.Zone >= max(cfg.Zones, 1):
 		return invalid("Zone")
-	case set.CallSlots < 0:
+	case cfg.CallSlots < 0:
 		return invalid("CallSlots")
-	case set.MaxOpen < 0:
+	case cfg.MaxOpen < 0:
 		return invalid("MaxOpen")
-	case set.MaxAttempts < 0:
+	case cfg.MaxAttempts < 0:
 		return invalid("MaxAttempts")
-	case set.Tick < 0:
+	case cfg.Tick < 0:
 		return invalid("Tick")
-	case set.MaxRetryAfter < 0:
+	case cfg.MaxRetryAfter < 0:
 		return invalid("MaxRetryAfter")
-	case set.DrainGrace < 0 || set.KeyCooldown < 0 || set.OverloadWindow < 0 || set.WarmupTime < 0:
+	case cfg.DrainGrace < 0 || cfg.KeyCooldown < 0 || cfg.OverloadWindow < 0 || cfg.WarmupTime < 0:
 		return invalid("DrainGrace, KeyCooldown, OverloadWindow or WarmupTime")
-	case set.OverloadMultiple < 0:
+	case cfg.OverloadMultiple < 0:
 		return invalid("OverloadMultiple")
-	case set.ColdCapacity < 0 || set.ColdCapacity > 1:
+	case cfg.ColdCapacity < 0 || cfg.ColdCapacity > 1:
 		return invalid("ColdCapacity")
 	}
-	for i, c := range set.Classes {
+	for i, c := range cfg.Classes {
 		if c.Deadline <= 0 || min(c.TargetLatency, c.DedupWindow) < 0 || min(c.Value, c.LateValue) < 0 ||
 			c.Idempotency < Idempotent || c.Idempotency > NonIdempotent {
 			return invalid(fmt.Sprintf("Classes[%d]", i))
 		}
 	}
-	for i, t := range set.Tenants {
+	for i, t := range cfg.Tenants {
 		if t.QuotaRPS < 0 {
 			return invalid(fmt.Sprintf("Tenants[%d]", i))
 		}
 	}
-	for i, k := range set.Kinds {
+	for i, k := range cfg.Kinds {
 		if k.MaxBatch < 0 {
 			return invalid(fmt.Sprintf("Kinds[%d]", i))
 		}
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -72,9 +72,9 @@
 
 // unlimitedSettings are settings without a limit on held messages.
 func unlimitedSettings() Settings {
-	set := baseSettings()
-	set.MaxOpen = 0
-	return set
+	cfg := baseSettings()
+	cfg.MaxOpen = 0
+	return cfg
 }
 
 func BenchmarkOutOfRotation(b *testing.B) {
@@ -117,7 +117,7 @@
 }
 
 // Measures the first whole list, and one that repeats it.
-func BenchmarkWholeList(b *testing.B) {
+func BenchmarkFullList(b *testing.B) {
 	for _, n := range destCounts {
 		list := []Event{listOfDestinations(n)}
 		b.Run(fmt.Sprintf("first/%d", 2*n), func(b *testing.B) {
--- a/logic/snapshot.go
+++ b/logic/snapshot.go
@@ -25,13 +25,13 @@
 	RNGState       []byte `json:"Rand"` // of Sender.rngSource
 	Now            Micros
 	Step           int
-	LastSeq        int    `json:"Seq"`
-	NextCleanupAt  Micros `json:"ForgetAt"`
-	AskAt          Micros
-	AskGap         Micros
+	LastSeq        int                      `json:"Seq"`
+	NextCleanupAt  Micros                   `json:"ForgetAt"`
+	SubscribeAt    Micros                   `json:"AskAt"`
+	SubscribeDelay Micros                   `json:"AskGap"`
 	ListStaleUntil Micros                   `json:"Unsure"`
 	LogLines       int                      `json:"Logs"`
-	RejectRate     map[int]float64          `json:"Turned"`  // by kind
+	RefusalRate    map[int]float64          `json:"Turned"`  // by kind
 	ScarceUntil    map[int]Micros           `json:"Short"`   // by kind
 	TenantUsage    []tenantUsageState       `json:"Usage"`   // by tenant
 	ClassLatency   []histogramState         `json:"ByClass"` // by class
@@ -98,34 +98,34 @@
 	SentAt            []Micros      `json:"Sent"`
 	FailureRate       float64       `json:"Bad"`
 	Fails, Fulls      int           // failures and refusals, in a row
-	Spoilt, Resets    int           // badAnswers and resets, in a row
+	Spoilt, Resets    int           // unreadable and resets, in a row
 	RemovedAt         Micros        `json:"GoneAt"`
 	LastOK, LastBad   Micros        // lastOK and lastFail
 	HealthyAt         Micros        `json:"Well"`
 	OKSent, OutAt     Micros        `json:",omitempty"` // lastOKSent and ejectedAt; not written by older builds
 	Suspect, Cold     bool          // ejected and cold
 	BackAt, DownAt    Micros        // upAt and downAt
-	TrialAt, TrialGap Micros        // trialAt and trialPause
+	TrialAt, TrialGap Micros        // trialAt and trialInterval
 	InFlight          int           `json:"Inflight"`
 	SmoothedLatency   float64       `json:"Slow"`
 	LastSent, Warm    Micros        // lastSent and idleConnUntil
 }
 
 type msgState struct {
-	ID           string
-	Class        int     // index in the settings
-	WorthShare   float64 `json:"Share"`
-	Dest         int     // index in Dests
-	Seq          int
-	First, Came  Micros // submitted and arrived
-	Deadline     Micros
-	Tries, Cuts  int // tries and restarts
-	MayRun       bool
-	MayRunAt     Micros `json:"FirstMay"`
-	MayRunZone   int    `json:"MayZone"`
-	LastEndpoint int    `json:"Last"` // number of an endpoint; -1 for none
-	RetryAt      Micros `json:"Rest"`
-	Over, Flows  bool   // ended and streaming
+	ID             string
+	Class          int     // index in the settings
+	ValueShare     float64 `json:"Share"`
+	Dest           int     // index in Dests
+	Seq            int
+	First, Came    Micros // submitted and arrived
+	Deadline       Micros
+	Tries, Cuts    int    // attempts and restarts
+	MayHaveRun     bool   `json:"MayRun"`
+	MayHaveRunAt   Micros `json:"FirstMay"`
+	MayHaveRunZone int    `json:"MayZone"`
+	LastEndpoint   int    `json:"Last"` // number of an endpoint; -1 for none
+	RetryAt        Micros `json:"Rest"`
+	Over, Flows    bool   // ended and streaming
 }
 
 type attemptState struct {
@@ -137,9 +137,9 @@
 }
 
 type keyQueueState struct {
-	Messages    []string `json:"Queue"` // ids
-	QuietUntil  Micros   `json:"Quiet"`
-	QuietExempt string   `json:"By"` // id; empty if there is none, or if that message is gone
+	Messages       []string `json:"Queue"` // ids
+	CooldownUntil  Micros   `json:"Quiet"`
+	CooldownExempt string   `json:"By"` // id; empty if there is none, or if that message is gone
 }
 
 // save writes all bins even if there is no sample: version 1 has them.
@@ -237,13 +237,13 @@
 		Step:           s.step,
 		LastSeq:        s.lastSeq,
 		NextCleanupAt:  s.nextCleanupAt,
-		AskAt:          s.askAt,
-		AskGap:         s.askGap,
+		SubscribeAt:    s.subscribeAt,
+		SubscribeDelay: s.subscribeDelay,
 		ListStaleUntil: s.listStaleUntil,
 		LogLines:       s.logLines,
-		RejectRate:     s.rejectRate,
+		RefusalRate:    s.refusalRate,
 		ScarceUntil:    s.scarceUntil,
-		HeldCount:      s.openCount,
+		HeldCount:      s.heldCount,
 		KeyQueues:      map[string]keyQueueState{},
 	}
 	for _, usage := range s.tenantUsage {
@@ -290,17 +290,17 @@
 		snap.Messages = append(snap.Messages, msgState{
 			m.id,
 			m.classIndex,
-			m.worthShare,
+			m.valueShare,
 			destIndex[m.dest],
 			m.seq,
 			m.submitted,
 			m.arrived,
 			m.deadline,
-			m.tries,
+			m.attempts,
 			m.restarts,
-			m.mayRun,
-			m.mayRunAt,
-			m.mayRunZone,
+			m.mayHaveRun,
+			m.mayHaveRunAt,
+			m.mayHaveRunZone,
 			numbers.numberOf(m.lastEndpoint),
 			m.retryAt,
 			m.ended,
@@ -328,12 +328,12 @@
 	}
 	snap.CallCount = len(calls)
 	for key, queue := range s.keyQueues {
-		state := keyQueueState{QuietUntil: queue.quietUntil}
+		state := keyQueueState{CooldownUntil: queue.cooldownUntil}
 		for _, m := range queue.messages {
 			state.Messages = append(state.Messages, m.id)
 		}
-		if queue.quietExempt != nil && s.msgs[queue.quietExempt.id] == queue.quietExempt {
-			state.QuietExempt = queue.quietExempt.id
+		if queue.cooldownExempt != nil && s.msgs[queue.cooldownExempt.id] == queue.cooldownExempt {
+			state.CooldownExempt = queue.cooldownExempt.id
 		}
 		snap.KeyQueues[key] = state
 	}
@@ -349,7 +349,7 @@
 			e.failureRate,
 			e.failures,
 			e.refusals,
-			e.badAnswers,
+			e.unreadable,
 			e.resets,
 			e.removedAt,
 			e.lastOK,
@@ -362,7 +362,7 @@
 			e.upAt,
 			e.downAt,
 			e.trialAt,
-			e.trialPause,
+			e.trialInterval,
 			e.inFlight,
 			e.smoothedLatency,
 			e.lastSent,
@@ -398,11 +398,11 @@
 	if err := s.rngSource.UnmarshalBinary(snap.RNGState); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	s.now, s.step, s.lastSeq, s.nextCleanupAt, s.askAt, s.askGap =
-		snap.Now, snap.Step, snap.LastSeq, snap.NextCleanupAt, snap.AskAt, snap.AskGap
+	s.now, s.step, s.lastSeq, s.nextCleanupAt, s.subscribeAt, s.subscribeDelay =
+		snap.Now, snap.Step, snap.LastSeq, snap.NextCleanupAt, snap.SubscribeAt, snap.SubscribeDelay
 	s.logLines, s.listStaleUntil = snap.LogLines, snap.ListStaleUntil
-	for kind, rate := range snap.RejectRate {
-		s.rejectRate[kind] = rate
+	for kind, rate := range snap.RefusalRate {
+		s.refusalRate[kind] = rate
 	}
 	for kind, until := range snap.ScarceUntil {
 		s.scarceUntil[kind] = until
@@ -461,7 +461,7 @@
 			failureRate:     state.FailureRate,
 			failures:        state.Fails,
 			refusals:        state.Fulls,
-			badAnswers:      state.Spoilt,
+			unreadable:      state.Spoilt,
 			resets:          state.Resets,
 			removedAt:       state.RemovedAt,
 			lastOK:          state.LastOK,
@@ -473,7 +473,7 @@
 			upAt:            state.BackAt,
 			downAt:          state.DownAt,
 			trialAt:         state.TrialAt,
-			trialPause:      state.TrialGap,
+			trialInterval:   state.TrialGap,
 			inFlight:        state.InFlight,
 			smoothedLatency: state.SmoothedLatency,
 			lastSent:        state.LastSent,
@@ -505,7 +505,7 @@
 	return endpoints, nil
 }
 
-// restoreMessages restores the messages, their attempts in flight and the queues of their keys.
+// restoreMessages restores the messages, their attempts in flight and the key queues.
 func (s *Sender) restoreMessages(snap *snapshot, endpoints []*endpoint) error {
 	for i, state := range snap.Messages {
 		if state.Class < 0 || state.Class >= len(s.cfg.Classes) ||
@@ -513,23 +513,23 @@
 			return errInconsistentSnapshot
 		}
 		m := &msg{
-			id:         state.ID,
-			class:      &s.cfg.Classes[state.Class],
-			classIndex: state.Class,
-			worthShare: state.WorthShare,
-			dest:       s.destOrder[state.Dest],
-			seq:        state.Seq,
-			submitted:  state.First,
-			arrived:    state.Came,
-			deadline:   state.Deadline,
-			tries:      state.Tries,
-			restarts:   state.Cuts,
-			mayRun:     state.MayRun,
-			mayRunAt:   state.MayRunAt,
-			mayRunZone: state.MayRunZone,
-			retryAt:    state.RetryAt,
-			ended:      state.Over,
-			streaming:  state.Flows,
+			id:             state.ID,
+			class:          &s.cfg.Classes[state.Class],
+			classIndex:     state.Class,
+			valueShare:     state.ValueShare,
+			dest:           s.destOrder[state.Dest],
+			seq:            state.Seq,
+			submitted:      state.First,
+			arrived:        state.Came,
+			deadline:       state.Deadline,
+			attempts:       state.Tries,
+			restarts:       state.Cuts,
+			mayHaveRun:     state.MayHaveRun,
+			mayHaveRunAt:   state.MayHaveRunAt,
+			mayHaveRunZone: state.MayHaveRunZone,
+			retryAt:        state.RetryAt,
+			ended:          state.Over,
+			streaming:      state.Flows,
 		}
 		if state.LastEndpoint >= 0 {
 			m.lastEndpoint = endpoints[state.LastEndpoint]
@@ -566,9 +566,9 @@
 		}
 		m.inFlight, s.inFlight = a, append(s.inFlight, a)
 	}
-	s.busy = snap.CallCount
+	s.slotsUsed = snap.CallCount
 	for key, state := range snap.KeyQueues {
-		queue := &keyQueue{quietUntil: state.QuietUntil, quietExempt: s.msgs[state.QuietExempt]}
+		queue := &keyQueue{cooldownUntil: state.CooldownUntil, cooldownExempt: s.msgs[state.CooldownExempt]}
 		for _, id := range state.Messages {
 			m := s.msgs[id]
 			if m == nil {
--- a/logic/snapshot_test.go
+++ b/logic/snapshot_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if w.twin, err = Restore(w.set, text); err != nil {
+	if w.twin, err = Restore(w.cfg, text); err != nil {
 		w.t.Fatal(err)
 	}
 	w.checkOutOfRotation(w.twin)
@@ -45,9 +45,9 @@
 
 // A restored Sender takes the same actions as the original, whatever is in flight or due at the snapshot.
 func TestRestoredSenderActsTheSame(t *testing.T) {
-	for name, set := range deploymentVariants() {
+	for name, cfg := range deploymentVariants() {
 		t.Run(name, func(t *testing.T) {
-			w := newSimulation(t, set, 11)
+			w := newSimulation(t, cfg, 11)
 			w.beforeStep = func() {
 				if w.rng.IntN(100) == 0 {
 					w.replaceTwin()
@@ -132,8 +132,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		set := deploymentVariants()[name]
-		s, err := Restore(set, text)
+		cfg := deploymentVariants()[name]
+		s, err := Restore(cfg, text)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -145,11 +145,11 @@
 		if !bytes.Equal(text, again) {
 			t.Errorf("%s: written again, the snapshot differs:\n%s\n%s", name, text, again)
 		}
-		held, inFlight := s.openCount, len(s.inFlight)
+		held, inFlight := s.heldCount, len(s.inFlight)
 		if held == 0 || inFlight == 0 {
 			t.Fatalf("%s: %d held, %d in flight", name, held, inFlight)
 		}
-		reference, err := Restore(set, text)
+		reference, err := Restore(cfg, text)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/logic/state.go
+++ b/logic/state.go
@@ -15,7 +15,7 @@
 	kind         int         // index of its kind in the settings
 	endpoints    []*endpoint // the listed ones, in list order
 	nextEndpoint int         // index in endpoints where the rotation of first attempts continues
-	limiter      *limiter    // shared by its endpoints, unless its kind keeps them apart
+	limiter      *limiter    // shared by its endpoints, unless its kind has separate routes
 	latency      histogram   // of its calls
 	lastUsedAt   Micros      // arrival of the last message for it
 	arrivals     int         // messages that arrived since the last outage began
@@ -25,17 +25,17 @@
 	backlog      *backlog    // nil if no message waits
 }
 
-// limiter is the rate limit and the flow control of a destination. Where the kind keeps its endpoints apart,
-// each endpoint has a limiter of its own.
+// limiter is the rate limit and the flow control of a destination. Where the kind has separate routes, each
+// endpoint has a limiter of its own.
 type limiter struct {
-	limit          float64 // calls a second, all senders together; 0 if not known
+	limit          float64 // calls per second, all senders together; 0 if not known
 	reported       bool    // limit came in a report, not from the list
-	remaining      float64 // share of limit that was unused at the last report, 0 to 1
-	pace           float64 // calls a second that this sender allows itself; 0 for no bound
+	remaining      float64 // fraction of limit that was unused at the last report, 0 to 1
+	pace           float64 // calls per second that this sender allows itself; 0 for no bound
 	reducedAt      Micros  // when pace was last set or reduced after a refusal
 	tokens         float64 // calls that may be sent now, by the pace; below 0 if more were sent
 	refilledAt     Micros  // when tokens was last brought up to date
-	waitUntil      Micros  // end of the longest wait that an answer asked for
+	waitUntil      Micros  // end of the longest wait that an answer requested
 	inFlight       int     // calls
 	refusals       int     // calls refused in a row
 	firstRefusalAt Micros  // the first of these
@@ -49,30 +49,30 @@
 
 // endpoint is an endpoint that is listed, or that was removed from the list not long ago.
 type endpoint struct {
-	id                  EndpointID
-	zone                int
-	state               Readiness // as listed
-	dest                *dest
-	limiter             *limiter // that of dest, or its own
-	sentAt              []Micros // times of the latest calls, oldest first
-	failureRate         float64  // moving average, 0 to 1
-	failures, refusals  int      // in a row
-	badAnswers, resets  int      // in a row: answers that cannot be read; connections refused or broken
-	removedAt           Micros   // when it was removed from the list
-	lastOK, lastFail    Micros   // times of the last successful answer and of the last sign of an outage
-	lastOKSent          Micros   // latest send time of the calls that were answered with success
-	ejectedAt           Micros   // when it was last ejected
-	healthyAt           Micros   // when it was last seen to be healthy while a sibling was ejected
-	ejected             bool     // taken for out of service: gets single trials only
-	cold                bool     // was out: its calls are budgeted for the warm-up time that follows upAt
-	upAt                Micros   // when it answered again
-	downAt              Micros   // last success before the outage, or when it first seemed silent
-	trialAt, trialPause Micros   // earliest time of the next trial; the pause before it, without jitter
-	inFlight            int      // calls
-	smoothedLatency     float64  // microseconds; 0 if not known
-	lastSent            Micros   // when the last message was sent to it
-	idleConnUntil       Micros   // until when an idle connection to it is expected to stay open
-	openCall            *call    // the latest call, which other messages of the same step may join
+	id                     EndpointID
+	zone                   int
+	state                  Readiness // as listed
+	dest                   *dest
+	limiter                *limiter // that of dest, or its own
+	sentAt                 []Micros // times of the latest calls, oldest first
+	failureRate            float64  // moving average, 0 to 1
+	failures, refusals     int      // in a row
+	unreadable, resets     int      // in a row: answers that cannot be read; connections refused or broken
+	removedAt              Micros   // when it was removed from the list
+	lastOK, lastFail       Micros   // times of the last successful answer and of the last sign of an outage
+	lastOKSent             Micros   // latest send time of the calls that were answered with success
+	ejectedAt              Micros   // when it was last ejected
+	healthyAt              Micros   // when it was last seen to be healthy while a sibling was ejected
+	ejected                bool     // out of rotation as failed: gets single trials only
+	cold                   bool     // after an outage: its calls are limited until its warm-up after upAt ends
+	upAt                   Micros   // end of the outage: when it answered again
+	downAt                 Micros   // start of the outage: the last success before it, or the ejection as silent
+	trialAt, trialInterval Micros   // earliest time of the next trial; the pause before it, without jitter
+	inFlight               int      // calls
+	smoothedLatency        float64  // microseconds; 0 if not known
+	lastSent               Micros   // when the last message was sent to it
+	idleConnUntil          Micros   // until when an idle connection to it is expected to stay open
+	openCall               *call    // the latest call, which other messages of the same step may join
 }
 
 // call is one call to an endpoint, which may carry several messages: the step in which it was made, the
@@ -94,43 +94,43 @@
 
 // msg is a message that has not ended, or of which an attempt is still in flight.
 type msg struct {
-	id         string
-	class      *Class
-	classIndex int
-	worthShare float64 // share of its worth that counts: less than 1 if its tenant is over quota
-	dest       *dest
-	seq        int    // order of arrival
-	submitted  Micros // when the client submitted it, as far as its remaining time tells
-	arrived    Micros // when it came to this process
-	newInStep  int    // step in which it arrived; 0 if it was accepted before a restart
-	deadline   Micros
-	tries      int // attempts made
-	restarts   int // attempts cancelled to be sent again
-	inFlight   *attempt
-	mayRun     bool   // an attempt may have taken effect
-	mayRunAt   Micros // when the first of these was sent
-	mayRunZone int    // zone of its endpoint
-	// lastEndpoint is the one of the last attempt; nil if there was none since the start.
+	id             string
+	class          *Class
+	classIndex     int
+	valueShare     float64 // fraction of its value that it keeps: less than 1 if its tenant is over quota
+	dest           *dest
+	seq            int    // order of arrival
+	submitted      Micros // when the client submitted it, as far as its remaining time tells
+	arrived        Micros // when this process received it
+	newInStep      int    // step in which it arrived; 0 if it was accepted before a process restart
+	deadline       Micros
+	attempts       int // attempts made
+	restarts       int // attempts cancelled at the restart time, or as stuck, to be sent again
+	inFlight       *attempt
+	mayHaveRun     bool   // an attempt may have taken effect
+	mayHaveRunAt   Micros // when the first such attempt was sent; until there is one, the latest attempt
+	mayHaveRunZone int    // zone of the endpoint of that attempt
+	// lastEndpoint is the endpoint of the last attempt; nil if there was none since the start.
 	lastEndpoint *endpoint
 	retryAt      Micros    // earliest time of the next attempt
 	keyQueue     *keyQueue // nil if it has no key, or its class keeps no order
 	ended        bool
-	streaming    bool    // its stream has begun: nothing can be changed any more
+	streaming    bool    // its stream has begun: it can no longer be cancelled or resent
 	priority     float64 // in the current dispatch
 
 	// While it waits.
-	waitPos     int       // position in backlog.waiting, counted from 1; 0 if it does not wait
-	expiresAt   [2]Micros // by byDeadline or byWindow
-	expiryPos   [2]int    // positions in the expiry groups, likewise
-	sampledStep int       // step of the last sample that it was in
-	weight      float64   // number of waiting messages that it stands for in the current dispatch
+	waitPos      int       // position in backlog.waiting, counted from 1; 0 if it does not wait
+	expiresAt    [2]Micros // by byDeadline or byWindow
+	expiryPos    [2]int    // positions in the expiry groups, likewise
+	sampledStep  int       // step of the last sample that it was in
+	sampleWeight float64   // number of waiting messages that it stands for in the current dispatch
 }
 
 // keyQueue holds the messages of one key, which are sent one after the other.
 type keyQueue struct {
-	messages    []*msg // in order of arrival
-	quietUntil  Micros // no other message is sent until then, after an attempt that may still take effect
-	quietExempt *msg   // the message of that attempt, which may be sent again
+	messages       []*msg // in order of arrival
+	cooldownUntil  Micros // no other message is sent until then, after an attempt that may still take effect
+	cooldownExempt *msg   // the message of that attempt, which may be sent again
 }
 
 // countAfter counts the times after t. The times ascend.
@@ -166,13 +166,13 @@
 	nextCleanupAt  Micros
 	msgs           map[string]*msg // by id
 	held           []*msg          // all that have not ended, in order of arrival, and some that have
-	openCount      int             // messages in held that have not ended
+	heldCount      int             // messages in held that have not ended
 	waiting        waitIndex       // the messages that wait to be sent
-	fullScanMax    int             // up to this many waiting messages are all considered in each step
-	visitCount     int             // messages, attempts and destinations considered in this step
+	fullScanMax    int             // up to this many waiting messages are all examined in each step
+	visitCount     int             // messages, attempts and destinations examined in this step
 	inFlight       []*attempt
 	trialsInFlight int         // slots taken by attempts at ejected endpoints, as counted in dispatch
-	busy           int         // slots in use: calls in flight
+	slotsUsed      int         // slots in use: calls in flight
 	justIdle       []*endpoint // whose last call ended in this step
 	lastSeq        int         // of the last message
 	classLatency   []histogram // by class
@@ -180,13 +180,13 @@
 	keyQueues      map[string]*keyQueue
 	wakeAt         Micros          // when the next step is needed
 	timerAt        Micros          // when the last timer set expires; 0 if none is set
-	askAt          Micros          // when to request the endpoint list; never if it is requested
-	askGap         Micros          // pause after the next failed request, without jitter
-	listStaleUntil Micros          // until then the list may be an old one; 0 once there was news of it
+	subscribeAt    Micros          // when to request the endpoint list; never if no request is planned
+	subscribeDelay Micros          // delay after the next failed request, without jitter
+	listStaleUntil Micros          // until then the list may be out of date; 0 once an update has come
 	stopAt         Micros          // when this sender stops; 0 if that is not planned
 	logLines       int             // written so far
-	largeFleet     bool            // so many senders that an idle connection of each may fill an endpoint
-	rejectRate     map[int]float64 // by kind: moving average of the share of calls refused, 0 to 1
+	manySenders    bool            // more than fewSendersMax: an idle connection of each may fill an endpoint
+	refusalRate    map[int]float64 // by kind: moving average of the fraction of calls refused, 0 to 1
 	scarceUntil    map[int]Micros  // by kind: until when connections to it count as scarce
 	reportedLimits int             // destinations whose limit came in a report
 
@@ -224,9 +224,9 @@
 	e.dest.endpoints = slices.DeleteFunc(e.dest.endpoints, func(x *endpoint) bool { return x == e })
 }
 
-// dropUnused drops what nothing refers to any more: endpoints that were removed from the list long ago, idle
-// destinations without endpoints and messages, and empty key queues. Else they pile up over the life of a
-// process.
+// dropUnused drops state that nothing refers to any more: endpoints that were removed from the list long ago,
+// idle destinations without endpoints and messages, and empty key queues. Otherwise memory use would grow
+// over the life of a process.
 func (s *Sender) dropUnused() {
 	if s.now < s.nextCleanupAt {
 		return
@@ -259,7 +259,7 @@
 		return true
 	})
 	for key, q := range s.keyQueues {
-		if len(q.messages) == 0 && s.now >= q.quietUntil {
+		if len(q.messages) == 0 && s.now >= q.cooldownUntil {
 			delete(s.keyQueues, key)
 		}
 	}
@@ -284,7 +284,7 @@
 	return len(d.backlog.waiting)
 }
 
-// kindOf returns the kind of a destination; the zero value if the settings don't have it.
+// kindOf returns the kind of a destination; the zero value if the settings do not have it.
 func (s *Sender) kindOf(d *dest) DestinationKind {
 	if d.kind >= 0 && d.kind < len(s.cfg.Kinds) {
 		return s.cfg.Kinds[d.kind]
@@ -292,8 +292,8 @@
 	return DestinationKind{}
 }
 
-// worthAt returns the worth of m if it is delivered at t.
-func (s *Sender) worthAt(m *msg, t Micros) float64 {
+// valueAt returns the value of m if it is delivered at t.
+func (s *Sender) valueAt(m *msg, t Micros) float64 {
 	if t > m.deadline {
 		return 0
 	}
@@ -329,7 +329,7 @@
 	return i
 }
 
-// applyReport takes over the limit that an answer reported.
+// applyReport records the limit that an answer reported.
 func (s *Sender) applyReport(e *endpoint, load []float64) {
 	if i := s.cfg.LoadLimitIndex; i >= 0 && i < len(load) && load[i] > 0 {
 		if !e.limiter.reported && e.limiter == e.dest.limiter {
@@ -370,7 +370,7 @@
 	if a.call.unfinished--; a.call.unfinished > 0 {
 		return false
 	}
-	s.busy--
+	s.slotsUsed--
 	a.endpoint.inFlight--
 	a.endpoint.limiter.inFlight--
 	return true
@@ -394,11 +394,11 @@
 	e.openCall.messages++
 	e.openCall.unfinished++
 	e.lastSent = s.now
-	a := &attempt{msg: m, number: m.tries, endpoint: e, sentAt: s.now, call: e.openCall}
-	m.tries++
+	a := &attempt{msg: m, number: m.attempts, endpoint: e, sentAt: s.now, call: e.openCall}
+	m.attempts++
 	m.inFlight, m.lastEndpoint = a, e
-	if !m.mayRun {
-		m.mayRunAt, m.mayRunZone = s.now, e.zone
+	if !m.mayHaveRun {
+		m.mayHaveRunAt, m.mayHaveRunZone = s.now, e.zone
 	}
 	s.inFlight = append(s.inFlight, a)
 	if e.ejected {
@@ -418,46 +418,46 @@
 	return n
 }
 
-// seconds converts a span to seconds.
+// seconds converts a duration to seconds.
 func seconds(t Micros) float64 { return float64(t) / float64(Second) }
 
-// acceptMessage takes on a new message, or one from before a restart.
-func (s *Sender) acceptMessage(c Message) {
-	if s.msgs[c.ID] != nil {
+// acceptMessage adds a new message, or one that was accepted before a process restart.
+func (s *Sender) acceptMessage(ev Message) {
+	if s.msgs[ev.ID] != nil {
 		return
 	}
-	if c.Class < 0 || c.Class >= len(s.cfg.Classes) {
-		s.emit(Reject{ID: c.ID})
+	if ev.Class < 0 || ev.Class >= len(s.cfg.Classes) {
+		s.emit(Reject{ID: ev.ID})
 		return
 	}
-	class := &s.cfg.Classes[c.Class]
+	class := &s.cfg.Classes[ev.Class]
 	s.lastSeq++
-	m := &msg{id: c.ID, class: class, classIndex: c.Class, dest: s.destByID(c.Dest), seq: s.lastSeq,
-		deadline: s.now + c.TimeLeft, submitted: min(s.now, s.now+c.TimeLeft-class.Deadline), arrived: s.now}
-	if !c.History.Accepted {
+	m := &msg{id: ev.ID, class: class, classIndex: ev.Class, dest: s.destByID(ev.Dest), seq: s.lastSeq,
+		deadline: s.now + ev.TimeLeft, submitted: min(s.now, s.now+ev.TimeLeft-class.Deadline), arrived: s.now}
+	if !ev.History.Accepted {
 		m.newInStep = s.step
 	}
 	s.resetIfIdle(m.dest)
 	m.dest.arrivals++
-	m.worthShare = s.quotaFactor(c.Tenant)
+	m.valueShare = s.quotaFactor(ev.Tenant)
 	s.msgs[m.id] = m
 	m.dest.messageCount++
 	s.addHeld(m)
-	if class.KeepOrder && c.OrderKey != "" {
-		queue := s.keyQueues[c.OrderKey]
+	if class.KeepOrder && ev.OrderKey != "" {
+		queue := s.keyQueues[ev.OrderKey]
 		if queue == nil {
 			queue = &keyQueue{}
-			s.keyQueues[c.OrderKey] = queue
+			s.keyQueues[ev.OrderKey] = queue
 		}
 		queue.messages = append(queue.messages, m)
 		m.keyQueue = queue
 	}
-	if s.restoreHistory(m, c.History); !m.ended {
+	if s.restoreHistory(m, ev.History); !m.ended {
 		s.enqueue(m)
 	}
 }
 
-// removeUnlisted removes the endpoints that are not among the entries of a whole list.
+// removeUnlisted removes the endpoints that are not among the entries of a full list.
 func (s *Sender) removeUnlisted(entries []EndpointEntry) {
 	listed := map[EndpointID]bool{}
 	for _, entry := range entries {
@@ -492,21 +492,21 @@
 	}
 }
 
-// Ejected reports whether an endpoint is taken for out of service: it gets single trials only.
+// Ejected reports whether an endpoint is out of rotation as failed: it gets single trials only.
 func (s *Sender) Ejected(id EndpointID) bool {
 	e := s.endpoints[id]
 	return e != nil && e.ejected
 }
 
-// heldFraction returns the share of the limit on held messages that is in use; 0 if there is no limit.
+// heldFraction returns the number of held messages as a fraction of MaxOpen; 0 if there is no limit.
 func (s *Sender) heldFraction() float64 {
 	if s.cfg.MaxOpen == 0 {
 		return 0
 	}
-	return float64(s.openCount) / float64(s.cfg.MaxOpen)
+	return float64(s.heldCount) / float64(s.cfg.MaxOpen)
 }
 
-// logf writes a line for the people on call. The number of lines in the life of a Sender is limited.
+// logf writes a log line for operators. The number of lines during the life of a Sender is limited.
 func (s *Sender) logf(format string, args ...any) {
 	if s.logLines++; s.logLines <= maxLogLines {
 		s.emit(Log{fmt.Sprintf(format, args...)})
--- a/logic/types.go
+++ b/logic/types.go
@@ -77,7 +77,7 @@
 	Tenants          []Tenant // may be empty
 	Kinds            []DestinationKind
 	CallSlots        int    // maximum number of concurrent calls
-	MaxOpen          int    // maximum number of messages held at once; 0 for no limit
+	MaxOpen          int    // maximum number of messages held (not ended) at once; 0 for no limit
 	MaxAttempts      int    // maximum number of attempts per message; 0 for no limit
 	Tick             Micros // resolution of timers
 	ListOnRequest    bool   // the endpoint list must be requested with Subscribe
@@ -158,7 +158,7 @@
 }
 
 // Message hands a message to the Sender: a new one, or one that this sender had
-// accepted before a restart.
+// accepted before a process restart.
 type Message struct {
 	ID       string
 	TimeLeft Micros // time until the deadline
@@ -169,10 +169,10 @@
 	History  History
 }
 
-// History says what happened to a message before a restart. It is zero for a new
-// message.
+// History says what happened to a message before a process restart. It is zero for
+// a new message.
 type History struct {
-	Accepted   bool   // the message was accepted before the restart
+	Accepted   bool   // the message was accepted before the process restart
 	Attempts   int    // number of attempts made
 	MayHaveRun bool   // at least one attempt may have run
 	Age        Micros // time since the first attempt that may have run was sent
@@ -183,8 +183,8 @@
 // by then must not be started.
 type Shutdown struct{ TimeLeft Micros }
 
-// StreamStarted says that a stream has begun to flow: the Sender can do nothing
-// more for the message.
+// StreamStarted says that the stream of a message has begun: the message can no
+// longer be cancelled or resent.
 type StreamStarted struct {
 	ID      string
 	Attempt int
--- a/logic/window_test.go
+++ b/logic/window_test.go
@@ -4,9 +4,9 @@
 
 // shortWindowSettings have a deduplication window of one second, and two zones that deduplicate separately.
 func shortWindowSettings() Settings {
-	set := baseSettings()
-	set.Zones, set.Classes[1].DedupPerZone, set.Classes[1].DedupWindow = 2, true, Second
-	return set
+	cfg := baseSettings()
+	cfg.Zones, cfg.Classes[1].DedupPerZone, cfg.Classes[1].DedupWindow = 2, true, Second
+	return cfg
 }
 
 // listInTwoZones is a list with one endpoint in each of two zones.
@@ -43,7 +43,7 @@
 }
 
 // After a restart the window still runs from the first send, in the zone of that send.
-func TestRestartWithShortWindow(t *testing.T) {
+func TestHistoryWithShortWindow(t *testing.T) {
 	for _, x := range []struct {
 		name       string
 		past       History
@@ -83,9 +83,9 @@
 // A call that is cancelled at τ needs time to be resent. That must not take up the whole of a short window.
 func TestRestartTimeWithShortWindow(t *testing.T) {
 	for window, cancelled := range map[Micros]bool{Second: true, sec(0.4): false} {
-		set := shortWindowSettings()
-		set.Classes[1].DedupWindow = window
-		h := newHarness(t, set)
+		cfg := shortWindowSettings()
+		cfg.Classes[1].DedupWindow = window
+		h := newHarness(t, cfg)
 		h.step(0, fullList(1))
 		d := h.s.destByID(9)
 		addSamples(&d.latency, 20, 0.02)
@@ -135,9 +135,9 @@
 		window Micros
 		early  bool
 	}{{0, Second, true}, {1, 8 * Second, true}, {1, Second, false}, {2, Second, false}} {
-		set := shortWindowSettings()
-		set.MayCancel, set.Classes[1].DedupWindow = false, x.window
-		h := newHarness(t, set)
+		cfg := shortWindowSettings()
+		cfg.MayCancel, cfg.Classes[1].DedupWindow = false, x.window
+		h := newHarness(t, cfg)
 		h.step(0, fullList(1))
 		m := h.message(x.class)
 		out := actionsOf[Send](h.step(10, m))
