--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// Calls sent while a lane had no pace count as a debt of at most one second once a refusal sets its pace.
+// Calls sent while a limiter had no pace count as a debt of at most one second once a refusal sets its pace.
 func TestUnpacedLimiterDebtIsBounded(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(1))
@@ -79,9 +79,9 @@
 	cfg.Senders, cfg.CallSlots, cfg.MaxOpen, cfg.Weights = 1, 4000, 0, WeightsNominal
 	cfg.OverloadMultiple, cfg.OverloadWindow, cfg.ColdCapacity, cfg.WarmupTime = 2.5, 3*Second, 0.15, sec(9.5)
 	h := newHarness(t, cfg)
-	news := fullList(1)
-	news.Entries[0].NominalRate = rate
-	evs := []Event{news}
+	list := fullList(1)
+	list.Entries[0].NominalRate = rate
+	evs := []Event{list}
 	h.step(0, evs...)
 	e := h.s.endpoints[1]
 	e.cold, e.upAt = true, Second
@@ -96,12 +96,12 @@
 			sent = append(sent, h.s.now)
 			evs = append(evs, result(c.ID, 1, 0, Delivered))
 		}
-		most := 0.0
+		limit := 0.0
 		for x := at - 3; x < at; x += 0.01 {
-			most += 0.01 * cfg.OverloadMultiple * rate * (0.15 + 0.85*max(x-1, 0)/9.5)
+			limit += 0.01 * cfg.OverloadMultiple * rate * (0.15 + 0.85*max(x-1, 0)/9.5)
 		}
-		if n := countAfter(sent, sec(at-3)); float64(n) > most+1 {
-			t.Fatalf("%.2f s after the recovery: %d calls in a window, want at most %.0f", at-1, n, most)
+		if n := countAfter(sent, sec(at-3)); float64(n) > limit+1 {
+			t.Fatalf("%.2f s after the recovery: %d calls in a window, want at most %.0f", at-1, n, limit)
 		}
 	}
 	if len(sent) < 200 {
--- a/logic/churn_test.go
+++ b/logic/churn_test.go
@@ -83,7 +83,7 @@
 	for _, x := range []struct {
 		name     string
 		outcomes []Outcome
-		out      bool
+		ejected  bool
 	}{
 		{"now and then", []Outcome{ConnLost, ConnLost, Refused, ConnLost, ConnLost, Refused, ConnLost}, false},
 		{"three in a row", []Outcome{ConnLost, ConnLost, ConnLost}, true},
@@ -108,8 +108,8 @@
 					now -= 3 * Second
 				}
 			}
-			if e.ejected != x.out {
-				t.Errorf("ejected: %v, want %v", e.ejected, x.out)
+			if e.ejected != x.ejected {
+				t.Errorf("ejected: %v, want %v", e.ejected, x.ejected)
 			}
 		})
 	}
--- a/logic/decisions_test.go
+++ b/logic/decisions_test.go
@@ -7,9 +7,9 @@
 )
 
 // addSamples adds n samples of each of the given latencies, in seconds, to a histogram.
-func addSamples(h *histogram, n int, took ...float64) {
+func addSamples(h *histogram, n int, latencies ...float64) {
 	for range n {
-		for _, x := range took {
+		for _, x := range latencies {
 			h.add(0, sec(x), false)
 		}
 	}
@@ -84,13 +84,13 @@
 }
 
 func TestCancelAtRestartTimeAndResendElsewhere(t *testing.T) {
-	for class, again := range []bool{true, true, false} {
+	for class, resent := range []bool{true, true, false} {
 		cfg := baseSettings()
 		cfg.Weights = WeightsNominal
 		h := newHarness(t, cfg)
-		ev := fullList(2)
-		ev.Entries[0].NominalRate, ev.Entries[1].NominalRate = 40, 40
-		h.step(0, ev)
+		list := fullList(2)
+		list.Entries[0].NominalRate, list.Entries[1].NominalRate = 40, 40
+		h.step(0, list)
 		at := h.deliverMany(1, 20)
 		d := h.s.dests[9]
 		addSamples(&d.latency, 2, 5) // a few slow ones: restarting pays off
@@ -106,10 +106,10 @@
 			t.Errorf("class %d: cancelled before the limit", class)
 		}
 		cancelled := actionsOf[Cancel](h.step(at+limit+0.01, TimerFired{}))
-		if got := len(cancelled) == 1; got != again {
+		if got := len(cancelled) == 1; got != resent {
 			t.Fatalf("class %d: cancelled at tau: %v", class, got)
 		}
-		if !again {
+		if !resent {
 			continue
 		}
 		next := actionsOf[Send](h.step(at+limit+0.05, result(m.ID, first.Endpoint, 0, Cancelled)))
@@ -127,9 +127,9 @@
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(1))
 	at := h.deliverMany(1, 10)
-	c := h.message(0)
-	c.TimeLeft = sec(0.05) // less than the median of 0.1 s
-	acts := h.step(at, c)
+	m := h.message(0)
+	m.TimeLeft = sec(0.05) // less than the median of 0.1 s
+	acts := h.step(at, m)
 	if len(actionsOf[Reject](acts)) != 1 || len(actionsOf[Send](acts)) != 0 {
 		t.Errorf("a message with less time left than a usual call takes: %v", acts)
 	}
@@ -176,40 +176,40 @@
 	cfg := baseSettings()
 	cfg.Weights, cfg.CallSlots = WeightsNominal, 40
 	h := newHarness(t, cfg)
-	ev := fullList(1)
-	ev.Entries[0].NominalRate = 4
-	h.step(0, ev)
-	var calls []Event
+	list := fullList(1)
+	list.Entries[0].NominalRate = 4
+	h.step(0, list)
+	var messages []Event
 	for range 12 {
-		calls = append(calls, h.message(0))
+		messages = append(messages, h.message(0))
 	}
 	h.s.dests[9].limiter.refilledAt = 0
 	h.step(5)
-	if n := len(actionsOf[Send](h.step(5, calls...))); n != 2 {
+	if n := len(actionsOf[Send](h.step(5, messages...))); n != 2 {
 		t.Errorf("%d sends of a burst at once under a limit of 4 per second, want 2: half a second of it", n)
 	}
 }
 
 func TestRetryAfterHoldsLimiter(t *testing.T) {
-	for _, apart := range []bool{false, true} {
+	for _, separate := range []bool{false, true} {
 		cfg := baseSettings()
-		cfg.Kinds[0].SeparateRoutes = apart
+		cfg.Kinds[0].SeparateRoutes = separate
 		h := newHarness(t, cfg)
 		h.step(0, fullList(2))
 		c := actionsOf[Send](h.step(1, h.message(0)))[0]
-		full := result(c.ID, c.Endpoint, 0, Refused)
-		full.RetryAfter = sec(1.5)
-		acts := h.step(1.1, full, h.message(0), h.message(1), h.message(2))
+		refused := result(c.ID, c.Endpoint, 0, Refused)
+		refused.RetryAfter = sec(1.5)
+		acts := h.step(1.1, refused, h.message(0), h.message(1), h.message(2))
 		for _, x := range actionsOf[Send](acts) {
-			if !apart || x.Endpoint == c.Endpoint {
-				t.Errorf("separate routes %v: sent to %d during a wait requested by %d", apart, x.Endpoint, c.Endpoint)
+			if !separate || x.Endpoint == c.Endpoint {
+				t.Errorf("separate routes %v: sent to %d during a wait requested by %d", separate, x.Endpoint, c.Endpoint)
 			}
 		}
-		if apart && len(actionsOf[Send](acts)) == 0 {
+		if separate && len(actionsOf[Send](acts)) == 0 {
 			t.Error("a wait of one route held up the other")
 		}
 		later := h.step(3.7, TimerFired{})
-		if !apart && len(actionsOf[Send](later)) == 0 {
+		if !separate && len(actionsOf[Send](later)) == 0 {
 			t.Error("nothing sent after the wait")
 		}
 	}
@@ -222,7 +222,7 @@
 		c := actionsOf[Send](h.step(1, h.message(2)))[0]
 		acts := h.step(1.1, result(c.ID, c.Endpoint, 0, o))
 		if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Send](acts))+len(actionsOf[Reject](acts)) > 0 {
-			t.Errorf("outcome %d of a message that is not idempotent: %v", o, acts)
+			t.Errorf("outcome %d of an unsafe message: %v", o, acts)
 		}
 	}
 	for _, o := range []Outcome{ConnRefused, Skipped} {
@@ -239,13 +239,13 @@
 }
 
 func TestSilentDestinationsEndByDeadline(t *testing.T) {
-	for name, ev := range map[string]EndpointUpdate{
+	for name, list := range map[string]EndpointUpdate{
 		"no list":             {},
 		"silent":              fullList(2),
 		"unknown destination": {Entries: []EndpointEntry{{Endpoint: 5, Dest: 4}}},
 	} {
 		h := newHarness(t, baseSettings())
-		h.step(0, ev)
+		h.step(0, list)
 		h.step(1, h.message(0), h.message(1), h.message(2))
 		ended := map[string]bool{}
 		for at := 1.0; at < 16; at += 0.005 {
@@ -301,8 +301,8 @@
 		t.Error("did not back off")
 	}
 	// A full list replaces the old one; a draining endpoint gets no new calls.
-	row := EndpointEntry{Endpoint: 3, Dest: 9, State: Draining}
-	h.step(5.9, EndpointUpdate{Kind: UpdateFull, Entries: append(fullList(1).Entries, row)})
+	draining := EndpointEntry{Endpoint: 3, Dest: 9, State: Draining}
+	h.step(5.9, EndpointUpdate{Kind: UpdateFull, Entries: append(fullList(1).Entries, draining)})
 	for i := range 4 {
 		at := 6 + float64(i)
 		for _, c := range actionsOf[Send](h.step(at, h.message(0))) {
@@ -342,7 +342,7 @@
 	}
 }
 
-// With rate limits that other senders use up, every row of refusals used to look like an outage.
+// With rate limits that other senders use up, several refusals in a row used to look like an outage.
 func TestRefusalsBetweenAnswersAreNoOutage(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(2))
@@ -366,21 +366,21 @@
 	}
 }
 
-// Messages used to be rejected because of a low pace although the buffer was nearly empty.
+// Messages used to be rejected because of a low pace although few messages were held.
 func TestLowPaceKeepsMessagesWhileFewAreHeld(t *testing.T) {
-	for _, c := range []struct{ buffer, ends int }{{200, 0}, {30, 1}} {
+	for _, c := range []struct{ maxOpen, rejected int }{{200, 0}, {30, 1}} {
 		cfg := baseSettings()
-		cfg.MaxOpen = c.buffer
+		cfg.MaxOpen = c.maxOpen
 		h := newHarness(t, cfg)
 		h.step(0, fullList(1))
 		h.s.dests[9].limiter.pace = 1
 		h.s.dests[9].limiter.waitUntil = sec(2)
-		var calls []Event
+		var messages []Event
 		for range 25 {
-			calls = append(calls, h.message(0))
+			messages = append(messages, h.message(0))
 		}
-		if n := len(actionsOf[Reject](h.step(1, calls...))); min(n, 1) != c.ends {
-			t.Errorf("buffer of %d: %d rejected", c.buffer, n)
+		if n := len(actionsOf[Reject](h.step(1, messages...))); min(n, 1) != c.rejected {
+			t.Errorf("MaxOpen %d: %d rejected", c.maxOpen, n)
 		}
 	}
 }
@@ -388,11 +388,11 @@
 func TestOneDestinationCannotHoldEverySlot(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(2), EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 7, Dest: 8}}})
-	var calls []Event
+	var messages []Event
 	for range 20 {
-		calls = append(calls, h.message(2))
+		messages = append(messages, h.message(2))
 	}
-	if n := len(actionsOf[Send](h.step(1, calls...))); n != 4 {
+	if n := len(actionsOf[Send](h.step(1, messages...))); n != 4 {
 		t.Errorf("one destination took %d of 8 slots", n)
 	}
 	other := h.message(0)
@@ -425,7 +425,7 @@
 	h.step(6.1, ClientGone{c.ID})
 	acts = h.step(6.2, result(c.ID, c.Endpoint, 0, Errored), result(c.ID, c.Endpoint, 0, Errored))
 	if len(acts) != 0 || h.s.slotsUsed != 0 {
-		t.Errorf("a late result of a withdrawn message caused %v; %d slots busy", acts, h.s.slotsUsed)
+		t.Errorf("a late result of a withdrawn message caused %v; %d slots used", acts, h.s.slotsUsed)
 	}
 	before := h.s.now
 	h.step(1, h.message(0)) // a clock that steps back is ignored
@@ -440,15 +440,15 @@
 	cfg.CallSlots = 1
 	h := newHarness(t, cfg)
 	h.step(0, fullList(1))
-	var calls []Event
+	var messages []Event
 	for range 15 {
-		calls = append(calls, h.message(0))
+		messages = append(messages, h.message(0))
 	}
-	out := actionsOf[Send](h.step(1, calls...))
-	if len(out) != 10 || h.s.slotsUsed != 1 {
-		t.Fatalf("%d sends in %d slots, want 10 in one", len(out), h.s.slotsUsed)
+	sends := actionsOf[Send](h.step(1, messages...))
+	if len(sends) != 10 || h.s.slotsUsed != 1 {
+		t.Fatalf("%d sends in %d slots, want 10 in one", len(sends), h.s.slotsUsed)
 	}
-	for _, c := range out {
+	for _, c := range sends {
 		h.step(1.2, result(c.ID, c.Endpoint, 0, Delivered))
 	}
 	if len(h.s.inFlight) != 5 {
@@ -494,12 +494,12 @@
 	cfg.CallSlots = 2
 	h := newHarness(t, cfg)
 	h.step(0, fullList(1), EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 7, Dest: 8}}, Kind: UpdateDelta})
-	out := actionsOf[Send](h.step(1, h.message(2)))
+	sends := actionsOf[Send](h.step(1, h.message(2)))
 	other := h.message(2)
 	other.Dest = 8
-	out = append(out, actionsOf[Send](h.step(1.1, other))...)
-	if len(out) != 2 {
-		t.Fatalf("%d calls in flight, want both slots taken", len(out))
+	sends = append(sends, actionsOf[Send](h.step(1.1, other))...)
+	if len(sends) != 2 {
+		t.Fatalf("%d calls in flight, want both slots taken", len(sends))
 	}
 	if c := actionsOf[Cancel](h.step(12, TimerFired{})); len(c) != 0 {
 		t.Error("an unsafe call was cancelled although no message waited")
@@ -512,14 +512,14 @@
 	}
 }
 
-// An endpoint that was not tried while its siblings were out used to have no budget.
+// An endpoint that was not tried while its siblings were ejected used to have no budget.
 func TestUntriedSiblingSharesBudget(t *testing.T) {
 	cfg := baseSettings()
 	cfg.Weights = WeightsNominal
 	h := newHarness(t, cfg)
-	ev := fullList(2)
-	ev.Entries[0].NominalRate, ev.Entries[1].NominalRate = 4, 4
-	h.step(0, ev)
+	list := fullList(2)
+	list.Entries[0].NominalRate, list.Entries[1].NominalRate = 4, 4
+	h.step(0, list)
 	c := actionsOf[Send](h.step(1, h.message(0)))[0]
 	h.step(1.1, result(c.ID, c.Endpoint, 0, ConnRefused))
 	sent := 0
@@ -534,7 +534,7 @@
 	}
 }
 
-// Answers to calls that were in flight at the siblings when a destination went down used to mark them as working, so
+// Answers to calls that were in flight at the siblings when a destination went down used to mark them as healthy, so
 // that they got calls without a budget when it returned.
 func TestOldAnswerDoesNotMarkSiblingHealthy(t *testing.T) {
 	h := newHarness(t, baseSettings())
@@ -546,7 +546,7 @@
 	h.step(1.2, refused)
 	h.step(1.3, result(a.ID, a.Endpoint, 0, Delivered))
 	if x, e := h.s.endpoints[b.Endpoint], h.s.endpoints[a.Endpoint]; e.healthyAt >= x.lastFail {
-		t.Error("an answer to an older call marks a sibling as working")
+		t.Error("an answer to an older call marks a sibling as healthy")
 	}
 }
 
@@ -582,27 +582,27 @@
 // are refused no idle connection is kept, however expensive new ones are; elsewhere expensive ones are kept.
 func TestNoIdleConnectionsWhereCallsAreRefused(t *testing.T) {
 	for _, x := range []struct {
-		senders int
-		first   Outcome
-		back    int
+		senders  int
+		first    Outcome
+		released int
 	}{{2, Refused, 0}, {fewSendersMax + 1, Delivered, 0}, {fewSendersMax + 1, Refused, 1}} {
 		cfg := baseSettings()
 		cfg.Senders, cfg.ConnCost = x.senders, expensiveConnCost
 		h := newHarness(t, cfg)
 		a, b := h.message(0), h.message(0)
-		out := actionsOf[Send](h.step(0, fullList(2), a, b))
-		if len(out) != 2 {
-			t.Fatalf("%d senders: %d calls", x.senders, len(out))
+		sends := actionsOf[Send](h.step(0, fullList(2), a, b))
+		if len(sends) != 2 {
+			t.Fatalf("%d senders: %d calls", x.senders, len(sends))
 		}
-		h.step(0.1, result(out[0].ID, out[0].Endpoint, 0, x.first))
-		got := actionsOf[ReleaseConns](h.step(0.2, result(out[1].ID, out[1].Endpoint, 0, Delivered)))
-		if len(got) != x.back || x.back == 1 && got[0].Endpoint != out[1].Endpoint {
+		h.step(0.1, result(sends[0].ID, sends[0].Endpoint, 0, x.first))
+		got := actionsOf[ReleaseConns](h.step(0.2, result(sends[1].ID, sends[1].Endpoint, 0, Delivered)))
+		if len(got) != x.released || x.released == 1 && got[0].Endpoint != sends[1].Endpoint {
 			t.Errorf("%d senders, outcome %v before: released %v", x.senders, x.first, got)
 		}
 	}
 }
 
-// In a large fleet, senders used to keep idle connections again 32 calls after a connection shortage. A sender that holds
+// Many senders used to keep idle connections again 32 calls after a connection shortage. A sender that holds
 // a connection is never refused, so small destinations were half idle while unused connections kept others out.
 func TestScarceConnectionsReleasedForAMinute(t *testing.T) {
 	cfg := baseSettings()
@@ -623,7 +623,7 @@
 	h.step(1.2, ClientGone{c.ID})
 	for i := range 50 {
 		if deliver(2+float64(i)) == 0 {
-			t.Fatalf("kept again after %d calls", i)
+			t.Fatalf("idle connection kept again after %d calls", i)
 		}
 	}
 	if deliver(62) > 0 {
@@ -641,9 +641,9 @@
 		t.Fatal(err)
 	}
 	h := &harness{t: t, s: s}
-	ev := fullList(1)
-	ev.Entries[0].NominalRate = rate
-	h.step(0, ev)
+	list := fullList(1)
+	list.Entries[0].NominalRate = rate
+	h.step(0, list)
 	return h
 }
 
@@ -654,10 +654,10 @@
 	calls := make([]int, 30) // by second
 	for i := range senders {
 		h := newHarnessAmongMany(t, senders, rate, uint64(i))
-		seen := 1 + 5*float64(i)/senders // they notice the outage one after the other
-		c := actionsOf[Send](h.step(seen, h.message(0)))[0]
-		h.step(seen+0.01, result(c.ID, 1, 0, ConnRefused), h.message(1))
-		for at := seen + 0.1; at < 30; at += 0.1 {
+		noticedAt := 1 + 5*float64(i)/senders // they notice the outage one after the other
+		c := actionsOf[Send](h.step(noticedAt, h.message(0)))[0]
+		h.step(noticedAt+0.01, result(c.ID, 1, 0, ConnRefused), h.message(1))
+		for at := noticedAt + 0.1; at < 30; at += 0.1 {
 			for _, x := range actionsOf[Send](h.step(at, TimerFired{})) {
 				calls[int(at)]++
 				h.step(at+0.01, result(x.ID, 1, h.s.msgs[x.ID].attempts-1, ConnRefused))
@@ -672,8 +672,8 @@
 			sum += n
 		}
 		// Sixty senders per second notice it, six times the rate: the sum may go up to that.
-		if most := cfg.OverloadMultiple * cfg.ColdCapacity * 60 * 1.5 * float64(window); float64(sum) > most {
-			t.Errorf("second %d: %d calls in an overload window, want at most %.0f", at, sum, most)
+		if limit := cfg.OverloadMultiple * cfg.ColdCapacity * 60 * 1.5 * float64(window); float64(sum) > limit {
+			t.Errorf("second %d: %d calls in an overload window, want at most %.0f", at, sum, limit)
 		}
 		if sum > 0 && slices.Max(calls[at:at+window]) == sum && sum > 20 {
 			t.Errorf("second %d: all %d calls of a window in the same second", at, sum)
@@ -683,20 +683,20 @@
 
 // At a limit that counts refused calls, immediate retries used to keep it used up.
 func TestRefusedMessagesPauseAmongManySenders(t *testing.T) {
-	soonest, latest := 60.0, 0.0
+	earliest, latest := 60.0, 0.0
 	for i := range 40 {
 		h := newHarnessAmongMany(t, 100, 5, uint64(i))
 		c := actionsOf[Send](h.step(1, h.message(1)))[0]
 		h.step(1.1, result(c.ID, 1, 0, Refused))
 		for at := 1.2; at < 13; at += 0.05 {
 			if len(actionsOf[Send](h.step(at, TimerFired{}))) > 0 {
-				soonest, latest = min(soonest, at), max(latest, at)
+				earliest, latest = min(earliest, at), max(latest, at)
 				break
 			}
 		}
 	}
-	if soonest < 1.5 || latest-soonest < 2 {
-		t.Errorf("tried again between %.2f and %.2f s, want pauses of at least 0.4 s that spread over 2 s", soonest, latest)
+	if earliest < 1.5 || latest-earliest < 2 {
+		t.Errorf("tried again between %.2f and %.2f s, want pauses of at least 0.4 s that spread over 2 s", earliest, latest)
 	}
 }
 
@@ -705,9 +705,9 @@
 func TestManySendersShareALimit(t *testing.T) {
 	const limit, span = 200.0, 10
 	for _, x := range []struct {
-		senders  int
-		left     float64
-		from, to float64 // calls per second of all senders
+		senders   int
+		remaining float64
+		from, to  float64 // calls per second of all senders
 	}{
 		{80, 0, 0.9 * limit, 1.3 * limit},
 		{80, 0.5, 1.8 * limit, 2.3 * limit}, // half of the limit is in use
@@ -719,7 +719,7 @@
 		h := newHarness(t, cfg)
 		c := actionsOf[Send](h.step(0, fullList(1), h.message(0)))[0]
 		reported := result(c.ID, 1, 0, Delivered)
-		reported.Load = []float64{x.left, limit}
+		reported.Load = []float64{x.remaining, limit}
 		evs := []Event{reported}
 		for range 3000 {
 			evs = append(evs, h.message(0))
@@ -735,9 +735,9 @@
 				evs = append(evs, ok)
 			}
 		}
-		if all := float64(n*x.senders) / span; all < x.from || all > x.to {
+		if total := float64(n*x.senders) / span; total < x.from || total > x.to {
 			t.Errorf("%d senders, %v of the limit left: %.0f calls per second in total, want %.0f to %.0f",
-				x.senders, x.left, all, x.from, x.to)
+				x.senders, x.remaining, total, x.from, x.to)
 		}
 	}
 }
@@ -751,8 +751,8 @@
 	refused := result(c.ID, 1, 0, Refused)
 	refused.Load = []float64{0, 40}
 	acts := h.step(1, refused)
-	if all := h.s.dests[9].limiter.pace * 80; all < 20 || all > 0.8*40 {
-		t.Errorf("the paces of all senders add up to %v calls per second, with a limit of 40", all)
+	if total := h.s.dests[9].limiter.pace * 80; total < 20 || total > 0.8*40 {
+		t.Errorf("the paces of all senders add up to %v calls per second, with a limit of 40", total)
 	}
 	if len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
 		t.Errorf("ended: %v", acts)
@@ -814,17 +814,17 @@
 		t.Fatalf("%d sends", len(batch))
 	}
 	l.sentAt = append(l.sentAt, sec(0.9), sec(0.9), sec(0.9)) // enough calls for the pace to be kept
-	var ends []Event
+	var results []Event
 	for _, c := range batch {
-		ends = append(ends, result(c.ID, c.Endpoint, 0, Delivered))
+		results = append(results, result(c.ID, c.Endpoint, 0, Delivered))
 	}
-	h.step(1.1, ends...)
+	h.step(1.1, results...)
 	if want := 10 * (1 + paceGrowth); l.pace != want {
 		t.Errorf("pace %v after one call, want %v", l.pace, want)
 	}
 }
 
-// In a large fleet most refusals of the first seconds are connection shortages, which carry no load report. Treated as
+// With many senders most refusals of the first seconds are connection shortages, which carry no load report. Treated as
 // rate limiting they used to lower the pace for seconds and to look like an outage.
 func TestConnShortageIsNoRateLimit(t *testing.T) {
 	for _, x := range []struct {
@@ -847,15 +847,15 @@
 		if x.slow {
 			continue
 		}
-		out := actionsOf[Send](h.step(1.1, TimerFired{}))
-		if len(out) == 0 {
+		sends := actionsOf[Send](h.step(1.1, TimerFired{}))
+		if len(sends) == 0 {
 			t.Error("not sent again within 100 ms")
 		}
 		for at := 1.2; at < 10; at += 0.05 {
-			for _, c := range out {
+			for _, c := range sends {
 				h.step(at, result(c.ID, 1, h.s.msgs[c.ID].attempts-1, Refused))
 			}
-			out = actionsOf[Send](h.step(at+0.01, TimerFired{}))
+			sends = actionsOf[Send](h.step(at+0.01, TimerFired{}))
 			if at < 1.9 && h.s.endpoints[1].ejected {
 				t.Fatalf("ejected at %.2f s, soon after an answer", at)
 			}
@@ -875,11 +875,11 @@
 		h.step(0, fullList(1))
 		acts := h.step(1, h.message(class))
 		for i := range 10 {
-			calls := actionsOf[Send](acts)
-			if len(calls) != 1 || len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) > 0 {
+			sends := actionsOf[Send](acts)
+			if len(sends) != 1 || len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) > 0 {
 				t.Fatalf("class %d, failure %d: %v", class, i, acts)
 			}
-			acts = h.step(1.2+0.2*float64(i), result(calls[0].ID, calls[0].Endpoint, 0, LocalFailure))
+			acts = h.step(1.2+0.2*float64(i), result(sends[0].ID, sends[0].Endpoint, 0, LocalFailure))
 		}
 		if h.s.OutOfRotation() != 0 {
 			t.Errorf("class %d: the endpoint was ejected", class)
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -61,11 +61,11 @@
 
 // fleetCall is a call in flight.
 type fleetCall struct {
-	sender   *simSender
-	endpoint EndpointID
-	sent     Micros
-	open     []string // messages without an outcome
-	size     int
+	sender     *simSender
+	endpoint   EndpointID
+	sent       Micros
+	unfinished []string // messages without an outcome
+	size       int
 }
 
 type fleetEvent struct {
@@ -165,7 +165,7 @@
 				f.after(f.networkDelay(), func() { f.arrive(call) })
 			}
 			call.size++
-			call.open = append(call.open, a.ID)
+			call.unfinished = append(call.unfinished, a.ID)
 			sender.calls[a.ID] = call
 			f.after(a.Timeout, func() { f.deliver(call, TimedOut, nil, a.ID) })
 		case Cancel:
@@ -188,7 +188,7 @@
 	srv := f.servers[call.endpoint]
 	if f.now >= outageStart && f.now < outageEnd {
 		if srv.backlog = 0; f.failure != TimedOut {
-			f.after(f.networkDelay(), func() { f.deliver(call, f.failure, nil, call.open...) })
+			f.after(f.networkDelay(), func() { f.deliver(call, f.failure, nil, call.unfinished...) })
 		}
 		return
 	}
@@ -207,7 +207,7 @@
 		load = []float64{max(0, 1-n/limit), limit * (0.9 + 0.2*f.rng.Float64())}
 	}
 	if full {
-		f.after(f.networkDelay(), func() { f.deliver(call, Refused, load, call.open...) })
+		f.after(f.networkDelay(), func() { f.deliver(call, Refused, load, call.unfinished...) })
 		return
 	}
 	srv.accepted = append(srv.accepted, f.now)
@@ -222,7 +222,7 @@
 			wait, o = outageStart-f.now, ConnLost
 		}
 	}
-	f.after(wait+f.networkDelay(), func() { f.deliver(call, o, load, call.open...) })
+	f.after(wait+f.networkDelay(), func() { f.deliver(call, o, load, call.unfinished...) })
 }
 
 // deliver passes a sender the outcome of messages of a call, except those that have one already.
@@ -233,7 +233,7 @@
 			continue
 		}
 		delete(call.sender.calls, id)
-		call.open = slices.DeleteFunc(call.open, func(x string) bool { return x == id })
+		call.unfinished = slices.DeleteFunc(call.unfinished, func(x string) bool { return x == id })
 		evs = append(evs, AttemptResult{ID: id, Endpoint: call.endpoint, Attempt: call.sender.s.msgs[id].inFlight.number,
 			Outcome: o, Latency: f.now - call.sent, Load: load, Final: o == Delivered})
 	}
@@ -355,7 +355,7 @@
 }
 
 // The fleet sizes at which overload was seen: few messages per sender, refusals above the capacity, no load reports.
-// Only windows in which over two thirds of the calls came from senders that knew of the outage count: the others can't
+// Only windows in which over two thirds of the calls came from senders that knew of the outage count: the others cannot
 // limit their calls.
 func TestFleetKeepsRampLimitAtAnySize(t *testing.T) {
 	for _, senders := range []int{2, 5, 16, 17, 60, 120, 300, 580, 900} {
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -136,9 +136,9 @@
 	call *simCall
 }
 
-type simCall struct{ open int }
+type simCall struct{ unfinished int }
 
-// limiterKey names the route or destination whose limits an endpoint shares.
+// limiterKey names the route or destination whose limiter an endpoint uses.
 func (sim *simulation) limiterKey(e *simEndpoint) string {
 	if sim.cfg.Kinds[e.entry.Kind].SeparateRoutes {
 		return fmt.Sprint("route", e.entry.Endpoint)
@@ -210,18 +210,18 @@
 
 // arrival is a new random message.
 func (sim *simulation) arrival() Event {
-	ci := sim.rng.IntN(len(sim.cfg.Classes))
-	c := sim.cfg.Classes[ci]
+	class := sim.rng.IntN(len(sim.cfg.Classes))
+	c := sim.cfg.Classes[class]
 	m := &simMessage{id: fmt.Sprint("r", len(sim.ids)), class: c, dest: int64(1 + sim.rng.IntN(5))}
-	left := c.Deadline
+	timeLeft := c.Deadline
 	if sim.rng.IntN(5) == 0 {
-		left = c.Deadline / 3
+		timeLeft = c.Deadline / 3
 	}
 	if c.KeepOrder {
 		m.key = fmt.Sprint("k", sim.rng.IntN(4))
 		sim.keys[m.key] = append(sim.keys[m.key], m)
 	}
-	m.deadline = sim.now + left
+	m.deadline = sim.now + timeLeft
 	sim.msgs[m.id] = m
 	sim.ids = append(sim.ids, m.id)
 	sim.live = append(sim.live, m)
@@ -229,7 +229,7 @@
 	if n := len(sim.cfg.Tenants); n > 0 {
 		tenant = sim.rng.IntN(n)
 	}
-	return Message{ID: m.id, TimeLeft: left, OrderKey: m.key, Dest: m.dest, Tenant: tenant, Class: ci}
+	return Message{ID: m.id, TimeLeft: timeLeft, OrderKey: m.key, Dest: m.dest, Tenant: tenant, Class: class}
 }
 
 // change drains, removes or adds an endpoint.
@@ -270,7 +270,7 @@
 
 // applyResult updates the state that the checks use by the result of an attempt.
 func (sim *simulation) applyResult(r AttemptResult, m *simMessage, c *simCall) AttemptResult {
-	if c.open--; c.open == 0 {
+	if c.unfinished--; c.unfinished == 0 {
 		sim.slotsUsed--
 	}
 	m.inFlight = false
@@ -299,16 +299,16 @@
 	if e.entry.Dest == 1 && sim.now > sim.outage[0] && sim.now < sim.outage[1] {
 		return ConnRefused, 20_000, 0
 	}
-	took := Micros(20_000 + sim.rng.IntN(300_000))
+	latency := Micros(20_000 + sim.rng.IntN(300_000))
 	switch x := sim.rng.IntN(100); {
 	case x < 70:
-		return Delivered, took, 0
+		return Delivered, latency, 0
 	case x < 76:
-		return Errored, took, 0
+		return Errored, latency, 0
 	case x < 80:
-		return ConnLost, took, 0
+		return ConnLost, latency, 0
 	case x < 84:
-		return ConnRefused, took, 0
+		return ConnRefused, latency, 0
 	case x < 94:
 		wait := Micros(0)
 		if sim.rng.IntN(2) == 0 {
@@ -351,13 +351,13 @@
 				sim.checkCold(e)
 			}
 			count[a.Endpoint]++
-			c.open++
-			o, took, wait := sim.outcome(e)
-			if took >= a.Timeout {
-				o, took, wait = TimedOut, a.Timeout, 0
+			c.unfinished++
+			o, latency, wait := sim.outcome(e)
+			if latency >= a.Timeout {
+				o, latency, wait = TimedOut, a.Timeout, 0
 			}
-			sim.queue = append(sim.queue, simEvent{sim.now + took, AttemptResult{ID: a.ID, Endpoint: a.Endpoint,
-				Attempt: m.attempts, Outcome: o, Latency: took, RetryAfter: wait, Load: sim.load()}, m, c})
+			sim.queue = append(sim.queue, simEvent{sim.now + latency, AttemptResult{ID: a.ID, Endpoint: a.Endpoint,
+				Attempt: m.attempts, Outcome: o, Latency: latency, RetryAfter: wait, Load: sim.load()}, m, c})
 			m.attempts++
 		case Cancel:
 			if !sim.cfg.MayCancel {
@@ -393,11 +393,11 @@
 			e := sim.endpoints[a.Endpoint]
 			sim.checkEndpoint(e)
 			sim.checkCold(e)
-			o, took, _ := sim.outcome(e)
+			o, latency, _ := sim.outcome(e)
 			if o == TimedOut {
-				took = Second
+				latency = Second
 			}
-			sim.queue = append(sim.queue, simEvent{sim.now + took, ProbeResult{a.Endpoint, o, nil}, nil, nil})
+			sim.queue = append(sim.queue, simEvent{sim.now + latency, ProbeResult{a.Endpoint, o, nil}, nil, nil})
 		}
 	}
 }
@@ -452,10 +452,10 @@
 	case e.entry.Dest != m.dest:
 		sim.fatalf("sent %s to another destination", m.id)
 	case m.mayHaveRun && c.Idempotency == NonIdempotent:
-		sim.fatalf("resent %s, which is not idempotent", m.id)
+		sim.fatalf("resent unsafe message %s", m.id)
 	case m.mayHaveRun && c.Idempotency == IdempotentByKey &&
 		(sim.now > m.mayHaveRunAt+c.DedupWindow || c.DedupPerZone && e.entry.Zone != m.zone):
-		sim.fatalf("resent keyed %s outside its zone or deduplication window", m.id)
+		sim.fatalf("resent keyed message %s outside its zone or deduplication window", m.id)
 	case sim.cfg.MaxAttempts > 0 && m.attempts >= sim.cfg.MaxAttempts:
 		sim.fatalf("too many attempts of %s", m.id)
 	}
--- a/logic/outage_test.go
+++ b/logic/outage_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Calls sent to an endpoint before it failed used to count against the budget of its trials, so that an endpoint that
-// recovered at once stayed out for a whole window.
+// recovered at once stayed ejected for a whole window.
 func TestCallsBeforeOutageDoNotDelayTrials(t *testing.T) {
 	cfg := baseSettings()
 	cfg.OverloadMultiple, cfg.OverloadWindow = 2.5, 3*Second
@@ -23,28 +23,28 @@
 	if !h.s.endpoints[1].cold {
 		t.Fatal("not cold after two refused connections in a row")
 	}
-	back := at + 0.12 + seconds(minTrialInterval) + 0.01
-	trial := actionsOf[Send](h.step(back, TimerFired{}))
+	trialTime := at + 0.12 + seconds(minTrialInterval) + 0.01
+	trial := actionsOf[Send](h.step(trialTime, TimerFired{}))
 	if len(trial) != 1 {
 		t.Fatalf("%d calls when the first trial is due, want 1", len(trial))
 	}
 	// After a longer outage the calls are limited: a peak of 11 per second, shared by two senders, at cold capacity.
-	h.step(back+0.01, result(trial[0].ID, 1, 2, ConnRefused))
-	back += 3
-	trial = actionsOf[Send](h.step(back, TimerFired{}))
+	h.step(trialTime+0.01, result(trial[0].ID, 1, 2, ConnRefused))
+	trialTime += 3
+	trial = actionsOf[Send](h.step(trialTime, TimerFired{}))
 	if len(trial) != 1 {
 		t.Fatalf("%d calls when a later trial is due, want 1", len(trial))
 	}
-	h.step(back+0.05, result(trial[0].ID, 1, 3, Delivered))
+	h.step(trialTime+0.05, result(trial[0].ID, 1, 3, Delivered))
 	sent := len(trial)
 	for i := range 50 {
-		for _, c := range actionsOf[Send](h.step(back+0.06+0.04*float64(i), h.message(0))) {
+		for _, c := range actionsOf[Send](h.step(trialTime+0.06+0.04*float64(i), h.message(0))) {
 			sent++
-			h.step(back+0.061+0.04*float64(i), result(c.ID, c.Endpoint, 0, Delivered))
+			h.step(trialTime+0.061+0.04*float64(i), result(c.ID, c.Endpoint, 0, Delivered))
 		}
 	}
-	if most := 11 * cfg.OverloadMultiple * 3 * 0.4 / 2; float64(sent) > most {
-		t.Errorf("%d calls within 2 s of the recovery, want at most %v", sent, most)
+	if limit := 11 * cfg.OverloadMultiple * 3 * 0.4 / 2; float64(sent) > limit {
+		t.Errorf("%d calls within 2 s of the recovery, want at most %v", sent, limit)
 	}
 }
 
@@ -54,11 +54,11 @@
 	for _, x := range []struct {
 		name     string
 		failures int
-		back     float64 // after the last answer
+		recovery float64 // after the last answer
 		cold     bool
 	}{
-		{"back at once", 2, 1.2, false},
-		{"back after an outage", 2, 2.5, true},
+		{"answers again at once", 2, 1.2, false},
+		{"answers again after an outage", 2, 2.5, true},
 		{"most calls fail", 4, 1.9, true},
 	} {
 		h := newHarness(t, baseSettings())
@@ -73,7 +73,7 @@
 		if !e.ejected || !e.cold {
 			t.Fatalf("%s: want ejected and cold after %d failures", x.name, x.failures)
 		}
-		h.s.now = sec(1 + x.back)
+		h.s.now = sec(1 + x.recovery)
 		h.s.recordSuccess(e, h.s.now)
 		if e.ejected || e.cold != x.cold {
 			t.Errorf("%s: ejected %v, cold %v", x.name, e.ejected, e.cold)
@@ -94,11 +94,11 @@
 		if len(batch) != 5 {
 			t.Fatalf("%d sends, want 5", len(batch))
 		}
-		var ends []Event
+		var results []Event
 		for _, c := range batch {
-			ends = append(ends, result(c.ID, c.Endpoint, 0, o))
+			results = append(results, result(c.ID, c.Endpoint, 0, o))
 		}
-		h.step(1.3, ends...)
+		h.step(1.3, results...)
 		if h.s.endpoints[1].ejected {
 			t.Errorf("outcome %d of one batch ejected the endpoint", o)
 		}
@@ -110,9 +110,9 @@
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(2))
 	c := actionsOf[Send](h.step(1, h.message(0)))[0]
-	done := result(c.ID, c.Endpoint, 0, Delivered)
-	done.RetryAfter = sec(1.5)
-	if n := len(actionsOf[Send](h.step(1.1, done, h.message(0)))); n != 0 {
+	delivered := result(c.ID, c.Endpoint, 0, Delivered)
+	delivered.RetryAfter = sec(1.5)
+	if n := len(actionsOf[Send](h.step(1.1, delivered, h.message(0)))); n != 0 {
 		t.Errorf("%d calls during a wait", n)
 	}
 	if n := len(actionsOf[Send](h.step(2.7, TimerFired{}))); n != 1 {
@@ -123,12 +123,12 @@
 // The cached list that a sender starts with may contain endpoints that no longer exist. A refused connection at one of
 // them used to count as an outage of its destination and held up its siblings for seconds.
 func TestCachedListAndOutage(t *testing.T) {
-	for _, news := range []bool{false, true} {
+	for _, updated := range []bool{false, true} {
 		h := newHarness(t, baseSettings())
 		first := fullList(2)
 		first.Kind = UpdateCached
 		h.step(0, first)
-		if news {
+		if updated {
 			h.step(0.05, EndpointUpdate{Kind: UpdateDelta})
 		}
 		c := actionsOf[Send](h.step(0.1, h.message(0)))[0]
@@ -140,8 +140,8 @@
 			}
 			n++
 		}
-		if !news && n != 2 || news && n != 0 {
-			t.Errorf("list updated %v: %d further sends", news, n)
+		if !updated && n != 2 || updated && n != 0 {
+			t.Errorf("list updated %v: %d further sends", updated, n)
 		}
 	}
 }
--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -156,17 +156,17 @@
 func TestIndexesMatchHeldMessages(t *testing.T) {
 	for name, cfg := range deploymentVariants() {
 		t.Run(name, func(t *testing.T) {
-			w := newSimulation(t, cfg, 31)
-			w.beforeStep = func() {
-				checkIndexes(t, w.s)
-				if w.rng.IntN(100) == 0 {
-					w.replaceTwin()
+			sim := newSimulation(t, cfg, 31)
+			sim.beforeStep = func() {
+				checkIndexes(t, sim.s)
+				if sim.rng.IntN(100) == 0 {
+					sim.replaceTwin()
 				}
-				if w.twin != nil {
-					checkIndexes(t, w.twin)
+				if sim.twin != nil {
+					checkIndexes(t, sim.twin)
 				}
 			}
-			w.play()
+			sim.play()
 		})
 	}
 }
@@ -181,54 +181,54 @@
 	wide.LoadRemainingIndex, wide.LoadLimitIndex, wide.Senders = 0, 1, 80
 	wide.Classes = slices.Clone(wide.Classes)
 	wide.Classes[0].KeepOrder, wide.KeyCooldown = true, Second
-	all["hundreds held among many"] = wide
+	all["hundreds held, many senders"] = wide
 	for name, cfg := range all {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(21); seed <= 22; seed++ {
-				w := newSimulation(t, cfg, seed)
+				sim := newSimulation(t, cfg, seed)
 				if cfg.MaxOpen == 400 {
-					w.beforeStep = func() { w.burst = min(200, max(cfg.MaxOpen-w.s.heldCount, 0)) }
+					sim.beforeStep = func() { sim.burst = min(200, max(cfg.MaxOpen-sim.s.heldCount, 0)) }
 				}
 				reference, err := New(cfg, seed)
 				if err != nil {
 					t.Fatal(err)
 				}
 				maxHeld := 0
-				w.afterStep = func(evs []Event, acts []Action) {
-					if want := referenceStep(reference, w.now, evs); !reflect.DeepEqual(acts, want) {
-						w.fatalf("the Sender does %v, want %v", acts, want)
+				sim.afterStep = func(evs []Event, acts []Action) {
+					if want := referenceStep(reference, sim.now, evs); !reflect.DeepEqual(acts, want) {
+						sim.fatalf("the Sender does %v, want %v", acts, want)
 					}
-					checkIndexes(t, w.s)
-					maxHeld = max(maxHeld, w.s.heldCount)
+					checkIndexes(t, sim.s)
+					maxHeld = max(maxHeld, sim.s.heldCount)
 				}
-				w.play()
-				if len(w.trace) < 100 || cfg.MaxOpen == 400 && maxHeld < 280 {
-					t.Errorf("%d actions, at most %d held", len(w.trace), maxHeld)
+				sim.play()
+				if len(sim.trace) < 100 || cfg.MaxOpen == 400 && maxHeld < 280 {
+					t.Errorf("%d actions, at most %d held", len(sim.trace), maxHeld)
 				}
 			}
 		})
 	}
 }
 
-// With many messages waiting, each step considers a sample of them. The rules still hold, and about as much is
-// delivered as with a full scan. The two runs of a world soon differ, so deliveries are summed over all worlds.
+// With many messages waiting, each step examines a sample of them. The rules still hold, and about as much is
+// delivered as with a full scan. The two runs of a simulation soon differ, so deliveries are summed over all simulations.
 func TestRulesWithManyWaiting(t *testing.T) {
 	delivered := map[int]int{}
 	for name, cfg := range deploymentVariants() {
 		for seed := uint64(1); seed <= 8; seed++ {
 			for _, fullScanMax := range []int{defaultFullScanMax, 0} {
-				w := newSimulation(t, cfg, seed)
-				w.s.fullScanMax = fullScanMax
+				sim := newSimulation(t, cfg, seed)
+				sim.s.fullScanMax = fullScanMax
 				count := 0
-				w.afterStep = func(evs []Event, _ []Action) {
-					checkIndexes(t, w.s)
+				sim.afterStep = func(evs []Event, _ []Action) {
+					checkIndexes(t, sim.s)
 					for _, ev := range evs {
 						if r, ok := ev.(AttemptResult); ok && r.Outcome == Delivered {
 							count++
 						}
 					}
 				}
-				w.play()
+				sim.play()
 				if t.Failed() {
 					t.Fatalf("%s, seed %d", name, seed)
 				}
@@ -246,24 +246,24 @@
 func TestRestoreWithManyWaiting(t *testing.T) {
 	for name, cfg := range deploymentVariants() {
 		t.Run(name, func(t *testing.T) {
-			w := newSimulation(t, cfg, 13)
-			w.s.fullScanMax = 0
+			sim := newSimulation(t, cfg, 13)
+			sim.s.fullScanMax = 0
 			steps := 0
-			w.beforeStep = func() {
-				checkIndexes(t, w.s)
+			sim.beforeStep = func() {
+				checkIndexes(t, sim.s)
 				if steps++; steps%150 > 0 {
 					return
 				}
-				text, err := w.s.Snapshot()
+				text, err := sim.s.Snapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if w.s, err = Restore(cfg, text); err != nil {
+				if sim.s, err = Restore(cfg, text); err != nil {
 					t.Fatal(err)
 				}
-				w.s.fullScanMax = 0
+				sim.s.fullScanMax = 0
 			}
-			w.play()
+			sim.play()
 			if steps < 300 {
 				t.Errorf("%d steps", steps)
 			}
@@ -271,35 +271,35 @@
 	}
 }
 
-// The indexes stay right when the latencies of an idle destination are dropped, and when the destination is.
+// The indexes stay correct when the latencies of an idle destination are dropped, and when the destination itself is.
 func TestIndexesAfterStateIsDropped(t *testing.T) {
 	cfg := baseSettings()
 	cfg.Classes[0].Deadline, cfg.LoadRemainingIndex, cfg.LoadLimitIndex = 1000*Second, 0, 1
-	r := newHarness(t, cfg)
-	r.step(0, fullList(1))
+	h := newHarness(t, cfg)
+	h.step(0, fullList(1))
 	for at := 1.0; at < 5; at++ {
-		c := actionsOf[Send](r.step(at, r.message(0)))[0]
+		c := actionsOf[Send](h.step(at, h.message(0)))[0]
 		ok := result(c.ID, 1, 0, Delivered)
 		ok.Load = []float64{0.5, 100}
-		r.step(at+0.5, ok)
+		h.step(at+0.5, ok)
 	}
-	if d := r.s.dests[9]; d.latency.total < 3 || !r.s.hasLoadReports() {
+	if d := h.s.dests[9]; d.latency.total < 3 || !h.s.hasLoadReports() {
 		t.Fatal("no latencies or no limit recorded")
 	}
-	addSamples(&r.s.dests[9].latency, 1, 0.5)
-	r.step(6, fullList(0), r.message(0))
-	checkIndexes(t, r.s)
-	r.step(7+seconds(idleDestinationTTL), r.message(1))
-	if r.s.dests[9].latency.total > 0 {
-		t.Fatal("latencies are not dropped")
+	addSamples(&h.s.dests[9].latency, 1, 0.5)
+	h.step(6, fullList(0), h.message(0))
+	checkIndexes(t, h.s)
+	h.step(7+seconds(idleDestinationTTL), h.message(1))
+	if h.s.dests[9].latency.total > 0 {
+		t.Fatal("latencies were not dropped")
 	}
-	checkIndexes(t, r.s)
-	r.step(3000)
-	r.step(4000)
-	if r.s.dests[9] != nil || r.s.hasLoadReports() {
-		t.Error("the destination or its reported limit is not dropped")
+	checkIndexes(t, h.s)
+	h.step(3000)
+	h.step(4000)
+	if h.s.dests[9] != nil || h.s.hasLoadReports() {
+		t.Error("the destination or its reported limit was not dropped")
 	}
-	checkIndexes(t, r.s)
+	checkIndexes(t, h.s)
 }
 
 // An unsafe call without an answer is cancelled to free its slot for other destinations, but not for its own.
@@ -307,13 +307,13 @@
 	for _, dest := range []int64{8, 9} {
 		cfg := baseSettings()
 		cfg.CallSlots = 1
-		r := newHarness(t, cfg)
-		r.step(0, fullList(1), EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 7, Dest: 8}}})
-		r.step(1, r.message(2))
-		next := r.message(2)
+		h := newHarness(t, cfg)
+		h.step(0, fullList(1), EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 7, Dest: 8}}})
+		h.step(1, h.message(2))
+		next := h.message(2)
 		next.Dest = dest
-		r.step(5, next)
-		if n := len(actionsOf[Cancel](r.step(10, TimerFired{}))); n != int(9-dest) {
+		h.step(5, next)
+		if n := len(actionsOf[Cancel](h.step(10, TimerFired{}))); n != int(9-dest) {
 			t.Errorf("a message waits for destination %d: %d calls cancelled for it", dest, n)
 		}
 	}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -31,7 +31,7 @@
 		"probing":             vary(func(s *Settings) { s.Probing, s.ExponentialDecay = true, true }),
 		"list on request":     vary(func(s *Settings) { s.ListOnRequest = true }),
 		"one slot":            vary(func(s *Settings) { s.CallSlots = 1 }),
-		"small buffer":        vary(func(s *Settings) { s.MaxOpen = 3 }),
+		"low MaxOpen":         vary(func(s *Settings) { s.MaxOpen = 3 }),
 		"no retry advice":     vary(func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = false, 0 }),
 		"no cancel":           vary(func(s *Settings) { s.MayCancel = false }),
 		"load reports":        vary(func(s *Settings) { s.LoadRemainingIndex, s.LoadLimitIndex = 0, 1; s.Senders = 9 }),
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -18,7 +18,7 @@
 // isUp reports whether an endpoint answers: those with a multiple of ten as id do.
 func isUp(ep EndpointID) bool { return ep%10 == 0 }
 
-// onePacedDest holds n messages for one destination that takes a hundred calls a second.
+// onePacedDest holds n messages for one destination that takes a hundred calls per second.
 func onePacedDest(tb testing.TB, n int) *backlogDriver {
 	d := newBacklogDriver(tb, 1, 1)
 	d.nextDest = func() int64 { return 0 }
@@ -121,8 +121,8 @@
 }{
 	{"one paced", onePacedDest},
 	{"most down", mostDestsDown},
-	{"slots taken", fewSlots},
-	{"trials scarce", fewTrialSlots},
+	{"few slots", fewSlots},
+	{"few trial slots", fewTrialSlots},
 }
 
 func BenchmarkStep(b *testing.B) {
@@ -139,7 +139,7 @@
 	}
 }
 
-// measure makes n steps and returns the mean number of items considered and of calls made in a step.
+// measure makes n steps and returns the mean number of items examined and of calls made in a step.
 func (d *backlogDriver) measure(n int) (visits, calls float64) {
 	for range n {
 		d.step()
@@ -159,10 +159,10 @@
 		baseVisits, baseCalls := scenario.make(t, 1000).measure(600)
 		for _, n := range []int{5000, 20000} {
 			visits, calls := scenario.make(t, n).measure(600)
-			t.Logf("%s: %.0f considered in a step with 1000 held, %.0f with %d; calls %.2f, %.2f",
+			t.Logf("%s: %.0f examined in a step with 1000 held, %.0f with %d; calls %.2f, %.2f",
 				scenario.name, baseVisits, visits, n, baseCalls, calls)
 			if visits > 3*baseVisits {
-				t.Errorf("%s: %.0f considered in a step with %d held, %.0f with 1000", scenario.name, visits, n, baseVisits)
+				t.Errorf("%s: %.0f examined in a step with %d held, %.0f with 1000", scenario.name, visits, n, baseVisits)
 			}
 			if calls < 0.95*baseCalls {
 				t.Errorf("%s: %.2f calls in a step with %d held, %.2f with 1000", scenario.name, calls, n, baseCalls)
@@ -176,8 +176,8 @@
 	}
 }
 
-// pausedBacklog makes a Sender that holds n messages for one paced destination, which is told to wait until second
-// 15. By then all but "riser" are long past their aim.
+// pausedBacklog makes a Sender that holds n messages for one paced destination, which requests a wait until second 15.
+// By then all but "rising" are long past their target latency.
 func pausedBacklog(t *testing.T, n int) *backlogDriver {
 	d := newBacklogDriver(t, 1, 1)
 	d.sender.cfg.ExponentialDecay = true
@@ -185,7 +185,7 @@
 	for range n {
 		d.addMessage()
 	}
-	d.events = append(d.events, Message{ID: "riser", TimeLeft: 36000*Second + 20*Second, Dest: 0, Tenant: -1, Class: 1})
+	d.events = append(d.events, Message{ID: "rising", TimeLeft: 36000*Second + 20*Second, Dest: 0, Tenant: -1, Class: 1})
 	d.sender.Step(0, d.events)
 	d.sender.dests[0].limiter.waitUntil = 15 * Second
 	d.events = nil
@@ -226,9 +226,9 @@
 		// A message that pauses before its next attempt stays at the front.
 		d.sender.dests[0].limiter.waitUntil = d.now + 2*Second
 		d.now += d.sender.cfg.Tick
-		d.events = append(d.events, Message{ID: "rests", TimeLeft: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
+		d.events = append(d.events, Message{ID: "pausing", TimeLeft: 36000*Second - 2*Second, Dest: 0, Tenant: -1, Class: 1})
 		d.sender.Step(d.now, d.events)
-		d.sender.msgs["rests"].retryAt = d.now + Second
+		d.sender.msgs["pausing"].retryAt = d.now + Second
 		d.events = nil
 		for range 3 {
 			d.now += d.sender.cfg.Tick
@@ -238,12 +238,12 @@
 		}
 		d.events = nil
 		d.now += 2 * Second
-		if before := d.stepUntilSent(t, "rests"); before > 3 { // messages that came with it may have a higher priority
+		if before := d.stepUntilSent(t, "pausing"); before > 3 { // messages that came with it may have a higher priority
 			t.Errorf("%d messages: %d calls before the one for the message that paused", n, before)
 		}
-		m := d.sender.msgs["riser"]
-		m.submitted = d.now + Second/2 - m.class.TargetLatency // its aim passes in half a second
-		if before := d.stepUntilSent(t, "riser"); before > 50+n/sampleSize {
+		m := d.sender.msgs["rising"]
+		m.submitted = d.now + Second/2 - m.class.TargetLatency // its target latency is over in half a second
+		if before := d.stepUntilSent(t, "rising"); before > 50+n/sampleSize {
 			t.Errorf("%d messages: %d calls before the one for the message that has become urgent", n, before)
 		}
 	}
@@ -258,16 +258,16 @@
 	}
 	for i := range 400 {
 		d.now += d.sender.cfg.Tick
-		out := actionsOf[Send](d.sender.Step(d.now, d.events))
-		if len(out) != 1 || out[0].ID != fmt.Sprint(i) {
-			t.Fatalf("step %d: %v", i, out)
+		sends := actionsOf[Send](d.sender.Step(d.now, d.events))
+		if len(sends) != 1 || sends[0].ID != fmt.Sprint(i) {
+			t.Fatalf("step %d: %v", i, sends)
 		}
-		d.events = []Event{AttemptResult{ID: out[0].ID, Final: true, Latency: d.sender.cfg.Tick}}
+		d.events = []Event{AttemptResult{ID: sends[0].ID, Final: true, Latency: d.sender.cfg.Tick}}
 		checkIndexes(t, d.sender)
 	}
 }
 
-// Messages that are held back for reasons of their own, such as the order of their key, neither delay the others of
+// Messages that are blocked for reasons of their own, such as the order of their key, neither delay the others for
 // their destination nor cause a scan in each step.
 func TestHeldMessagesDoNotBlockOthers(t *testing.T) {
 	d := mostDestsDown(t, 2000)
@@ -281,7 +281,7 @@
 	d.sender.endpoints[0].state = Draining
 	d.now += d.sender.cfg.Tick
 	d.sender.Step(d.now, d.events)
-	d.sender.keyQueues["k"].messages[0].retryAt = 36000 * Second // so the others of its key wait for it
+	d.sender.keyQueues["k"].messages[0].retryAt = 36000 * Second // so that the others of its key wait for it
 	d.events = []Event{EndpointUpdate{Entries: []EndpointEntry{{Endpoint: 0, Dest: 0, NominalRate: 100}}}}
 	d.nextDest = func() int64 { return 10 } // no more messages for destination 0
 	for range 150 {
@@ -299,7 +299,7 @@
 		}
 	}
 	if scans > 40 {
-		t.Errorf("scanned in %d of 200 steps though nothing changes", scans)
+		t.Errorf("scanned in %d of 200 steps although nothing changes", scans)
 	}
 	first := d.sender.keyQueues["k"].messages[0]
 	first.retryAt = d.now + Second
@@ -315,7 +315,7 @@
 // A destination with a change is scanned in the step that reports it.
 func TestChangedDestinationIsScanned(t *testing.T) {
 	for name, change := range map[string]func(i int) Event{
-		"gone": func(i int) Event {
+		"removed": func(i int) Event {
 			return EndpointUpdate{Entries: []EndpointEntry{{Endpoint: EndpointID(i), Dest: int64(i), State: Removed}}}
 		},
 		"listed": func(i int) Event {
@@ -336,7 +336,7 @@
 	}
 }
 
-// A reply frees a slot at its destination, which a waiting message takes in the same step.
+// A result frees a slot at its destination, which a waiting message takes in the same step.
 func TestResultFreesSlotInSameStep(t *testing.T) {
 	d := mostDestsDown(t, 2000)
 	d.sender.cfg.Weights = WeightsOff
@@ -344,21 +344,21 @@
 	for i := range 300 {
 		d.events = append(d.events, Message{ID: fmt.Sprint("r", i), TimeLeft: 36000 * Second, Dest: 0, Tenant: -1})
 	}
-	var out []Send
+	var sends []Send
 	for range 20 { // only destinations that are up answer; one limiter takes half of the slots at most
 		d.now += d.sender.cfg.Tick
-		out = append(out, actionsOf[Send](d.sender.Step(d.now, d.events))...)
+		sends = append(sends, actionsOf[Send](d.sender.Step(d.now, d.events))...)
 		d.events = nil
 	}
-	out = slices.DeleteFunc(out, func(c Send) bool { return c.Endpoint != 0 })
-	if len(out) < 100 || d.sender.dests[0].backlog == nil {
-		t.Fatalf("%d calls, no backlog: %v", len(out), d.sender.dests[0].backlog == nil)
+	sends = slices.DeleteFunc(sends, func(c Send) bool { return c.Endpoint != 0 })
+	if len(sends) < 100 || d.sender.dests[0].backlog == nil {
+		t.Fatalf("%d calls, no backlog: %v", len(sends), d.sender.dests[0].backlog == nil)
 	}
-	for _, c := range out[:20] {
+	for _, c := range sends[:20] {
 		d.now += d.sender.cfg.Tick
 		acts := actionsOf[Send](d.sender.Step(d.now, []Event{AttemptResult{ID: c.ID, Final: true, Latency: d.sender.cfg.Tick}}))
 		if !slices.ContainsFunc(acts, func(c Send) bool { return c.Endpoint == 0 }) {
-			t.Fatalf("nothing is sent in the step with the reply for %s", c.ID)
+			t.Fatalf("nothing is sent in the step with the result of %s", c.ID)
 		}
 	}
 }
@@ -396,15 +396,15 @@
 	if lacking < 10 {
 		t.Errorf("%d destinations lack a slot for a trial", lacking)
 	}
-	// Slots that the first backlogs can't use are offered to others in the next step.
+	// Slots that the first backlogs cannot use are offered to others in the next step.
 	d = fewSlots(t, 2000)
-	var replies []Event
+	var results []Event
 	for _, ev := range d.events {
 		if r, ok := ev.(AttemptResult); ok {
-			replies = append(replies, r)
+			results = append(results, r)
 		}
 	}
-	timers := actionsOf[SetTimer](d.sender.Step(d.now+1000, append(replies, Shutdown{TimeLeft: 1})))
+	timers := actionsOf[SetTimer](d.sender.Step(d.now+1000, append(results, Shutdown{TimeLeft: 1})))
 	if len(d.sender.waiting.slotWaiters[anySlot].items) == 0 || d.sender.slotsUsed > 0 {
 		t.Fatalf("%d backlogs wait for a slot, %d slots are in use",
 			len(d.sender.waiting.slotWaiters[anySlot].items), d.sender.slotsUsed)
@@ -447,7 +447,7 @@
 	}
 }
 
-// Events that are repeated, out of date or about unknown messages leave the indexes right while many messages wait.
+// Events that are repeated, out of date or about unknown messages leave the indexes correct while many messages wait.
 func TestInvalidEventsWithManyWaiting(t *testing.T) {
 	d := mostDestsDown(t, 2000)
 	id := d.sender.held[1000].id
@@ -474,10 +474,10 @@
 	}
 }
 
-// With more arrivals than the pace lets through and the limit on held messages nearly reached, about as many messages
-// are refused and delivered as with full scans.
+// With more arrivals than the pace allows and nearly MaxOpen messages held, about as many messages are rejected and
+// delivered as with full scans.
 func TestNearlyFullWithManyWaiting(t *testing.T) {
-	run := func(fullScanMax int) (delivered, refused int) {
+	run := func(fullScanMax int) (delivered, rejected int) {
 		cfg := baseSettings()
 		cfg.MaxOpen, cfg.Senders, cfg.MaxAttempts, cfg.CallSlots = 1500, 1, 0, 64
 		s, err := New(cfg, 1)
@@ -488,7 +488,7 @@
 		evs := []Event{EndpointUpdate{Kind: UpdateFull, Entries: []EndpointEntry{{Endpoint: 1, Dest: 1}}}}
 		n := 0
 		for now := Micros(0); now < 40*Second; now += cfg.Tick {
-			for range 2 { // 400 a second
+			for range 2 { // 400 per second
 				if n++; s.heldCount < cfg.MaxOpen {
 					evs = append(evs, Message{ID: fmt.Sprint(n), TimeLeft: cfg.Classes[n%2].Deadline, Dest: 1, Tenant: -1, Class: n % 2})
 				}
@@ -502,21 +502,21 @@
 			}
 			for _, r := range actionsOf[Reject](acts) {
 				if s.now < Second {
-					t.Fatalf("%s is refused while few messages are held", r.ID)
+					t.Fatalf("%s is rejected while few messages are held", r.ID)
 				}
-				refused++
+				rejected++
 			}
 			checkIndexes(t, s)
 		}
-		return delivered, refused
+		return delivered, rejected
 	}
-	delivered, refused := run(0)
-	wantDelivered, wantRefused := run(1000_000)
-	t.Logf("%d delivered, %d refused; with full scans %d, %d", delivered, refused, wantDelivered, wantRefused)
+	delivered, rejected := run(0)
+	wantDelivered, wantRejected := run(1000_000)
+	t.Logf("%d delivered, %d rejected; with full scans %d, %d", delivered, rejected, wantDelivered, wantRejected)
 	if float64(delivered) < 0.97*float64(wantDelivered) {
 		t.Errorf("%d delivered, %d with full scans", delivered, wantDelivered)
 	}
-	if ratio := float64(refused) / float64(wantRefused); ratio < 0.9 || ratio > 1.1 {
-		t.Errorf("%d refused, %d with full scans", refused, wantRefused)
+	if ratio := float64(rejected) / float64(wantRejected); ratio < 0.9 || ratio > 1.1 {
+		t.Errorf("%d rejected, %d with full scans", rejected, wantRejected)
 	}
 }
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -11,7 +11,7 @@
 // destCounts are numbers of destinations with two endpoints each. The last is the one expected within two years.
 var destCounts = []int{350, 3500, 17500, 35000}
 
-// listOfDestinations makes a whole list of n destinations with two endpoints each.
+// listOfDestinations makes a full list of n destinations with two endpoints each.
 func listOfDestinations(n int) EndpointUpdate {
 	ev := EndpointUpdate{Kind: UpdateFull}
 	for i := range 2 * n {
@@ -116,7 +116,7 @@
 	}
 }
 
-// Measures the first whole list, and one that repeats it.
+// Measures the first full list, and one that repeats it.
 func BenchmarkFullList(b *testing.B) {
 	for _, n := range destCounts {
 		list := []Event{listOfDestinations(n)}
@@ -140,7 +140,7 @@
 	}
 }
 
-// Measures a step with the news that one endpoint drains.
+// Measures a step with the update that one endpoint drains.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range destCounts {
 		b.Run(fmt.Sprint(2*n), func(b *testing.B) {
--- a/logic/snapshot_test.go
+++ b/logic/snapshot_test.go
@@ -14,32 +14,32 @@
 
 // checkTwin checks that a restored Sender takes the same actions as the original. Timers are left out: a restored
 // Sender starts without one.
-func (w *simulation) checkTwin(actions, twinActions []Action) {
-	w.t.Helper()
+func (sim *simulation) checkTwin(actions, twinActions []Action) {
+	sim.t.Helper()
 	timer := func(a Action) bool { _, ok := a.(SetTimer); return ok }
 	want, got := slices.DeleteFunc(slices.Clone(actions), timer), slices.DeleteFunc(twinActions, timer)
 	if !reflect.DeepEqual(append([]Action{}, want...), append([]Action{}, got...)) {
-		w.fatalf("the restored Sender does %v, want %v", got, want)
+		sim.fatalf("the restored Sender does %v, want %v", got, want)
 	}
 }
 
 // replaceTwin restores a new twin from a snapshot of the Sender.
-func (w *simulation) replaceTwin() {
-	w.t.Helper()
-	text, err := w.s.Snapshot()
+func (sim *simulation) replaceTwin() {
+	sim.t.Helper()
+	text, err := sim.s.Snapshot()
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	if w.twin, err = Restore(w.cfg, text); err != nil {
-		w.t.Fatal(err)
+	if sim.twin, err = Restore(sim.cfg, text); err != nil {
+		sim.t.Fatal(err)
 	}
-	w.checkOutOfRotation(w.twin)
-	again, err := w.twin.Snapshot()
+	sim.checkOutOfRotation(sim.twin)
+	again, err := sim.twin.Snapshot()
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
 	if !bytes.Equal(text, again) {
-		w.fatalf("a snapshot of the restored Sender differs:\n%s\n%s", text, again)
+		sim.fatalf("a snapshot of the restored Sender differs:\n%s\n%s", text, again)
 	}
 }
 
@@ -47,15 +47,15 @@
 func TestRestoredSenderActsTheSame(t *testing.T) {
 	for name, cfg := range deploymentVariants() {
 		t.Run(name, func(t *testing.T) {
-			w := newSimulation(t, cfg, 11)
-			w.beforeStep = func() {
-				if w.rng.IntN(100) == 0 {
-					w.replaceTwin()
+			sim := newSimulation(t, cfg, 11)
+			sim.beforeStep = func() {
+				if sim.rng.IntN(100) == 0 {
+					sim.replaceTwin()
 				}
 			}
-			w.play()
-			if w.twin == nil || len(w.trace) < 100 || w.maxOutOfRotation < 2 {
-				t.Fatalf("%d actions, twin %v, %d endpoints out of rotation at most", len(w.trace), w.twin, w.maxOutOfRotation)
+			sim.play()
+			if sim.twin == nil || len(sim.trace) < 100 || sim.maxOutOfRotation < 2 {
+				t.Fatalf("%d actions, twin %v, %d endpoints out of rotation at most", len(sim.trace), sim.twin, sim.maxOutOfRotation)
 			}
 		})
 	}
@@ -93,9 +93,9 @@
 
 // A snapshot that is inconsistent, or does not match the settings, is refused as a whole.
 func TestRestoreRefusesInconsistentSnapshot(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(100, fullList(2), r.message(0), r.message(2))
-	text, err := r.s.Snapshot()
+	h := newHarness(t, baseSettings())
+	h.step(100, fullList(2), h.message(0), h.message(2))
+	text, err := h.s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/logic/window_test.go
+++ b/logic/window_test.go
@@ -11,15 +11,15 @@
 
 // listInTwoZones is a list with one endpoint in each of two zones.
 func listInTwoZones() EndpointUpdate {
-	eps := fullList(2)
-	eps.Entries[1].Zone = 1
-	return eps
+	list := fullList(2)
+	list.Entries[1].Zone = 1
+	return list
 }
 
 // The deduplication window limits the send, not the answer: a message is resent within it, however long an answer
 // takes. Once the window is over the message fails at once.
 func TestResendWithinShortWindow(t *testing.T) {
-	for _, again := range []float64{0.3, 0.7, 0.95} { // after the first send
+	for _, resendAfter := range []float64{0.3, 0.7, 0.95} { // after the first send
 		h := newHarness(t, shortWindowSettings())
 		h.step(0, fullList(1))
 		addSamples(&h.s.destByID(9).latency, 20, 0.8) // usual latency
@@ -27,10 +27,10 @@
 		if n := len(actionsOf[Send](h.step(10, m))); n != 1 {
 			t.Fatalf("%d sends", n)
 		}
-		acts := h.step(10+again-0.2, result(m.ID, 1, 0, Errored)) // followed by a pause of 0.2 s
-		acts = append(acts, h.step(10+again+0.01)...)
+		acts := h.step(10+resendAfter-0.2, result(m.ID, 1, 0, Errored)) // followed by a pause of 0.2 s
+		acts = append(acts, h.step(10+resendAfter+0.01)...)
 		if n := len(actionsOf[Send](acts)); n != 1 || len(actionsOf[Fail](acts)) != 0 {
-			t.Errorf("%.2f s after the first send: %d sends, %v", again, n, acts)
+			t.Errorf("%.2f s after the first send: %d sends, %v", resendAfter, n, acts)
 		}
 	}
 	h := newHarness(t, shortWindowSettings())
@@ -42,11 +42,11 @@
 	}
 }
 
-// After a restart the window still runs from the first send, in the zone of that send.
+// After a process restart the window still runs from the first send, in the zone of that send.
 func TestHistoryWithShortWindow(t *testing.T) {
 	for _, x := range []struct {
 		name       string
-		past       History
+		history    History
 		send, fail int
 	}{
 		{"untried", History{Accepted: true}, 1, 0},
@@ -56,22 +56,22 @@
 		{"may have run in a zone without endpoints", History{Accepted: true, Attempts: 1, MayHaveRun: true, Zone: 5}, 0, 0},
 	} {
 		h := newHarness(t, shortWindowSettings())
-		c := h.message(1)
-		c.History = x.past
-		acts := h.step(100, listInTwoZones(), c)
-		out := actionsOf[Send](acts)
-		if len(out) != x.send || len(actionsOf[Fail](acts)) != x.fail {
+		m := h.message(1)
+		m.History = x.history
+		acts := h.step(100, listInTwoZones(), m)
+		sends := actionsOf[Send](acts)
+		if len(sends) != x.send || len(actionsOf[Fail](acts)) != x.fail {
 			t.Errorf("%s: %v", x.name, acts)
 		}
-		if x.past.MayHaveRun && len(out) == 1 && out[0].Endpoint != 2 {
-			t.Errorf("%s: sent to %v, in another zone", x.name, out)
+		if x.history.MayHaveRun && len(sends) == 1 && sends[0].Endpoint != 2 {
+			t.Errorf("%s: sent to %v, in another zone", x.name, sends)
 		}
 	}
 	// A message that waits for an endpoint of its zone ends with its window, not before.
 	h := newHarness(t, shortWindowSettings())
-	c := h.message(1)
-	c.History = History{Accepted: true, Attempts: 1, MayHaveRun: true, Age: sec(0.5), Zone: 5}
-	h.step(100, listInTwoZones(), c)
+	m := h.message(1)
+	m.History = History{Accepted: true, Attempts: 1, MayHaveRun: true, Age: sec(0.5), Zone: 5}
+	h.step(100, listInTwoZones(), m)
 	if acts := h.step(100.4); len(actionsOf[Fail](acts)) != 0 {
 		t.Errorf("ended within its window: %v", acts)
 	}
@@ -97,17 +97,17 @@
 		h.step(10, m, beside)
 		h.step(10.1, result(beside.ID, 1, 0, Delivered)) // the endpoint answers: only the first call is slow
 		d.latency.p95, d.latency.median = d.latency.tau, sec(0.02)
-		acts := h.step(10.51, TimerFired{}) // past the earliest time for a restart
+		acts := h.step(10.51, TimerFired{}) // past the earliest restart time
 		if n := len(actionsOf[Cancel](acts)); (n == 1) != cancelled {
 			t.Errorf("window %d: %d cancelled", window, n)
 		}
 	}
 }
 
-// A keyed call whose window is over can't be resent. Cancelling it would fail the message, so it is left to be
+// A keyed call whose window is over cannot be resent. Cancelling it would fail the message, so it is left to be
 // answered, like an unsafe one. A safe one is cancelled and sent to another endpoint.
 func TestLastAttemptIsNotCancelled(t *testing.T) {
-	for class, off := range []bool{true, false, false} {
+	for class, wantCancel := range []bool{true, false, false} {
 		h := newHarness(t, shortWindowSettings())
 		h.step(0, fullList(2))
 		m := h.message(class)
@@ -117,10 +117,10 @@
 			at += 0.45
 			acts = append(acts, h.step(at, TimerFired{})...)
 		}
-		if n := len(actionsOf[Cancel](acts)); (n == 1) != off {
+		if n := len(actionsOf[Cancel](acts)); (n == 1) != wantCancel {
 			t.Errorf("class %d: %d cancelled", class, n)
 		}
-		if !off {
+		if !wantCancel {
 			if acts := h.step(at, result(m.ID, actionsOf[Send](acts)[0].Endpoint, 0, Delivered)); len(actionsOf[Fail](acts)) != 0 {
 				t.Errorf("class %d: %v", class, acts)
 			}
@@ -133,16 +133,16 @@
 	for _, x := range []struct {
 		class  int
 		window Micros
-		early  bool
+		short  bool
 	}{{0, Second, true}, {1, 8 * Second, true}, {1, Second, false}, {2, Second, false}} {
 		cfg := shortWindowSettings()
 		cfg.MayCancel, cfg.Classes[1].DedupWindow = false, x.window
 		h := newHarness(t, cfg)
 		h.step(0, fullList(1))
 		m := h.message(x.class)
-		out := actionsOf[Send](h.step(10, m))
-		if len(out) != 1 || (out[0].Timeout < m.TimeLeft) != x.early {
-			t.Errorf("class %d, window %d: %v, with %d to the deadline", x.class, x.window, out, m.TimeLeft)
+		sends := actionsOf[Send](h.step(10, m))
+		if len(sends) != 1 || (sends[0].Timeout < m.TimeLeft) != x.short {
+			t.Errorf("class %d, window %d: %v, with %d to the deadline", x.class, x.window, sends, m.TimeLeft)
 		}
 	}
 }
