--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -35,7 +35,7 @@
 		h.s.now = sec(1)
 		h.s.recordSuccess(e, sec(0.9))
 		h.s.now = sec(20)
-		h.s.eject(e, "silent")
+		h.s.eject(e, "no answer")
 		h.s.now += sec(x.silent)
 		h.s.recordSuccess(e, h.s.now)
 		if e.ejected || e.cold != x.cold {
--- a/logic/decisions_test.go
+++ b/logic/decisions_test.go
@@ -21,7 +21,7 @@
 		fill    func(*histogram)
 		restart bool
 	}{
-		{"one speed: waiting is best", func(h *histogram) { addSamples(h, 20, 0.1) }, false},
+		{"equal latencies: waiting is best", func(h *histogram) { addSamples(h, 20, 0.1) }, false},
 		{"a few very slow: restart pays off", func(h *histogram) { addSamples(h, 20, 0.1); addSamples(h, 4, 8) }, true},
 		{"too few samples", func(h *histogram) { addSamples(h, 4, 0.1); addSamples(h, 1, 8) }, false},
 		{"restarted attempts count as slow", func(h *histogram) {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -31,9 +31,9 @@
 	// Pace of calls through a limiter.
 	minPace        = 1.0        // lowest pace, calls per second
 	paceInterval   = Second     // interval that sets the first pace, and least time between two halvings
-	burstTime      = Second / 2 // tokens saved up while idle, as time; more would exceed limits in bursts
+	burstTime      = Second / 2 // most tokens saved while idle, as time; more would exceed limits in bursts
 	paceGrowth     = 0.1        // relative growth of the pace with each success
-	limitHeadroom  = 0.75       // fraction of a reported limit that the least paces of many senders add up to
+	limitHeadroom  = 0.75       // fraction of a reported limit that the pace floors of many senders add up to
 	minUsedShare   = 0.3        // least used share of a limit to assume; reports are late and noisy
 	paceDropFactor = 4.0        // a pace this many times above the actual rate has no effect and is dropped
 
@@ -449,9 +449,9 @@
 	return true, 0
 }
 
-// expectedDuration is the time that an attempt of m at e needs before this sender stops. An attempt that the
-// shutdown interrupts is resent later if its class allows it; an unsafe message would be lost, so it gets
-// longer.
+// expectedDuration is the time that must be left before the shutdown for an attempt of m at e. An attempt
+// that the shutdown interrupts is resent later if its class allows it; an unsafe message would be lost, so it
+// needs more time.
 func (s *Sender) expectedDuration(m *msg, e *endpoint) Micros {
 	if h := &e.dest.latency; m.class.Idempotency != NonIdempotent && h.total >= minSamples {
 		return h.p95
@@ -771,7 +771,7 @@
 		if !a.stuck && e.lastOK < a.sentAt {
 			if a.stuck = age > stuck; a.stuck {
 				// Nothing is known to have failed yet: take the endpoint out of rotation, but set no budget.
-				s.eject(e, "silent")
+				s.eject(e, "no answer")
 			}
 		}
 		if !a.censored && age > stuckCancelFactor*stuck {
@@ -915,7 +915,7 @@
 			}
 			e.smoothedLatency += failureAlpha * max(0, float64(s.now-a.sentAt)-e.smoothedLatency)
 		} else if a.stuck && e.lastOK < a.sentAt {
-			s.recordFailure(e, "silent")
+			s.recordFailure(e, "no answer")
 		}
 	case ConnLost:
 		m.retryAt = s.now + errorBackoff
--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// referenceStep does what Step does, but goes over all held messages instead of using the indexes of those that wait.
+// referenceStep does what Step does, but scans all held messages instead of using the indexes of those that wait.
 func referenceStep(s *Sender, now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
@@ -171,7 +171,7 @@
 	}
 }
 
-// With few messages waiting, each step takes the same actions as the reference that goes over all of them, timers
+// With few messages waiting, each step takes the same actions as the reference that scans all of them, timers
 // included.
 func TestStepMatchesReferenceStep(t *testing.T) {
 	all := deploymentVariants()
--- a/logic/snapshot.go
+++ b/logic/snapshot.go
@@ -139,7 +139,7 @@
 type keyQueueState struct {
 	Messages       []string `json:"Queue"` // ids
 	CooldownUntil  Micros   `json:"Quiet"`
-	CooldownExempt string   `json:"By"` // id; empty if there is none, or if that message is gone
+	CooldownExempt string   `json:"By"` // id; empty if there is none, or if that message was dropped
 }
 
 // save writes all bins even if there is no sample: version 1 has them.
--- a/logic/state.go
+++ b/logic/state.go
@@ -66,7 +66,7 @@
 	ejected                bool     // out of rotation as failed: gets single trials only
 	cold                   bool     // after an outage: its calls are limited until its warm-up after upAt ends
 	upAt                   Micros   // end of the outage: when it answered again
-	downAt                 Micros   // start of the outage: the last success before it, or the ejection as silent
+	downAt                 Micros   // start of the outage: the last success before it, or the ejection
 	trialAt, trialInterval Micros   // earliest time of the next trial; the pause before it, without jitter
 	inFlight               int      // calls
 	smoothedLatency        float64  // microseconds; 0 if not known
@@ -88,7 +88,7 @@
 	call      *call
 	cancelled bool
 	restarted bool // cancelled at the restart time τ, to be sent again
-	stuck     bool // without an answer for so long that its endpoint was ejected as silent
+	stuck     bool // without an answer for so long that its endpoint was ejected
 	censored  bool // counted as lasting past τ while it is in flight; taken back if it completes
 }
 
@@ -100,7 +100,7 @@
 	valueShare     float64 // fraction of its value that it keeps: less than 1 if its tenant is over quota
 	dest           *dest
 	seq            int    // order of arrival
-	submitted      Micros // when the client submitted it, as far as its remaining time tells
+	submitted      Micros // when the client submitted it, derived from the remaining time
 	arrived        Micros // when this process received it
 	newInStep      int    // step in which it arrived; 0 if it was accepted before a process restart
 	deadline       Micros
@@ -115,10 +115,10 @@
 	retryAt      Micros    // earliest time of the next attempt
 	keyQueue     *keyQueue // nil if it has no key, or its class keeps no order
 	ended        bool
-	streaming    bool    // its stream has begun: it can no longer be cancelled or resent
+	streaming    bool    // its stream has begun: not cancelled or ended before the result
 	priority     float64 // in the current dispatch
 
-	// While it waits.
+	// Used while the message waits.
 	waitPos      int       // position in backlog.waiting, counted from 1; 0 if it does not wait
 	expiresAt    [2]Micros // by byDeadline or byWindow
 	expiryPos    [2]int    // positions in the expiry groups, likewise
@@ -213,7 +213,8 @@
 // wakeBy asks for a step at t at the latest.
 func (s *Sender) wakeBy(t Micros) { s.wakeAt = min(s.wakeAt, t) }
 
-// removeEndpoint removes an endpoint that is no longer listed. It stays known for a while: it may come back.
+// removeEndpoint removes an endpoint that is no longer listed. Its state is kept for removedEndpointTTL,
+// since it may be listed again.
 func (s *Sender) removeEndpoint(e *endpoint) {
 	if e.state != Removed {
 		s.removed = append(s.removed, e)
--- a/logic/types.go
+++ b/logic/types.go
@@ -183,8 +183,8 @@
 // by then must not be started.
 type Shutdown struct{ TimeLeft Micros }
 
-// StreamStarted says that the stream of a message has begun: the message can no
-// longer be cancelled or resent.
+// StreamStarted says that the stream of a message has begun: until its
+// AttemptResult the Sender neither cancels the attempt nor ends the message.
 type StreamStarted struct {
 	ID      string
 	Attempt int
