--- a/logic/queue.go
+++ b/logic/queue.go
@@ -109,7 +109,7 @@
 	// slotWaiters are the backlogs that lack a free slot, by anySlot or trialSlot, highest priority first.
 	slotWaiters [2]priorityQueue[*backlog]
 	// expiryQueues[0] is ordered by the last moment at which sending makes sense. It holds the groups limited by
-	// a window and those whose destination has a measured usual latency. The other groups use the usual latency
+	// a window and those whose destination has a known median latency. The other groups use the median latency
 	// of their class: each class has a queue of its own, at 1 + its index, ordered by expiry.
 	expiryQueues []priorityQueue[*expiryGroup]
 	scanned      []*backlog // in the current step
--- a/logic/window_test.go
+++ b/logic/window_test.go
@@ -22,7 +22,7 @@
 	for _, resendAfter := range []float64{0.3, 0.7, 0.95} { // after the first send
 		h := newHarness(t, shortWindowSettings())
 		h.step(0, fullList(1))
-		addSamples(&h.s.destByID(9).latency, 20, 0.8) // usual latency
+		addSamples(&h.s.destByID(9).latency, 20, 0.8) // median latency
 		m := h.message(1)
 		if n := len(actionsOf[Send](h.step(10, m))); n != 1 {
 			t.Fatalf("%d sends", n)
