--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -11,7 +11,7 @@
 // destCounts are numbers of destinations with two endpoints each. The last is the one expected within two years.
 var destCounts = []int{350, 3500, 17500, 35000}
 
-// listOfDestinations makes a whole list of n destinations with two endpoints each.
+// listOfDestinations makes a full list of n destinations with two endpoints each.
 func listOfDestinations(n int) EndpointUpdate {
 	ev := EndpointUpdate{Kind: UpdateFull}
 	for i := range 2 * n {
@@ -47,7 +47,7 @@
 	var times []time.Duration
 	for _, n := range destCounts {
 		s := newSenderWithList(t, n)
-		s.eject(s.endpoints[1], "silent")
+		s.eject(s.endpoints[1], "no answer")
 		times = append(times, fastestRun(20, func(int) {
 			for range 1000 {
 				if got := s.OutOfRotation(); got != 1 {
@@ -72,9 +72,9 @@
 
 // unlimitedSettings are settings without a limit on held messages.
 func unlimitedSettings() Settings {
-	set := baseSettings()
-	set.MaxOpen = 0
-	return set
+	cfg := baseSettings()
+	cfg.MaxOpen = 0
+	return cfg
 }
 
 func BenchmarkOutOfRotation(b *testing.B) {
@@ -116,8 +116,8 @@
 	}
 }
 
-// Measures the first whole list, and one that repeats it.
-func BenchmarkWholeList(b *testing.B) {
+// Measures the first full list, and one that repeats it.
+func BenchmarkFullList(b *testing.B) {
 	for _, n := range destCounts {
 		list := []Event{listOfDestinations(n)}
 		b.Run(fmt.Sprintf("first/%d", 2*n), func(b *testing.B) {
@@ -140,7 +140,7 @@
 	}
 }
 
-// Measures a step with the news that one endpoint drains.
+// Measures a step with the update that one endpoint drains.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range destCounts {
 		b.Run(fmt.Sprint(2*n), func(b *testing.B) {
