--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -168,7 +168,7 @@
 func addCounts(total *soak.Counts, c soak.Counts) {
 	total.Offered += c.Offered
 	total.Accepted += c.Accepted
-	total.Refused += c.Refused
+	total.Rejected += c.Rejected
 	total.Failed += c.Failed
 	total.Unanswered += c.Unanswered
 	total.Delivered += c.Delivered
@@ -181,7 +181,7 @@
 
 func formatCounts(c soak.Counts) string {
 	return fmt.Sprintf("offered %d, accepted %d, refused %d, failed %d, unanswered %d; delivered %d, returned %d, failed later %d; calls %d, repeats %d, restarts %d",
-		c.Offered, c.Accepted, c.Refused, c.Failed, c.Unanswered, c.Delivered, c.Returned, c.FailedAfterAccept, c.Calls, c.Retries, c.Restarts)
+		c.Offered, c.Accepted, c.Rejected, c.Failed, c.Unanswered, c.Delivered, c.Returned, c.FailedAfterAccept, c.Calls, c.Retries, c.Restarts)
 }
 
 // maxPrintedViolations is the maximum number of violations printed for a run.
--- a/internal/hollow/call.go
+++ b/internal/hollow/call.go
@@ -97,7 +97,7 @@
 		return
 	}
 	f.scheduleAfter(c.networkDelay(), func() {
-		if c.ended || c.endpoint.silent() {
+		if c.ended || c.endpoint.unresponsive() {
 			return
 		}
 		returnDelay := c.networkDelay()
@@ -106,7 +106,7 @@
 			return
 		}
 		if limit := f.scenario.Destinations.MaxConnections; limit > 0 && c.endpoint.connCount >= limit {
-			f.stats.ConnsRejected++
+			f.stats.OverConnLimit++
 			f.scheduleAfter(returnDelay+f.scenario.Destinations.HandshakeTime.Micros, func() { c.finish(logic.Refused, 0, nil) })
 			return
 		}
@@ -134,7 +134,7 @@
 	f, d := c.sender.fleet, c.endpoint.destination
 	config := &f.scenario.Destinations
 	switch {
-	case c.endpoint.silent():
+	case c.endpoint.unresponsive():
 	case c.conn.epoch != c.endpoint.epoch || c.endpoint.refusesConns():
 		c.respond(logic.ConnLost, 0, nil)
 	case d.outage != nil: // without a load report the answer would mean that the connection limit is reached
@@ -162,11 +162,11 @@
 				return // the connection was reset meanwhile
 			}
 			c.endpoint.serving = slices.Delete(c.endpoint.serving, i, i+1)
-			if c.endpoint.silent() {
+			if c.endpoint.unresponsive() {
 				return
 			}
 			if c.message.executions++; c.message.executions > 1 {
-				f.stats.Repeats++
+				f.stats.RepeatedExecutions++
 			}
 			c.respond(logic.Delivered, 0, d.loadReport(f.now))
 		})
--- a/internal/hollow/destination.go
+++ b/internal/hollow/destination.go
@@ -9,9 +9,9 @@
 
 // Outage modes of a destination.
 const (
-	outageRefused     = "refused" // connections are refused, calls in progress are reset
-	outageSilent      = "silent"  // no packet is answered, so that connects time out
-	outageUnavailable = "503"     // each call is answered 503 immediately
+	outageRefused      = "refused" // connections are refused, calls in progress are reset
+	outageUnresponsive = "silent"  // no packet is answered, so that connects time out
+	outageUnavailable  = "503"     // each call is answered 503 immediately
 )
 
 // outage is a period in which a destination, or the endpoints on a failed machine, process no calls.
@@ -84,14 +84,14 @@
 
 // isCold reports whether the destination is still below its full limit after an outage.
 func (d *destination) isCold(now logic.Micros) bool {
-	return d.recoveredAt >= 0 && now < d.recoveredAt+d.recovery.WarmUpTime.Micros
+	return d.recoveredAt >= 0 && now < d.recoveredAt+d.recovery.WarmupTime.Micros
 }
 
 // rate is the current limit in calls per second. After an outage it rises linearly to the full limit.
 func (d *destination) rate(now logic.Micros) float64 {
 	r := d.config.Rate * d.limitFactor
 	if d.isCold(now) {
-		r *= d.recovery.InitialShare + (1-d.recovery.InitialShare)*float64(now-d.recoveredAt)/float64(d.recovery.WarmUpTime.Micros)
+		r *= d.recovery.ColdCapacity + (1-d.recovery.ColdCapacity)*float64(now-d.recoveredAt)/float64(d.recovery.WarmupTime.Micros)
 	}
 	return r
 }
@@ -109,11 +109,11 @@
 		return false
 	}
 	i := 0
-	for i < len(d.recentArrivals) && d.recentArrivals[i].at <= now-d.recovery.RelapseWindow.Micros {
+	for i < len(d.recentArrivals) && d.recentArrivals[i].at <= now-d.recovery.OverloadWindow.Micros {
 		i++
 	}
 	d.recentArrivals = append(d.recentArrivals[i:], arrival{now, d.informed[sender]})
-	allowed := d.recovery.RelapseMultiple * d.rate(now) * float64(d.recovery.RelapseWindow.Micros) / float64(logic.Second)
+	allowed := d.recovery.OverloadMultiple * d.rate(now) * float64(d.recovery.OverloadWindow.Micros) / float64(logic.Second)
 	w := ColdWindow{d.id, len(d.recentArrivals), maxWindowCalls(allowed)}
 	if w.ratio() > d.worstWindow.ratio() {
 		d.worstWindow = w
@@ -181,10 +181,10 @@
 	return e.destination.outage
 }
 
-// silent reports whether the endpoint answers nothing at all.
-func (e *endpoint) silent() bool {
+// unresponsive reports whether the endpoint answers nothing at all.
+func (e *endpoint) unresponsive() bool {
 	o := e.currentOutage()
-	return o != nil && o.mode == outageSilent
+	return o != nil && o.mode == outageUnresponsive
 }
 
 // refusesConns reports whether the endpoint's machine is up but no process listens on it.
--- a/internal/hollow/faults.go
+++ b/internal/hollow/faults.go
@@ -66,7 +66,7 @@
 
 // failMachines makes machines vanish for a time. Senders come back without a journal, endpoints without connections.
 func (f *fleet) failMachines(machines []*machine, duration logic.Micros) {
-	o := &outage{mode: outageSilent, startedAt: f.now}
+	o := &outage{mode: outageUnresponsive, startedAt: f.now}
 	affected := map[*machine]bool{}
 	for _, m := range machines {
 		m.outageEnd = max(m.outageEnd, f.now+duration)
@@ -151,7 +151,7 @@
 	o := d.outage
 	d.outage, d.recoveredAt, d.recentArrivals = nil, f.now, nil
 	d.bucket.tokens, d.bucket.refilledAt = 0, f.now
-	if o.mode == outageSilent { // the senders' idle connections are broken
+	if o.mode == outageUnresponsive { // the senders' idle connections are broken
 		for _, e := range d.endpoints {
 			f.resetConnections(e)
 		}
--- a/internal/hollow/fleet_test.go
+++ b/internal/hollow/fleet_test.go
@@ -19,8 +19,8 @@
 	sc.Fleet.Senders, sc.Fleet.Regions, sc.Fleet.Zones, sc.Fleet.RestartsPerDay, sc.Fleet.LossesPerDay = 6, 2, 3, 8, 3
 	sc.Traffic.Rate, sc.Traffic.Popularity = 60, "zipf"
 	sc.Classes = []ClassConfig{defaultClass,
-		{Name: "keyed", Share: 0.5, LatencyTarget: seconds(1), Deadline: seconds(8), Worth: 1, Effect: "keyed", Window: seconds(6)},
-		{Name: "unsafe", Share: 0.5, LatencyTarget: seconds(1), Deadline: seconds(8), Worth: 1, Effect: "unsafe"}}
+		{Name: "keyed", Share: 0.5, TargetLatency: seconds(1), Deadline: seconds(8), Value: 1, Idempotency: "keyed", DedupWindow: seconds(6)},
+		{Name: "unsafe", Share: 0.5, TargetLatency: seconds(1), Deadline: seconds(8), Value: 1, Idempotency: "unsafe"}}
 	sc.Destinations.Count, sc.Destinations.Rate, sc.Destinations.ReportsLoad, sc.Destinations.DownShare = 6, 20, true, 0.1
 	sc.Destinations.RefusalStatus, sc.Destinations.RetryAfter, sc.Destinations.OutageMode = "429", seconds(0.3), "mixed"
 	sc.Destinations.MaxConnections, sc.Destinations.MeanOutage = 8, seconds(3)
--- a/internal/hollow/live.go
+++ b/internal/hollow/live.go
@@ -280,7 +280,7 @@
 	}
 	l.mu.Lock()
 	if m.executions++; m.executions > 1 {
-		l.stats.Repeats++
+		l.stats.RepeatedExecutions++
 	}
 	l.endMessage(m, delivered)
 	l.setLoadHeader(w, d, l.now())
@@ -643,10 +643,10 @@
 	}
 	classes := []map[string]any{}
 	for _, class := range sc.Classes {
-		effect := []string{"retryable", "dedup", "fragile"}[slices.Index(effectNames, class.Effect)]
-		classes = append(classes, map[string]any{"name": class.Name, "aim_s": inSeconds(class.LatencyTarget),
-			"deadline_s": inSeconds(class.Deadline), "worth": class.Worth,
-			"late_worth": class.LateWorth, "idempotency": effect, "group": "all", "window_s": inSeconds(class.Window)})
+		effect := []string{"retryable", "dedup", "fragile"}[slices.Index(idempotencyNames, class.Idempotency)]
+		classes = append(classes, map[string]any{"name": class.Name, "aim_s": inSeconds(class.TargetLatency),
+			"deadline_s": inSeconds(class.Deadline), "worth": class.Value,
+			"late_worth": class.LateValue, "idempotency": effect, "group": "all", "window_s": inSeconds(class.DedupWindow)})
 	}
 	load := map[string]any{"how": "off"}
 	if d.ReportsLoad {
@@ -662,9 +662,9 @@
 		"limits": map[string]any{"conn_idle_s": inSeconds(d.ConnIdleTimeout), "connect_timeout_s": inSeconds(d.ConnectTimeout),
 			"max_attempts": sc.Fleet.MaxAttempts, "max_open": sc.Fleet.MaxOpen, "max_retry_after_s": 2,
 			"multiplex": 1, "may_cancel": true, "retry_after": true},
-		"rules": map[string]any{"cold_from": c.InitialShare, "drain_grace_s": 1, "fall_multiple": c.RelapseMultiple,
-			"fall_s": inSeconds(c.RelapseWindow), "warm_after_s": inSeconds(c.WarmUpTime)},
-		"specifics": map[string]any{"batch_by_kind": []int{1}, "call_slots": sc.Fleet.Slots, "late": "even",
+		"rules": map[string]any{"cold_from": c.ColdCapacity, "drain_grace_s": 1, "fall_multiple": c.OverloadMultiple,
+			"fall_s": inSeconds(c.OverloadWindow), "warm_after_s": inSeconds(c.WarmupTime)},
+		"specifics": map[string]any{"batch_by_kind": []int{1}, "call_slots": sc.Fleet.CallSlots, "late": "even",
 			"separate_routes": []bool{false}}}
 }
 
--- a/internal/hollow/live_test.go
+++ b/internal/hollow/live_test.go
@@ -39,8 +39,8 @@
 	if err := Compare(t.Output(), measured, simulated); err != nil {
 		t.Fatal(err)
 	}
-	if measured.Offered == 0 || measured.Delivered != measured.Offered || measured.Repeats != 0 {
-		t.Errorf("%d messages offered, %d delivered, %d repeated executions", measured.Offered, measured.Delivered, measured.Repeats)
+	if measured.Offered == 0 || measured.Delivered != measured.Offered || measured.RepeatedExecutions != 0 {
+		t.Errorf("%d messages offered, %d delivered, %d repeated executions", measured.Offered, measured.Delivered, measured.RepeatedExecutions)
 	}
 	// Each sender requests the full list once. Addresses differ in length by a few bytes for each of 20 endpoints.
 	if d := measured.FullListBytes - simulated.ListBytes.Full; d < -100 || d > 100 {
@@ -54,7 +54,7 @@
 		"fleet.senders":   func(sc *Scenario) { sc.Fleet.Senders = maxLiveSenders + 1 },
 		"destinations":    func(sc *Scenario) { sc.Destinations.Count = maxLiveEndpoints },
 		"changes":         func(sc *Scenario) { sc.Discovery.ChangesPerDay = 1 },
-		"fault[0]":        func(sc *Scenario) { sc.Faults = []FaultConfig{{Kind: faultOutage, OutageMode: outageSilent}} },
+		"fault[0]":        func(sc *Scenario) { sc.Faults = []FaultConfig{{Kind: faultOutage, OutageMode: outageUnresponsive}} },
 		"no such program": func(*Scenario) {},
 	} {
 		sc := Default()
--- a/internal/hollow/model_test.go
+++ b/internal/hollow/model_test.go
@@ -28,7 +28,7 @@
 func newColdDestination() *destination {
 	sc := Default()
 	sc.Destinations.Rate = 40
-	sc.Recovery = RecoveryConfig{InitialShare: 0.25, WarmUpTime: seconds(10), RelapseMultiple: 1.25, RelapseWindow: seconds(2),
+	sc.Recovery = RecoveryConfig{ColdCapacity: 0.25, WarmupTime: seconds(10), OverloadMultiple: 1.25, OverloadWindow: seconds(2),
 		RelapseDuration: seconds(5)}
 	d := newDestination(0, &sc)
 	d.recoveredAt, d.informed = micros(100), map[int]bool{1: true}
@@ -114,8 +114,8 @@
 	return f, f.senders[0]
 }
 
-// firstReply submits a message and returns the first outcome that the sender's module gets for it.
-func firstReply(t *testing.T, f *fleet, s *sender, during func()) logic.AttemptResult {
+// firstResult submits a message and returns the first outcome that the sender's module gets for it.
+func firstResult(t *testing.T, f *fleet, s *sender, during func()) logic.AttemptResult {
 	t.Helper()
 	f.messageCount++
 	f.stats.Offered++
@@ -153,8 +153,8 @@
 		{name: "refused", outageMode: outageRefused, want: logic.ConnRefused, took: 1000},
 		{name: "503", outageMode: outageUnavailable, want: logic.Refused, took: 7000, load: 2},
 		{name: "503, idle connection", outageMode: outageUnavailable, idleConn: true, want: logic.Refused, took: 1000, load: 2},
-		{name: "silent", outageMode: outageSilent, want: logic.ConnRefused, took: 1500_000},
-		{name: "silent, idle connection", outageMode: outageSilent, idleConn: true, want: logic.Cancelled, took: -1},
+		{name: "silent", outageMode: outageUnresponsive, want: logic.ConnRefused, took: 1500_000},
+		{name: "silent, idle connection", outageMode: outageUnresponsive, idleConn: true, want: logic.Cancelled, took: -1},
 		{name: "over the limit", setup: func(f *fleet) {
 			f.destinations[0].bucket = tokenBucket{capacity: 1, refilledAt: f.now}
 			f.destinations[0].limitFactor = 1e-3
@@ -170,7 +170,7 @@
 	} {
 		f, s := newSingleSenderFleet(t)
 		if tc.idleConn {
-			firstReply(t, f, s, nil)
+			firstResult(t, f, s, nil)
 			for f.runNext(f.now + logic.Second) {
 			}
 		}
@@ -184,7 +184,7 @@
 		if tc.during != nil {
 			during = func() { tc.during(f) }
 		}
-		r := firstReply(t, f, s, during)
+		r := firstResult(t, f, s, during)
 		if r.Outcome != tc.want || r.RetryAfter != tc.wait || len(r.Load) != tc.load || tc.took >= 0 && r.Latency != tc.took {
 			t.Errorf("%s: %+v, want outcome %d after %d with a wait of %d", tc.name, r, tc.want, tc.took, tc.wait)
 		}
@@ -240,7 +240,7 @@
 	if s.listBytes.Changes != int64(len(change)) {
 		t.Errorf("changes of %d bytes, want %d", s.listBytes.Changes, len(change))
 	}
-	if r := firstReply(t, f, s, nil); r.Outcome != logic.Delivered || s.directory.Addr(r.Endpoint) != "10.0.0.1:6379" {
+	if r := firstResult(t, f, s, nil); r.Outcome != logic.Delivered || s.directory.Addr(r.Endpoint) != "10.0.0.1:6379" {
 		t.Errorf("after the change: %+v", r)
 	}
 	for f.runNext(40 * logic.Second) {
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -19,25 +19,25 @@
 
 // Counts are counters over the whole run. Messages appear as "events" in reports and scenario files.
 type Counts struct {
-	Offered          int64 `json:"offered"` // messages submitted by clients
-	Delivered        int64 `json:"delivered"`
-	Returned         int64 `json:"returned"` // refused by a sender, on receipt or later
-	Failed           int64 `json:"failed"`
-	Late             int64 `json:"late"`    // delivered after the latency target
-	Held             int64 `json:"held"`    // not ended when the run ended
-	Repeats          int64 `json:"repeats"` // executions at an endpoint beyond the first of a message
-	Calls            int64 `json:"calls"`
-	OverLimit        int64 `json:"over_limit"`   // calls refused by a rate limit
-	ConnsRejected    int64 `json:"no_place"`     // connections refused by an endpoint's connection limit
-	IntoOutages      int64 `json:"into_outages"` // calls started while their endpoint was in an outage
-	Connections      int64 `json:"connections"`  // connections opened
-	Outages          int64 `json:"outages"`      // of destinations, relapses included
-	Relapses         int64 `json:"falls"`        // outages of cold destinations caused by too many calls
-	InformedRelapses int64 `json:"blamed"`       // relapses with over two thirds of the calls from senders that knew of the outage
-	Undetected       int64 `json:"unnoticed"`    // outage and sender pairs: it sent calls and never took an endpoint out
-	Restarts         int64 `json:"restarts"`     // of sender processes
-	Losses           int64 `json:"losses"`       // of sender machines
-	Steps            int64 `json:"steps"`        // of all decision modules
+	Offered            int64 `json:"offered"` // messages submitted by clients
+	Delivered          int64 `json:"delivered"`
+	Returned           int64 `json:"returned"` // refused by a sender, on receipt or later
+	Failed             int64 `json:"failed"`
+	Late               int64 `json:"late"`    // delivered after the latency target
+	Held               int64 `json:"held"`    // not ended when the run ended
+	RepeatedExecutions int64 `json:"repeats"` // executions at an endpoint beyond the first of a message
+	Calls              int64 `json:"calls"`
+	OverLimit          int64 `json:"over_limit"`   // calls refused by a rate limit
+	OverConnLimit      int64 `json:"no_place"`     // connections refused by an endpoint's connection limit
+	IntoOutages        int64 `json:"into_outages"` // calls started while their endpoint was in an outage
+	Connections        int64 `json:"connections"`  // connections opened
+	Outages            int64 `json:"outages"`      // of destinations, relapses included
+	Relapses           int64 `json:"falls"`        // outages of cold destinations caused by too many calls
+	InformedRelapses   int64 `json:"blamed"`       // relapses with over two thirds of the calls from senders that knew of the outage
+	Undetected         int64 `json:"unnoticed"`    // outage and sender pairs: it sent calls and never took an endpoint out
+	Restarts           int64 `json:"restarts"`     // of sender processes
+	Losses             int64 `json:"losses"`       // of sender machines
+	Steps              int64 `json:"steps"`        // of all decision modules
 }
 
 // Quantiles are latencies of delivered messages in milliseconds, from creation to delivery.
@@ -151,7 +151,7 @@
 		r.Failed++
 	case delivered:
 		r.Delivered++
-		if took > c.LatencyTarget.Micros {
+		if took > c.TargetLatency.Micros {
 			r.Late++
 		}
 		_ = r.latency.RecordValue(min(max(int64(took), 1), maxLatencyMicros)) // cannot fail: the value is within the bounds
@@ -251,7 +251,7 @@
 	line("latency", "p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, max %.1f ms",
 		r.Latency.P50, r.Latency.P90, r.Latency.P99, r.Latency.Max)
 	line("calls", "%d, %d over a limit, %d with no place, %d into outages; %d connections, %d repeats",
-		r.Calls, r.OverLimit, r.ConnsRejected, r.IntoOutages, r.Connections, r.Repeats)
+		r.Calls, r.OverLimit, r.OverConnLimit, r.IntoOutages, r.Connections, r.RepeatedExecutions)
 	line("outages", "%d, %d of them falls of cold destinations, %d of these caused mostly by senders that knew of the outage",
 		r.Outages, r.Relapses, r.InformedRelapses)
 	line("notice", "mean %.3f s, worst %.3f s, over %d; %d never noticed",
--- a/internal/hollow/scenario.go
+++ b/internal/hollow/scenario.go
@@ -61,7 +61,7 @@
 	Regions        int     `toml:"regions"`
 	Zones          int     `toml:"zones"` // in total
 	RacksPerZone   int     `toml:"racks"`
-	Slots          int     `toml:"slots"` // concurrent calls per sender
+	CallSlots      int     `toml:"slots"` // concurrent calls per sender
 	MaxOpen        int     `toml:"max_open"`
 	MaxAttempts    int     `toml:"max_tries"`
 	Tick           Span    `toml:"tick"`
@@ -81,12 +81,12 @@
 type ClassConfig struct {
 	Name          string  `toml:"name"`
 	Share         float64 `toml:"share"` // of the traffic, relative to the sum of all shares
-	LatencyTarget Span    `toml:"aim"`
+	TargetLatency Span    `toml:"aim"`
 	Deadline      Span    `toml:"deadline"`
-	Worth         float64 `toml:"worth"`
-	LateWorth     float64 `toml:"late_worth"`
-	Effect        string  `toml:"effect"` // safe, keyed or unsafe
-	Window        Span    `toml:"window"` // deduplication window of a keyed class
+	Value         float64 `toml:"worth"`
+	LateValue     float64 `toml:"late_worth"`
+	Idempotency   string  `toml:"effect"` // safe, keyed or unsafe
+	DedupWindow   Span    `toml:"window"` // deduplication window of a keyed class
 }
 
 // DestinationsConfig describes the destinations, which are all alike, and their endpoints.
@@ -112,11 +112,11 @@
 
 // RecoveryConfig describes how a destination recovers from an outage.
 type RecoveryConfig struct {
-	InitialShare    float64 `toml:"from"`          // share of its limit available at first
-	WarmUpTime      Span    `toml:"warm_after"`    // until the full limit is available
-	RelapseMultiple float64 `toml:"fall_multiple"` // a cold destination that gets more than this multiple of its limit
-	RelapseWindow   Span    `toml:"fall_window"`   // within this window relapses into an outage
-	RelapseDuration Span    `toml:"fall_for"`      // of this duration
+	ColdCapacity     float64 `toml:"from"`          // share of its limit available at first
+	WarmupTime       Span    `toml:"warm_after"`    // until the full limit is available
+	OverloadMultiple float64 `toml:"fall_multiple"` // a cold destination that gets more than this multiple of its limit
+	OverloadWindow   Span    `toml:"fall_window"`   // within this window relapses into an outage
+	RelapseDuration  Span    `toml:"fall_for"`      // of this duration
 }
 
 // DiscoveryConfig describes the endpoint list and its changes.
@@ -161,20 +161,20 @@
 
 var faultKinds = []string{faultOutage, faultLimit, faultRestart, faultLoss, faultRack, faultZone, faultLink}
 
-var outageModes = []string{outageRefused, outageSilent, outageUnavailable}
+var outageModes = []string{outageRefused, outageUnresponsive, outageUnavailable}
 
-var effectNames = []string{"safe", "keyed", "unsafe"} // in the order of logic.Effect
+var idempotencyNames = []string{"safe", "keyed", "unsafe"} // in the order of logic.Idempotency
 
 // Default is a small fleet without faults. Its recovery values are within the range of the fictional example customers.
 func Default() Scenario {
 	return Scenario{Seed: 1, Duration: seconds(60), Drain: seconds(15), Day: seconds(86400),
-		Fleet: FleetConfig{Senders: 20, Regions: 1, Zones: 1, RacksPerZone: 1, Slots: 64, MaxOpen: 2000, MaxAttempts: 6,
+		Fleet: FleetConfig{Senders: 20, Regions: 1, Zones: 1, RacksPerZone: 1, CallSlots: 64, MaxOpen: 2000, MaxAttempts: 6,
 			Tick: seconds(0.005), RestartTime: seconds(1)},
 		Traffic: TrafficConfig{Rate: 270, Popularity: "even", ZipfExponent: 1},
 		Destinations: DestinationsConfig{Count: 10, Endpoints: 2, Rate: 40, Burst: 20, RefusalStatus: "503",
 			ServiceTime: seconds(0.04), Sigma: 0.5, ConnIdleTimeout: seconds(10), ConnectTimeout: seconds(1.5),
 			HandshakeTime: seconds(0.005), MeanOutage: seconds(12), OutageMode: outageRefused},
-		Recovery: RecoveryConfig{InitialShare: 0.2, WarmUpTime: seconds(14), RelapseMultiple: 2.5, RelapseWindow: seconds(3),
+		Recovery: RecoveryConfig{ColdCapacity: 0.2, WarmupTime: seconds(14), OverloadMultiple: 2.5, OverloadWindow: seconds(3),
 			RelapseDuration: seconds(5)},
 		Discovery: DiscoveryConfig{DrainTime: seconds(10), Spread: seconds(2), WatchTimeout: seconds(4)},
 		Network: NetworkConfig{WithinZone: seconds(0.0005), WithinRegion: seconds(0.001), BetweenRegions: seconds(0.04),
@@ -182,8 +182,8 @@
 }
 
 // defaultClass is used for a scenario without classes.
-var defaultClass = ClassConfig{Name: "event", Share: 1, LatencyTarget: seconds(1), Deadline: seconds(10), Worth: 1,
-	LateWorth: 0.5, Effect: "safe"}
+var defaultClass = ClassConfig{Name: "event", Share: 1, TargetLatency: seconds(1), Deadline: seconds(10), Value: 1,
+	LateValue: 0.5, Idempotency: "safe"}
 
 func seconds(x float64) Span { return Span{logic.Micros(math.Round(x * float64(logic.Second)))} }
 
@@ -375,7 +375,7 @@
 	want(f.Regions >= 1, "fleet.regions", "1 or more")
 	want(f.Zones >= max(f.Regions, 1), "fleet.zones", "at least one for each region")
 	want(f.RacksPerZone >= 1, "fleet.racks", "1 or more in each zone")
-	want(f.Slots >= 1, "fleet.slots", "1 or more calls at once")
+	want(f.CallSlots >= 1, "fleet.slots", "1 or more calls at once")
 	want(f.MaxOpen >= 0, "fleet.max_open", "0 for no limit, or more")
 	want(f.MaxAttempts >= 0, "fleet.max_tries", "0 for no limit, or more")
 	want(f.Tick.Micros >= 1000, "fleet.tick", "1ms or more")
@@ -395,11 +395,11 @@
 		want(rate(c.Share), at+"share", "a share of 0 or more")
 		shares += c.Share
 		want(c.Deadline.Micros > 0, at+"deadline", "a span above 0")
-		want(c.LatencyTarget.Micros <= c.Deadline.Micros, at+"aim", "a span up to the deadline")
-		want(rate(c.Worth), at+"worth", "0 or more")
-		want(share(c.LateWorth), at+"late_worth", "a part of the worth, 0 to 1")
-		oneOf(c.Effect, effectNames, at+"effect")
-		want(c.Effect != "keyed" || c.Window.Micros > 0, at+"window", "a span above 0, as the class is keyed")
+		want(c.TargetLatency.Micros <= c.Deadline.Micros, at+"aim", "a span up to the deadline")
+		want(rate(c.Value), at+"worth", "0 or more")
+		want(share(c.LateValue), at+"late_worth", "a part of the worth, 0 to 1")
+		oneOf(c.Idempotency, idempotencyNames, at+"effect")
+		want(c.Idempotency != "keyed" || c.DedupWindow.Micros > 0, at+"window", "a span above 0, as the class is keyed")
 	}
 	want(shares > 0, "class[0].share", "a sum of shares above 0")
 
@@ -419,9 +419,9 @@
 	oneOf(d.OutageMode, append([]string{"mixed"}, outageModes...), "destinations.down_how")
 
 	c := &sc.Recovery
-	want(c.InitialShare > 0 && c.InitialShare <= 1, "cold.from", "a part of the limit above 0, 1 at most")
-	want(c.RelapseMultiple > 0 && rate(c.RelapseMultiple), "cold.fall_multiple", "a number above 0")
-	want(c.RelapseWindow.Micros > 0, "cold.fall_window", "a span above 0")
+	want(c.ColdCapacity > 0 && c.ColdCapacity <= 1, "cold.from", "a part of the limit above 0, 1 at most")
+	want(c.OverloadMultiple > 0 && rate(c.OverloadMultiple), "cold.fall_multiple", "a number above 0")
+	want(c.OverloadWindow.Micros > 0, "cold.fall_window", "a span above 0")
 	want(c.RelapseDuration.Micros > 0, "cold.fall_for", "a span above 0")
 
 	want(rate(sc.Discovery.ChangesPerDay), "discovery.changes_per_day", perDay)
@@ -467,12 +467,12 @@
 // moduleSettings returns the settings of the decision module of a sender in a zone.
 func (sc *Scenario) moduleSettings(zone int) logic.Settings {
 	d, c := &sc.Destinations, &sc.Recovery
-	settings := logic.Settings{Senders: sc.Fleet.Senders, Zone: zone, Zones: sc.Fleet.Zones, CallSlots: sc.Fleet.Slots,
+	settings := logic.Settings{Senders: sc.Fleet.Senders, Zone: zone, Zones: sc.Fleet.Zones, CallSlots: sc.Fleet.CallSlots,
 		MaxOpen: sc.Fleet.MaxOpen, MaxAttempts: sc.Fleet.MaxAttempts, Tick: sc.Fleet.Tick.Micros, MayCancel: true,
 		RetryAfter: true, MaxRetryAfter: 2 * logic.Second, Kinds: []logic.DestinationKind{{Name: machineType, MaxBatch: 1}},
 		ConnIdleTimeout: d.ConnIdleTimeout.Micros, CallsPerConn: 1, DrainGrace: logic.Second,
-		OverloadMultiple: c.RelapseMultiple, OverloadWindow: c.RelapseWindow.Micros, ColdCapacity: c.InitialShare,
-		WarmupTime: c.WarmUpTime.Micros, LoadRemainingIndex: -1, LoadLimitIndex: -1}
+		OverloadMultiple: c.OverloadMultiple, OverloadWindow: c.OverloadWindow.Micros, ColdCapacity: c.ColdCapacity,
+		WarmupTime: c.WarmupTime.Micros, LoadRemainingIndex: -1, LoadLimitIndex: -1}
 	if d.ReportsLoad {
 		settings.LoadRemainingIndex, settings.LoadLimitIndex = 0, 1
 	}
@@ -480,9 +480,9 @@
 		settings.Weights = logic.WeightsNominal
 	}
 	for _, class := range sc.Classes {
-		settings.Classes = append(settings.Classes, logic.Class{Name: class.Name, TargetLatency: class.LatencyTarget.Micros,
-			Deadline: class.Deadline.Micros, Value: class.Worth,
-			LateValue: class.LateWorth, DedupWindow: class.Window.Micros, Idempotency: logic.Idempotency(slices.Index(effectNames, class.Effect))})
+		settings.Classes = append(settings.Classes, logic.Class{Name: class.Name, TargetLatency: class.TargetLatency.Micros,
+			Deadline: class.Deadline.Micros, Value: class.Value,
+			LateValue: class.LateValue, DedupWindow: class.DedupWindow.Micros, Idempotency: logic.Idempotency(slices.Index(idempotencyNames, class.Idempotency))})
 	}
 	return settings
 }
--- a/internal/hollow/sender.go
+++ b/internal/hollow/sender.go
@@ -110,7 +110,7 @@
 		logic.EndpointUpdate{Kind: logic.UpdateCached, Entries: s.directory.Apply(list, s.wallTime())})
 	for _, m := range s.openMessages() {
 		s.openCount++
-		ev := s.callEvent(m)
+		ev := s.messageEvent(m)
 		ev.History = logic.History{Accepted: true, Attempts: m.attempts, MayHaveRun: m.mayHaveRun}
 		if m.mayHaveRun {
 			ev.History.Age, ev.History.Zone = f.now-m.firstMayHaveRunAt, m.firstMayHaveRunZone
@@ -138,7 +138,7 @@
 	return list
 }
 
-func (s *sender) callEvent(m *message) logic.Message {
+func (s *sender) messageEvent(m *message) logic.Message {
 	return logic.Message{ID: m.id, TimeLeft: m.deadline - s.fleet.now, Dest: int64(m.dest), Tenant: -1, Class: m.class}
 }
 
@@ -206,7 +206,7 @@
 	s.messages[m.id] = m
 	s.openCount++
 	s.unaccepted = append(s.unaccepted, m)
-	s.enqueue(s.callEvent(m))
+	s.enqueue(s.messageEvent(m))
 }
 
 // enqueue queues an event for the next step, which runs as soon as a tick has passed since the last one.
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -13,18 +13,18 @@
 
 // instance is one entry of the endpoint list.
 type instance struct {
-	ID        string  `json:"instanceId"`
-	HostPort  string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"machineType"`
-	Dest      int     `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
-	StartedAt int64   `json:"startedAtMs"`
+	ID          string  `json:"instanceId"`
+	HostPort    string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"machineType"`
+	Dest        int     `json:"cell"`
+	Lifecycle   string  `json:"lifecycle"`
+	Weight      float64 `json:"weight"`
+	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-// hostList is the response of discovery: the whole list if Reset is set, else the changes since a generation.
-type hostList struct {
+// listResponse is the response of discovery: the whole list if Reset is set, else the changes since a generation.
+type listResponse struct {
 	Generation int        `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []instance `json:"instances"`
@@ -68,23 +68,23 @@
 
 func listEntry(e *endpoint) instance {
 	return instance{
-		ID:        e.name,
-		HostPort:  e.addr,
-		Zone:      []string{"a", "b"}[e.zone],
-		Kind:      "std",
-		Dest:      e.dest.number,
-		Lifecycle: "up",
-		Weight:    1,
+		ID:          e.name,
+		HostPort:    e.addr,
+		Zone:        []string{"a", "b"}[e.zone],
+		MachineType: "std",
+		Dest:        e.dest.number,
+		Lifecycle:   "up",
+		Weight:      1,
 	}
 }
 
 // changesSince returns what a caller with the given generation needs to be up to date, and a channel that is closed at
 // the next change. A caller with an invalid generation gets the whole list.
-func (r *registry) changesSince(generation int) (hostList, <-chan struct{}) {
+func (r *registry) changesSince(generation int) (listResponse, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if generation < r.initial || generation > len(r.changes) {
-		list := hostList{Generation: len(r.changes), Reset: true}
+		list := listResponse{Generation: len(r.changes), Reset: true}
 		index := map[string]int{}
 		for _, entry := range r.changes {
 			if i, ok := index[entry.ID]; ok {
@@ -103,7 +103,7 @@
 		list.Instances = remaining
 		return list, r.changed
 	}
-	return hostList{Generation: len(r.changes), Instances: append([]instance{}, r.changes[generation:]...)}, r.changed
+	return listResponse{Generation: len(r.changes), Instances: append([]instance{}, r.changes[generation:]...)}, r.changed
 }
 
 // discoveryAgent simulates discovery and the platform for one sender. It can move between two addresses.
@@ -250,10 +250,10 @@
 }
 
 // writeList writes a list and records what the sender learns from it.
-func (a *discoveryAgent) writeList(w http.ResponseWriter, list hostList, fault FaultKind) {
+func (a *discoveryAgent) writeList(w http.ResponseWriter, list listResponse, fault FaultKind) {
 	data, err := json.MarshalIndent(list, "", " ")
 	if err != nil {
-		panic(err) // cannot happen: a hostList is always encodable
+		panic(err) // cannot happen: a listResponse is always encodable
 	}
 	if fault == DiscoverySlow {
 		half := len(data) / 2
@@ -272,7 +272,7 @@
 }
 
 // recordListed records which endpoints a written list reports as draining or removed.
-func (a *discoveryAgent) recordListed(list hostList) {
+func (a *discoveryAgent) recordListed(list listResponse) {
 	lifecycles := map[string]string{}
 	for _, entry := range list.Instances {
 		lifecycles[entry.ID] = entry.Lifecycle
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -14,22 +14,22 @@
 
 // The rules checked in every run. Each comment says what breaks the rule.
 const (
-	RuleLost           Rule = "lost"           // accepted, but neither delivered nor reported in a notice
-	RuleLate           Rule = "late"           // delivered or reported in a notice after its due time
-	RuleDuplicate      Rule = "duplicate"      // sent again although a repeat was not allowed
-	RuleConcurrentCopy Rule = "second-copy"    // sent again while an earlier call with it was in progress
-	RuleRefusedRun     Rule = "refused-run"    // refused or returned, but possibly executed by an endpoint
-	RuleSentAfterEnd   Rule = "sent-after-end" // sent after the notice that reported its outcome
-	RuleDrain          Rule = "drain"          // sent to an endpoint that is draining or was removed
-	RuleRetryAfter     Rule = "wait"           // sent before the destination's retry delay was over
-	RuleColdRamp       Rule = "cold-ramp"      // a destination was overloaded as it recovered from an outage
-	RuleMismatch       Rule = "foreign"        // unknown, altered, or sent to the wrong destination
-	RuleUntried        Rule = "untried"        // most untried messages given up early without a call after a restart
-	RuleClosedTwice    Rule = "closed"         // two connections in a row closed without an answer to the same request
-	RuleCrash          Rule = "crash"          // the process exited unexpectedly
-	RuleNotReady       Rule = "not-ready"      // not ready in time after a start or the end of system faults
-	RuleBadClient      Rule = "bad-client"     // an incomplete request got neither an error nor a close
-	RuleOwnCheck       Rule = "own-check"      // the sender's internal checks reported a violation
+	RuleLost              Rule = "lost"           // accepted, but neither delivered nor reported in a notice
+	RuleLate              Rule = "late"           // delivered or reported in a notice after its due time
+	RuleDuplicate         Rule = "duplicate"      // sent again although a repeat was not allowed
+	RuleSecondCopy        Rule = "second-copy"    // sent again while an earlier call with it was in progress
+	RuleRejectedExecuted  Rule = "refused-run"    // refused or returned, but possibly executed by an endpoint
+	RuleSentAfterEnd      Rule = "sent-after-end" // sent after the notice that reported its outcome
+	RuleDrain             Rule = "drain"          // sent to an endpoint that is draining or was removed
+	RuleRetryAfter        Rule = "wait"           // sent before the destination's retry delay was over
+	RuleColdRamp          Rule = "cold-ramp"      // a destination was overloaded as it recovered from an outage
+	RuleMismatch          Rule = "foreign"        // unknown, altered, or sent to the wrong destination
+	RuleUntried           Rule = "untried"        // most untried messages given up early without a call after a restart
+	RuleClosedTwice       Rule = "closed"         // two connections in a row closed without an answer to the same request
+	RuleCrash             Rule = "crash"          // the process exited unexpectedly
+	RuleNotReady          Rule = "not-ready"      // not ready in time after a start or the end of system faults
+	RuleIncompleteRequest Rule = "bad-client"     // an incomplete request got neither an error nor a close
+	RuleOwnCheck          Rule = "own-check"      // the sender's internal checks reported a violation
 )
 
 // Violation is one observed breach of a rule.
@@ -54,7 +54,7 @@
 	maxReloadDelay    = 4 * time.Second                         // from a reload to the first list from the new discovery address
 	readyTimeout      = 10 * time.Second
 	clientTimeout     = 400 * time.Millisecond // for a client to connect, and for its answers
-	copyOverlapSlack  = 60 * time.Millisecond  // to notice that a connection was closed
+	secondCopySlack   = 60 * time.Millisecond  // to notice that a connection was closed
 	minUntried        = 8                      // fewer untried messages at a restart are not checked
 )
 
@@ -64,7 +64,7 @@
 const (
 	answerNone clientAnswer = iota
 	answerAccepted
-	answerRefused
+	answerRejected
 	answerFailed
 )
 
@@ -102,9 +102,9 @@
 
 // Counts are the totals of a run.
 type Counts struct {
-	Offered, Accepted, Refused, Failed, Unanswered int
-	Delivered, Returned, FailedAfterAccept         int
-	Calls, Retries, Restarts                       int
+	Offered, Accepted, Rejected, Failed, Unanswered int
+	Delivered, Returned, FailedAfterAccept          int
+	Calls, Retries, Restarts                        int
 }
 
 // Checker records all traffic between the senders and their peers and checks it against the rules.
@@ -163,8 +163,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m.answer, m.answeredAt = answer, c.elapsed()
-	if answer == answerRefused {
-		c.checkRefused(m)
+	if answer == answerRejected {
+		c.checkRejected(m)
 	}
 }
 
@@ -178,16 +178,16 @@
 	return attempts
 }
 
-// checkRefused checks that a message that was refused or returned has not been executed. Its client submits such
+// checkRejected checks that a message that was refused or returned has not been executed. Its client submits such
 // a message again, so it would be executed twice, unless the class tolerates that.
-func (c *Checker) checkRefused(m *message) {
-	if m.answer != answerRefused && m.notice != "returned" || m.class.Effect == Retryable ||
-		m.class.Effect == Dedup && !m.class.DedupPerZone {
+func (c *Checker) checkRejected(m *message) {
+	if m.answer != answerRejected && m.notice != "returned" || m.class.Idempotency == Idempotent ||
+		m.class.Idempotency == IdempotentByKey && !m.class.DedupPerZone {
 		return
 	}
 	for _, a := range m.possiblyExecuted() {
-		if a.ended != 0 || m.answer == answerRefused { // otherwise an answer may still say that it was not executed
-			c.reportLocked(RuleRefusedRun, m.sender,
+		if a.ended != 0 || m.answer == answerRejected { // otherwise an answer may still say that it was not executed
+			c.reportLocked(RuleRejectedExecuted, m.sender,
 				"%s of class %s was refused or returned, but a call with it was received at %.2fs",
 				m.id, m.class.Name, a.received.Seconds())
 			return
@@ -217,8 +217,8 @@
 			c.reportLocked(RuleSentAfterEnd, m.sender,
 				"%s was reported as %s at %.2fs but sent at %.2fs", id, m.notice, m.noticeAt.Seconds(), started.Seconds())
 		}
-		if m.answer == answerRefused && m.answeredAt+10*time.Millisecond < started {
-			c.reportLocked(RuleRefusedRun, m.sender,
+		if m.answer == answerRejected && m.answeredAt+10*time.Millisecond < started {
+			c.reportLocked(RuleRejectedExecuted, m.sender,
 				"%s was refused at %.2fs but sent at %.2fs", id, m.answeredAt.Seconds(), started.Seconds())
 		}
 	}
@@ -252,10 +252,10 @@
 
 // checkRetry checks a new attempt against the earlier ones of the same message.
 func (c *Checker) checkRetry(m *message, a *attempt) {
-	if !c.scenario.ConcurrentCopies {
+	if !c.scenario.SecondCopies {
 		for _, previous := range m.attempts {
 			if previous.ended == 0 {
-				time.AfterFunc(2*copyOverlapSlack, func() { c.checkConcurrentCopy(m, previous, a) })
+				time.AfterFunc(2*secondCopySlack, func() { c.checkSecondCopy(m, previous, a) })
 			}
 		}
 	}
@@ -264,12 +264,12 @@
 		return
 	}
 	first := earlier[0]
-	switch m.class.Effect {
-	case Fragile:
+	switch m.class.Idempotency {
+	case NonIdempotent:
 		c.reportLocked(RuleDuplicate, m.sender,
 			"%s of class %s sent again %.2f s after it may have been executed",
 			m.id, m.class.Name, (a.received - first.received).Seconds())
-	case Dedup:
+	case IdempotentByKey:
 		if m.class.DedupPerZone && a.endpoint.zone != first.endpoint.zone {
 			c.reportLocked(RuleDuplicate, m.sender, "%s of class %s sent again to another zone", m.id, m.class.Name)
 		}
@@ -281,11 +281,11 @@
 	}
 }
 
-func (c *Checker) checkConcurrentCopy(m *message, earlier, a *attempt) {
+func (c *Checker) checkSecondCopy(m *message, earlier, a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if earlier.ended == 0 || earlier.ended > a.received+copyOverlapSlack {
-		c.reportLocked(RuleConcurrentCopy, m.sender, "%s sent again while an earlier call with it was in progress", m.id)
+	if earlier.ended == 0 || earlier.ended > a.received+secondCopySlack {
+		c.reportLocked(RuleSecondCopy, m.sender, "%s sent again while an earlier call with it was in progress", m.id)
 	}
 }
 
@@ -303,7 +303,7 @@
 		}
 		a.ended, a.notExecuted = c.elapsed(), notExecuted
 		if !notExecuted {
-			c.checkRefused(m)
+			c.checkRejected(m)
 		}
 	}
 }
@@ -341,7 +341,7 @@
 	}
 	if m.notice == "" {
 		m.notice, m.noticeAt = state, c.elapsed()
-		c.checkRefused(m)
+		c.checkRejected(m)
 	}
 }
 
@@ -405,8 +405,8 @@
 		counts.Offered++
 		counts.Retries += max(len(m.attempts)-1, 0)
 		switch m.answer {
-		case answerRefused:
-			counts.Refused++
+		case answerRejected:
+			counts.Rejected++
 			continue
 		case answerFailed:
 			counts.Failed++
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -45,10 +45,10 @@
 				c.recordEnd(attempts, messages, false, true)
 			}
 		}},
-		{RuleRefusedRun, func(c *Checker, e *endpoint, m *message) {
+		{RuleRejectedExecuted, func(c *Checker, e *endpoint, m *message) {
 			attempts, messages := c.recordCall(e, c.elapsed(), []string{m.id}, []string{m.body})
 			c.recordEnd(attempts, messages, false, false)
-			c.recordAnswer(m, answerRefused)
+			c.recordAnswer(m, answerRejected)
 		}},
 		{RuleSentAfterEnd, func(c *Checker, e *endpoint, m *message) {
 			c.recordNotice(0, m.id, "failed")
@@ -68,7 +68,7 @@
 		sc := Generate(1, 2, 10*time.Second, nil)
 		c := newChecker(sc, time.Now().Add(-runAge))
 		e := &endpoint{dest: &destination{}, checker: c, name: "e"}
-		m := &message{id: "m", class: &Class{Name: "charge", Effect: Fragile}, body: "body", deadline: runAge + time.Minute}
+		m := &message{id: "m", class: &Class{Name: "charge", Idempotency: NonIdempotent}, body: "body", deadline: runAge + time.Minute}
 		c.recordOffer(m)
 		c.recordAnswer(m, answerAccepted)
 		if test.rule == "" || test.rule == RuleRetryAfter || test.rule == RuleDrain ||
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -106,7 +106,7 @@
 // command returns the MSG.PUT command for the message.
 func (m *message) command(timeLeft time.Duration) string {
 	opts := fmt.Sprintf("c=%s,d=%d,dest=%d", m.class.Name, timeLeft.Milliseconds(), m.dest)
-	if m.class.Effect == Dedup {
+	if m.class.Idempotency == IdempotentByKey {
 		opts += ",k=key-" + m.id
 	}
 	command := "*5\r\n"
@@ -178,7 +178,7 @@
 		case strings.HasPrefix(line, "+OK"):
 			c.sender.run.checker.recordAnswer(m, answerAccepted)
 		case strings.HasPrefix(line, "-BUSY"):
-			c.sender.run.checker.recordAnswer(m, answerRefused)
+			c.sender.run.checker.recordAnswer(m, answerRejected)
 		default:
 			c.sender.run.checker.recordAnswer(m, answerFailed)
 		}
@@ -203,7 +203,7 @@
 	if errors.As(err, &timeout) && timeout.Timeout() && c.sender.processLock.TryLock() {
 		defer c.sender.processLock.Unlock()
 		if c.sender.answersPing() {
-			c.sender.run.checker.report(RuleBadClient, c.sender.number,
+			c.sender.run.checker.report(RuleIncompleteRequest, c.sender.number,
 				"an incomplete request got neither an error nor a close within 3 s")
 		}
 	}
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -18,14 +18,14 @@
 
 // Parameters of simulated endpoints.
 const (
-	minWork          = 10 * time.Millisecond // processing time of a call
-	maxWork          = 90 * time.Millisecond
-	maxExtraWork     = 900 * time.Millisecond // added by SlowResponses
-	idleTimeout      = 4 * time.Second        // conn_idle_s in the settings
-	minIdleTimeout   = 30 * time.Millisecond  // under EarlyIdleClose
-	queueSeconds     = 0.5                    // backlog that a destination accepts, in seconds of its capacity
-	maxRetryAfterMS  = 2500
-	extraMessageLoad = 0.2 // load of each further message in a call; the first one counts as 1
+	minServiceTime      = 10 * time.Millisecond // processing time of a call
+	maxServiceTime      = 90 * time.Millisecond
+	maxExtraServiceTime = 900 * time.Millisecond // added by SlowResponses
+	idleTimeout         = 4 * time.Second        // conn_idle_s in the settings
+	minIdleTimeout      = 30 * time.Millisecond  // under EarlyIdleClose
+	queueSeconds        = 0.5                    // backlog that a destination accepts, in seconds of its capacity
+	maxRetryAfterMS     = 2500
+	extraMessageLoad    = 0.2 // load of each further message in a call; the first one counts as 1
 )
 
 // destination is the state that the endpoints of a destination share: its capacity and its outages.
@@ -261,16 +261,16 @@
 		return x.respondError()
 	case attempts > e.checker.scenario.MaxAttempts:
 		return x.respondNotExecuted("504 Gateway Timeout", 0)
-	case fault == RetryAfter && chance < 0.5:
+	case fault == RetryAfterResponses && chance < 0.5:
 		return x.respondNotExecuted("429 Too Many Requests", time.Duration(100+chance*2*maxRetryAfterMS)*time.Millisecond)
 	case full && chance < 0.5:
 		return x.respondNotExecuted("429 Too Many Requests", time.Duration(50+chance*1000)*time.Millisecond)
 	case full:
 		return x.respondNotExecuted("503 Service Unavailable", 0)
 	}
-	work := minWork + time.Duration(chance*float64(maxWork-minWork))
+	work := minServiceTime + time.Duration(chance*float64(maxServiceTime-minServiceTime))
 	if fault == SlowResponses {
-		work += time.Duration(chance * float64(maxExtraWork))
+		work += time.Duration(chance * float64(maxExtraServiceTime))
 	}
 	timer := time.NewTimer(work)
 	defer timer.Stop()
@@ -368,9 +368,9 @@
 		d.informed[sender] = true
 		return false
 	}
-	capacity := d.capacity * d.capacityShare(checker.scenario.ColdStart, now)
+	capacity := d.capacity * d.capacityShare(checker.scenario.Recovery, now)
 	d.backlog, d.backlogAt = max(0, d.backlog-capacity*(now-d.backlogAt).Seconds()), now
-	if d.recoveredAt != 0 && now < d.recoveredAt+checker.scenario.ColdStart.WarmupTime {
+	if d.recoveredAt != 0 && now < d.recoveredAt+checker.scenario.Recovery.WarmupTime {
 		d.arrivals = append(d.arrivals, arrival{now, d.informed[sender]})
 		d.checkRamp(checker, now)
 	}
@@ -382,18 +382,18 @@
 }
 
 // capacityShare returns the share of its capacity that a destination has; it is below 1 while it warms up.
-func (d *destination) capacityShare(cold ColdStart, now time.Duration) float64 {
+func (d *destination) capacityShare(cold Recovery, now time.Duration) float64 {
 	if d.recoveredAt == 0 || now >= d.recoveredAt+cold.WarmupTime {
 		return 1
 	}
-	return cold.InitialShare + (1-cold.InitialShare)*float64(now-d.recoveredAt)/float64(cold.WarmupTime)
+	return cold.ColdCapacity + (1-cold.ColdCapacity)*float64(now-d.recoveredAt)/float64(cold.WarmupTime)
 }
 
 // checkRamp checks that the calls in the last window do not overload a destination that is warming up. It reports a
 // violation only if at least two thirds of these calls came from senders that had a call fail during the outage; the
 // other senders cannot know of it.
 func (d *destination) checkRamp(checker *Checker, now time.Duration) {
-	cold := checker.scenario.ColdStart
+	cold := checker.scenario.Recovery
 	from := now - cold.OverloadWindow
 	calls, informed := 0, 0
 	for _, a := range d.arrivals {
@@ -405,11 +405,11 @@
 		}
 	}
 	rampStart := max(from, d.recoveredAt)
-	mean := (cold.InitialShare*(rampStart-from).Seconds() +
+	mean := (cold.ColdCapacity*(rampStart-from).Seconds() +
 		(d.capacityShare(cold, rampStart)+d.capacityShare(cold, now))/2*(now-rampStart).Seconds()) /
 		cold.OverloadWindow.Seconds()
-	allowed := cold.OverloadFactor * mean * d.capacity * cold.OverloadWindow.Seconds()
-	if limit := MaxRampCalls(allowed); float64(calls) > limit && 3*informed >= 2*calls && !d.reported {
+	allowed := cold.OverloadMultiple * mean * d.capacity * cold.OverloadWindow.Seconds()
+	if limit := MaxWindowCalls(allowed); float64(calls) > limit && 3*informed >= 2*calls && !d.reported {
 		d.reported = true
 		checker.report(RuleColdRamp, -1,
 			"destination %d: %d calls in %v, limit %.1f, %.1f s after its outage",
@@ -417,9 +417,9 @@
 	}
 }
 
-// MaxRampCalls returns how many calls are tolerated in a window in which the settings allow the given number. The
+// MaxWindowCalls returns how many calls are tolerated in a window in which the settings allow the given number. The
 // margin of 2 to 3 times its square root covers random variation of the traffic.
-func MaxRampCalls(allowed float64) float64 {
+func MaxWindowCalls(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -32,7 +32,7 @@
 	options      Options
 	checker      *Checker
 	registry     *registry
-	initialList  hostList
+	initialList  listResponse
 	destinations []*destination
 	senders      []*sender
 
@@ -242,7 +242,7 @@
 		r.senders[fault.Sender].drain(duration)
 	case ConnectionsRefused, Unresponsive, Unavailable, ServerErrors:
 		r.takeDown(ctx, fault)
-	case ConnectionResets, MalformedResponses, RetryAfter, SlowResponses, EarlyIdleClose:
+	case ConnectionResets, MalformedResponses, RetryAfterResponses, SlowResponses, EarlyIdleClose:
 		if e := r.faultEndpoint(fault); e != nil {
 			e.setFault(fault.Kind)
 			sleep(ctx, duration)
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -11,32 +11,32 @@
 	"rundeal/internal/faultinject"
 )
 
-// Effect says whether a message may be executed more than once. Its values are those of the settings.
-type Effect string
+// Idempotency says whether a message may be executed more than once. Its values are those of the settings.
+type Idempotency string
 
-// The values of Effect.
+// The values of Idempotency.
 const (
-	Retryable Effect = "retryable" // repeats are harmless
-	Dedup     Effect = "dedup"     // endpoints deduplicate by idempotency key, for a while
-	Fragile   Effect = "fragile"   // must not be sent again once it may have been executed
+	Idempotent      Idempotency = "retryable" // repeats are harmless
+	IdempotentByKey Idempotency = "dedup"     // endpoints deduplicate by idempotency key, for a while
+	NonIdempotent   Idempotency = "fragile"   // must not be sent again once it may have been executed
 )
 
 // Class describes the messages of one class.
 type Class struct {
 	Name         string
-	Effect       Effect
+	Idempotency  Idempotency
 	DedupPerZone bool // each zone deduplicates on its own
 	Deadline     time.Duration
 	DedupWindow  time.Duration // how long after the first attempt repeats are recognized
 }
 
-// ColdStart describes how a destination recovers from an outage: its capacity grows linearly, and calls that exceed it
+// Recovery describes how a destination recovers from an outage: its capacity grows linearly, and calls that exceed it
 // too far overload the destination.
-type ColdStart struct {
-	OverloadFactor float64 // calls above this multiple of the capacity in an OverloadWindow overload it
-	OverloadWindow time.Duration
-	InitialShare   float64       // of the full capacity, right after the outage
-	WarmupTime     time.Duration // until the full capacity is reached
+type Recovery struct {
+	OverloadMultiple float64 // calls above this multiple of the capacity in an OverloadWindow overload it
+	OverloadWindow   time.Duration
+	ColdCapacity     float64       // of the full capacity, right after the outage
+	WarmupTime       time.Duration // until the full capacity is reached
 }
 
 // Scenario is everything that a seed determines.
@@ -53,9 +53,9 @@
 	MaxBatch                int     // messages per call
 	MaxAttempts             int     // calls per message
 	MaxOpen                 int
-	ConcurrentCopies        bool          // a message may be sent again while an earlier call with it is in progress
+	SecondCopies            bool          // a message may be sent again while an earlier call with it is in progress
 	DrainGrace              time.Duration // how long calls are still allowed after an endpoint starts to drain
-	ColdStart               ColdStart
+	Recovery                Recovery
 	DiskMB                  float64
 	Faults                  []Fault
 }
@@ -92,7 +92,7 @@
 	ServerErrors        FaultKind = "failing"
 	ConnectionResets    FaultKind = "resets"
 	MalformedResponses  FaultKind = "spoilt-answers"
-	RetryAfter          FaultKind = "told-waits"
+	RetryAfterResponses FaultKind = "told-waits"
 	SlowResponses       FaultKind = "slow"
 	EarlyIdleClose      FaultKind = "idle-close"
 	EndpointDrain       FaultKind = "endpoint-drains"
@@ -114,7 +114,7 @@
 	"system": {WallClockStep, WallClockStep, DiskFull, DiskErrors, ShortDiskWrites, DiskReadErrors, SocketErrors, ConnectErrors,
 		AcceptErrors, ConnectionErrors, InterruptedCalls, ShortTransfers, DelayedWrites},
 	"destination": {ConnectionsRefused, Unresponsive, Unavailable, ServerErrors, ConnectionResets, MalformedResponses,
-		RetryAfter, SlowResponses, EarlyIdleClose, EndpointDrain, EndpointReplacement},
+		RetryAfterResponses, SlowResponses, EarlyIdleClose, EndpointDrain, EndpointReplacement},
 	"discovery": {DiscoveryDown, DiscoverySlow},
 	"client":    {IncompleteRequests, CommandFloods},
 }
@@ -166,26 +166,26 @@
 		MaxBatch:                []int{1, 1, 10}[rng.IntN(3)],
 		MaxAttempts:             4 + rng.IntN(5),
 		MaxOpen:                 60 + rng.IntN(200),
-		ConcurrentCopies:        rng.IntN(2) == 0,
+		SecondCopies:            rng.IntN(2) == 0,
 		DrainGrace:              randomDuration(0.8, 1.5),
-		ColdStart: ColdStart{
-			OverloadFactor: 2.5,
-			OverloadWindow: 3 * time.Second,
-			InitialShare:   0.15,
-			WarmupTime:     9500 * time.Millisecond,
+		Recovery: Recovery{
+			OverloadMultiple: 2.5,
+			OverloadWindow:   3 * time.Second,
+			ColdCapacity:     0.15,
+			WarmupTime:       9500 * time.Millisecond,
 		},
 		DiskMB: []float64{0.5, 3, 3}[rng.IntN(3)],
 	}
 	sc.Classes = []Class{
-		{Name: "status", Effect: Retryable, Deadline: randomDuration(2, 7)},
+		{Name: "status", Idempotency: Idempotent, Deadline: randomDuration(2, 7)},
 		{
 			Name:         "order",
-			Effect:       Dedup,
+			Idempotency:  IdempotentByKey,
 			Deadline:     randomDuration(3, 7),
 			DedupWindow:  randomDuration(1.2, 6),
 			DedupPerZone: rng.IntN(3) == 0,
 		},
-		{Name: "charge", Effect: Fragile, Deadline: randomDuration(2, 7)},
+		{Name: "charge", Idempotency: NonIdempotent, Deadline: randomDuration(2, 7)},
 	}
 	for n := int(float64(senders)/2*duration.Seconds()/6) + 4; n > 0; n-- {
 		sc.Faults = append(sc.Faults, sc.randomFault(rng, only))
@@ -431,7 +431,7 @@
 			"deadline_s":  c.Deadline.Seconds(),
 			"worth":       1,
 			"late_worth":  0.4,
-			"idempotency": c.Effect,
+			"idempotency": c.Idempotency,
 			"group":       group,
 			"window_s":    max(c.DedupWindow, time.Second).Seconds(),
 		})
@@ -462,15 +462,15 @@
 			"may_cancel":        true,
 			"probing":           true,
 			"retry_after":       true,
-			"second_copies":     sc.ConcurrentCopies,
+			"second_copies":     sc.SecondCopies,
 		},
 		"load_info": map[string]any{"how": "off", "names": []string{}},
 		"rules": map[string]any{
-			"cold_from":      sc.ColdStart.InitialShare,
+			"cold_from":      sc.Recovery.ColdCapacity,
 			"drain_grace_s":  sc.DrainGrace.Seconds(),
-			"fall_multiple":  sc.ColdStart.OverloadFactor,
-			"fall_s":         sc.ColdStart.OverloadWindow.Seconds(),
-			"warm_after_s":   sc.ColdStart.WarmupTime.Seconds(),
+			"fall_multiple":  sc.Recovery.OverloadMultiple,
+			"fall_s":         sc.Recovery.OverloadWindow.Seconds(),
+			"warm_after_s":   sc.Recovery.WarmupTime.Seconds(),
 			"answer_slack_s": 0.02,
 			"ask_every_s":    10,
 		},
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -11,24 +11,24 @@
 // settingsJSON is the JSON object that an instance is started with. Unknown keys
 // are ignored.
 type settingsJSON struct {
-	Balancers      int      `json:"balancers"`
+	Senders        int      `json:"balancers"`
 	Zone           int      `json:"zone"`
 	Zones          []string `json:"zones"`
 	TickSeconds    float64  `json:"tick_s"`
 	MembershipMode string   `json:"membership_mode"`
-	Me             int      `json:"me"`
+	SenderNumber   int      `json:"me"`
 	Weights        string   `json:"weights"`
-	OverShareWorth float64  `json:"over_share_worth"`
+	OverQuotaValue float64  `json:"over_share_worth"`
 	Classes        []struct {
-		Name            string  `json:"name"`
-		AimSeconds      float64 `json:"aim_s"`
-		DeadlineSeconds float64 `json:"deadline_s"`
-		Worth           float64 `json:"worth"`
-		LateWorth       float64 `json:"late_worth"`
-		Idempotency     string  `json:"idempotency"`
-		Group           string  `json:"group"`
-		WindowSeconds   float64 `json:"window_s"`
-		KeepOrder       bool    `json:"keep_order"`
+		Name                 string  `json:"name"`
+		TargetLatencySeconds float64 `json:"aim_s"`
+		DeadlineSeconds      float64 `json:"deadline_s"`
+		Value                float64 `json:"worth"`
+		LateValue            float64 `json:"late_worth"`
+		Idempotency          string  `json:"idempotency"`
+		DedupGroup           string  `json:"group"`
+		DedupWindowSeconds   float64 `json:"window_s"`
+		KeepOrder            bool    `json:"keep_order"`
 	} `json:"classes"`
 	Tenants []struct {
 		Name     string  `json:"name"`
@@ -36,41 +36,41 @@
 	} `json:"tenants"`
 	MachineTypes []string `json:"machine_types"`
 	Limits       struct {
-		MaxAttempts           int     `json:"max_attempts"`
-		MaxOpen               int     `json:"max_open"`
-		ConnIdleSeconds       float64 `json:"conn_idle_s"`
-		ConnectTimeoutSeconds float64 `json:"connect_timeout_s"`
-		Multiplex             int     `json:"multiplex"`
-		MaxRetryAfterSeconds  float64 `json:"max_retry_after_s"`
-		MayCancel             bool    `json:"may_cancel"`
-		Probing               bool    `json:"probing"`
-		RetryAfter            bool    `json:"retry_after"`
-		SecondCopies          bool    `json:"second_copies"`
+		MaxAttempts            int     `json:"max_attempts"`
+		MaxOpen                int     `json:"max_open"`
+		ConnIdleTimeoutSeconds float64 `json:"conn_idle_s"`
+		ConnectTimeoutSeconds  float64 `json:"connect_timeout_s"`
+		CallsPerConn           int     `json:"multiplex"`
+		MaxRetryAfterSeconds   float64 `json:"max_retry_after_s"`
+		MayCancel              bool    `json:"may_cancel"`
+		Probing                bool    `json:"probing"`
+		RetryAfter             bool    `json:"retry_after"`
+		SecondCopies           bool    `json:"second_copies"`
 	} `json:"limits"`
 	Charges struct {
-		Handshake float64 `json:"handshake"`
+		ConnCost float64 `json:"handshake"`
 	} `json:"charges"`
 	LoadInfo struct {
-		How   string   `json:"how"`
+		Mode  string   `json:"how"`
 		Names []string `json:"names"`
 	} `json:"load_info"`
 	Rules struct {
-		DrainGraceSeconds float64 `json:"drain_grace_s"`
-		FallMultiple      float64 `json:"fall_multiple"`
-		FallSeconds       float64 `json:"fall_s"`
-		ColdFrom          float64 `json:"cold_from"`
-		WarmAfterSeconds  float64 `json:"warm_after_s"`
-		KeyQuietSeconds   float64 `json:"key_quiet_s"`
+		DrainGraceSeconds     float64 `json:"drain_grace_s"`
+		OverloadMultiple      float64 `json:"fall_multiple"`
+		OverloadWindowSeconds float64 `json:"fall_s"`
+		ColdCapacity          float64 `json:"cold_from"`
+		WarmupSeconds         float64 `json:"warm_after_s"`
+		KeyCooldownSeconds    float64 `json:"key_quiet_s"`
 	} `json:"rules"`
 	Specifics struct {
 		CallSlots      int    `json:"call_slots"`
-		Late           string `json:"late"`
-		BatchByKind    []int  `json:"batch_by_kind"`
+		LateDecay      string `json:"late"`
+		MaxBatchByKind []int  `json:"batch_by_kind"`
 		SeparateRoutes []bool `json:"separate_routes"`
 	} `json:"specifics"`
 }
 
-var effectByIdempotency = map[string]logic.Idempotency{
+var idempotencyByName = map[string]logic.Idempotency{
 	"retryable": logic.Idempotent,
 	"dedup":     logic.IdempotentByKey,
 	"fragile":   logic.NonIdempotent,
@@ -94,10 +94,10 @@
 type Deployment struct {
 	Settings        logic.Settings
 	SenderNumber    int      // number of this sender
-	Zones           []string // zone names, indexed by logic.Entry.Zone
+	Zones           []string // zone names, indexed by logic.EndpointEntry.Zone
 	ConnectTimeout  logic.Micros
 	SecondCopies    bool     // a message may be sent again while an attempt is still in flight
-	LoadMetricNames []string // indexed as logic.Reply.Load; nil if endpoints report no load
+	LoadMetricNames []string // indexed as logic.AttemptResult.Load; nil if endpoints report no load
 }
 
 // ParseSettings parses the module's settings from the JSON object of a create
@@ -116,12 +116,12 @@
 	settings, err := in.toSettings()
 	deployment := Deployment{
 		Settings:       settings,
-		SenderNumber:   in.Me,
+		SenderNumber:   in.SenderNumber,
 		Zones:          in.Zones,
 		ConnectTimeout: secondsToMicros(in.Limits.ConnectTimeoutSeconds),
 		SecondCopies:   in.Limits.SecondCopies,
 	}
-	if in.LoadInfo.How != "off" {
+	if in.LoadInfo.Mode != "off" {
 		deployment.LoadMetricNames = in.LoadInfo.Names
 	}
 	return deployment, err
@@ -129,13 +129,13 @@
 
 func (in *settingsJSON) toSettings() (logic.Settings, error) {
 	out := logic.Settings{
-		Senders:            in.Balancers,
+		Senders:            in.Senders,
 		Zone:               in.Zone,
 		Zones:              len(in.Zones),
 		CallSlots:          in.Specifics.CallSlots,
-		ConnIdleTimeout:    secondsToMicros(in.Limits.ConnIdleSeconds),
-		CallsPerConn:       in.Limits.Multiplex,
-		ConnCost:           in.Charges.Handshake,
+		ConnIdleTimeout:    secondsToMicros(in.Limits.ConnIdleTimeoutSeconds),
+		CallsPerConn:       in.Limits.CallsPerConn,
+		ConnCost:           in.Charges.ConnCost,
 		MaxOpen:            in.Limits.MaxOpen,
 		MaxAttempts:        in.Limits.MaxAttempts,
 		Tick:               secondsToMicros(in.TickSeconds),
@@ -143,15 +143,15 @@
 		Probing:            in.Limits.Probing,
 		MayCancel:          in.Limits.MayCancel,
 		RetryAfter:         in.Limits.RetryAfter,
-		ExponentialDecay:   in.Specifics.Late == "halves",
+		ExponentialDecay:   in.Specifics.LateDecay == "halves",
 		MaxRetryAfter:      secondsToMicros(in.Limits.MaxRetryAfterSeconds),
-		OverQuotaValue:     in.OverShareWorth,
+		OverQuotaValue:     in.OverQuotaValue,
 		DrainGrace:         secondsToMicros(in.Rules.DrainGraceSeconds),
-		OverloadMultiple:   in.Rules.FallMultiple,
-		OverloadWindow:     secondsToMicros(in.Rules.FallSeconds),
-		ColdCapacity:       in.Rules.ColdFrom,
-		WarmupTime:         secondsToMicros(in.Rules.WarmAfterSeconds),
-		KeyCooldown:        secondsToMicros(in.Rules.KeyQuietSeconds),
+		OverloadMultiple:   in.Rules.OverloadMultiple,
+		OverloadWindow:     secondsToMicros(in.Rules.OverloadWindowSeconds),
+		ColdCapacity:       in.Rules.ColdCapacity,
+		WarmupTime:         secondsToMicros(in.Rules.WarmupSeconds),
+		KeyCooldown:        secondsToMicros(in.Rules.KeyCooldownSeconds),
 		LoadRemainingIndex: -1,
 		LoadLimitIndex:     -1,
 	}
@@ -161,19 +161,19 @@
 	}
 	out.Weights = mode
 	for i, class := range in.Classes {
-		effect, ok := effectByIdempotency[class.Idempotency]
+		idempotency, ok := idempotencyByName[class.Idempotency]
 		if !ok {
 			return out, fmt.Errorf("classes[%d].idempotency: unknown value %q", i, class.Idempotency)
 		}
 		out.Classes = append(out.Classes, logic.Class{
 			Name:          class.Name,
-			TargetLatency: secondsToMicros(class.AimSeconds),
+			TargetLatency: secondsToMicros(class.TargetLatencySeconds),
 			Deadline:      secondsToMicros(class.DeadlineSeconds),
-			Value:         class.Worth,
-			LateValue:     class.LateWorth,
-			Idempotency:   effect,
-			DedupPerZone:  class.Group != "all" && class.Group != "",
-			DedupWindow:   secondsToMicros(class.WindowSeconds),
+			Value:         class.Value,
+			LateValue:     class.LateValue,
+			Idempotency:   idempotency,
+			DedupPerZone:  class.DedupGroup != "all" && class.DedupGroup != "",
+			DedupWindow:   secondsToMicros(class.DedupWindowSeconds),
 			KeepOrder:     class.KeepOrder,
 		})
 	}
@@ -182,15 +182,15 @@
 	}
 	for i, name := range in.MachineTypes {
 		kind := logic.DestinationKind{Name: name, MaxBatch: 1}
-		if i < len(in.Specifics.BatchByKind) {
-			kind.MaxBatch = in.Specifics.BatchByKind[i]
+		if i < len(in.Specifics.MaxBatchByKind) {
+			kind.MaxBatch = in.Specifics.MaxBatchByKind[i]
 		}
 		if i < len(in.Specifics.SeparateRoutes) {
 			kind.SeparateRoutes = in.Specifics.SeparateRoutes[i]
 		}
 		out.Kinds = append(out.Kinds, kind)
 	}
-	if in.LoadInfo.How != "off" {
+	if in.LoadInfo.Mode != "off" {
 		for i, name := range in.LoadInfo.Names {
 			switch name {
 			case "x0":
