--- a/cmd/cometrack/log.go
+++ b/cmd/cometrack/log.go
@@ -9,7 +9,7 @@
 
 const (
 	maxQueuedLines = 1024                   // lines that may be queued while the log reader is slow
-	closeTimeout   = 200 * time.Millisecond // most time to write the queued lines when the process ends
+	closeTimeout   = 200 * time.Millisecond // time limit for writing the queued lines when the process ends
 )
 
 // logWriter writes log lines in the background, because a stalled log reader must not block the sender. When the queue
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -63,7 +63,9 @@
 
 func TestRepliesInOrderAcrossRestarts(t *testing.T) {
 	var out bytes.Buffer
-	in := "frame 1 1\neob\n\nframe 2 2\ncreate 4 9 " + settingsJSON + "\nhalt 4\ncreate 4 10 " + settingsJSON + "\ncall 4 a 0 8 0 - - 0 5 - 0\neob\n" +
+	in := "frame 1 1\neob\n\nframe 2 2\ncreate 4 9 " + settingsJSON +
+		"\nhalt 4\ncreate 4 10 " + settingsJSON +
+		"\ncall 4 a 0 8 0 - - 0 5 - 0\neob\n" +
 		"frame 3 3\nhalt 4\ndue 4 1\nclient_gone 7 nobody\neob\n"
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -87,7 +89,8 @@
 	}
 }
 
-// With a thousand endpoints, unexpected events must still be ignored, and malformed input must still give a one-line error.
+// With a thousand endpoints, unexpected events must still be ignored, and malformed input must still give a one-line
+// error.
 func TestUnexpectedInputWithThousandEndpoints(t *testing.T) {
 	var b strings.Builder
 	fmt.Fprint(&b, "frame 1 1\nregister 0 1000\n")
@@ -97,7 +100,9 @@
 	fmt.Fprintf(&b, "create 0 7 %s\nendpoints 0 2 1 0\neob\n", settingsJSON)
 	start := b.String()
 	unexpected := start + "frame 2 2\nreply 0 nobody 1 100 0 completed 0.1 - -\ndue 0 9\ncall 0 rq 0 8 0 - - 0 499 - 0\neob\n"
-	if got := actionsByInstance(t, unexpected)["0"]; !slices.ContainsFunc(got, func(line string) bool { return strings.HasPrefix(line, "call_out 0 rq ") }) {
+	if got := actionsByInstance(t, unexpected)["0"]; !slices.ContainsFunc(got, func(line string) bool {
+		return strings.HasPrefix(line, "call_out 0 rq ")
+	}) {
 		t.Errorf("no call_out after unexpected events: %v", got)
 	}
 	for _, bad := range []string{"frame x 2\neob\n", "frame 2 2\ncall 0\neob\n", "frame 2 2\nnonsense 0\neob\n"} {
--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -200,7 +200,8 @@
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	var cli commandLine
 	helpPrinted := false
-	parser, err := kong.New(&cli, kong.Name("hollow"), kong.Description("Runs scenarios of a fleet of senders on one machine."),
+	parser, err := kong.New(&cli, kong.Name("hollow"),
+		kong.Description("Runs scenarios of a fleet of senders on one machine."),
 		kong.Writers(out, errOut), kong.Exit(func(int) { helpPrinted = true }))
 	if err != nil {
 		fmt.Fprintln(errOut, "hollow:", err)
@@ -215,7 +216,13 @@
 		return 2
 	}
 	debug.SetMemoryLimit(int64(cli.Memory * 1e6))
-	err = command.Run(&environment{ctx: ctx, out: out, errOut: errOut, scenarioDir: cli.Dir, maxMemoryMB: cli.Memory})
+	err = command.Run(&environment{
+		ctx:         ctx,
+		out:         out,
+		errOut:      errOut,
+		scenarioDir: cli.Dir,
+		maxMemoryMB: cli.Memory,
+	})
 	var fieldErr *hollow.FieldError
 	switch {
 	case err == nil:
--- a/cmd/hollow/main_test.go
+++ b/cmd/hollow/main_test.go
@@ -17,7 +17,11 @@
 func scenarioDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	for name, text := range map[string]string{"quick.toml": quickScenario, "bad.txt": "", "sub/bad.toml": "[fleet]\nsenders = 0\n"} {
+	for name, text := range map[string]string{
+		"quick.toml":   quickScenario,
+		"bad.txt":      "",
+		"sub/bad.toml": "[fleet]\nsenders = 0\n",
+	} {
 		path := filepath.Join(dir, name)
 		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 			t.Fatal(err)
@@ -81,7 +85,8 @@
 	}
 	for _, args := range []string{"run long", "sweep long --senders 2,20"} {
 		var out, errs strings.Builder
-		if code := run(ctx, append([]string{"--dir", dir}, strings.Fields(args)...), &out, &errs); code != 0 || !strings.Contains(out.String(), "CUT SHORT") {
+		if code := run(ctx, append([]string{"--dir", dir}, strings.Fields(args)...), &out, &errs); code != 0 ||
+			!strings.Contains(out.String(), "CUT SHORT") {
 			t.Errorf("%s: code %d\n%s%s", args, code, out.String(), errs.String())
 		}
 	}
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -44,7 +44,8 @@
 
 func run(args []string, out, errOut io.Writer) int {
 	var opt options
-	parser, err := kong.New(&opt, kong.Name("soak"), kong.Writers(out, errOut), kong.Description("Runs real senders under random faults."))
+	parser, err := kong.New(&opt, kong.Name("soak"), kong.Writers(out, errOut),
+		kong.Description("Runs real senders under random faults."))
 	if err != nil {
 		fmt.Fprintln(errOut, err)
 		return 2
@@ -85,7 +86,7 @@
 	}
 	var mu sync.Mutex
 	var total soak.Counts
-	violationsByRule, overlaps, runs, failed := map[soak.Rule]int{}, map[string]int{}, 0, 0
+	violationsByRule, overlaps, runs, runsWithViolations := map[soak.Rule]int{}, map[string]int{}, 0, 0
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
 	for range max(o.Parallel, 1) {
@@ -107,7 +108,7 @@
 						overlaps[pair] += n
 					}
 					if len(result.Violations) > 0 {
-						failed++
+						runsWithViolations++
 						violated = true
 					}
 				}
@@ -120,8 +121,8 @@
 	}
 	close(seeds)
 	workers.Wait()
-	fmt.Fprintf(out, "total: %d runs, %d with violations; %s; %d pairs of fault kinds overlapped\n", runs, failed,
-		formatCounts(total), len(overlaps))
+	fmt.Fprintf(out, "total: %d runs, %d with violations; %s; %d pairs of fault kinds overlapped\n",
+		runs, runsWithViolations, formatCounts(total), len(overlaps))
 	for _, rule := range slices.Sorted(maps.Keys(violationsByRule)) {
 		fmt.Fprintf(out, "  %s: %d\n", rule, violationsByRule[rule])
 	}
@@ -180,8 +181,10 @@
 }
 
 func formatCounts(c soak.Counts) string {
-	return fmt.Sprintf("offered %d, accepted %d, refused %d, failed %d, unanswered %d; delivered %d, returned %d, failed later %d; calls %d, repeats %d, restarts %d",
-		c.Offered, c.Accepted, c.Rejected, c.Failed, c.Unanswered, c.Delivered, c.Returned, c.FailedAfterAccept, c.Calls, c.Retries, c.Restarts)
+	return fmt.Sprintf(
+		"offered %d, accepted %d, rejected %d, failed %d, unanswered %d; delivered %d, returned %d, failed later %d; calls %d, retries %d, restarts %d",
+		c.Offered, c.Accepted, c.Rejected, c.Failed, c.Unanswered, c.Delivered, c.Returned, c.FailedAfterAccept,
+		c.Calls, c.Retries, c.Restarts)
 }
 
 // maxPrintedViolations is the maximum number of violations printed for a run.
@@ -189,8 +192,9 @@
 
 func (o *options) printResult(out io.Writer, result *soak.Result) {
 	sc := result.Scenario
-	fmt.Fprintf(out, "seed %d: %d violations; %s; %d faults, timers up to %d ms late\n", sc.Seed, len(result.Violations),
-		formatCounts(result.Counts), len(sc.Faults), result.MaxTimerDelay.Milliseconds())
+	fmt.Fprintf(out, "seed %d: %d violations; %s; %d faults, timers up to %d ms late\n",
+		sc.Seed, len(result.Violations), formatCounts(result.Counts), len(sc.Faults),
+		result.MaxTimerDelay.Milliseconds())
 	if o.Troubles || len(result.Violations) > 0 {
 		for _, fault := range sc.Faults {
 			fmt.Fprintf(out, "    %s\n", fault)
@@ -208,6 +212,7 @@
 		if len(o.Only) > 0 {
 			only = " --only " + strings.Join(o.Only, ",")
 		}
-		fmt.Fprintf(out, "  rerun: soak --from %d --senders %d --length %v%s --keep DIR\n", sc.Seed, o.Senders, o.Length, only)
+		fmt.Fprintf(out, "  rerun: soak --from %d --senders %d --length %v%s --keep DIR\n",
+			sc.Seed, o.Senders, o.Length, only)
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
 // Package clock provides a clock that stays consistent across process restarts.
 //
-// Deadlines, windows and waits are spans of real time, but the wall clock may be
-// stepped by seconds or an hour. Within a process, the monotonic readings of
+// Deadlines, windows and waits are durations of real time, but the wall clock may be
+// stepped, by seconds or by an hour. Within a process, the monotonic readings of
 // package time are immune to such steps, but they mean nothing to the next
 // process. The kernel's boot-time clock is valid across processes until the
 // machine reboots. A [Persistent] clock counts microseconds since the Unix epoch:
--- a/internal/faultinject/build.go
+++ b/internal/faultinject/build.go
@@ -60,8 +60,8 @@
 	"	sec, nsec, mono := plannedNow()\n	if mono == 0 {",
 }}
 
-// Build compiles the main package pkg, a path relative to dir, with fault injection and writes the program to out. flags
-// are additional flags of go build.
+// Build compiles the main package pkg, a path relative to dir, with fault injection and writes the program to out.
+// flags are additional flags of go build.
 func Build(ctx context.Context, dir, pkg, out string, flags ...string) error {
 	workDir, err := os.MkdirTemp("", "faultinject")
 	if err != nil {
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// writeOverlay writes the modified files and the JSON file for the -overlay flag of the go command to workDir. It returns
-// the path of the JSON file.
+// writeOverlay writes the modified files and the JSON file for the -overlay flag of the go command to workDir. It
+// returns the path of the JSON file.
 func writeOverlay(ctx context.Context, workDir string) (string, error) {
 	text, err := exec.CommandContext(ctx, "go", "env", "GOROOT").Output()
 	if err != nil {
@@ -103,7 +103,8 @@
 		edited := string(text)
 		for _, e := range edits {
 			if strings.Count(edited, e.old) != 1 {
-				return fmt.Errorf("%s of %s does not have the expected text; the edits must be adapted to this Go version", name, runtime.Version())
+				return fmt.Errorf("%s of %s does not have the expected text; the edits must be adapted to this Go version",
+					name, runtime.Version())
 			}
 			edited = strings.Replace(edited, e.old, e.replacement, 1)
 		}
--- a/internal/faultinject/build_test.go
+++ b/internal/faultinject/build_test.go
@@ -25,7 +25,7 @@
 
 func main() {
 	dir := os.Args[1]
-	begun, wall := time.Now(), time.Now().Unix()
+	start, wall := time.Now(), time.Now().Unix()
 	_, err := os.Create(filepath.Join(dir, "refused"))
 	fmt.Println("create", errors.Is(err, syscall.ENOSPC))
 	_, err = os.Create(filepath.Join(os.TempDir(), "elsewhere"))
@@ -39,7 +39,7 @@
 	}
 	n, err := f.WriteAt(make([]byte, 100), 0)
 	fmt.Println("write", n, err)
-	fmt.Println("step", (time.Now().Unix()-wall+50)/100, time.Since(begun) < 2*time.Second)
+	fmt.Println("step", (time.Now().Unix()-wall+50)/100, time.Since(start) < 2*time.Second)
 }
 `
 
--- a/internal/faultinject/plan.go
+++ b/internal/faultinject/plan.go
@@ -85,11 +85,11 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "state %s\n", p.StateDir)
 	for _, f := range p.Faults {
-		trap, ok := SyscallNumbers[f.Call]
+		number, ok := SyscallNumbers[f.Call]
 		if !ok {
 			return fmt.Errorf("fault plan: unknown system call %q", f.Call)
 		}
-		fmt.Fprintf(&b, "fault %d %d %d %d %d %d %d %d\n", trap, f.Target, f.Errno, f.MaxBytes, f.Delay, f.From, f.To,
+		fmt.Fprintf(&b, "fault %d %d %d %d %d %d %d %d\n", number, f.Target, f.Errno, f.MaxBytes, f.Delay, f.From, f.To,
 			int64(f.Probability*probabilityScale))
 	}
 	for _, s := range p.ClockSteps {
--- a/internal/hollow/call.go
+++ b/internal/hollow/call.go
@@ -23,8 +23,14 @@
 // startCall starts the attempt that the module asked for.
 func (s *sender) startCall(a logic.Send) {
 	f, m := s.fleet, s.messages[a.ID]
-	c := &call{sender: s, message: m, endpointID: a.Endpoint, endpoint: f.endpointsByAddr[s.directory.Addr(a.Endpoint)],
-		attempt: m.attempts, startedAt: f.now}
+	c := &call{
+		sender:     s,
+		message:    m,
+		endpointID: a.Endpoint,
+		endpoint:   f.endpointsByAddr[s.directory.Addr(a.Endpoint)],
+		attempt:    m.attempts,
+		startedAt:  f.now,
+	}
 	m.call = c
 	m.attempts++
 	if !m.mayHaveRun {
@@ -42,8 +48,8 @@
 	c.connect()
 }
 
-// recordOutageSend counts a call whose endpoint is in an outage, and starts timing how long the sender takes to detect
-// that outage.
+// recordOutageSend counts a call whose endpoint is in an outage. With the first such call it starts to measure
+// how long the sender takes to detect the outage.
 func (s *sender) recordOutageSend(c *call) {
 	o := c.endpoint.currentOutage()
 	if o == nil {
@@ -107,7 +113,9 @@
 		}
 		if limit := f.scenario.Destinations.MaxConnections; limit > 0 && c.endpoint.connCount >= limit {
 			f.stats.OverConnLimit++
-			f.scheduleAfter(returnDelay+f.scenario.Destinations.HandshakeTime.Micros, func() { c.finish(logic.Refused, 0, nil) })
+			f.scheduleAfter(returnDelay+f.scenario.Destinations.HandshakeTime.Micros, func() {
+				c.finish(logic.Refused, 0, nil)
+			})
 			return
 		}
 		c.endpoint.connCount++
@@ -137,7 +145,8 @@
 	case c.endpoint.unresponsive():
 	case c.conn.epoch != c.endpoint.epoch || c.endpoint.refusesConns():
 		c.respond(logic.ConnLost, 0, nil)
-	case d.outage != nil: // without a load report the answer would mean that the connection limit is reached
+	case d.outage != nil:
+		// Without a load report the answer would mean that the connection limit is reached.
 		c.respond(logic.Refused, 0, d.loadReport(f.now))
 	case d.recordArrival(f.now, c.sender.number):
 		f.stats.Relapses++
@@ -148,11 +157,11 @@
 		c.respond(logic.ConnLost, 0, nil)
 	case !d.admit(f.now):
 		f.stats.OverLimit++
-		wait := logic.Micros(0)
+		retryAfter := logic.Micros(0)
 		if config.RefusalStatus == "429" {
-			wait = config.RetryAfter.Micros
+			retryAfter = config.RetryAfter.Micros
 		}
-		c.respond(logic.Refused, wait, d.loadReport(f.now))
+		c.respond(logic.Refused, retryAfter, d.loadReport(f.now))
 	default:
 		c.endpoint.serving = append(c.endpoint.serving, c)
 		epoch := c.endpoint.epoch
@@ -180,8 +189,8 @@
 	}
 }
 
-// cancel ends the call from the sender's side. A call that was still connecting cannot have run, so its outcome is that of
-// a refused connection.
+// cancel ends the call from the sender's side. A call that was still connecting cannot have run, so its
+// outcome is that of a refused connection.
 func (c *call) cancel(outcome logic.Outcome) {
 	if !c.requestSent {
 		outcome = logic.ConnRefused
@@ -219,11 +228,19 @@
 	} else if messageClosed {
 		delete(s.messages, m.id)
 	}
-	if retryAfter > 0 { // covers all endpoints of the destination, which share one limit
+	if retryAfter > 0 { // the wait is for all endpoints of the destination, which share one limit
 		s.abortConnecting(func(x *call) bool { return x.endpoint.destination == c.endpoint.destination })
 	}
-	s.enqueue(logic.AttemptResult{ID: m.id, Final: m.closed, Endpoint: c.endpointID, Attempt: c.attempt, Outcome: outcome,
-		Latency: f.now - c.startedAt, RetryAfter: retryAfter, Load: load})
+	s.enqueue(logic.AttemptResult{
+		ID:         m.id,
+		Final:      m.closed,
+		Endpoint:   c.endpointID,
+		Attempt:    c.attempt,
+		Outcome:    outcome,
+		Latency:    f.now - c.startedAt,
+		RetryAfter: retryAfter,
+		Load:       load,
+	})
 }
 
 // keepIdleConn keeps a connection for later calls and closes it after the idle timeout.
--- a/internal/hollow/clock.go
+++ b/internal/hollow/clock.go
@@ -54,8 +54,8 @@
 
 func (c *clock) scheduleAfter(d logic.Micros, do func()) { c.scheduleAt(c.now+d, do) }
 
-// runNext advances to the next event that is due by until and runs it. If there is none, it advances to until and returns
-// false.
+// runNext advances to the next event that is due by until and runs it. If there is none, it advances to until and
+// returns false.
 func (c *clock) runNext(until logic.Micros) bool {
 	if len(c.events) == 0 || c.events[0].at > until {
 		c.now = max(c.now, until)
--- a/internal/hollow/destination.go
+++ b/internal/hollow/destination.go
@@ -10,7 +10,7 @@
 // Outage modes of a destination.
 const (
 	outageRefused      = "refused" // connections are refused, calls in progress are reset
-	outageUnresponsive = "silent"  // no packet is answered, so that connects time out
+	outageUnresponsive = "silent"  // nothing is answered, so that connection attempts time out
 	outageUnavailable  = "503"     // each call is answered 503 immediately
 )
 
@@ -77,9 +77,15 @@
 }
 
 func newDestination(id int, sc *Scenario) *destination {
-	return &destination{id: id, config: &sc.Destinations, recovery: &sc.Recovery, rng: newRand(sc.Seed, "destination", id),
-		limitFactor: 1, recoveredAt: -1,
-		bucket: tokenBucket{capacity: sc.Destinations.Burst, tokens: sc.Destinations.Burst}}
+	return &destination{
+		id:          id,
+		config:      &sc.Destinations,
+		recovery:    &sc.Recovery,
+		rng:         newRand(sc.Seed, "destination", id),
+		limitFactor: 1,
+		recoveredAt: -1,
+		bucket:      tokenBucket{capacity: sc.Destinations.Burst, tokens: sc.Destinations.Burst},
+	}
 }
 
 // isCold reports whether the destination is still below its full limit after an outage.
@@ -91,7 +97,8 @@
 func (d *destination) rate(now logic.Micros) float64 {
 	r := d.config.Rate * d.limitFactor
 	if d.isCold(now) {
-		r *= d.recovery.ColdCapacity + (1-d.recovery.ColdCapacity)*float64(now-d.recoveredAt)/float64(d.recovery.WarmupTime.Micros)
+		r *= d.recovery.ColdCapacity +
+			(1-d.recovery.ColdCapacity)*float64(now-d.recoveredAt)/float64(d.recovery.WarmupTime.Micros)
 	}
 	return r
 }
@@ -113,7 +120,8 @@
 		i++
 	}
 	d.recentArrivals = append(d.recentArrivals[i:], arrival{now, d.informed[sender]})
-	allowed := d.recovery.OverloadMultiple * d.rate(now) * float64(d.recovery.OverloadWindow.Micros) / float64(logic.Second)
+	allowed := d.recovery.OverloadMultiple * d.rate(now) *
+		float64(d.recovery.OverloadWindow.Micros) / float64(logic.Second)
 	w := ColdWindow{d.id, len(d.recentArrivals), maxWindowCalls(allowed)}
 	if w.ratio() > d.worstWindow.ratio() {
 		d.worstWindow = w
@@ -121,7 +129,8 @@
 	return float64(w.Calls) > w.Allowed
 }
 
-// mostlyInformed reports whether over two thirds of the calls in the window came from senders that knew of the outage.
+// mostlyInformed reports whether over two thirds of the calls in the window came from senders that knew of the
+// outage.
 func (d *destination) mostlyInformed() bool {
 	n := 0
 	for _, a := range d.recentArrivals {
@@ -147,7 +156,8 @@
 	d.recentCallsAt = now
 }
 
-// loadReport returns the load figures sent with an answer: the unused share of the limit, and the limit when warm.
+// loadReport returns the load figures sent with an answer: the unused fraction of the limit, and the limit when
+// warm.
 func (d *destination) loadReport(now logic.Micros) []float64 {
 	if !d.config.ReportsLoad {
 		return nil
@@ -189,5 +199,6 @@
 
 // refusesConns reports whether the endpoint's machine is up but no process listens on it.
 func (e *endpoint) refusesConns() bool {
-	return e.machine.outage == nil && (e.closed || e.destination.outage != nil && e.destination.outage.mode == outageRefused)
+	return e.machine.outage == nil &&
+		(e.closed || e.destination.outage != nil && e.destination.outage.mode == outageRefused)
 }
--- a/internal/hollow/discovery.go
+++ b/internal/hollow/discovery.go
@@ -36,15 +36,19 @@
 
 // toNodeList converts the list to the form that the directory reads.
 func (l listResponse) toNodeList() node.EndpointList {
-	out := node.EndpointList{Generation: l.Generation, Reset: l.Reset, Instances: make([]node.Instance, len(l.Instances))}
+	out := node.EndpointList{
+		Generation: l.Generation,
+		Reset:      l.Reset,
+		Instances:  make([]node.Instance, len(l.Instances)),
+	}
 	for i, x := range l.Instances {
 		out.Instances[i] = x.Instance
 	}
 	return out
 }
 
-// listEntry is an instance with the list generations in which it was added, began to drain and was removed; 0 for a step
-// that has not happened.
+// listEntry is an instance with the list generations in which it was added, began to drain and was removed; 0 for
+// a step that has not happened.
 type listEntry struct {
 	instance
 	endpoint                       *endpoint
@@ -105,9 +109,18 @@
 
 // add adds an endpoint to the list.
 func (d *discovery) add(e *endpoint, generation int64) *listEntry {
-	entry := &listEntry{endpoint: e, addedIn: generation, instance: instance{Instance: node.Instance{
-		ID: fmt.Sprintf("s-%08x", e.number), HostPort: e.addr, Zone: d.zoneNames[e.machine.zone], MachineType: machineType,
-		Dest: int64(e.destination.id), Weight: 1}}}
+	entry := &listEntry{
+		endpoint: e,
+		addedIn:  generation,
+		instance: instance{Instance: node.Instance{
+			ID:          fmt.Sprintf("s-%08x", e.number),
+			HostPort:    e.addr,
+			Zone:        d.zoneNames[e.machine.zone],
+			MachineType: machineType,
+			Dest:        int64(e.destination.id),
+			Weight:      1,
+		}},
+	}
 	if d.fleet.scenario.Destinations.NominalWeights {
 		entry.Weight = d.fleet.scenario.Destinations.Rate
 	}
@@ -133,8 +146,8 @@
 	return d.lastFullList
 }
 
-// changesBetween returns the changes sent to a watch that has generation from when the list is at generation to, and the
-// size of their JSON body.
+// changesBetween returns the changes sent to a watch that has generation from when the list is at generation to,
+// and the size of their JSON body.
 func (d *discovery) changesBetween(from, to int64) (node.EndpointList, int64) {
 	if d.delta.Generation != to || d.deltaFrom != from {
 		seen := map[*listEntry]bool{}
@@ -160,7 +173,8 @@
 // publish creates a generation with the changed entries and sends it to all agents.
 func (d *discovery) publish(entries ...*listEntry) {
 	f := d.fleet
-	d.changedEntries, d.changedAt, d.maxLag = append(d.changedEntries, entries), append(d.changedAt, f.now), append(d.maxLag, 0)
+	d.changedEntries, d.changedAt, d.maxLag =
+		append(d.changedEntries, entries), append(d.changedAt, f.now), append(d.maxLag, 0)
 	d.pendingSenders = append(d.pendingSenders, len(f.senders))
 	f.traceEvent(traceListChange, int(d.generation()), len(entries), 0)
 	for _, s := range f.senders {
@@ -234,8 +248,8 @@
 	})
 }
 
-// propagation summarizes how long list changes took until all senders had applied them, and counts the changes that some
-// sender has not applied yet.
+// propagation summarizes how long list changes took until all senders had applied them, and counts the changes
+// that some sender has not applied yet.
 func (d *discovery) propagation() (p Propagation) {
 	sum := 0.0
 	for g := 2; g < len(d.changedAt); g++ {
--- a/internal/hollow/doc.go
+++ b/internal/hollow/doc.go
@@ -27,16 +27,16 @@
 //   - Clients ("Clients to senders"): Poisson arrivals at each sender; destinations
 //     are equally popular or follow Zipf's law. A client whose sender dies submits
 //     its message to another one, after 400 ms if the machine has vanished. A
-//     refused message counts as returned and is not submitted again.
+//     rejected message counts as returned and is not submitted again.
 //   - Destinations ("Senders to endpoints"): a token bucket shared by a
 //     destination's endpoints; above it calls are answered 429 with a wait, or 503.
 //     An admitted call takes a lognormal time, and there is no queue. One call
 //     carries one message. Load reports give the share of the limit that was unused
 //     over the last second (x0) and the limit of a warm destination (x1); every
-//     answer carries one except the refusal for too many connections.
+//     answer carries one, except when the connection limit is reached.
 //   - Outages: all endpoints of a destination refuse connections (calls in progress
 //     are reset), stop answering, or answer 503. After each outage the destination
-//     is cold: its limit rises linearly from a share of it to the full value. It
+//     is cold: its limit rises linearly from a fraction to the full value. It
 //     relapses into an outage when more than N + 2√N + 2 calls arrive within a
 //     window, N being the configured multiple of what the current limit admits in
 //     that window.
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -61,7 +61,7 @@
 
 // Options are the options of a run that are not part of its scenario.
 type Options struct {
-	MemoryMB float64        // a run with a higher estimate is refused; 0 for no limit
+	MemoryMB float64        // a run with a higher estimate is not started; 0 for no limit
 	Progress func(Progress) // called every few seconds of a long run; may be nil
 }
 
@@ -77,13 +77,15 @@
 	progressEvery  = 5 * time.Second
 )
 
-// Run simulates a scenario. If ctx ends first, the report is marked as interrupted and holds what was measured until then.
+// Run simulates a scenario. If ctx ends first, the report is marked as interrupted and holds what was measured until
+// then.
 func Run(ctx context.Context, sc *Scenario, opts Options) (*Report, error) {
 	if err := sc.validate("scenario", nil); err != nil { // the caller may have changed fields after loading
 		return nil, err
 	}
 	if needMB := sc.MemoryMB(); opts.MemoryMB > 0 && needMB > opts.MemoryMB {
-		return nil, fmt.Errorf("%d senders with %d destinations of %d endpoints need about %.0f MB, but %.0f MB is the limit; use fewer senders or destinations",
+		return nil, fmt.Errorf(
+			"%d senders with %d destinations of %d endpoints need about %.0f MB, but %.0f MB is the limit; use fewer senders or destinations",
 			sc.Fleet.Senders, sc.Destinations.Count, sc.Destinations.Endpoints, needMB, opts.MemoryMB)
 	}
 	wallStart, cpuStart := time.Now(), cpuTime()
@@ -122,8 +124,14 @@
 }
 
 func newFleet(sc *Scenario) *fleet {
-	f := &fleet{scenario: sc, topology: newTopology(sc), endpointsByAddr: map[string]*endpoint{},
-		changesRand: newRand(sc.Seed, "changes", 0), stats: newStats(), digest: fnv.New64a()}
+	f := &fleet{
+		scenario:        sc,
+		topology:        newTopology(sc),
+		endpointsByAddr: map[string]*endpoint{},
+		changesRand:     newRand(sc.Seed, "changes", 0),
+		stats:           newStats(),
+		digest:          fnv.New64a(),
+	}
 	f.discovery = newDiscovery(f)
 	for i := range sc.Destinations.Count {
 		d := newDestination(i, sc)
@@ -154,8 +162,12 @@
 // newEndpoint creates an endpoint on its own machine.
 func (f *fleet) newEndpoint(d *destination, zone int) *endpoint {
 	number, racks := len(f.endpoints), f.scenario.Fleet.RacksPerZone
-	e := &endpoint{destination: d, number: number, addr: fmt.Sprintf("10.%d.%d.%d:6379", number>>16, number>>8&255, number&255),
-		machine: &machine{zone: zone, rack: zone*racks + number/f.scenario.Fleet.Zones%racks}}
+	e := &endpoint{
+		destination: d,
+		number:      number,
+		addr:        fmt.Sprintf("10.%d.%d.%d:6379", number>>16, number>>8&255, number&255),
+		machine:     &machine{zone: zone, rack: zone*racks + number/f.scenario.Fleet.Zones%racks},
+	}
 	f.endpoints = append(f.endpoints, e)
 	d.endpoints = append(d.endpoints, e)
 	f.endpointsByAddr[e.addr] = e
@@ -193,7 +205,8 @@
 	}
 }
 
-// scheduleDaily runs do as a Poisson process with perDay events a day on average, for as long as clients submit messages.
+// scheduleDaily runs do as a Poisson process with perDay events per day on average, for as long as clients submit
+// messages.
 func (f *fleet) scheduleDaily(rng *rand.Rand, perDay float64, do func()) {
 	if perDay <= 0 {
 		return
@@ -250,8 +263,8 @@
 	return min(i, len(sums)-1)
 }
 
-// submit gives a message to a sender, or to another sender if that one is down. A client notices a dead process at once,
-// and a vanished machine only by a timeout.
+// submit gives a message to a sender, or to another sender if that one is down. A client notices at once that a
+// process has ended, but that a machine has vanished only by a timeout.
 func (f *fleet) submit(s *sender, m *clientMessage) {
 	switch {
 	case s.up:
@@ -263,7 +276,8 @@
 	}
 }
 
-// redirect submits a message to any sender that is up, after a delay. Past its deadline it fails.
+// redirect submits a message to any sender that is up, after a delay. A message whose deadline has passed by then
+// fails.
 func (f *fleet) redirect(s *sender, m *clientMessage, delay logic.Micros) {
 	f.stats.withClients++
 	f.scheduleAfter(delay, func() {
--- a/internal/hollow/fleet_test.go
+++ b/internal/hollow/fleet_test.go
@@ -11,16 +11,33 @@
 	"rundeal/logic"
 )
 
-// smallScenario is a short scenario with restarts, lost machines, all outage modes, list changes, a failed zone and a cut
-// link between regions.
+// smallScenario is a short scenario with restarts, lost machines, all outage modes, list changes, a failed zone and
+// a cut link between regions.
 func smallScenario() *Scenario {
 	sc := Default()
 	sc.Duration, sc.Drain, sc.Day = seconds(20), seconds(16), seconds(20)
 	sc.Fleet.Senders, sc.Fleet.Regions, sc.Fleet.Zones, sc.Fleet.RestartsPerDay, sc.Fleet.LossesPerDay = 6, 2, 3, 8, 3
 	sc.Traffic.Rate, sc.Traffic.Popularity = 60, "zipf"
-	sc.Classes = []ClassConfig{defaultClass,
-		{Name: "keyed", Share: 0.5, TargetLatency: seconds(1), Deadline: seconds(8), Value: 1, Idempotency: "keyed", DedupWindow: seconds(6)},
-		{Name: "unsafe", Share: 0.5, TargetLatency: seconds(1), Deadline: seconds(8), Value: 1, Idempotency: "unsafe"}}
+	sc.Classes = []ClassConfig{
+		defaultClass,
+		{
+			Name:          "keyed",
+			Share:         0.5,
+			TargetLatency: seconds(1),
+			Deadline:      seconds(8),
+			Value:         1,
+			Idempotency:   "keyed",
+			DedupWindow:   seconds(6),
+		},
+		{
+			Name:          "unsafe",
+			Share:         0.5,
+			TargetLatency: seconds(1),
+			Deadline:      seconds(8),
+			Value:         1,
+			Idempotency:   "unsafe",
+		},
+	}
 	sc.Destinations.Count, sc.Destinations.Rate, sc.Destinations.ReportsLoad, sc.Destinations.DownShare = 6, 20, true, 0.1
 	sc.Destinations.RefusalStatus, sc.Destinations.RetryAfter, sc.Destinations.OutageMode = "429", seconds(0.3), "mixed"
 	sc.Destinations.MaxConnections, sc.Destinations.MeanOutage = 8, seconds(3)
@@ -54,15 +71,15 @@
 	}
 }
 
-// Whatever fails, each message ends exactly once or is still held, and none is held once the longest deadline has passed.
-// A message that ends twice makes the run return an error.
+// Whatever fails, each message ends exactly once or is still held, and none is held once the longest deadline has
+// passed. A message that ends twice makes the run return an error.
 func TestEachMessageEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sc := smallScenario()
 		sc.Seed = rapid.Uint64().Draw(t, "seed")
 		sc.Duration, sc.Day = seconds(6), seconds(6)
-		cut := rapid.Bool().Draw(t, "cut")
-		if cut {
+		withoutDrain := rapid.Bool().Draw(t, "cut")
+		if withoutDrain {
 			sc.Drain = Span{}
 		}
 		sc.Fleet.Senders = rapid.IntRange(1, 20).Draw(t, "senders")
@@ -86,14 +103,14 @@
 		if sum := r.Delivered + r.Returned + r.Failed + r.Held; sum != r.Offered {
 			t.Fatalf("%d messages offered, %d accounted for: %+v", r.Offered, sum, r.Counts)
 		}
-		if !cut && r.Held != 0 {
+		if !withoutDrain && r.Held != 0 {
 			t.Fatalf("%d messages held after the longest deadline", r.Held)
 		}
 	})
 }
 
-// A killed process leaves its journal, so that after the restart its messages are tried again and an attempt whose outcome
-// is unknown still counts as one that may have run. A message not yet in the journal goes back to its client.
+// A killed process leaves its journal, so that after the restart its messages are sent again and an attempt whose
+// outcome is unknown still counts as one that may have run. A message not yet in the journal goes back to its client.
 func TestRestartKeepsJournal(t *testing.T) {
 	sc := Default()
 	sc.Fleet.Senders, sc.Destinations.Count, sc.Classes = 1, 1, []ClassConfig{defaultClass}
--- a/internal/hollow/live.go
+++ b/internal/hollow/live.go
@@ -27,7 +27,7 @@
 const (
 	readyTimeout       = 30 * time.Second       // for a process to become ready
 	stopTimeout        = 5 * time.Second        // from SIGTERM until SIGKILL
-	liveClientTimeout  = 400 * time.Millisecond // for an answer to a client ("Clients to senders")
+	liveClientTimeout  = 400 * time.Millisecond // for connecting and for an answer ("Clients to senders")
 	maxBodyBytes       = 64 << 10               // the protocol's limit
 	procTicksPerSecond = 100                    // unit of the times in /proc/PID/stat (USER_HZ on Linux)
 	maxLiveSenders     = 200                    // processes
@@ -183,8 +183,13 @@
 	if err != nil {
 		return "", err
 	}
-	srv := &http.Server{Handler: handler, IdleTimeout: idleTimeout, ReadHeaderTimeout: readyTimeout, ConnState: onConnState,
-		BaseContext: func(net.Listener) context.Context { return ctx }}
+	srv := &http.Server{
+		Handler:           handler,
+		IdleTimeout:       idleTimeout,
+		ReadHeaderTimeout: readyTimeout,
+		ConnState:         onConnState,
+		BaseContext:       func(net.Listener) context.Context { return ctx },
+	}
 	wg.Add(2)
 	go func() {
 		defer wg.Done()
@@ -210,22 +215,30 @@
 			zone := (i + k*max(l.scenario.Fleet.Zones/l.scenario.Destinations.Endpoints, 1)) % l.scenario.Fleet.Zones
 			mux := http.NewServeMux()
 			mux.HandleFunc("POST /inbox", func(w http.ResponseWriter, r *http.Request) { l.handleInbox(w, r, d) })
-			addr, err := l.serve(ctx, wg, mux, toDuration(l.scenario.Destinations.ConnIdleTimeout), func(_ net.Conn, s http.ConnState) {
-				if s == http.StateNew {
-					l.mu.Lock()
-					l.stats.Connections++
-					l.mu.Unlock()
-				}
-			})
+			addr, err := l.serve(ctx, wg, mux, toDuration(l.scenario.Destinations.ConnIdleTimeout),
+				func(_ net.Conn, state http.ConnState) {
+					if state == http.StateNew {
+						l.mu.Lock()
+						l.stats.Connections++
+						l.mu.Unlock()
+					}
+				})
 			if err != nil {
 				return err
 			}
-			inst := node.Instance{ID: fmt.Sprintf("s-%08x", len(full.Instances)), HostPort: addr, Zone: fmt.Sprint("z", zone),
-				MachineType: machineType, Dest: int64(i), Lifecycle: "up", Weight: 1}
+			entry := node.Instance{
+				ID:          fmt.Sprintf("s-%08x", len(full.Instances)),
+				HostPort:    addr,
+				Zone:        fmt.Sprint("z", zone),
+				MachineType: machineType,
+				Dest:        int64(i),
+				Lifecycle:   "up",
+				Weight:      1,
+			}
 			if l.scenario.Destinations.NominalWeights {
-				inst.Weight = l.scenario.Destinations.Rate
+				entry.Weight = l.scenario.Destinations.Rate
 			}
-			full.Instances = append(full.Instances, instance{Instance: inst})
+			full.Instances = append(full.Instances, instance{Instance: entry})
 		}
 	}
 	var err error
@@ -249,7 +262,8 @@
 	switch {
 	case m == nil:
 		status = http.StatusBadRequest
-		l.err = errors.Join(l.err, fmt.Errorf("call with an unknown message: X-Trace-Id %q", r.Header.Get("X-Trace-Id")))
+		l.err = errors.Join(l.err,
+			fmt.Errorf("call with an unknown message: X-Trace-Id %q", r.Header.Get("X-Trace-Id")))
 	case d.outage != nil:
 		l.stats.IntoOutages++
 		l.setLoadHeader(w, d, now)
@@ -306,7 +320,8 @@
 // startOutage takes a destination down for a time, after which it is cold. l.mu must be held.
 func (l *liveRun) startOutage(d *destination, duration time.Duration) {
 	l.stats.Outages++
-	d.outage, d.outageEnd = &outage{mode: outageUnavailable, startedAt: l.now()}, l.now()+logic.Micros(duration/time.Microsecond)
+	d.outage, d.outageEnd =
+		&outage{mode: outageUnavailable, startedAt: l.now()}, l.now()+logic.Micros(duration/time.Microsecond)
 }
 
 // endExpiredOutage ends the outage of a destination if its time is over. l.mu must be held.
@@ -415,7 +430,8 @@
 		shares = append(shares, sum)
 	}
 	gap := func() time.Duration {
-		return time.Duration(float64(l.scenario.Fleet.Senders) / l.scenario.Traffic.Rate * float64(time.Second) * rng.ExpFloat64())
+		return time.Duration(
+			float64(l.scenario.Fleet.Senders) / l.scenario.Traffic.Rate * float64(time.Second) * rng.ExpFloat64())
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -461,8 +477,8 @@
 type liveSender struct {
 	number    int
 	cmd       *exec.Cmd
-	readyAddr chan string // for clients; sent once, when the process is ready and has the list
-	addr      string
+	readyAddr chan string   // receives the address for clients once the process is ready and has the list
+	addr      string        // the address for clients, once known
 	exited    chan struct{} // closed when the process has ended and its log is read
 
 	mu   sync.Mutex
@@ -480,10 +496,14 @@
 		return nil, err
 	}
 	configPath := filepath.Join(dir, "config.json")
-	configJSON, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", number), "listen": "127.0.0.1:0", "discovery": discovery,
-		"seed":     strconv.FormatUint(deriveSeed(l.scenario.Seed, "module", number<<16), 16),
-		"limits":   node.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 32},
-		"settings": l.scenario.wireSettings(number)})
+	configJSON, err := json.Marshal(map[string]any{
+		"name":      fmt.Sprint("n", number),
+		"listen":    "127.0.0.1:0",
+		"discovery": discovery,
+		"seed":      strconv.FormatUint(deriveSeed(l.scenario.Seed, "module", number<<16), 16),
+		"limits":    node.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 32},
+		"settings":  l.scenario.wireSettings(number),
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -494,7 +514,12 @@
 	if err := os.Mkdir(stateDir, 0o700); err != nil {
 		return nil, err
 	}
-	s := &liveSender{number: number, cmd: exec.Command(program), readyAddr: make(chan string, 1), exited: make(chan struct{})}
+	s := &liveSender{
+		number:    number,
+		cmd:       exec.Command(program),
+		readyAddr: make(chan string, 1),
+		exited:    make(chan struct{}),
+	}
 	s.cmd.Env = append(os.Environ(), "BALANCER_NAME="+fmt.Sprint("n", number), "BALANCER_LISTEN=127.0.0.1:0",
 		"BALANCER_DISCOVERY="+discovery, "BALANCER_STATE="+stateDir, "BALANCER_CONFIG="+configPath)
 	stderr, err := s.cmd.StderrPipe()
@@ -557,8 +582,9 @@
 	}
 }
 
-// command sends a command over an idle connection or a new one, and reads one line. A sender may close a connection between
-// requests. A command that fails on an idle connection for that reason is sent again on a new one ("Clients to senders").
+// command sends a command over an idle connection or a new one, and reads one line. A sender may close a connection
+// between requests. A command that fails on an idle connection for that reason is sent again on a new one ("Clients
+// to senders").
 func (s *liveSender) command(request string) (string, error) {
 	s.mu.Lock()
 	var c *liveConn
@@ -635,18 +661,25 @@
 
 // wireSettings returns the settings of a sender in the form of its configuration file.
 func (sc *Scenario) wireSettings(number int) map[string]any {
-	d, c := &sc.Destinations, &sc.Recovery
-	inSeconds := func(class Span) float64 { return float64(class.Micros) / 1e6 }
+	d, r := &sc.Destinations, &sc.Recovery
+	inSeconds := func(duration Span) float64 { return float64(duration.Micros) / 1e6 }
 	zones := make([]string, sc.Fleet.Zones)
 	for i := range zones {
 		zones[i] = fmt.Sprint("z", i)
 	}
 	classes := []map[string]any{}
 	for _, class := range sc.Classes {
-		effect := []string{"retryable", "dedup", "fragile"}[slices.Index(idempotencyNames, class.Idempotency)]
-		classes = append(classes, map[string]any{"name": class.Name, "aim_s": inSeconds(class.TargetLatency),
-			"deadline_s": inSeconds(class.Deadline), "worth": class.Value,
-			"late_worth": class.LateValue, "idempotency": effect, "group": "all", "window_s": inSeconds(class.DedupWindow)})
+		idempotency := []string{"retryable", "dedup", "fragile"}[slices.Index(idempotencyNames, class.Idempotency)]
+		classes = append(classes, map[string]any{
+			"name":        class.Name,
+			"aim_s":       inSeconds(class.TargetLatency),
+			"deadline_s":  inSeconds(class.Deadline),
+			"worth":       class.Value,
+			"late_worth":  class.LateValue,
+			"idempotency": idempotency,
+			"group":       "all",
+			"window_s":    inSeconds(class.DedupWindow),
+		})
 	}
 	load := map[string]any{"how": "off"}
 	if d.ReportsLoad {
@@ -656,16 +689,41 @@
 	if d.NominalWeights {
 		weights = "nominal"
 	}
-	return map[string]any{"balancers": sc.Fleet.Senders, "me": number, "zone": number % sc.Fleet.Zones, "zones": zones,
-		"tick_s": inSeconds(sc.Fleet.Tick), "membership_mode": "pushed", "weights": weights, "machine_types": []string{machineType},
-		"classes": classes, "load_info": load,
-		"limits": map[string]any{"conn_idle_s": inSeconds(d.ConnIdleTimeout), "connect_timeout_s": inSeconds(d.ConnectTimeout),
-			"max_attempts": sc.Fleet.MaxAttempts, "max_open": sc.Fleet.MaxOpen, "max_retry_after_s": 2,
-			"multiplex": 1, "may_cancel": true, "retry_after": true},
-		"rules": map[string]any{"cold_from": c.ColdCapacity, "drain_grace_s": 1, "fall_multiple": c.OverloadMultiple,
-			"fall_s": inSeconds(c.OverloadWindow), "warm_after_s": inSeconds(c.WarmupTime)},
-		"specifics": map[string]any{"batch_by_kind": []int{1}, "call_slots": sc.Fleet.CallSlots, "late": "even",
-			"separate_routes": []bool{false}}}
+	return map[string]any{
+		"balancers":       sc.Fleet.Senders,
+		"me":              number,
+		"zone":            number % sc.Fleet.Zones,
+		"zones":           zones,
+		"tick_s":          inSeconds(sc.Fleet.Tick),
+		"membership_mode": "pushed",
+		"weights":         weights,
+		"machine_types":   []string{machineType},
+		"classes":         classes,
+		"load_info":       load,
+		"limits": map[string]any{
+			"conn_idle_s":       inSeconds(d.ConnIdleTimeout),
+			"connect_timeout_s": inSeconds(d.ConnectTimeout),
+			"max_attempts":      sc.Fleet.MaxAttempts,
+			"max_open":          sc.Fleet.MaxOpen,
+			"max_retry_after_s": 2,
+			"multiplex":         1,
+			"may_cancel":        true,
+			"retry_after":       true,
+		},
+		"rules": map[string]any{
+			"cold_from":     r.ColdCapacity,
+			"drain_grace_s": 1,
+			"fall_multiple": r.OverloadMultiple,
+			"fall_s":        inSeconds(r.OverloadWindow),
+			"warm_after_s":  inSeconds(r.WarmupTime),
+		},
+		"specifics": map[string]any{
+			"batch_by_kind":   []int{1},
+			"call_slots":      sc.Fleet.CallSlots,
+			"late":            "even",
+			"separate_routes": []bool{false},
+		},
+	}
 }
 
 // Compare writes the results of real processes and of the simulation for one scenario side by side.
@@ -679,18 +737,19 @@
 	row("returned, share", ratio(measured.Returned, measured.Offered), ratio(simulated.Returned, simulated.Offered))
 	row("failed, share", ratio(measured.Failed, measured.Offered), ratio(simulated.Failed, simulated.Offered))
 	row("no answer to the client, share", ratio(measured.Unanswered, measured.Offered), 0)
-	row("calls an event", ratio(measured.Calls, measured.Offered), ratio(simulated.Calls, simulated.Offered))
+	row("calls per event", ratio(measured.Calls, measured.Offered), ratio(simulated.Calls, simulated.Offered))
 	row("calls into outages", float64(measured.IntoOutages), float64(simulated.IntoOutages))
-	row("connections an event", ratio(measured.Connections, measured.Offered), ratio(simulated.Connections, simulated.Offered))
+	row("connections per event", ratio(measured.Connections, measured.Offered),
+		ratio(simulated.Connections, simulated.Offered))
 	row("latency p50, ms", measured.Latency.P50, simulated.Latency.P50)
 	row("latency p99, ms", measured.Latency.P99, simulated.Latency.P99)
-	row("whole list, bytes a sender", float64(measured.FullListBytes), float64(simulated.ListBytes.Full))
-	row("watches without news, bytes a sender", float64(measured.EmptyListBytes), float64(simulated.ListBytes.Empty))
-	row("processor time an event, us (hollow: module alone)", measured.CPUMicrosPerMessage,
+	row("full list, bytes per sender", float64(measured.FullListBytes), float64(simulated.ListBytes.Full))
+	row("watches without changes, bytes per sender", float64(measured.EmptyListBytes), float64(simulated.ListBytes.Empty))
+	row("CPU time per event, us (hollow: module only)", measured.CPUMicrosPerMessage,
 		simulated.Host.StepMicros*ratio(simulated.Steps, simulated.Offered))
-	row("memory a sender, MB (real: peak resident; hollow: heap after the start)", measured.MeanPeakMB,
+	row("memory per sender, MB (real: peak resident; hollow: heap after the start)", measured.MeanPeakMB,
 		float64(simulated.Host.HeapPerSender)/1e6)
-	row("worst peak resident, MB", measured.MaxPeakMB, 0)
-	row("all ready after, s", measured.ReadySeconds, 0)
+	row("highest peak resident memory, MB", measured.MaxPeakMB, 0)
+	row("time until all are ready, s", measured.ReadySeconds, 0)
 	return t.Flush()
 }
--- a/internal/hollow/model_test.go
+++ b/internal/hollow/model_test.go
@@ -9,7 +9,8 @@
 
 func micros(s float64) logic.Micros { return seconds(s).Micros }
 
-// Capacity 3 and two tokens per second: 3 calls at once, one more every half second, and never more than 3 tokens saved.
+// Capacity 3 and two tokens per second: 3 calls at once, one more every half second, and never more than 3 tokens in
+// the bucket.
 func TestTokenBucket(t *testing.T) {
 	b := tokenBucket{capacity: 3, tokens: 3}
 	for i, tc := range []struct {
@@ -28,8 +29,13 @@
 func newColdDestination() *destination {
 	sc := Default()
 	sc.Destinations.Rate = 40
-	sc.Recovery = RecoveryConfig{ColdCapacity: 0.25, WarmupTime: seconds(10), OverloadMultiple: 1.25, OverloadWindow: seconds(2),
-		RelapseDuration: seconds(5)}
+	sc.Recovery = RecoveryConfig{
+		ColdCapacity:     0.25,
+		WarmupTime:       seconds(10),
+		OverloadMultiple: 1.25,
+		OverloadWindow:   seconds(2),
+		RelapseDuration:  seconds(5),
+	}
 	d := newDestination(0, &sc)
 	d.recoveredAt, d.informed = micros(100), map[int]bool{1: true}
 	return d
@@ -97,8 +103,8 @@
 	}
 }
 
-// newSingleSenderFleet returns a fleet of one sender and one destination with one endpoint, run up to 1 s. Without jitter a
-// round trip takes 1 ms.
+// newSingleSenderFleet returns a fleet of one sender and one destination with one endpoint, run up to 1 s. Without
+// jitter a round trip takes 1 ms.
 func newSingleSenderFleet(t *testing.T) (*fleet, *sender) {
 	t.Helper()
 	sc := Default()
@@ -144,26 +150,30 @@
 		setup      func(*fleet)
 		during     func(*fleet) // runs while the endpoint processes the call
 		want       logic.Outcome
-		took       logic.Micros
-		wait       logic.Micros
-		load       int
+		took       logic.Micros // -1 if it is not checked
+		retryAfter logic.Micros
+		load       int // number of load figures
 	}{
 		{name: "served", want: logic.Delivered, took: 47_000, load: 2}, // connect 1 + 5 ms, round trip 1 ms, service 40 ms
 		{name: "served, idle connection", idleConn: true, want: logic.Delivered, took: 41_000, load: 2},
 		{name: "refused", outageMode: outageRefused, want: logic.ConnRefused, took: 1000},
 		{name: "503", outageMode: outageUnavailable, want: logic.Refused, took: 7000, load: 2},
-		{name: "503, idle connection", outageMode: outageUnavailable, idleConn: true, want: logic.Refused, took: 1000, load: 2},
-		{name: "silent", outageMode: outageUnresponsive, want: logic.ConnRefused, took: 1500_000},
-		{name: "silent, idle connection", outageMode: outageUnresponsive, idleConn: true, want: logic.Cancelled, took: -1},
+		{name: "503, idle connection", outageMode: outageUnavailable, idleConn: true,
+			want: logic.Refused, took: 1000, load: 2},
+		{name: "unresponsive", outageMode: outageUnresponsive, want: logic.ConnRefused, took: 1500_000},
+		{name: "unresponsive, idle connection", outageMode: outageUnresponsive, idleConn: true,
+			want: logic.Cancelled, took: -1},
 		{name: "over the limit", setup: func(f *fleet) {
 			f.destinations[0].bucket = tokenBucket{capacity: 1, refilledAt: f.now}
 			f.destinations[0].limitFactor = 1e-3
 		},
-			want: logic.Refused, took: 7000, wait: 300_000, load: 2},
-		{name: "connection limit", setup: func(f *fleet) { f.scenario.Destinations.MaxConnections, f.endpoints[0].connCount = 1, 1 },
-			want: logic.Refused, took: 6000},
-		{name: "process killed during the call", during: func(f *fleet) { f.startOutage(f.destinations[0], outageRefused, logic.Second) },
-			want: logic.ConnLost, took: 7000},
+			want: logic.Refused, took: 7000, retryAfter: 300_000, load: 2},
+		{name: "connection limit", setup: func(f *fleet) {
+			f.scenario.Destinations.MaxConnections, f.endpoints[0].connCount = 1, 1
+		}, want: logic.Refused, took: 6000},
+		{name: "process killed during the call", during: func(f *fleet) {
+			f.startOutage(f.destinations[0], outageRefused, logic.Second)
+		}, want: logic.ConnLost, took: 7000},
 		{name: "machine lost during the call", during: func(f *fleet) {
 			f.failMachines([]*machine{f.endpoints[0].machine}, 30*logic.Second)
 		}, want: logic.Cancelled, took: -1},
@@ -185,8 +195,9 @@
 			during = func() { tc.during(f) }
 		}
 		r := firstResult(t, f, s, during)
-		if r.Outcome != tc.want || r.RetryAfter != tc.wait || len(r.Load) != tc.load || tc.took >= 0 && r.Latency != tc.took {
-			t.Errorf("%s: %+v, want outcome %d after %d with a wait of %d", tc.name, r, tc.want, tc.took, tc.wait)
+		if r.Outcome != tc.want || r.RetryAfter != tc.retryAfter || len(r.Load) != tc.load ||
+			tc.took >= 0 && r.Latency != tc.took {
+			t.Errorf("%s: %+v, want outcome %d after %d with a requested wait of %d", tc.name, r, tc.want, tc.took, tc.retryAfter)
 		}
 	}
 }
@@ -220,10 +231,10 @@
 // The list sizes are those of the JSON in the protocol document.
 func TestListBytes(t *testing.T) {
 	f, s := newSingleSenderFleet(t)
-	const whole = `{"generation":1,"reset":true,"instances":[{"instanceId":"s-00000000","hostPort":"10.0.0.0:6379","zone":"z0",` +
+	const full = `{"generation":1,"reset":true,"instances":[{"instanceId":"s-00000000","hostPort":"10.0.0.0:6379","zone":"z0",` +
 		`"machineType":"hollow","cell":0,"lifecycle":"up","weight":1,"startedAtMs":0}]}`
-	if s.listBytes.Full != int64(len(whole)) {
-		t.Errorf("full list of %d bytes, want %d", s.listBytes.Full, len(whole))
+	if s.listBytes.Full != int64(len(full)) {
+		t.Errorf("full list of %d bytes, want %d", s.listBytes.Full, len(full))
 	}
 	for f.runNext(13 * logic.Second) { // three watches of 4 s have ended
 	}
@@ -254,7 +265,8 @@
 // The messages of clients do not change when other components of the model, such as faults, are removed.
 func TestRandomStreamsAreIndependent(t *testing.T) {
 	a, sc := mustRun(t, smallScenario()), smallScenario()
-	sc.Faults, sc.Fleet.RestartsPerDay, sc.Fleet.LossesPerDay, sc.Discovery.ChangesPerDay, sc.Destinations.DownShare = nil, 0, 0, 0, 0
+	sc.Faults, sc.Fleet.RestartsPerDay, sc.Fleet.LossesPerDay, sc.Discovery.ChangesPerDay, sc.Destinations.DownShare =
+		nil, 0, 0, 0, 0
 	b := mustRun(t, sc)
 	if a.Offered != b.Offered {
 		t.Errorf("%d messages offered with faults, %d without", a.Offered, b.Offered)
--- a/internal/hollow/network.go
+++ b/internal/hollow/network.go
@@ -22,7 +22,12 @@
 }
 
 func newTopology(sc *Scenario) *topology {
-	return &topology{delays: sc.Network, zones: sc.Fleet.Zones, regions: sc.Fleet.Regions, cutUntil: map[[2]int]logic.Micros{}}
+	return &topology{
+		delays:   sc.Network,
+		zones:    sc.Fleet.Zones,
+		regions:  sc.Fleet.Regions,
+		cutUntil: map[[2]int]logic.Micros{},
+	}
 }
 
 // region returns the region of a zone. Zones are assigned to regions in order.
@@ -40,6 +45,7 @@
 	return logic.Micros(float64(d.Micros) * (1 + t.delays.Jitter*r.Float64()))
 }
 
+// linkKey returns the key of the link between two regions in topology.cutUntil.
 func linkKey(a, b int) [2]int { return [2]int{min(a, b), max(a, b)} }
 
 // linked reports whether the link between two regions is up.
@@ -58,8 +64,8 @@
 }
 
 // usable reports whether an idle connection is still open.
-func (c *conn) usable(now, idle logic.Micros) bool {
-	return c.epoch == c.endpoint.epoch && now < c.idleSince+idle
+func (c *conn) usable(now, idleTimeout logic.Micros) bool {
+	return c.epoch == c.endpoint.epoch && now < c.idleSince+idleTimeout
 }
 
 // close releases the connection at the endpoint, unless a reset has already done so.
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -21,20 +21,20 @@
 type Counts struct {
 	Offered            int64 `json:"offered"` // messages submitted by clients
 	Delivered          int64 `json:"delivered"`
-	Returned           int64 `json:"returned"` // refused by a sender, on receipt or later
+	Returned           int64 `json:"returned"` // rejected by a sender, on receipt or later
 	Failed             int64 `json:"failed"`
-	Late               int64 `json:"late"`    // delivered after the latency target
+	Late               int64 `json:"late"`    // delivered after the target latency
 	Held               int64 `json:"held"`    // not ended when the run ended
 	RepeatedExecutions int64 `json:"repeats"` // executions at an endpoint beyond the first of a message
 	Calls              int64 `json:"calls"`
 	OverLimit          int64 `json:"over_limit"`   // calls refused by a rate limit
-	OverConnLimit      int64 `json:"no_place"`     // connections refused by an endpoint's connection limit
+	OverConnLimit      int64 `json:"no_place"`     // calls refused by the connection limit of an endpoint
 	IntoOutages        int64 `json:"into_outages"` // calls started while their endpoint was in an outage
 	Connections        int64 `json:"connections"`  // connections opened
 	Outages            int64 `json:"outages"`      // of destinations, relapses included
 	Relapses           int64 `json:"falls"`        // outages of cold destinations caused by too many calls
-	InformedRelapses   int64 `json:"blamed"`       // relapses with over two thirds of the calls from senders that knew of the outage
-	Undetected         int64 `json:"unnoticed"`    // outage and sender pairs: it sent calls and never took an endpoint out
+	InformedRelapses   int64 `json:"blamed"`       // relapses mostly caused by senders that knew of the outage
+	Undetected         int64 `json:"unnoticed"`    // pairs of an outage and a sender that called into it but took no endpoint out of rotation
 	Restarts           int64 `json:"restarts"`     // of sender processes
 	Losses             int64 `json:"losses"`       // of sender machines
 	Steps              int64 `json:"steps"`        // of all decision modules
@@ -48,8 +48,8 @@
 	Max float64 `json:"max"`
 }
 
-// Detection is the time in seconds from a sender's first call into an outage until it has taken one of the endpoints called
-// out of rotation. From then on it sends the destination single trial calls.
+// Detection is the time in seconds from a sender's first call into an outage until it has taken one of the endpoints
+// that it called out of rotation. From then on it sends the destination only single trial calls.
 type Detection struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_s"`
@@ -90,9 +90,9 @@
 	total time.Duration
 }
 
-func (s *stopwatch) add(began time.Time) {
+func (s *stopwatch) add(start time.Time) {
 	s.count++
-	s.total += time.Since(began)
+	s.total += time.Since(start)
 }
 
 // meanMicros is the mean time of a call in microseconds.
@@ -143,8 +143,8 @@
 func newStats() *stats { return &stats{latency: hdrhistogram.New(1, maxLatencyMicros, 3)} }
 
 // countEnd counts a message that ended after the given time.
-func (r *stats) countEnd(took logic.Micros, e endState, c *ClassConfig) {
-	switch e {
+func (r *stats) countEnd(took logic.Micros, state endState, c *ClassConfig) {
+	switch state {
 	case returned:
 		r.Returned++
 	case failed:
@@ -154,7 +154,8 @@
 		if took > c.TargetLatency.Micros {
 			r.Late++
 		}
-		_ = r.latency.RecordValue(min(max(int64(took), 1), maxLatencyMicros)) // cannot fail: the value is within the bounds
+		// RecordValue cannot fail, as the value is within the bounds of the histogram.
+		_ = r.latency.RecordValue(min(max(int64(took), 1), maxLatencyMicros))
 	}
 }
 
@@ -196,10 +197,21 @@
 	for _, d := range f.destinations {
 		st.recordColdWindow(d.worstWindow)
 	}
-	report := &Report{Title: f.scenario.Title, Seed: f.scenario.Seed, Senders: len(f.senders), Destinations: len(f.destinations),
-		VirtualTime: Span{f.now}, Interrupted: interrupted, Counts: st.Counts, WorstColdWindow: st.worstColdWindow,
-		Propagation: f.discovery.propagation(), PeakHeld: st.peakHeld, PeakAt: Span{st.peakAt},
-		Samples: st.samples, Digest: fmt.Sprintf("%016x", f.digest.Sum64())}
+	report := &Report{
+		Title:           f.scenario.Title,
+		Seed:            f.scenario.Seed,
+		Senders:         len(f.senders),
+		Destinations:    len(f.destinations),
+		VirtualTime:     Span{f.now},
+		Interrupted:     interrupted,
+		Counts:          st.Counts,
+		WorstColdWindow: st.worstColdWindow,
+		Propagation:     f.discovery.propagation(),
+		PeakHeld:        st.peakHeld,
+		PeakAt:          Span{st.peakAt},
+		Samples:         st.samples,
+		Digest:          fmt.Sprintf("%016x", f.digest.Sum64()),
+	}
 	report.Latency = latencyQuantiles(st.latency)
 	if st.detections > 0 {
 		report.Detection = Detection{st.detections, float64(st.detectionTotal) / float64(st.detections) / 1e6,
@@ -217,9 +229,14 @@
 	if f.now > 0 {
 		report.ListBytesPerSecond = float64(report.ListBytes.Changes+report.ListBytes.Empty) / (float64(f.now) / 1e6)
 	}
-	report.Host = HostUsage{HeapPerSender: st.heapBytes / senders, CPUSeconds: cpu.Seconds(), WallSeconds: wall.Seconds(),
-		StepMicros: st.stepTimes.meanMicros(), ListUpdateMicros: st.listUpdateTimes.meanMicros(),
-		StartMicros: st.startTimes.meanMicros()}
+	report.Host = HostUsage{
+		HeapPerSender:    st.heapBytes / senders,
+		CPUSeconds:       cpu.Seconds(),
+		WallSeconds:      wall.Seconds(),
+		StepMicros:       st.stepTimes.meanMicros(),
+		ListUpdateMicros: st.listUpdateTimes.meanMicros(),
+		StartMicros:      st.startTimes.meanMicros(),
+	}
 	return report
 }
 
@@ -245,27 +262,27 @@
 		line("CUT SHORT", "the figures cover the run up to this point")
 	}
 	line("scenario", "%s, seed %d", r.Title, r.Seed)
-	line("size", "%d senders, %d destinations, %s played", r.Senders, r.Destinations, r.VirtualTime)
+	line("size", "%d senders, %d destinations, %s simulated", r.Senders, r.Destinations, r.VirtualTime)
 	line("events", "%d offered, %d delivered (%d late), %d returned, %d failed, %d held",
 		r.Offered, r.Delivered, r.Late, r.Returned, r.Failed, r.Held)
 	line("latency", "p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, max %.1f ms",
 		r.Latency.P50, r.Latency.P90, r.Latency.P99, r.Latency.Max)
-	line("calls", "%d, %d over a limit, %d with no place, %d into outages; %d connections, %d repeats",
+	line("calls", "%d, %d over a limit, %d over a connection limit, %d into outages; %d connections, %d repeated executions",
 		r.Calls, r.OverLimit, r.OverConnLimit, r.IntoOutages, r.Connections, r.RepeatedExecutions)
-	line("outages", "%d, %d of them falls of cold destinations, %d of these caused mostly by senders that knew of the outage",
+	line("outages", "%d, %d of them relapses of cold destinations, %d of these caused mostly by senders that knew of the outage",
 		r.Outages, r.Relapses, r.InformedRelapses)
-	line("notice", "mean %.3f s, worst %.3f s, over %d; %d never noticed",
+	line("notice", "mean %.3f s, max %.3f s, over %d; %d never detected",
 		r.Detection.Mean, r.Detection.Max, r.Detection.Count, r.Undetected)
 	line("cold return", "worst window %d calls, %.1f allowed", r.WorstColdWindow.Calls, r.WorstColdWindow.Allowed)
 	line("senders", "%d restarts, %d machines lost", r.Restarts, r.Losses)
-	line("list", "a sender: %d bytes whole, %d of changes, %d empty; %.1f bytes a second; worst sender %d bytes",
+	line("list", "per sender: %d bytes of full lists, %d of changes, %d empty; %.1f bytes per second; at most %d bytes",
 		r.ListBytes.Full, r.ListBytes.Changes, r.ListBytes.Empty, r.ListBytesPerSecond, r.MaxListBytes)
-	line("in force", "mean %.3f s, worst %.3f s, of %d changes; %d not everywhere at the end",
+	line("in force", "mean %.3f s, max %.3f s, of %d changes; %d not applied by all senders at the end",
 		r.Propagation.Mean, r.Propagation.Max, r.Propagation.Changes, r.Propagation.Pending)
 	line("backlog", "peak %d at %s", r.PeakHeld, r.PeakAt)
 	line("modules", "%d steps; digest %s", r.Steps, r.Digest)
 	m := &r.Host
-	line("machine", "%.1f s CPU, %.1f s; a step %.1f us, a change of the list %.1f us, a start %.0f us; %d bytes of heap a sender",
+	line("machine", "%.1f s CPU, %.1f s; step %.1f us, list change %.1f us, start %.0f us; %d bytes of heap per sender",
 		m.CPUSeconds, m.WallSeconds, m.StepMicros, m.ListUpdateMicros, m.StartMicros, m.HeapPerSender)
 	return t.Flush()
 }
--- a/internal/hollow/scenario.go
+++ b/internal/hollow/scenario.go
@@ -26,7 +26,7 @@
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil || d < 0 {
-		return fmt.Errorf("%q is no span: want one like 12s or 350ms", text)
+		return fmt.Errorf("%q is not a duration: want one like 12s or 350ms", text)
 	}
 	s.Micros = logic.Micros(d / time.Microsecond)
 	return nil
@@ -43,7 +43,7 @@
 	Seed     uint64 `toml:"seed"`
 	Duration Span   `toml:"duration"` // clients submit messages for this long
 	Drain    Span   `toml:"drain"`    // the run continues for this long afterwards
-	Day      Span   `toml:"day"`      // the per-day counts refer to this span
+	Day      Span   `toml:"day"`      // length of the day that rates per day refer to
 
 	Fleet        FleetConfig        `toml:"fleet"`
 	Traffic      TrafficConfig      `toml:"traffic"`
@@ -59,7 +59,7 @@
 type FleetConfig struct {
 	Senders        int     `toml:"senders"`
 	Regions        int     `toml:"regions"`
-	Zones          int     `toml:"zones"` // in total
+	Zones          int     `toml:"zones"` // of all regions together
 	RacksPerZone   int     `toml:"racks"`
 	CallSlots      int     `toml:"slots"` // concurrent calls per sender
 	MaxOpen        int     `toml:"max_open"`
@@ -96,9 +96,9 @@
 	Rate            float64 `toml:"rate"`        // limit of a destination, calls per second
 	Burst           float64 `toml:"burst"`       // capacity of its token bucket, calls
 	RefusalStatus   string  `toml:"refuse"`      // status of calls over the limit: 429 or 503
-	RetryAfter      Span    `toml:"come_back"`   // wait sent with a 429
+	RetryAfter      Span    `toml:"come_back"`   // wait that a 429 requests
 	ReportsLoad     bool    `toml:"reports"`     // answers carry load reports
-	NominalWeights  bool    `toml:"nominal"`     // the list carries the limit as weight
+	NominalWeights  bool    `toml:"nominal"`     // the weights in the list are the limits of the destinations
 	ServiceTime     Span    `toml:"service"`     // median duration of a call
 	Sigma           float64 `toml:"sigma"`       // standard deviation of its logarithm
 	MaxConnections  int     `toml:"connections"` // per endpoint; 0 for no limit
@@ -112,7 +112,7 @@
 
 // RecoveryConfig describes how a destination recovers from an outage.
 type RecoveryConfig struct {
-	ColdCapacity     float64 `toml:"from"`          // share of its limit available at first
+	ColdCapacity     float64 `toml:"from"`          // fraction of its limit available at first
 	WarmupTime       Span    `toml:"warm_after"`    // until the full limit is available
 	OverloadMultiple float64 `toml:"fall_multiple"` // a cold destination that gets more than this multiple of its limit
 	OverloadWindow   Span    `toml:"fall_window"`   // within this window relapses into an outage
@@ -144,8 +144,8 @@
 	First       int     `toml:"number"` // number of the first destination or sender, or of the rack, zone or region
 	Count       int     `toml:"count"`  // of destinations or senders, starting with First
 	OtherRegion int     `toml:"other"`  // region at the other end of a link
-	OutageMode  string  `toml:"how"`    // refused, silent or 503
-	Factor      float64 `toml:"factor"` // that a limit is multiplied by
+	OutageMode  string  `toml:"how"`    // of an outage: refused, silent or 503
+	Factor      float64 `toml:"factor"` // by which a limit is multiplied
 }
 
 // Kinds of faults.
@@ -165,25 +165,67 @@
 
 var idempotencyNames = []string{"safe", "keyed", "unsafe"} // in the order of logic.Idempotency
 
-// Default is a small fleet without faults. Its recovery values are within the range of the fictional example customers.
+// Default is a small fleet without faults. Its recovery values are within the range of the fictional example
+// customers.
 func Default() Scenario {
-	return Scenario{Seed: 1, Duration: seconds(60), Drain: seconds(15), Day: seconds(86400),
-		Fleet: FleetConfig{Senders: 20, Regions: 1, Zones: 1, RacksPerZone: 1, CallSlots: 64, MaxOpen: 2000, MaxAttempts: 6,
-			Tick: seconds(0.005), RestartTime: seconds(1)},
+	return Scenario{
+		Seed:     1,
+		Duration: seconds(60),
+		Drain:    seconds(15),
+		Day:      seconds(86400),
+		Fleet: FleetConfig{
+			Senders:      20,
+			Regions:      1,
+			Zones:        1,
+			RacksPerZone: 1,
+			CallSlots:    64,
+			MaxOpen:      2000,
+			MaxAttempts:  6,
+			Tick:         seconds(0.005),
+			RestartTime:  seconds(1),
+		},
 		Traffic: TrafficConfig{Rate: 270, Popularity: "even", ZipfExponent: 1},
-		Destinations: DestinationsConfig{Count: 10, Endpoints: 2, Rate: 40, Burst: 20, RefusalStatus: "503",
-			ServiceTime: seconds(0.04), Sigma: 0.5, ConnIdleTimeout: seconds(10), ConnectTimeout: seconds(1.5),
-			HandshakeTime: seconds(0.005), MeanOutage: seconds(12), OutageMode: outageRefused},
-		Recovery: RecoveryConfig{ColdCapacity: 0.2, WarmupTime: seconds(14), OverloadMultiple: 2.5, OverloadWindow: seconds(3),
-			RelapseDuration: seconds(5)},
+		Destinations: DestinationsConfig{
+			Count:           10,
+			Endpoints:       2,
+			Rate:            40,
+			Burst:           20,
+			RefusalStatus:   "503",
+			ServiceTime:     seconds(0.04),
+			Sigma:           0.5,
+			ConnIdleTimeout: seconds(10),
+			ConnectTimeout:  seconds(1.5),
+			HandshakeTime:   seconds(0.005),
+			MeanOutage:      seconds(12),
+			OutageMode:      outageRefused,
+		},
+		Recovery: RecoveryConfig{
+			ColdCapacity:     0.2,
+			WarmupTime:       seconds(14),
+			OverloadMultiple: 2.5,
+			OverloadWindow:   seconds(3),
+			RelapseDuration:  seconds(5),
+		},
 		Discovery: DiscoveryConfig{DrainTime: seconds(10), Spread: seconds(2), WatchTimeout: seconds(4)},
-		Network: NetworkConfig{WithinZone: seconds(0.0005), WithinRegion: seconds(0.001), BetweenRegions: seconds(0.04),
-			Jitter: 0.2}}
+		Network: NetworkConfig{
+			WithinZone:     seconds(0.0005),
+			WithinRegion:   seconds(0.001),
+			BetweenRegions: seconds(0.04),
+			Jitter:         0.2,
+		},
+	}
 }
 
 // defaultClass is used for a scenario without classes.
-var defaultClass = ClassConfig{Name: "event", Share: 1, TargetLatency: seconds(1), Deadline: seconds(10), Value: 1,
-	LateValue: 0.5, Idempotency: "safe"}
+var defaultClass = ClassConfig{
+	Name:          "event",
+	Share:         1,
+	TargetLatency: seconds(1),
+	Deadline:      seconds(10),
+	Value:         1,
+	LateValue:     0.5,
+	Idempotency:   "safe",
+}
 
 func seconds(x float64) Span { return Span{logic.Micros(math.Round(x * float64(logic.Second)))} }
 
@@ -217,7 +259,7 @@
 	var errs []error
 	for key, p := range positions { // the decoder's error for these has no position
 		if field := indexPattern.ReplaceAllString(key, ""); !p.isString && spanFields[field] {
-			errs = append(errs, &FieldError{name, p.line, key, "want a span like \"12s\" or \"350ms\""})
+			errs = append(errs, &FieldError{name, p.line, key, "want a duration like \"12s\" or \"350ms\""})
 		}
 	}
 	if len(errs) > 0 {
@@ -277,6 +319,7 @@
 // spanFields holds the names of the fields of type Span, with dots between table and key.
 var spanFields = spansOf(reflect.TypeFor[Scenario](), "")
 
+// spansOf returns the names of the fields of type Span in a struct type, each with the prefix.
 func spansOf(t reflect.Type, prefix string) map[string]bool {
 	fields := map[string]bool{}
 	for _, f := range reflect.VisibleFields(t) {
@@ -337,8 +380,8 @@
 	return positions
 }
 
-// lineOf returns the line of a field or, if it is missing, of the closest enclosing table; 1 if there is none, and 0 if
-// there is no file.
+// lineOf returns the line of a field or, if it is missing, of the closest enclosing table; 1 if there is none, and 0
+// if there is no file.
 func lineOf(positions map[string]keyPosition, field string) int {
 	if positions == nil {
 		return 0
@@ -361,21 +404,21 @@
 			list = append(list, fieldProblem{field, text})
 		}
 	}
-	oneOf := func(fault string, names []string, field string) {
-		want(slices.Contains(names, fault), field, "one of "+strings.Join(names, ", "))
+	oneOf := func(value string, names []string, field string) {
+		want(slices.Contains(names, value), field, "one of "+strings.Join(names, ", "))
 	}
-	share := func(fault float64) bool { return fault >= 0 && fault <= 1 }
-	rate := func(fault float64) bool { return fault >= 0 && !math.IsInf(fault, 0) }
-	const perDay = "a rate a day of 0 or more"
+	share := func(value float64) bool { return value >= 0 && value <= 1 }
+	rate := func(value float64) bool { return value >= 0 && !math.IsInf(value, 0) }
+	const perDay = "a rate per day, 0 or more"
 
-	want(sc.Duration.Micros > 0, "duration", "a span above 0")
-	want(sc.Day.Micros > 0, "day", "a span above 0")
+	want(sc.Duration.Micros > 0, "duration", "a duration above 0")
+	want(sc.Day.Micros > 0, "day", "a duration above 0")
 	f := &sc.Fleet
 	want(f.Senders >= 1, "fleet.senders", "1 or more")
 	want(f.Regions >= 1, "fleet.regions", "1 or more")
 	want(f.Zones >= max(f.Regions, 1), "fleet.zones", "at least one for each region")
 	want(f.RacksPerZone >= 1, "fleet.racks", "1 or more in each zone")
-	want(f.CallSlots >= 1, "fleet.slots", "1 or more calls at once")
+	want(f.CallSlots >= 1, "fleet.slots", "1 or more concurrent calls")
 	want(f.MaxOpen >= 0, "fleet.max_open", "0 for no limit, or more")
 	want(f.MaxAttempts >= 0, "fleet.max_tries", "0 for no limit, or more")
 	want(f.Tick.Micros >= 1000, "fleet.tick", "1ms or more")
@@ -383,57 +426,58 @@
 	want(rate(f.LossesPerDay), "fleet.losses_per_day", perDay)
 
 	t := &sc.Traffic
-	want(t.Rate > 0 && rate(t.Rate), "traffic.rate", "events a second, above 0")
+	want(t.Rate > 0 && rate(t.Rate), "traffic.rate", "events per second, above 0")
 	oneOf(t.Popularity, []string{"even", "zipf"}, "traffic.popularity")
-	want(t.ZipfExponent > 0 && t.ZipfExponent <= 10, "traffic.exponent", "a number above 0, 10 at most")
+	want(t.ZipfExponent > 0 && t.ZipfExponent <= 10, "traffic.exponent", "a number above 0, at most 10")
 
 	names, shares := map[string]bool{}, 0.0
 	for i, c := range sc.Classes {
 		at := fmt.Sprintf("class[%d].", i)
-		want(c.Name != "" && !names[c.Name], at+"name", "a name of its own")
+		want(c.Name != "" && !names[c.Name], at+"name", "a unique name")
 		names[c.Name] = true
 		want(rate(c.Share), at+"share", "a share of 0 or more")
 		shares += c.Share
-		want(c.Deadline.Micros > 0, at+"deadline", "a span above 0")
-		want(c.TargetLatency.Micros <= c.Deadline.Micros, at+"aim", "a span up to the deadline")
+		want(c.Deadline.Micros > 0, at+"deadline", "a duration above 0")
+		want(c.TargetLatency.Micros <= c.Deadline.Micros, at+"aim", "a duration up to the deadline")
 		want(rate(c.Value), at+"worth", "0 or more")
-		want(share(c.LateValue), at+"late_worth", "a part of the worth, 0 to 1")
+		want(share(c.LateValue), at+"late_worth", "a fraction of the worth, 0 to 1")
 		oneOf(c.Idempotency, idempotencyNames, at+"effect")
-		want(c.Idempotency != "keyed" || c.DedupWindow.Micros > 0, at+"window", "a span above 0, as the class is keyed")
+		want(c.Idempotency != "keyed" || c.DedupWindow.Micros > 0, at+"window", "a duration above 0, as the class is keyed")
 	}
 	want(shares > 0, "class[0].share", "a sum of shares above 0")
 
 	d := &sc.Destinations
 	want(d.Count >= 1, "destinations.count", "1 or more")
 	want(d.Endpoints >= 1, "destinations.endpoints", "1 or more for each destination")
-	want(d.Rate > 0 && rate(d.Rate), "destinations.rate", "calls a second, above 0")
+	want(d.Rate > 0 && rate(d.Rate), "destinations.rate", "calls per second, above 0")
 	want(d.Burst >= 1 && rate(d.Burst), "destinations.burst", "1 call or more")
 	oneOf(d.RefusalStatus, []string{"429", "503"}, "destinations.refuse")
-	want(d.RetryAfter.Micros == 0 || d.RefusalStatus == "429", "destinations.come_back", "none with 503, which tells no wait")
-	want(d.ServiceTime.Micros > 0, "destinations.service", "a span above 0")
+	want(d.RetryAfter.Micros == 0 || d.RefusalStatus == "429", "destinations.come_back", "none with 503, as only a 429 requests a wait")
+	want(d.ServiceTime.Micros > 0, "destinations.service", "a duration above 0")
 	want(d.Sigma >= 0 && d.Sigma <= 4, "destinations.sigma", "a number from 0 to 4")
 	want(d.MaxConnections >= 0, "destinations.connections", "0 for no limit, or more")
-	want(d.ConnectTimeout.Micros > 0, "destinations.conn_timeout", "a span above 0")
+	want(d.ConnectTimeout.Micros > 0, "destinations.conn_timeout", "a duration above 0")
 	want(d.DownShare >= 0 && d.DownShare <= 0.9, "destinations.down_share", "a share from 0 to 0.9")
-	want(d.DownShare == 0 || d.MeanOutage.Micros > 0, "destinations.down_for", "a span above 0, as some are down")
+	want(d.DownShare == 0 || d.MeanOutage.Micros > 0, "destinations.down_for", "a duration above 0, as down_share is above 0")
 	oneOf(d.OutageMode, append([]string{"mixed"}, outageModes...), "destinations.down_how")
 
-	c := &sc.Recovery
-	want(c.ColdCapacity > 0 && c.ColdCapacity <= 1, "cold.from", "a part of the limit above 0, 1 at most")
-	want(c.OverloadMultiple > 0 && rate(c.OverloadMultiple), "cold.fall_multiple", "a number above 0")
-	want(c.OverloadWindow.Micros > 0, "cold.fall_window", "a span above 0")
-	want(c.RelapseDuration.Micros > 0, "cold.fall_for", "a span above 0")
+	r := &sc.Recovery
+	want(r.ColdCapacity > 0 && r.ColdCapacity <= 1, "cold.from", "a fraction of the limit, above 0 and at most 1")
+	want(r.OverloadMultiple > 0 && rate(r.OverloadMultiple), "cold.fall_multiple", "a number above 0")
+	want(r.OverloadWindow.Micros > 0, "cold.fall_window", "a duration above 0")
+	want(r.RelapseDuration.Micros > 0, "cold.fall_for", "a duration above 0")
 
 	want(rate(sc.Discovery.ChangesPerDay), "discovery.changes_per_day", perDay)
 	want(sc.Discovery.WatchTimeout.Micros >= 100_000, "discovery.hold", "100ms or more")
 	want(sc.Discovery.Region >= 0 && sc.Discovery.Region < f.Regions, "discovery.region", "the number of a region")
-	want(share(sc.Network.Jitter), "network.jitter", "a part from 0 to 1")
+	want(share(sc.Network.Jitter), "network.jitter", "a fraction from 0 to 1")
 
 	for i, fault := range sc.Faults {
 		at := fmt.Sprintf("fault[%d].", i)
 		oneOf(fault.Kind, faultKinds, at+"what")
-		want(fault.Duration.Micros > 0 || fault.Kind == faultRestart || fault.Kind == faultLoss, at+"for", "a span above 0")
-		limit, noun := math.MaxInt, "thing"
+		want(fault.Duration.Micros > 0 || fault.Kind == faultRestart || fault.Kind == faultLoss,
+			at+"for", "a duration above 0")
+		limit, noun := math.MaxInt, "target"
 		switch fault.Kind {
 		case faultOutage, faultLimit:
 			limit, noun = d.Count, "destination"
@@ -451,7 +495,7 @@
 		want(fault.First >= 0 && fault.First < limit, at+"number", "the number of a "+noun)
 		if ranged := noun == "destination" || noun == "sender"; ranged || fault.Count != 1 {
 			want(ranged && fault.Count >= 1 && fault.Count <= limit-fault.First, at+"count",
-				"1 or more destinations or senders, as there are from the number on")
+				"1 or more, and no more destinations or senders than there are from the number on")
 		}
 		if fault.Kind == faultOutage {
 			oneOf(fault.OutageMode, outageModes, at+"how")
@@ -466,13 +510,29 @@
 
 // moduleSettings returns the settings of the decision module of a sender in a zone.
 func (sc *Scenario) moduleSettings(zone int) logic.Settings {
-	d, c := &sc.Destinations, &sc.Recovery
-	settings := logic.Settings{Senders: sc.Fleet.Senders, Zone: zone, Zones: sc.Fleet.Zones, CallSlots: sc.Fleet.CallSlots,
-		MaxOpen: sc.Fleet.MaxOpen, MaxAttempts: sc.Fleet.MaxAttempts, Tick: sc.Fleet.Tick.Micros, MayCancel: true,
-		RetryAfter: true, MaxRetryAfter: 2 * logic.Second, Kinds: []logic.DestinationKind{{Name: machineType, MaxBatch: 1}},
-		ConnIdleTimeout: d.ConnIdleTimeout.Micros, CallsPerConn: 1, DrainGrace: logic.Second,
-		OverloadMultiple: c.OverloadMultiple, OverloadWindow: c.OverloadWindow.Micros, ColdCapacity: c.ColdCapacity,
-		WarmupTime: c.WarmupTime.Micros, LoadRemainingIndex: -1, LoadLimitIndex: -1}
+	d, r := &sc.Destinations, &sc.Recovery
+	settings := logic.Settings{
+		Senders:            sc.Fleet.Senders,
+		Zone:               zone,
+		Zones:              sc.Fleet.Zones,
+		CallSlots:          sc.Fleet.CallSlots,
+		MaxOpen:            sc.Fleet.MaxOpen,
+		MaxAttempts:        sc.Fleet.MaxAttempts,
+		Tick:               sc.Fleet.Tick.Micros,
+		MayCancel:          true,
+		RetryAfter:         true,
+		MaxRetryAfter:      2 * logic.Second,
+		Kinds:              []logic.DestinationKind{{Name: machineType, MaxBatch: 1}},
+		ConnIdleTimeout:    d.ConnIdleTimeout.Micros,
+		CallsPerConn:       1,
+		DrainGrace:         logic.Second,
+		OverloadMultiple:   r.OverloadMultiple,
+		OverloadWindow:     r.OverloadWindow.Micros,
+		ColdCapacity:       r.ColdCapacity,
+		WarmupTime:         r.WarmupTime.Micros,
+		LoadRemainingIndex: -1,
+		LoadLimitIndex:     -1,
+	}
 	if d.ReportsLoad {
 		settings.LoadRemainingIndex, settings.LoadLimitIndex = 0, 1
 	}
@@ -480,9 +540,15 @@
 		settings.Weights = logic.WeightsNominal
 	}
 	for _, class := range sc.Classes {
-		settings.Classes = append(settings.Classes, logic.Class{Name: class.Name, TargetLatency: class.TargetLatency.Micros,
-			Deadline: class.Deadline.Micros, Value: class.Value,
-			LateValue: class.LateValue, DedupWindow: class.DedupWindow.Micros, Idempotency: logic.Idempotency(slices.Index(idempotencyNames, class.Idempotency))})
+		settings.Classes = append(settings.Classes, logic.Class{
+			Name:          class.Name,
+			TargetLatency: class.TargetLatency.Micros,
+			Deadline:      class.Deadline.Micros,
+			Value:         class.Value,
+			LateValue:     class.LateValue,
+			DedupWindow:   class.DedupWindow.Micros,
+			Idempotency:   logic.Idempotency(slices.Index(idempotencyNames, class.Idempotency)),
+		})
 	}
 	return settings
 }
--- a/internal/hollow/sender.go
+++ b/internal/hollow/sender.go
@@ -59,7 +59,7 @@
 	networkRand       *rand.Rand
 	spreadRand        *rand.Rand // delays of discovery's notifications
 	lastSeq           int
-	messages          map[string]*message // of the journal; closed ones stay while a call is in progress
+	messages          map[string]*message // in the journal; closed ones stay while a call is in progress
 	agentGeneration   int64               // list generation that the agent has
 	appliedGeneration int64               // list generation that the current or last process applied
 	listBytes         ListBytes
@@ -78,7 +78,7 @@
 	idleConns     map[logic.EndpointID][]*conn
 	stepScheduled bool
 	lastStepAt    logic.Micros
-	timerID       int // of the last timer; earlier ones are void
+	timerID       int // of the last timer; a new timer replaces the previous one
 	undetected    []*detection
 	detections    map[*outage]*detection
 }
@@ -86,10 +86,16 @@
 func newSender(f *fleet, number int) *sender {
 	zones, racks := f.scenario.Fleet.Zones, f.scenario.Fleet.RacksPerZone
 	zone := number % zones
-	return &sender{fleet: f, number: number, machine: &machine{zone: zone, rack: zone*racks + number/zones%racks},
-		clientRand: newRand(f.scenario.Seed, "clients", number), failoverRand: newRand(f.scenario.Seed, "front", number),
-		networkRand: newRand(f.scenario.Seed, "network", number), spreadRand: newRand(f.scenario.Seed, "spread", number),
-		messages: map[string]*message{}}
+	return &sender{
+		fleet:        f,
+		number:       number,
+		machine:      &machine{zone: zone, rack: zone*racks + number/zones%racks},
+		clientRand:   newRand(f.scenario.Seed, "clients", number),
+		failoverRand: newRand(f.scenario.Seed, "front", number),
+		networkRand:  newRand(f.scenario.Seed, "network", number),
+		spreadRand:   newRand(f.scenario.Seed, "spread", number),
+		messages:     map[string]*message{},
+	}
 }
 
 // start starts a process with the messages of the journal and the list that the agent has.
@@ -102,7 +108,9 @@
 		return
 	}
 	s.up, s.startedAt, s.module, s.lastStepAt = true, f.now, module, f.now-settings.Tick
-	s.directory = node.NewDirectory(&node.Config{Deployment: wire.Deployment{Settings: settings, Zones: f.discovery.zoneNames}})
+	s.directory = node.NewDirectory(&node.Config{
+		Deployment: wire.Deployment{Settings: settings, Zones: f.discovery.zoneNames},
+	})
 	s.idleConns, s.detections = map[logic.EndpointID][]*conn{}, map[*outage]*detection{}
 	list := f.discovery.fullList(s.agentGeneration)
 	wallStart := time.Now()
@@ -139,7 +147,13 @@
 }
 
 func (s *sender) messageEvent(m *message) logic.Message {
-	return logic.Message{ID: m.id, TimeLeft: m.deadline - s.fleet.now, Dest: int64(m.dest), Tenant: -1, Class: m.class}
+	return logic.Message{
+		ID:       m.id,
+		TimeLeft: m.deadline - s.fleet.now,
+		Dest:     int64(m.dest),
+		Tenant:   -1,
+		Class:    m.class,
+	}
 }
 
 // kill ends the process. If its machine was lost, endpoints keep its connections open until the idle timeout, and other
@@ -200,8 +214,12 @@
 		return
 	}
 	s.lastSeq++
-	m := &message{clientMessage: cm, seq: s.lastSeq, deadline: cm.createdAt + f.scenario.Classes[cm.class].Deadline.Micros,
-		id: strconv.FormatUint(cm.number, 16) + "-" + strconv.Itoa(cm.submissions)}
+	m := &message{
+		clientMessage: cm,
+		seq:           s.lastSeq,
+		deadline:      cm.createdAt + f.scenario.Classes[cm.class].Deadline.Micros,
+		id:            strconv.FormatUint(cm.number, 16) + "-" + strconv.Itoa(cm.submissions),
+	}
 	cm.submissions++
 	s.messages[m.id] = m
 	s.openCount++
@@ -237,7 +255,7 @@
 func (s *sender) step() {
 	f := s.fleet
 	events := s.pendingEvents
-	s.pendingEvents, s.unaccepted, s.lastStepAt = nil, nil, f.now // the module accepts or refuses new messages in this step
+	s.pendingEvents, s.unaccepted, s.lastStepAt = nil, nil, f.now // this step accepts or rejects the new messages
 	wallStart := time.Now()                                       // wall clock, only for the report
 	actions := s.module.Step(f.now, events)
 	if s.startedAt < f.now { // the first step is measured as part of the start
@@ -317,13 +335,15 @@
 	wallStart := time.Now()
 	entries := s.directory.Apply(list, s.wallTime())
 	s.fleet.stats.listUpdateTimes.add(wallStart)
-	form := logic.UpdateDelta
+	kind := logic.UpdateDelta
 	if list.Reset {
-		form = logic.UpdateFull
+		kind = logic.UpdateFull
 	}
-	// Calls still connecting to an endpoint that accepts no more are aborted before the request is sent.
+	// Calls still connecting to an endpoint that accepts no more calls are aborted before the request is sent.
 	s.abortConnecting(func(c *call) bool {
-		i := slices.IndexFunc(entries, func(entry logic.EndpointEntry) bool { return entry.Endpoint == c.endpointID })
+		i := slices.IndexFunc(entries, func(entry logic.EndpointEntry) bool {
+			return entry.Endpoint == c.endpointID
+		})
 		return i >= 0 && entries[i].State != logic.Ready || i < 0 && list.Reset
 	})
 	for _, entry := range entries {
@@ -331,7 +351,7 @@
 			s.apply(logic.ReleaseConns{Endpoint: entry.Endpoint})
 		}
 	}
-	s.enqueue(logic.EndpointUpdate{Kind: form, Entries: entries})
+	s.enqueue(logic.EndpointUpdate{Kind: kind, Entries: entries})
 }
 
 // abortConnecting ends the matching calls that are still connecting; their requests were never sent.
@@ -343,7 +363,7 @@
 	}
 }
 
-// watchList ends the watch of the list without changes when its hold time is over, and starts the next one.
+// watchList ends a watch of the list that has brought no changes at its timeout, and starts the next one.
 func (s *sender) watchList() {
 	s.watchDeadline = s.fleet.now + s.fleet.scenario.Discovery.WatchTimeout.Micros
 	var checkDeadline func()
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -23,7 +23,7 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-// listResponse is the response of discovery: the whole list if Reset is set, else the changes since a generation.
+// listResponse is the response of discovery: the full list if Reset is set, else the changes since a generation.
 type listResponse struct {
 	Generation int        `json:"generation"`
 	Reset      bool       `json:"reset"`
@@ -79,7 +79,7 @@
 }
 
 // changesSince returns what a caller with the given generation needs to be up to date, and a channel that is closed at
-// the next change. A caller with an invalid generation gets the whole list.
+// the next change. A caller with an invalid generation gets the full list.
 func (r *registry) changesSince(generation int) (listResponse, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,7 +123,7 @@
 
 	processSince time.Duration // when the sender's process was started
 	slowSince    time.Duration // when lists last began to be slow
-	slowUntil    time.Duration // when that ended, or distantFuture
+	slowUntil    time.Duration // when lists stopped being slow; distantFuture if they are slow now
 }
 
 func newDiscoveryAgent(sender int, checker *Checker, r *registry) (*discoveryAgent, error) {
@@ -301,7 +301,7 @@
 	defer a.registry.mu.Unlock()
 	for _, retired := range a.registry.retirements {
 		at := max(retired.at, reachableSince)
-		if !a.pushed || at >= slowSince-slowListDelay && at < slowUntil { // a list may be delayed by a slow one before it
+		if !a.pushed || at >= slowSince-slowListDelay && at < slowUntil { // a slow list also delays the next one
 			at += maxDiscoveryDelay
 		}
 		if discoveryMovedAt != 0 {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -16,12 +16,12 @@
 const (
 	RuleLost              Rule = "lost"           // accepted, but neither delivered nor reported in a notice
 	RuleLate              Rule = "late"           // delivered or reported in a notice after its due time
-	RuleDuplicate         Rule = "duplicate"      // sent again although a repeat was not allowed
+	RuleDuplicate         Rule = "duplicate"      // sent again although it must not be
 	RuleSecondCopy        Rule = "second-copy"    // sent again while an earlier call with it was in progress
-	RuleRejectedExecuted  Rule = "refused-run"    // refused or returned, but possibly executed by an endpoint
+	RuleRejectedExecuted  Rule = "refused-run"    // rejected or returned, but possibly executed by an endpoint
 	RuleSentAfterEnd      Rule = "sent-after-end" // sent after the notice that reported its outcome
 	RuleDrain             Rule = "drain"          // sent to an endpoint that is draining or was removed
-	RuleRetryAfter        Rule = "wait"           // sent before the destination's retry delay was over
+	RuleRetryAfter        Rule = "wait"           // sent before the wait that the destination requested was over
 	RuleColdRamp          Rule = "cold-ramp"      // a destination was overloaded as it recovered from an outage
 	RuleMismatch          Rule = "foreign"        // unknown, altered, or sent to the wrong destination
 	RuleUntried           Rule = "untried"        // most untried messages given up early without a call after a restart
@@ -46,10 +46,11 @@
 
 // Tolerances and timeouts in addition to those in the settings.
 const (
-	outcomeSlack      = 350 * time.Millisecond                  // from a message's deadline to its outcome: 300 ms, and 50 ms for socket I/O
+	// From a message's deadline to its outcome: 300 ms, and 50 ms for socket I/O.
+	outcomeSlack      = 350 * time.Millisecond
 	schedulingSlack   = 250 * time.Millisecond                  // for scheduling delays, as senders and peers share one machine
 	restartGrace      = 1500*time.Millisecond + schedulingSlack // from a restart to the outcome of overdue messages
-	retryAfterSlack   = 100 * time.Millisecond                  // for a sender to act on a retry delay
+	retryAfterSlack   = 100 * time.Millisecond                  // for a sender to act on a requested wait
 	maxDiscoveryDelay = 6 * time.Second                         // for a change to reach a sender if lists are not pushed or come slowly
 	maxReloadDelay    = 4 * time.Second                         // from a reload to the first list from the new discovery address
 	readyTimeout      = 10 * time.Second
@@ -97,7 +98,7 @@
 // downtime is the time from the stop of a process until its successor is ready.
 type downtime struct {
 	start, readyAt time.Duration // readyAt is 0 until then
-	untried        []*message    // accepted by the old process but not sent, with over half of their time left
+	untried        []*message    // accepted by the old process, not sent, with over half of their time left
 }
 
 // Counts are the totals of a run.
@@ -116,8 +117,8 @@
 	mu          sync.Mutex
 	messages    map[string]*message
 	downtimes   [][]*downtime                 // by sender
-	drains      []map[*endpoint]time.Duration // by sender: when it knew or should have known that an endpoint is retired
-	retryAfters []map[int][2]time.Duration    // by sender and destination: when the delay was requested, and its end
+	drains      []map[*endpoint]time.Duration // by sender: since when it should know that an endpoint is retired
+	retryAfters []map[int][2]time.Duration    // by sender and destination: when a wait was requested, and its end
 	violations  []Violation
 	calls       int
 }
@@ -178,7 +179,7 @@
 	return attempts
 }
 
-// checkRejected checks that a message that was refused or returned has not been executed. Its client submits such
+// checkRejected checks that a message that was rejected or returned has not been executed. Its client submits such
 // a message again, so it would be executed twice, unless the class tolerates that.
 func (c *Checker) checkRejected(m *message) {
 	if m.answer != answerRejected && m.notice != "returned" || m.class.Idempotency == Idempotent ||
@@ -188,7 +189,7 @@
 	for _, a := range m.possiblyExecuted() {
 		if a.ended != 0 || m.answer == answerRejected { // otherwise an answer may still say that it was not executed
 			c.reportLocked(RuleRejectedExecuted, m.sender,
-				"%s of class %s was refused or returned, but a call with it was received at %.2fs",
+				"%s of class %s was rejected or returned, but a call with it was received at %.2fs",
 				m.id, m.class.Name, a.received.Seconds())
 			return
 		}
@@ -206,7 +207,8 @@
 	for i, id := range ids {
 		m := c.messages[id]
 		if m == nil || m.dest != e.dest.number || m.body != bodies[i] {
-			c.reportLocked(RuleMismatch, -1, "unknown, altered or misrouted message %q at destination %d", id, e.dest.number)
+			c.reportLocked(RuleMismatch, -1,
+				"unknown, altered or misrouted message %q at destination %d", id, e.dest.number)
 			continue
 		}
 		a := &attempt{endpoint: e, started: started, received: now}
@@ -219,14 +221,15 @@
 		}
 		if m.answer == answerRejected && m.answeredAt+10*time.Millisecond < started {
 			c.reportLocked(RuleRejectedExecuted, m.sender,
-				"%s was refused at %.2fs but sent at %.2fs", id, m.answeredAt.Seconds(), started.Seconds())
+				"%s was rejected at %.2fs but sent at %.2fs", id, m.answeredAt.Seconds(), started.Seconds())
 		}
 	}
 	if len(messages) == 0 {
 		return attempts, messages
 	}
 	sender := messages[0].sender
-	if since, ok := c.drains[sender][e]; ok && started > since+c.scenario.DrainGrace+50*time.Millisecond+schedulingSlack {
+	if since, ok := c.drains[sender][e]; ok &&
+		started > since+c.scenario.DrainGrace+50*time.Millisecond+schedulingSlack {
 		c.reportLocked(RuleDrain, sender,
 			"%s sent to %s %.2f s after the sender should have known that it was retired",
 			messages[0].id, e.name, (started - since).Seconds())
@@ -234,7 +237,7 @@
 	if retryAfter, ok := c.retryAfters[sender][e.dest.number]; ok &&
 		started > retryAfter[0]+retryAfterSlack+50*time.Millisecond && started < retryAfter[1]-20*time.Millisecond {
 		c.reportLocked(RuleRetryAfter, sender,
-			"%s sent %.3f s before the end of a retry delay of %.3f s",
+			"%s sent %.3f s before the end of a requested wait of %.3f s",
 			messages[0].id, (retryAfter[1] - started).Seconds(), (retryAfter[1] - retryAfter[0]).Seconds())
 	}
 	return attempts, messages
@@ -285,7 +288,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if earlier.ended == 0 || earlier.ended > a.received+secondCopySlack {
-		c.reportLocked(RuleSecondCopy, m.sender, "%s sent again while an earlier call with it was in progress", m.id)
+		c.reportLocked(RuleSecondCopy, m.sender,
+			"%s sent again while an earlier call with it was in progress", m.id)
 	}
 }
 
@@ -309,15 +313,15 @@
 }
 
 // recordRetryAfter records that a destination has told a sender to wait before it calls again.
-func (c *Checker) recordRetryAfter(sender int, dest int, delay time.Duration) {
+func (c *Checker) recordRetryAfter(sender int, dest int, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.elapsed()
-	if retryAfter := c.retryAfters[sender][dest]; now+delay > retryAfter[1] {
+	if retryAfter := c.retryAfters[sender][dest]; now+wait > retryAfter[1] {
 		if retryAfter[1] < now {
 			retryAfter[0] = now
 		}
-		c.retryAfters[sender][dest] = [2]time.Duration{retryAfter[0], now + delay}
+		c.retryAfters[sender][dest] = [2]time.Duration{retryAfter[0], now + wait}
 	}
 }
 
@@ -336,7 +340,8 @@
 	defer c.mu.Unlock()
 	m := c.messages[id]
 	if m == nil || m.sender != sender {
-		c.reportLocked(RuleMismatch, sender, "notice of message %q, which is unknown or belongs to another sender", id)
+		c.reportLocked(RuleMismatch, sender,
+			"notice of message %q, which is unknown or belongs to another sender", id)
 		return
 	}
 	if m.notice == "" {
@@ -362,7 +367,8 @@
 	clear(c.drains[sender]) // the next process does not know them
 	now := c.elapsed()
 	for _, m := range c.messages {
-		if m.sender == sender && m.answer == answerAccepted && m.deliveredAt == 0 && m.notice == "" && len(m.attempts) == 0 &&
+		if m.sender == sender && m.answer == answerAccepted &&
+			m.deliveredAt == 0 && m.notice == "" && len(m.attempts) == 0 &&
 			m.deadline-now > (m.deadline-m.sentAt)/2 {
 			d.untried = append(d.untried, m)
 		}
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -8,7 +8,8 @@
 )
 
 func TestGenerateDependsOnSeed(t *testing.T) {
-	a, b, c := Generate(7, 10, 12*time.Second, nil), Generate(7, 10, 12*time.Second, nil), Generate(8, 10, 12*time.Second, nil)
+	a, b, c := Generate(7, 10, 12*time.Second, nil), Generate(7, 10, 12*time.Second, nil),
+		Generate(8, 10, 12*time.Second, nil)
 	if !reflect.DeepEqual(a, b) {
 		t.Error("the same seed generated different scenarios")
 	}
@@ -38,7 +39,9 @@
 		}},
 		{RuleLost, func(c *Checker, e *endpoint, m *message) { m.deadline = 0 }},
 		{RuleLate, func(c *Checker, e *endpoint, m *message) { m.deadline = 0; c.recordNotice(0, m.id, "failed") }},
-		{RuleMismatch, func(c *Checker, e *endpoint, m *message) { c.recordCall(e, 0, []string{m.id}, []string{"other"}) }},
+		{RuleMismatch, func(c *Checker, e *endpoint, m *message) {
+			c.recordCall(e, 0, []string{m.id}, []string{"other"})
+		}},
 		{RuleDuplicate, func(c *Checker, e *endpoint, m *message) {
 			for range 2 {
 				attempts, messages := c.recordCall(e, c.elapsed(), []string{m.id}, []string{m.body})
@@ -68,7 +71,12 @@
 		sc := Generate(1, 2, 10*time.Second, nil)
 		c := newChecker(sc, time.Now().Add(-runAge))
 		e := &endpoint{dest: &destination{}, checker: c, name: "e"}
-		m := &message{id: "m", class: &Class{Name: "charge", Idempotency: NonIdempotent}, body: "body", deadline: runAge + time.Minute}
+		m := &message{
+			id:       "m",
+			class:    &Class{Name: "charge", Idempotency: NonIdempotent},
+			body:     "body",
+			deadline: runAge + time.Minute,
+		}
 		c.recordOffer(m)
 		c.recordAnswer(m, answerAccepted)
 		if test.rule == "" || test.rule == RuleRetryAfter || test.rule == RuleDrain ||
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -16,7 +16,7 @@
 // clientConn is a client connection to a sender.
 type clientConn struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 // clients submits messages to one sender.
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: conn, r: bufio.NewReader(conn)}, nil
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
 func (c *clients) release(conn *clientConn) {
@@ -110,8 +110,8 @@
 		opts += ",k=key-" + m.id
 	}
 	command := "*5\r\n"
-	for _, a := range []string{"MSG.PUT", "0000", m.id, opts, m.body} {
-		command += fmt.Sprintf("$%d\r\n%s\r\n", len(a), a)
+	for _, arg := range []string{"MSG.PUT", "0000", m.id, opts, m.body} {
+		command += fmt.Sprintf("$%d\r\n%s\r\n", len(arg), arg)
 	}
 	return command
 }
@@ -165,7 +165,7 @@
 		return batch, errClosedUnanswered
 	}
 	for i, m := range batch {
-		line, err := conn.r.ReadString('\n')
+		line, err := conn.reader.ReadString('\n')
 		if err != nil {
 			conn.Close()
 			var timeout net.Error
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -18,7 +18,7 @@
 
 // Parameters of simulated endpoints.
 const (
-	minServiceTime      = 10 * time.Millisecond // processing time of a call
+	minServiceTime      = 10 * time.Millisecond // duration of a call at the endpoint
 	maxServiceTime      = 90 * time.Millisecond
 	maxExtraServiceTime = 900 * time.Millisecond // added by SlowResponses
 	idleTimeout         = 4 * time.Second        // conn_idle_s in the settings
@@ -170,8 +170,8 @@
 		}
 		started := e.checker.elapsed()
 		conn.SetReadDeadline(time.Time{})
-		if kind, chance := e.faultAndChance(); kind == ConnectionResets && chance < 0.15 { // before the request has been read
-			resetConn(conn)
+		if kind, chance := e.faultAndChance(); kind == ConnectionResets && chance < 0.15 {
+			resetConn(conn) // before the request has been read
 			return
 		}
 		req, err := http.ReadRequest(r)
@@ -203,7 +203,8 @@
 		ids, bodies = []string{req.Header.Get("X-Trace-Id")}, []string{string(body)}
 	case "/inbox/bulk":
 		var items []bulkItem
-		if err := json.Unmarshal(body, &items); err != nil || len(items) == 0 || len(items) > e.checker.scenario.MaxBatch {
+		if err := json.Unmarshal(body, &items); err != nil || len(items) == 0 ||
+			len(items) > e.checker.scenario.MaxBatch {
 			e.checker.report(RuleMismatch, -1, "malformed bulk call: %.80q", body)
 			io.WriteString(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 			return true
@@ -262,17 +263,18 @@
 	case attempts > e.checker.scenario.MaxAttempts:
 		return x.respondNotExecuted("504 Gateway Timeout", 0)
 	case fault == RetryAfterResponses && chance < 0.5:
-		return x.respondNotExecuted("429 Too Many Requests", time.Duration(100+chance*2*maxRetryAfterMS)*time.Millisecond)
+		return x.respondNotExecuted("429 Too Many Requests",
+			time.Duration(100+chance*2*maxRetryAfterMS)*time.Millisecond)
 	case full && chance < 0.5:
 		return x.respondNotExecuted("429 Too Many Requests", time.Duration(50+chance*1000)*time.Millisecond)
 	case full:
 		return x.respondNotExecuted("503 Service Unavailable", 0)
 	}
-	work := minServiceTime + time.Duration(chance*float64(maxServiceTime-minServiceTime))
+	serviceTime := minServiceTime + time.Duration(chance*float64(maxServiceTime-minServiceTime))
 	if fault == SlowResponses {
-		work += time.Duration(chance * float64(maxExtraServiceTime))
+		serviceTime += time.Duration(chance * float64(maxExtraServiceTime))
 	}
-	timer := time.NewTimer(work)
+	timer := time.NewTimer(serviceTime)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -301,7 +303,7 @@
 	return x.respondDelivered()
 }
 
-// respondNotExecuted answers that the call was not executed, and asks for a retry delay if retryAfter is not 0.
+// respondNotExecuted answers that the call was not executed, and requests a wait if retryAfter is not 0.
 func (x *exchange) respondNotExecuted(status string, retryAfter time.Duration) bool {
 	header := ""
 	if retryAfter > 0 {
@@ -358,9 +360,9 @@
 	}
 }
 
-// addLoad adds a call to the backlog, or returns true if the backlog is full. During an outage it only marks the sender
-// as informed.
-func (d *destination) addLoad(checker *Checker, sender int, down bool, work float64) (full bool) {
+// addLoad adds the load of a call to the backlog, or returns true if the backlog is full. During an outage it only marks
+// the sender as informed.
+func (d *destination) addLoad(checker *Checker, sender int, down bool, load float64) (full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := checker.elapsed()
@@ -377,24 +379,25 @@
 	if d.backlog > capacity*queueSeconds {
 		return true
 	}
-	d.backlog += work
+	d.backlog += load
 	return false
 }
 
 // capacityShare returns the share of its capacity that a destination has; it is below 1 while it warms up.
-func (d *destination) capacityShare(cold Recovery, now time.Duration) float64 {
-	if d.recoveredAt == 0 || now >= d.recoveredAt+cold.WarmupTime {
+func (d *destination) capacityShare(recovery Recovery, now time.Duration) float64 {
+	if d.recoveredAt == 0 || now >= d.recoveredAt+recovery.WarmupTime {
 		return 1
 	}
-	return cold.ColdCapacity + (1-cold.ColdCapacity)*float64(now-d.recoveredAt)/float64(cold.WarmupTime)
+	return recovery.ColdCapacity +
+		(1-recovery.ColdCapacity)*float64(now-d.recoveredAt)/float64(recovery.WarmupTime)
 }
 
 // checkRamp checks that the calls in the last window do not overload a destination that is warming up. It reports a
 // violation only if at least two thirds of these calls came from senders that had a call fail during the outage; the
 // other senders cannot know of it.
 func (d *destination) checkRamp(checker *Checker, now time.Duration) {
-	cold := checker.scenario.Recovery
-	from := now - cold.OverloadWindow
+	recovery := checker.scenario.Recovery
+	from := now - recovery.OverloadWindow
 	calls, informed := 0, 0
 	for _, a := range d.arrivals {
 		if a.at > from {
@@ -405,20 +408,20 @@
 		}
 	}
 	rampStart := max(from, d.recoveredAt)
-	mean := (cold.ColdCapacity*(rampStart-from).Seconds() +
-		(d.capacityShare(cold, rampStart)+d.capacityShare(cold, now))/2*(now-rampStart).Seconds()) /
-		cold.OverloadWindow.Seconds()
-	allowed := cold.OverloadMultiple * mean * d.capacity * cold.OverloadWindow.Seconds()
+	meanShare := (recovery.ColdCapacity*(rampStart-from).Seconds() +
+		(d.capacityShare(recovery, rampStart)+d.capacityShare(recovery, now))/2*(now-rampStart).Seconds()) /
+		recovery.OverloadWindow.Seconds()
+	allowed := recovery.OverloadMultiple * meanShare * d.capacity * recovery.OverloadWindow.Seconds()
 	if limit := MaxWindowCalls(allowed); float64(calls) > limit && 3*informed >= 2*calls && !d.reported {
 		d.reported = true
 		checker.report(RuleColdRamp, -1,
 			"destination %d: %d calls in %v, limit %.1f, %.1f s after its outage",
-			d.number, calls, cold.OverloadWindow, limit, (now - d.recoveredAt).Seconds())
+			d.number, calls, recovery.OverloadWindow, limit, (now - d.recoveredAt).Seconds())
 	}
 }
 
-// MaxWindowCalls returns how many calls are tolerated in a window in which the settings allow the given number. The
-// margin of 2 to 3 times its square root covers random variation of the traffic.
+// MaxWindowCalls returns how many calls a cold destination tolerates in a window in which the settings allow the given
+// number. The margin of 2 to 3 times its square root covers random variation of the traffic.
 func MaxWindowCalls(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -39,7 +39,7 @@
 
 	mu               sync.Mutex
 	current          *process
-	discoveryMovedAt time.Duration // when it was last told of a new discovery address; 0 if never
+	discoveryMovedAt time.Duration // when it was last told to reload with a new discovery address; 0 if never
 }
 
 // process is one operating system process of a sender.
@@ -121,7 +121,12 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &process{cmd: exec.Command(s.run.options.Program), adminAddr: adminAddr, log: logFile, done: make(chan struct{})}
+	p := &process{
+		cmd:       exec.Command(s.run.options.Program),
+		adminAddr: adminAddr,
+		log:       logFile,
+		done:      make(chan struct{}),
+	}
 	p.cmd.Stdout, p.cmd.Stderr = logFile, logFile
 	p.cmd.Env = append(os.Environ(),
 		"BALANCER_NAME="+fmt.Sprint("n", s.number),
@@ -143,7 +148,8 @@
 		expected := p.endExpected
 		s.mu.Unlock()
 		if !expected {
-			s.run.checker.report(RuleCrash, s.number, "the process exited unexpectedly: %v: %s", err, crashSummary(logFile.Name()))
+			s.run.checker.report(RuleCrash, s.number,
+				"the process exited unexpectedly: %v: %s", err, crashSummary(logFile.Name()))
 		}
 		close(p.done)
 	}()
@@ -195,8 +201,8 @@
 	return err == nil && line == "+PONG\r\n"
 }
 
-// waitReady waits until a process answers clients. It must do so within readyTimeout after its start, or after the end of
-// the faults in its system calls and clock.
+// waitReady waits until a process answers clients. It must do so within readyTimeout after its start, or after the end
+// of the faults in its system calls and wall clock.
 func (s *sender) waitReady(p *process) bool {
 	deadline := max(s.run.checker.elapsed(), s.run.scenario.systemFaultsEnd(s.number)) + readyTimeout
 	for !s.answersPing() {
@@ -301,7 +307,7 @@
 	s.mu.Lock()
 	s.current = next
 	s.mu.Unlock()
-	// If the old process hands over, the new one serves at once; if it cannot, this is a restart.
+	// If the old process hands over, the new one serves at once. If it cannot, this amounts to a restart.
 	downtime := s.run.checker.beginDowntime(s.number)
 	s.stop(old, true)
 	if s.waitReady(next) {
@@ -329,7 +335,7 @@
 	time.AfterFunc(1500*time.Millisecond, closeOld)
 }
 
-// drain makes the process turn its clients away for a while, as an operator would.
+// drain makes the process reject messages of its clients for a while, as an operator would.
 func (s *sender) drain(duration time.Duration) {
 	s.processLock.Lock()
 	defer s.processLock.Unlock()
@@ -339,7 +345,8 @@
 	p.adminCall("resume")
 }
 
-// violations returns the first nonzero figure for violations of the process's internal checks, or an empty string.
+// violations returns the first nonzero counter of violations that the process's internal checks found, or an empty
+// string.
 func (p *process) violations() string {
 	text, err := p.adminCall("show-stat")
 	if err != nil {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -23,7 +23,7 @@
 	Scenario      *Scenario
 	Counts        Counts
 	Violations    []Violation
-	MaxTimerDelay time.Duration // greatest lateness of a timer in this process, a measure of the load on the machine
+	MaxTimerDelay time.Duration // how late timers of this process fired at most, a measure of the machine's load
 }
 
 // run is a run in progress.
@@ -37,7 +37,7 @@
 	senders      []*sender
 
 	mu            sync.Mutex
-	endpoints     [][]*endpoint // by destination: those on the list that are not being retired
+	endpoints     [][]*endpoint // by destination: those on the list that are not retired
 	allEndpoints  []*endpoint
 	err           error
 	maxTimerDelay time.Duration
@@ -53,7 +53,8 @@
 func (r *run) faultActive(sender int, kinds ...FaultKind) bool {
 	now := r.checker.elapsed()
 	return slices.ContainsFunc(r.scenario.Faults, func(fault Fault) bool {
-		return slices.Contains(kinds, fault.Kind) && fault.Sender == sender && fault.From <= now && now < fault.To+time.Second
+		return slices.Contains(kinds, fault.Kind) && fault.Sender == sender &&
+			fault.From <= now && now < fault.To+time.Second
 	})
 }
 
@@ -71,8 +72,8 @@
 			return nil, err
 		}
 	}
-	traffic, stop := context.WithTimeout(ctx, sc.Duration-r.checker.elapsed())
-	defer stop()
+	trafficCtx, stopTraffic := context.WithTimeout(ctx, sc.Duration-r.checker.elapsed())
+	defer stopTraffic()
 	monitorCtx, stopMonitor := context.WithCancel(ctx)
 	defer stopMonitor()
 	var monitor sync.WaitGroup
@@ -82,7 +83,7 @@
 		c := newClients(s)
 		activity.Go(func() {
 			s.startFirst()
-			c.run(traffic)
+			c.run(trafficCtx)
 		})
 	}
 	for _, fault := range sc.Faults {
@@ -198,11 +199,11 @@
 func (r *run) monitor(ctx context.Context) {
 	const interval = 50 * time.Millisecond
 	for {
-		at := time.Now()
+		start := time.Now()
 		if !sleep(ctx, interval) {
 			return
 		}
-		delay := time.Since(at) - interval
+		delay := time.Since(start) - interval
 		r.mu.Lock()
 		r.maxTimerDelay = max(r.maxTimerDelay, delay)
 		r.mu.Unlock()
@@ -305,7 +306,8 @@
 	}
 }
 
-// replaceEndpoint adds a new endpoint to the list and removes an old one: after a drain for EndpointDrain, else at once.
+// replaceEndpoint adds a new endpoint to the list and removes an old one, which drains first if the fault is
+// EndpointDrain.
 func (r *run) replaceEndpoint(ctx context.Context, fault Fault) {
 	old := r.faultEndpoint(fault)
 	if old == nil {
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -16,8 +16,8 @@
 
 // The values of Idempotency.
 const (
-	Idempotent      Idempotency = "retryable" // repeats are harmless
-	IdempotentByKey Idempotency = "dedup"     // endpoints deduplicate by idempotency key, for a while
+	Idempotent      Idempotency = "retryable" // may be sent again at any time
+	IdempotentByKey Idempotency = "dedup"     // endpoints drop duplicates by idempotency key within a window
 	NonIdempotent   Idempotency = "fragile"   // must not be sent again once it may have been executed
 )
 
@@ -25,9 +25,9 @@
 type Class struct {
 	Name         string
 	Idempotency  Idempotency
-	DedupPerZone bool // each zone deduplicates on its own
+	DedupPerZone bool // only endpoints of the same zone recognize each other's duplicates
 	Deadline     time.Duration
-	DedupWindow  time.Duration // how long after the first attempt repeats are recognized
+	DedupWindow  time.Duration // how long duplicates are dropped, from the first attempt
 }
 
 // Recovery describes how a destination recovers from an outage: its capacity grows linearly, and calls that exceed it
@@ -35,7 +35,7 @@
 type Recovery struct {
 	OverloadMultiple float64 // calls above this multiple of the capacity in an OverloadWindow overload it
 	OverloadWindow   time.Duration
-	ColdCapacity     float64       // of the full capacity, right after the outage
+	ColdCapacity     float64       // fraction of the full capacity right after the outage
 	WarmupTime       time.Duration // until the full capacity is reached
 }
 
@@ -48,19 +48,19 @@
 	Classes                 []Class
 	Destinations            int
 	EndpointsPerDestination int
-	Rate                    float64 // messages per second at each sender
-	Headroom                float64 // capacity of a destination divided by its traffic
-	MaxBatch                int     // messages per call
-	MaxAttempts             int     // calls per message
-	MaxOpen                 int
+	Rate                    float64       // messages per second at each sender
+	Headroom                float64       // capacity of a destination divided by its traffic
+	MaxBatch                int           // messages per call
+	MaxAttempts             int           // calls per message
+	MaxOpen                 int           // messages that a sender holds at once
 	SecondCopies            bool          // a message may be sent again while an earlier call with it is in progress
 	DrainGrace              time.Duration // how long calls are still allowed after an endpoint starts to drain
 	Recovery                Recovery
-	DiskMB                  float64
+	DiskMB                  float64 // disk space of a sender
 	Faults                  []Fault
 }
 
-// FaultKind names a kind of fault. The command line calls faults troubles.
+// FaultKind names a kind of fault. The flag --troubles of command soak prints the faults of a run.
 type FaultKind string
 
 // The kinds of fault, grouped by what they affect: a sender's process, its system calls and wall clock, a destination,
@@ -111,8 +111,8 @@
 // faultGroups lists the kinds of each group. A kind that appears twice is twice as likely.
 var faultGroups = map[string][]FaultKind{
 	"process": processFaults,
-	"system": {WallClockStep, WallClockStep, DiskFull, DiskErrors, ShortDiskWrites, DiskReadErrors, SocketErrors, ConnectErrors,
-		AcceptErrors, ConnectionErrors, InterruptedCalls, ShortTransfers, DelayedWrites},
+	"system": {WallClockStep, WallClockStep, DiskFull, DiskErrors, ShortDiskWrites, DiskReadErrors, SocketErrors,
+		ConnectErrors, AcceptErrors, ConnectionErrors, InterruptedCalls, ShortTransfers, DelayedWrites},
 	"destination": {ConnectionsRefused, Unresponsive, Unavailable, ServerErrors, ConnectionResets, MalformedResponses,
 		RetryAfterResponses, SlowResponses, EarlyIdleClose, EndpointDrain, EndpointReplacement},
 	"discovery": {DiscoveryDown, DiscoverySlow},
@@ -238,7 +238,13 @@
 		if rng.IntN(3) == 0 {
 			kind := []FaultKind{ConnectionsRefused, Unresponsive, Unavailable}[rng.IntN(3)]
 			from := restart.From - time.Second
-			add(Fault{Kind: kind, From: from, To: from + 4*time.Second, Sender: -1, Destination: rng.IntN(sc.Destinations)})
+			add(Fault{
+				Kind:        kind,
+				From:        from,
+				To:          from + 4*time.Second,
+				Sender:      -1,
+				Destination: rng.IntN(sc.Destinations),
+			})
 		}
 	}
 }
@@ -292,11 +298,11 @@
 	}
 }
 
-// processSettleTime is a part of the time that a process is left alone after a process fault.
+// processSettleTime is part of the minimum time between two process faults of a sender.
 const processSettleTime = 2500 * time.Millisecond
 
-// withoutConflicts returns the faults without those that would overlap another process fault of the same sender, another
-// fault of the same destination, or a fault of the same kind and place.
+// withoutConflicts returns the faults without those that would overlap another process fault of the same sender,
+// another fault of the same destination, or a fault of the same kind and place.
 func (sc *Scenario) withoutConflicts() (faults []Fault) {
 	for _, fault := range sc.Faults {
 		conflict := slices.ContainsFunc(faults, func(other Fault) bool {
@@ -341,8 +347,8 @@
 	return end
 }
 
-// syscallPlan returns the plan for a sender's system calls and wall clock. runStart is the start of the run on the clock
-// of [faultinject.Now].
+// syscallPlan returns the plan for a sender's system calls and wall clock. runStart is the start of the run on the
+// clock of [faultinject.Now].
 func (sc *Scenario) syscallPlan(sender int, runStart time.Duration, stateDir string) faultinject.Plan {
 	plan := faultinject.Plan{StateDir: stateDir}
 	for _, fault := range sc.Faults {
@@ -353,19 +359,25 @@
 			f.From, f.To = runStart+fault.From, runStart+fault.To
 			plan.Faults = append(plan.Faults, f)
 		}
-		stateFileErrors := func(errno syscall.Errno, chance float64, calls ...string) {
+		stateFileErrors := func(errno syscall.Errno, probability float64, calls ...string) {
 			for _, call := range calls {
-				add(faultinject.Fault{Call: call, Target: faultinject.StateFiles, Errno: errno, Probability: chance})
+				add(faultinject.Fault{
+					Call:        call,
+					Target:      faultinject.StateFiles,
+					Errno:       errno,
+					Probability: probability,
+				})
 			}
 		}
-		callErrors := func(chance float64, call string, errnos ...syscall.Errno) {
+		callErrors := func(probability float64, call string, errnos ...syscall.Errno) {
 			for _, errno := range errnos {
-				add(faultinject.Fault{Call: call, Errno: errno, Probability: chance})
+				add(faultinject.Fault{Call: call, Errno: errno, Probability: probability})
 			}
 		}
 		switch fault.Kind {
 		case WallClockStep:
-			plan.ClockSteps = append(plan.ClockSteps, faultinject.ClockStep{At: runStart + fault.From, Offset: fault.Offset})
+			plan.ClockSteps = append(plan.ClockSteps,
+				faultinject.ClockStep{At: runStart + fault.From, Offset: fault.Offset})
 		case DiskFull:
 			stateFileErrors(syscall.ENOSPC, 1, "pwrite", "open", "rename")
 		case DiskErrors:
@@ -384,14 +396,27 @@
 		case ConnectErrors:
 			callErrors(0.25, "connect", syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS)
 		case AcceptErrors:
-			callErrors(0.2, "accept", syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.EHOSTUNREACH, syscall.EINTR)
+			callErrors(0.2, "accept",
+				syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.EHOSTUNREACH, syscall.EINTR)
 		case ConnectionErrors:
 			for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
-				add(faultinject.Fault{Call: "read", Target: faultinject.OutgoingSockets, Errno: errno, Probability: 0.03})
-				add(faultinject.Fault{Call: "write", Target: faultinject.OutgoingSockets, Errno: errno, Probability: 0.03})
+				add(faultinject.Fault{
+					Call:        "read",
+					Target:      faultinject.OutgoingSockets,
+					Errno:       errno,
+					Probability: 0.03,
+				})
+				add(faultinject.Fault{
+					Call:        "write",
+					Target:      faultinject.OutgoingSockets,
+					Errno:       errno,
+					Probability: 0.03,
+				})
 			}
 		case InterruptedCalls:
-			for _, call := range []string{"read", "write", "pwrite", "pread", "accept", "lock", "open", "receive", "truncate"} {
+			for _, call := range []string{
+				"read", "write", "pwrite", "pread", "accept", "lock", "open", "receive", "truncate",
+			} {
 				callErrors(0.3, call, syscall.EINTR)
 			}
 		case ShortTransfers:
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -204,7 +204,7 @@
 		f.seconds("time_taken_s")
 		event.Event = logic.ProbeResult{Outcome: outcome, Endpoint: f.endpointID(), Load: f.loadReport()}
 	case "peer":
-		// The module does not use messages between senders: the line is validated and discarded.
+		// The module uses no messages between senders. The line is checked and discarded.
 		f.integer("neighbour")
 		f.word("msg")
 		event.Event = nil
@@ -214,14 +214,15 @@
 	return event, f.finish()
 }
 
+// decodeEndpoints decodes an endpoints line: an update of the endpoint list, which an earlier register line holds.
 func (d *Decoder) decodeEndpoints(f *fieldReader) logic.Event {
-	form := f.integer("form")
+	kind := f.integer("form")
 	f.integer("stamp")
-	if form < int64(logic.UpdateDelta) || form > int64(logic.UpdateFailed) {
+	if kind < int64(logic.UpdateDelta) || kind > int64(logic.UpdateFailed) {
 		f.fail("form", "out of range")
 		return nil
 	}
-	event := logic.EndpointUpdate{Kind: logic.UpdateKind(form)}
+	event := logic.EndpointUpdate{Kind: logic.UpdateKind(kind)}
 	if event.Kind == logic.UpdateFailed {
 		f.word("set_id")
 		return event
@@ -235,25 +236,27 @@
 	return event
 }
 
+// decodeCall decodes a call line: a new message from a client.
 func decodeCall(f *fieldReader) logic.Event {
-	call := logic.Message{ID: f.word("req")}
+	message := logic.Message{ID: f.word("req")}
 	f.flag("repeat")
-	call.TimeLeft = f.seconds("grace_s")
+	message.TimeLeft = f.seconds("grace_s")
 	f.flag("came_back")
 	f.number("expected_s")
-	call.OrderKey = f.optionalWord("key")
+	message.OrderKey = f.optionalWord("key")
 	f.flag("is_write")
-	call.Dest = f.integer("to_exchange")
-	call.Tenant = -1
+	message.Dest = f.integer("to_exchange")
+	message.Tenant = -1
 	if tenant := f.optionalWord("realm"); tenant != "" {
-		call.Tenant = int(f.parseInteger("realm", tenant))
+		message.Tenant = int(f.parseInteger("realm", tenant))
 	}
-	call.Class = int(f.integer("category"))
-	return call
+	message.Class = int(f.integer("category"))
+	return message
 }
 
+// decodeReply decodes a reply line: the outcome of an attempt.
 func decodeReply(f *fieldReader) logic.Event {
-	reply := logic.AttemptResult{
+	result := logic.AttemptResult{
 		ID:       f.word("req"),
 		Final:    f.flag("no_more"),
 		Endpoint: f.endpointID(),
@@ -265,12 +268,12 @@
 	if w := f.optionalWord("detail"); w != "" {
 		detail = f.parseInteger("detail", w)
 	}
-	// With a saturated endpoint, the detail is the wait that it asked for, in milliseconds.
-	if reply.Outcome == logic.Refused && detail > 0 {
-		reply.RetryAfter = logic.Micros(detail) * logic.Second / 1000
+	// With the outcome "saturated", the detail is the wait that the endpoint requested, in milliseconds.
+	if result.Outcome == logic.Refused && detail > 0 {
+		result.RetryAfter = logic.Micros(detail) * logic.Second / 1000
 	}
-	reply.Load = f.loadReport()
-	return reply
+	result.Load = f.loadReport()
+	return result
 }
 
 // fieldReader reads the values of one line in order and records the first error.
@@ -428,6 +431,7 @@
 	return 0
 }
 
+// outcomeNames holds the protocol's words for the outcomes that it can report.
 var outcomeNames = [...]string{
 	logic.Delivered:   "completed",
 	logic.Errored:     "errored",
