--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -13,7 +13,7 @@
 	`"rules":{"cold_from":0.2,"drain_grace_s":1,"fall_multiple":2,"fall_s":2,"warm_after_s":14},"specifics":{"call_slots":4,"batch_by_kind":[1],"separate_routes":[false]}}`
 
 // buildFrames returns frames that start the given instances, send them an endpoint list, and then messages that are
-// refused or time out.
+// rejected or time out.
 func buildFrames(instances ...int) string {
 	var b strings.Builder
 	fmt.Fprint(&b, "frame 1 1\nregister 0 2\nentry 11 0 0 5 0 0 -\nentry 12 0 0 5 0 0 -\n")
@@ -99,7 +99,8 @@
 	}
 	fmt.Fprintf(&b, "create 0 7 %s\nendpoints 0 2 1 0\neob\n", settingsJSON)
 	start := b.String()
-	unexpected := start + "frame 2 2\nreply 0 nobody 1 100 0 completed 0.1 - -\ndue 0 9\ncall 0 rq 0 8 0 - - 0 499 - 0\neob\n"
+	unexpected := start +
+		"frame 2 2\nreply 0 nobody 1 100 0 completed 0.1 - -\ndue 0 9\ncall 0 rq 0 8 0 - - 0 499 - 0\neob\n"
 	if got := actionsByInstance(t, unexpected)["0"]; !slices.ContainsFunc(got, func(line string) bool {
 		return strings.HasPrefix(line, "call_out 0 rq ")
 	}) {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -35,7 +35,9 @@
 // Read returns the current value of c, which is the same for all processes on a machine.
 func (c KernelClock) Read() (time.Duration, error) {
 	var ts syscall.Timespec
-	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, uintptr(c), uintptr(unsafe.Pointer(&ts)), 0); errno != 0 {
+	if _, _, errno := syscall.Syscall(
+		syscall.SYS_CLOCK_GETTIME, uintptr(c), uintptr(unsafe.Pointer(&ts)), 0,
+	); errno != 0 {
 		return 0, errno
 	}
 	return time.Duration(ts.Nano()), nil
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -19,13 +19,18 @@
 		keepAnchor bool
 	}{
 		{"same boot", clockReadings{now, 15 * minuteMicros, "a"}, 0, 1005 * minuteMicros, true},
-		{"same boot, wall clock stepped forward", clockReadings{now.Add(time.Hour), 15 * minuteMicros, "a"}, 0, 1005 * minuteMicros, true},
-		{"same boot, wall clock stepped back", clockReadings{now.Add(-time.Hour), 15 * minuteMicros, "a"}, 0, 1005 * minuteMicros, true},
+		{"same boot, wall clock stepped forward",
+			clockReadings{now.Add(time.Hour), 15 * minuteMicros, "a"}, 0, 1005 * minuteMicros, true},
+		{"same boot, wall clock stepped back",
+			clockReadings{now.Add(-time.Hour), 15 * minuteMicros, "a"}, 0, 1005 * minuteMicros, true},
 		{"boot ID unknown", clockReadings{now, 15 * minuteMicros, ""}, 0, 1005 * minuteMicros, true},
-		{"boot ID unknown, boot-time clock restarted", clockReadings{now, 2 * minuteMicros, ""}, 0, 1005 * minuteMicros, false},
+		{"boot ID unknown, boot-time clock restarted",
+			clockReadings{now, 2 * minuteMicros, ""}, 0, 1005 * minuteMicros, false},
 		{"another boot", clockReadings{now, 50 * minuteMicros, "b"}, 0, 1005 * minuteMicros, false},
-		{"another boot, wall clock stepped back", clockReadings{now.Add(-time.Hour), 50 * minuteMicros, "b"}, 0, 1000 * minuteMicros, false},
-		{"another boot, later time on record", clockReadings{now.Add(-time.Hour), 50 * minuteMicros, "b"}, 1004 * minuteMicros, 1004 * minuteMicros, false},
+		{"another boot, wall clock stepped back",
+			clockReadings{now.Add(-time.Hour), 50 * minuteMicros, "b"}, 0, 1000 * minuteMicros, false},
+		{"another boot, later time on record",
+			clockReadings{now.Add(-time.Hour), 50 * minuteMicros, "b"}, 1004 * minuteMicros, 1004 * minuteMicros, false},
 		{"no boot-time clock", clockReadings{now, 0, "a"}, 0, 1005 * minuteMicros, false},
 	} {
 		c, resumed := resumeFrom(anchor, test.latest, test.readings)
--- a/internal/hollow/faults.go
+++ b/internal/hollow/faults.go
@@ -64,7 +64,8 @@
 	})
 }
 
-// failMachines makes machines vanish for a time. Senders come back without a journal, endpoints without connections.
+// failMachines makes machines unreachable for a time. Senders then restart without a journal, endpoints without
+// connections.
 func (f *fleet) failMachines(machines []*machine, duration logic.Micros) {
 	o := &outage{mode: outageUnresponsive, startedAt: f.now}
 	affected := map[*machine]bool{}
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -67,7 +67,7 @@
 
 // Progress is the virtual time and the number of messages that a run has reached.
 type Progress struct {
-	Now, End Span
+	Now, End Duration
 	Offered  int64
 }
 
@@ -96,7 +96,7 @@
 		now := time.Now()
 		if opts.Progress != nil && now.Sub(wallStart) > progressAfter && now.Sub(lastProgress) > progressEvery {
 			lastProgress = now
-			opts.Progress(Progress{Span{f.now}, Span{end}, f.stats.Offered})
+			opts.Progress(Progress{Duration{f.now}, Duration{end}, f.stats.Offered})
 		}
 		interrupted = ctx.Err() != nil
 		return !interrupted
--- a/internal/hollow/fleet_test.go
+++ b/internal/hollow/fleet_test.go
@@ -80,7 +80,7 @@
 		sc.Duration, sc.Day = seconds(6), seconds(6)
 		withoutDrain := rapid.Bool().Draw(t, "cut")
 		if withoutDrain {
-			sc.Drain = Span{}
+			sc.Drain = Duration{}
 		}
 		sc.Fleet.Senders = rapid.IntRange(1, 20).Draw(t, "senders")
 		sc.Fleet.MaxOpen = rapid.SampledFrom([]int{0, 5, 2000}).Draw(t, "max_open")
@@ -91,8 +91,8 @@
 		sc.Destinations.DownShare = rapid.Float64Range(0, 0.5).Draw(t, "down")
 		sc.Faults = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) FaultConfig {
 			fault := FaultConfig{Kind: rapid.SampledFrom(faultKinds).Draw(t, "what"),
-				At:       Span{logic.Micros(rapid.IntRange(0, 6e6).Draw(t, "at"))},
-				Duration: Span{logic.Micros(rapid.IntRange(1, 4e6).Draw(t, "for"))}, Count: 1, Factor: 0.2}
+				At:       Duration{logic.Micros(rapid.IntRange(0, 6e6).Draw(t, "at"))},
+				Duration: Duration{logic.Micros(rapid.IntRange(1, 4e6).Draw(t, "for"))}, Count: 1, Factor: 0.2}
 			fault.OutageMode = rapid.SampledFrom(outageModes).Draw(t, "how")
 			if fault.Kind == faultLink {
 				fault.OtherRegion = 1
@@ -129,8 +129,8 @@
 	if m == nil || m.call == nil {
 		t.Fatal("the message has no call in progress")
 	}
-	late := &clientMessage{number: 2, createdAt: f.now}
-	f.submit(s, late)
+	second := &clientMessage{number: 2, createdAt: f.now}
+	f.submit(s, second)
 	f.restartSender(s)
 	if s.up || m.call != nil || !m.mayHaveRun || s.messages["1-0"] != m {
 		t.Errorf("after the kill: up %v, %+v", s.up, m)
@@ -140,7 +140,7 @@
 	}
 	for f.runNext(5 * logic.Second) {
 	}
-	if !first.ended || !late.ended || f.stats.Delivered != 2 {
+	if !first.ended || !second.ended || f.stats.Delivered != 2 {
 		t.Errorf("%d delivered of 2", f.stats.Delivered)
 	}
 }
@@ -162,7 +162,8 @@
 	}
 	sc.Fleet.Senders = -1
 	var fieldErr *FieldError
-	if _, err := Run(context.Background(), &sc, Options{}); !errors.As(err, &fieldErr) || fieldErr.Field != "fleet.senders" {
+	if _, err := Run(context.Background(), &sc, Options{}); !errors.As(err, &fieldErr) ||
+		fieldErr.Field != "fleet.senders" {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/hollow/live.go
+++ b/internal/hollow/live.go
@@ -161,9 +161,10 @@
 	endpoints := sc.Destinations.Count * sc.Destinations.Endpoints
 	switch {
 	case sc.Fleet.Senders > maxLiveSenders:
-		return fmt.Errorf("fleet.senders: want %d or less for real processes, not %d", maxLiveSenders, sc.Fleet.Senders)
+		return fmt.Errorf("fleet.senders: want %d or fewer for real processes, not %d", maxLiveSenders, sc.Fleet.Senders)
 	case endpoints > maxLiveEndpoints:
-		return fmt.Errorf("destinations: want %d endpoints or less for real listeners, not %d", maxLiveEndpoints, endpoints)
+		return fmt.Errorf("destinations: want %d endpoints or fewer for real listeners, not %d",
+			maxLiveEndpoints, endpoints)
 	case sc.Discovery.ChangesPerDay > 0 || sc.Fleet.RestartsPerDay > 0 || sc.Fleet.LossesPerDay > 0 ||
 		sc.Destinations.DownShare > 0:
 		return errors.New("live runs do not support list changes, restarts, losses and down_share: want 0 of each")
@@ -246,7 +247,7 @@
 	return err
 }
 
-func toDuration(s Span) time.Duration { return time.Duration(s.Micros) * time.Microsecond }
+func toDuration(s Duration) time.Duration { return time.Duration(s.Micros) * time.Microsecond }
 
 // handleInbox answers a call as the simulated destination would ("Senders to endpoints").
 func (l *liveRun) handleInbox(w http.ResponseWriter, r *http.Request, d *destination) {
@@ -662,7 +663,7 @@
 // wireSettings returns the settings of a sender in the form of its configuration file.
 func (sc *Scenario) wireSettings(number int) map[string]any {
 	d, r := &sc.Destinations, &sc.Recovery
-	inSeconds := func(duration Span) float64 { return float64(duration.Micros) / 1e6 }
+	inSeconds := func(duration Duration) float64 { return float64(duration.Micros) / 1e6 }
 	zones := make([]string, sc.Fleet.Zones)
 	for i := range zones {
 		zones[i] = fmt.Sprint("z", i)
--- a/internal/hollow/live_test.go
+++ b/internal/hollow/live_test.go
@@ -40,7 +40,8 @@
 		t.Fatal(err)
 	}
 	if measured.Offered == 0 || measured.Delivered != measured.Offered || measured.RepeatedExecutions != 0 {
-		t.Errorf("%d messages offered, %d delivered, %d repeated executions", measured.Offered, measured.Delivered, measured.RepeatedExecutions)
+		t.Errorf("%d messages offered, %d delivered, %d repeated executions",
+			measured.Offered, measured.Delivered, measured.RepeatedExecutions)
 	}
 	// Each sender requests the full list once. Addresses differ in length by a few bytes for each of 20 endpoints.
 	if d := measured.FullListBytes - simulated.ListBytes.Full; d < -100 || d > 100 {
@@ -51,10 +52,12 @@
 // A scenario that live runs do not support is rejected before any process starts.
 func TestLiveRejectsUnsupported(t *testing.T) {
 	for want, change := range map[string]func(*Scenario){
-		"fleet.senders":   func(sc *Scenario) { sc.Fleet.Senders = maxLiveSenders + 1 },
-		"destinations":    func(sc *Scenario) { sc.Destinations.Count = maxLiveEndpoints },
-		"changes":         func(sc *Scenario) { sc.Discovery.ChangesPerDay = 1 },
-		"fault[0]":        func(sc *Scenario) { sc.Faults = []FaultConfig{{Kind: faultOutage, OutageMode: outageUnresponsive}} },
+		"fleet.senders": func(sc *Scenario) { sc.Fleet.Senders = maxLiveSenders + 1 },
+		"destinations":  func(sc *Scenario) { sc.Destinations.Count = maxLiveEndpoints },
+		"changes":       func(sc *Scenario) { sc.Discovery.ChangesPerDay = 1 },
+		"fault[0]": func(sc *Scenario) {
+			sc.Faults = []FaultConfig{{Kind: faultOutage, OutageMode: outageUnresponsive}}
+		},
 		"no such program": func(*Scenario) {},
 	} {
 		sc := Default()
--- a/internal/hollow/model_test.go
+++ b/internal/hollow/model_test.go
@@ -154,7 +154,8 @@
 		retryAfter logic.Micros
 		load       int // number of load figures
 	}{
-		{name: "served", want: logic.Delivered, took: 47_000, load: 2}, // connect 1 + 5 ms, round trip 1 ms, service 40 ms
+		// Connecting takes 1 + 5 ms, the round trip 1 ms and the service 40 ms.
+		{name: "served", want: logic.Delivered, took: 47_000, load: 2},
 		{name: "served, idle connection", idleConn: true, want: logic.Delivered, took: 41_000, load: 2},
 		{name: "refused", outageMode: outageRefused, want: logic.ConnRefused, took: 1000},
 		{name: "503", outageMode: outageUnavailable, want: logic.Refused, took: 7000, load: 2},
@@ -197,7 +198,8 @@
 		r := firstResult(t, f, s, during)
 		if r.Outcome != tc.want || r.RetryAfter != tc.retryAfter || len(r.Load) != tc.load ||
 			tc.took >= 0 && r.Latency != tc.took {
-			t.Errorf("%s: %+v, want outcome %d after %d with a requested wait of %d", tc.name, r, tc.want, tc.took, tc.retryAfter)
+			t.Errorf("%s: %+v, want outcome %d after %d with a requested wait of %d",
+				tc.name, r, tc.want, tc.took, tc.retryAfter)
 		}
 	}
 }
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -34,7 +34,7 @@
 	Outages            int64 `json:"outages"`      // of destinations, relapses included
 	Relapses           int64 `json:"falls"`        // outages of cold destinations caused by too many calls
 	InformedRelapses   int64 `json:"blamed"`       // relapses mostly caused by senders that knew of the outage
-	Undetected         int64 `json:"unnoticed"`    // pairs of an outage and a sender that called into it but took no endpoint out of rotation
+	Undetected         int64 `json:"unnoticed"`    // pairs of an outage and a sender that called into it and never detected it
 	Restarts           int64 `json:"restarts"`     // of sender processes
 	Losses             int64 `json:"losses"`       // of sender machines
 	Steps              int64 `json:"steps"`        // of all decision modules
@@ -66,12 +66,12 @@
 
 // Sample is the state of the fleet at one time.
 type Sample struct {
-	At               Span  `json:"at"`
-	Offered          int64 `json:"offered"`
-	Delivered        int64 `json:"delivered"`
-	Held             int64 `json:"held"`
-	DownDestinations int   `json:"down"`
-	UpSenders        int   `json:"up"`
+	At               Duration `json:"at"`
+	Offered          int64    `json:"offered"`
+	Delivered        int64    `json:"delivered"`
+	Held             int64    `json:"held"`
+	DownDestinations int      `json:"down"`
+	UpSenders        int      `json:"up"`
 }
 
 // HostUsage is what the run cost on the host that executed it. It differs from run to run.
@@ -102,12 +102,12 @@
 
 // Report is the result of a run. Everything except Host is reproducible for the same scenario and seed.
 type Report struct {
-	Title        string `json:"title"`
-	Seed         uint64 `json:"seed"`
-	Senders      int    `json:"senders"`
-	Destinations int    `json:"destinations"`
-	VirtualTime  Span   `json:"until"` // reached at the end of the run
-	Interrupted  bool   `json:"cut"`   // the run was stopped early
+	Title        string   `json:"title"`
+	Seed         uint64   `json:"seed"`
+	Senders      int      `json:"senders"`
+	Destinations int      `json:"destinations"`
+	VirtualTime  Duration `json:"until"` // reached at the end of the run
+	Interrupted  bool     `json:"cut"`   // the run was stopped early
 	Counts
 	Latency            Quantiles   `json:"latency_ms"`
 	Detection          Detection   `json:"notice"`
@@ -117,7 +117,7 @@
 	ListBytesPerSecond float64     `json:"list_bytes_per_sender_second"` // without the initial full list
 	Propagation        Propagation `json:"in_force"`
 	PeakHeld           int64       `json:"peak_held"`
-	PeakAt             Span        `json:"peak_at"`
+	PeakAt             Duration    `json:"peak_at"`
 	Samples            []Sample    `json:"course"`
 	Digest             string      `json:"digest"` // hash of the event trace
 	Host               HostUsage   `json:"machine"`
@@ -177,7 +177,7 @@
 
 // sample adds a sample to the report.
 func (f *fleet) sample() {
-	sample := Sample{At: Span{f.now}, Offered: f.stats.Offered, Delivered: f.stats.Delivered, Held: f.stats.open()}
+	sample := Sample{At: Duration{f.now}, Offered: f.stats.Offered, Delivered: f.stats.Delivered, Held: f.stats.open()}
 	for _, d := range f.destinations {
 		if d.outage != nil {
 			sample.DownDestinations++
@@ -202,13 +202,13 @@
 		Seed:            f.scenario.Seed,
 		Senders:         len(f.senders),
 		Destinations:    len(f.destinations),
-		VirtualTime:     Span{f.now},
+		VirtualTime:     Duration{f.now},
 		Interrupted:     interrupted,
 		Counts:          st.Counts,
 		WorstColdWindow: st.worstColdWindow,
 		Propagation:     f.discovery.propagation(),
 		PeakHeld:        st.peakHeld,
-		PeakAt:          Span{st.peakAt},
+		PeakAt:          Duration{st.peakAt},
 		Samples:         st.samples,
 		Digest:          fmt.Sprintf("%016x", f.digest.Sum64()),
 	}
@@ -267,9 +267,11 @@
 		r.Offered, r.Delivered, r.Late, r.Returned, r.Failed, r.Held)
 	line("latency", "p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, max %.1f ms",
 		r.Latency.P50, r.Latency.P90, r.Latency.P99, r.Latency.Max)
-	line("calls", "%d, %d over a limit, %d over a connection limit, %d into outages; %d connections, %d repeated executions",
+	line("calls",
+		"%d, %d over a limit, %d over a connection limit, %d into outages; %d connections, %d repeated executions",
 		r.Calls, r.OverLimit, r.OverConnLimit, r.IntoOutages, r.Connections, r.RepeatedExecutions)
-	line("outages", "%d, %d of them relapses of cold destinations, %d of these caused mostly by senders that knew of the outage",
+	line("outages",
+		"%d, %d of them relapses of cold destinations, %d of these caused mostly by senders that knew of the outage",
 		r.Outages, r.Relapses, r.InformedRelapses)
 	line("notice", "mean %.3f s, max %.3f s, over %d; %d never detected",
 		r.Detection.Mean, r.Detection.Max, r.Detection.Count, r.Undetected)
--- a/internal/hollow/scenario.go
+++ b/internal/hollow/scenario.go
@@ -19,11 +19,11 @@
 	"rundeal/logic"
 )
 
-// Span is a duration, written as 12s or 350ms in scenario files. A number without a unit is an error.
-type Span struct{ logic.Micros }
+// Duration is a number of microseconds, written as 12s or 350ms in scenario files. A number without a unit is an error.
+type Duration struct{ logic.Micros }
 
 // UnmarshalText parses a non-negative duration.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil || d < 0 {
 		return fmt.Errorf("%q is not a duration: want one like 12s or 350ms", text)
@@ -33,17 +33,17 @@
 }
 
 // MarshalText writes the form that UnmarshalText reads.
-func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-func (s Span) String() string { return (time.Duration(s.Micros) * time.Microsecond).String() }
+func (s Duration) String() string { return (time.Duration(s.Micros) * time.Microsecond).String() }
 
 // Scenario describes a run. Fields that a file leaves out have the values of [Default].
 type Scenario struct {
-	Title    string `toml:"title"`
-	Seed     uint64 `toml:"seed"`
-	Duration Span   `toml:"duration"` // clients submit messages for this long
-	Drain    Span   `toml:"drain"`    // the run continues for this long afterwards
-	Day      Span   `toml:"day"`      // length of the day that rates per day refer to
+	Title    string   `toml:"title"`
+	Seed     uint64   `toml:"seed"`
+	Duration Duration `toml:"duration"` // clients submit messages for this long
+	Drain    Duration `toml:"drain"`    // the run continues for this long afterwards
+	Day      Duration `toml:"day"`      // length of a day, for the rates per day
 
 	Fleet        FleetConfig        `toml:"fleet"`
 	Traffic      TrafficConfig      `toml:"traffic"`
@@ -57,17 +57,17 @@
 
 // FleetConfig describes the senders and their placement.
 type FleetConfig struct {
-	Senders        int     `toml:"senders"`
-	Regions        int     `toml:"regions"`
-	Zones          int     `toml:"zones"` // of all regions together
-	RacksPerZone   int     `toml:"racks"`
-	CallSlots      int     `toml:"slots"` // concurrent calls per sender
-	MaxOpen        int     `toml:"max_open"`
-	MaxAttempts    int     `toml:"max_tries"`
-	Tick           Span    `toml:"tick"`
-	RestartTime    Span    `toml:"start"`            // from the end of a process until the next one is ready
-	RestartsPerDay float64 `toml:"restarts_per_day"` // of processes, over the whole fleet
-	LossesPerDay   float64 `toml:"losses_per_day"`   // of machines; each is replaced after RestartTime
+	Senders        int      `toml:"senders"`
+	Regions        int      `toml:"regions"`
+	Zones          int      `toml:"zones"` // of all regions together
+	RacksPerZone   int      `toml:"racks"`
+	CallSlots      int      `toml:"slots"` // concurrent calls per sender
+	MaxOpen        int      `toml:"max_open"`
+	MaxAttempts    int      `toml:"max_tries"`
+	Tick           Duration `toml:"tick"`
+	RestartTime    Duration `toml:"start"`            // from the end of a process until the next one is ready
+	RestartsPerDay float64  `toml:"restarts_per_day"` // of processes, over the whole fleet
+	LossesPerDay   float64  `toml:"losses_per_day"`   // of machines; each is replaced after RestartTime
 }
 
 // TrafficConfig describes the messages that clients submit.
@@ -79,73 +79,73 @@
 
 // ClassConfig is a class of messages, with the values that the sender's settings have for it.
 type ClassConfig struct {
-	Name          string  `toml:"name"`
-	Share         float64 `toml:"share"` // of the traffic, relative to the sum of all shares
-	TargetLatency Span    `toml:"aim"`
-	Deadline      Span    `toml:"deadline"`
-	Value         float64 `toml:"worth"`
-	LateValue     float64 `toml:"late_worth"`
-	Idempotency   string  `toml:"effect"` // safe, keyed or unsafe
-	DedupWindow   Span    `toml:"window"` // deduplication window of a keyed class
+	Name          string   `toml:"name"`
+	Share         float64  `toml:"share"` // of the traffic, relative to the sum of all shares
+	TargetLatency Duration `toml:"aim"`
+	Deadline      Duration `toml:"deadline"`
+	Value         float64  `toml:"worth"`
+	LateValue     float64  `toml:"late_worth"`
+	Idempotency   string   `toml:"effect"` // safe, keyed or unsafe
+	DedupWindow   Duration `toml:"window"` // deduplication window of a keyed class
 }
 
 // DestinationsConfig describes the destinations, which are all alike, and their endpoints.
 type DestinationsConfig struct {
-	Count           int     `toml:"count"`
-	Endpoints       int     `toml:"endpoints"`   // per destination
-	Rate            float64 `toml:"rate"`        // limit of a destination, calls per second
-	Burst           float64 `toml:"burst"`       // capacity of its token bucket, calls
-	RefusalStatus   string  `toml:"refuse"`      // status of calls over the limit: 429 or 503
-	RetryAfter      Span    `toml:"come_back"`   // wait that a 429 requests
-	ReportsLoad     bool    `toml:"reports"`     // answers carry load reports
-	NominalWeights  bool    `toml:"nominal"`     // the weights in the list are the limits of the destinations
-	ServiceTime     Span    `toml:"service"`     // median duration of a call
-	Sigma           float64 `toml:"sigma"`       // standard deviation of its logarithm
-	MaxConnections  int     `toml:"connections"` // per endpoint; 0 for no limit
-	ConnIdleTimeout Span    `toml:"conn_idle"`
-	ConnectTimeout  Span    `toml:"conn_timeout"`
-	HandshakeTime   Span    `toml:"handshake"`  // of a new connection, in addition to its round trip
-	DownShare       float64 `toml:"down_share"` // share of destinations that are down at random
-	MeanOutage      Span    `toml:"down_for"`   // mean duration of random outages
-	OutageMode      string  `toml:"down_how"`   // refused, silent, 503 or mixed
+	Count           int      `toml:"count"`
+	Endpoints       int      `toml:"endpoints"`   // per destination
+	Rate            float64  `toml:"rate"`        // limit of a destination, calls per second
+	Burst           float64  `toml:"burst"`       // capacity of its token bucket, calls
+	RefusalStatus   string   `toml:"refuse"`      // status of calls over the limit: 429 or 503
+	RetryAfter      Duration `toml:"come_back"`   // wait that a 429 requests
+	ReportsLoad     bool     `toml:"reports"`     // answers carry load reports
+	NominalWeights  bool     `toml:"nominal"`     // the weights in the list are the limits of the destinations
+	ServiceTime     Duration `toml:"service"`     // median duration of a call
+	Sigma           float64  `toml:"sigma"`       // standard deviation of its logarithm
+	MaxConnections  int      `toml:"connections"` // per endpoint; 0 for no limit
+	ConnIdleTimeout Duration `toml:"conn_idle"`
+	ConnectTimeout  Duration `toml:"conn_timeout"`
+	HandshakeTime   Duration `toml:"handshake"`  // of a new connection, in addition to its round trip
+	DownShare       float64  `toml:"down_share"` // share of destinations that are down at random
+	MeanOutage      Duration `toml:"down_for"`   // mean duration of random outages
+	OutageMode      string   `toml:"down_how"`   // refused, silent, 503 or mixed
 }
 
 // RecoveryConfig describes how a destination recovers from an outage.
 type RecoveryConfig struct {
-	ColdCapacity     float64 `toml:"from"`          // fraction of its limit available at first
-	WarmupTime       Span    `toml:"warm_after"`    // until the full limit is available
-	OverloadMultiple float64 `toml:"fall_multiple"` // a cold destination that gets more than this multiple of its limit
-	OverloadWindow   Span    `toml:"fall_window"`   // within this window relapses into an outage
-	RelapseDuration  Span    `toml:"fall_for"`      // of this duration
+	ColdCapacity     float64  `toml:"from"`          // fraction of its limit available at first
+	WarmupTime       Duration `toml:"warm_after"`    // until the full limit is available
+	OverloadMultiple float64  `toml:"fall_multiple"` // a cold destination that gets more than this multiple of its limit
+	OverloadWindow   Duration `toml:"fall_window"`   // within this window relapses into an outage
+	RelapseDuration  Duration `toml:"fall_for"`      // of this duration
 }
 
 // DiscoveryConfig describes the endpoint list and its changes.
 type DiscoveryConfig struct {
-	ChangesPerDay float64 `toml:"changes_per_day"`
-	DrainTime     Span    `toml:"drain"`  // time that a replaced endpoint stays on the list as draining
-	Spread        Span    `toml:"spread"` // period over which a change is sent to the agents
-	WatchTimeout  Span    `toml:"hold"`   // maximum duration of a watch
-	Region        int     `toml:"region"`
+	ChangesPerDay float64  `toml:"changes_per_day"`
+	DrainTime     Duration `toml:"drain"`  // time that a replaced endpoint stays on the list as draining
+	Spread        Duration `toml:"spread"` // period over which a change is sent to the agents
+	WatchTimeout  Duration `toml:"hold"`   // maximum duration of a watch
+	Region        int      `toml:"region"`
 }
 
 // NetworkConfig holds one-way delays.
 type NetworkConfig struct {
-	WithinZone     Span    `toml:"zone"`
-	WithinRegion   Span    `toml:"region"` // between zones of the same region
-	BetweenRegions Span    `toml:"between"`
-	Jitter         float64 `toml:"jitter"` // maximum random addition, as a share of the delay
+	WithinZone     Duration `toml:"zone"`
+	WithinRegion   Duration `toml:"region"` // between zones of the same region
+	BetweenRegions Duration `toml:"between"`
+	Jitter         float64  `toml:"jitter"` // maximum random addition, as a share of the delay
 }
 
 // FaultConfig is one fault of the timeline.
 type FaultConfig struct {
-	Kind        string  `toml:"what"`
-	At          Span    `toml:"at"`
-	Duration    Span    `toml:"for"`
-	First       int     `toml:"number"` // number of the first destination or sender, or of the rack, zone or region
-	Count       int     `toml:"count"`  // of destinations or senders, starting with First
-	OtherRegion int     `toml:"other"`  // region at the other end of a link
-	OutageMode  string  `toml:"how"`    // of an outage: refused, silent or 503
-	Factor      float64 `toml:"factor"` // by which a limit is multiplied
+	Kind        string   `toml:"what"`
+	At          Duration `toml:"at"`
+	Duration    Duration `toml:"for"`
+	First       int      `toml:"number"` // number of the first destination or sender, or of the rack, zone or region
+	Count       int      `toml:"count"`  // of destinations or senders, starting with First
+	OtherRegion int      `toml:"other"`  // region at the other end of a link
+	OutageMode  string   `toml:"how"`    // of an outage: refused, silent or 503
+	Factor      float64  `toml:"factor"` // by which a limit is multiplied
 }
 
 // Kinds of faults.
@@ -227,7 +227,9 @@
 	Idempotency:   "safe",
 }
 
-func seconds(x float64) Span { return Span{logic.Micros(math.Round(x * float64(logic.Second)))} }
+func seconds(x float64) Duration {
+	return Duration{logic.Micros(math.Round(x * float64(logic.Second)))}
+}
 
 // FieldError is an invalid field of a scenario.
 type FieldError struct {
@@ -258,7 +260,7 @@
 	positions := keyPositions(text)
 	var errs []error
 	for key, p := range positions { // the decoder's error for these has no position
-		if field := indexPattern.ReplaceAllString(key, ""); !p.isString && spanFields[field] {
+		if field := indexPattern.ReplaceAllString(key, ""); !p.isString && durationFields[field] {
 			errs = append(errs, &FieldError{name, p.line, key, "want a duration like \"12s\" or \"350ms\""})
 		}
 	}
@@ -316,11 +318,11 @@
 	return fmt.Errorf("%s: %w", name, err)
 }
 
-// spanFields holds the names of the fields of type Span, with dots between table and key.
-var spanFields = spansOf(reflect.TypeFor[Scenario](), "")
+// durationFields holds the names of the fields of type Duration, with dots between table and key.
+var durationFields = durationFieldsOf(reflect.TypeFor[Scenario](), "")
 
-// spansOf returns the names of the fields of type Span in a struct type, each with the prefix.
-func spansOf(t reflect.Type, prefix string) map[string]bool {
+// durationFieldsOf returns the names of the fields of type Duration in a struct type, each with the prefix.
+func durationFieldsOf(t reflect.Type, prefix string) map[string]bool {
 	fields := map[string]bool{}
 	for _, f := range reflect.VisibleFields(t) {
 		name, inner := prefix+f.Tag.Get("toml"), f.Type
@@ -328,10 +330,10 @@
 			inner = inner.Elem()
 		}
 		switch {
-		case inner == reflect.TypeFor[Span]():
+		case inner == reflect.TypeFor[Duration]():
 			fields[name] = true
 		case inner.Kind() == reflect.Struct:
-			maps.Copy(fields, spansOf(inner, name+"."))
+			maps.Copy(fields, durationFieldsOf(inner, name+"."))
 		}
 	}
 	return fields
@@ -348,7 +350,7 @@
 // keyPositions finds the keys and tables of a text, up to the first syntax error. Elements of arrays of tables have an
 // index, as in class[0].name.
 func keyPositions(text []byte) map[string]keyPosition {
-	positions, count, prefix := map[string]keyPosition{}, map[string]int{}, ""
+	positions, tableCount, prefix := map[string]keyPosition{}, map[string]int{}, ""
 	var p unstable.Parser
 	p.Reset(text)
 	for p.NextExpression() {
@@ -366,8 +368,8 @@
 		case unstable.Table:
 			prefix = key
 		case unstable.ArrayTable:
-			prefix = fmt.Sprintf("%s[%d]", key, count[key])
-			count[key]++
+			prefix = fmt.Sprintf("%s[%d]", key, tableCount[key])
+			tableCount[key]++
 		case unstable.KeyValue:
 			if prefix != "" {
 				key = prefix + "." + key
@@ -442,7 +444,8 @@
 		want(rate(c.Value), at+"worth", "0 or more")
 		want(share(c.LateValue), at+"late_worth", "a fraction of the worth, 0 to 1")
 		oneOf(c.Idempotency, idempotencyNames, at+"effect")
-		want(c.Idempotency != "keyed" || c.DedupWindow.Micros > 0, at+"window", "a duration above 0, as the class is keyed")
+		want(c.Idempotency != "keyed" || c.DedupWindow.Micros > 0,
+			at+"window", "a duration above 0, as the class is keyed")
 	}
 	want(shares > 0, "class[0].share", "a sum of shares above 0")
 
@@ -452,13 +455,15 @@
 	want(d.Rate > 0 && rate(d.Rate), "destinations.rate", "calls per second, above 0")
 	want(d.Burst >= 1 && rate(d.Burst), "destinations.burst", "1 call or more")
 	oneOf(d.RefusalStatus, []string{"429", "503"}, "destinations.refuse")
-	want(d.RetryAfter.Micros == 0 || d.RefusalStatus == "429", "destinations.come_back", "none with 503, as only a 429 requests a wait")
+	want(d.RetryAfter.Micros == 0 || d.RefusalStatus == "429",
+		"destinations.come_back", "none with 503, as only a 429 requests a wait")
 	want(d.ServiceTime.Micros > 0, "destinations.service", "a duration above 0")
 	want(d.Sigma >= 0 && d.Sigma <= 4, "destinations.sigma", "a number from 0 to 4")
 	want(d.MaxConnections >= 0, "destinations.connections", "0 for no limit, or more")
 	want(d.ConnectTimeout.Micros > 0, "destinations.conn_timeout", "a duration above 0")
 	want(d.DownShare >= 0 && d.DownShare <= 0.9, "destinations.down_share", "a share from 0 to 0.9")
-	want(d.DownShare == 0 || d.MeanOutage.Micros > 0, "destinations.down_for", "a duration above 0, as down_share is above 0")
+	want(d.DownShare == 0 || d.MeanOutage.Micros > 0,
+		"destinations.down_for", "a duration above 0, as down_share is above 0")
 	oneOf(d.OutageMode, append([]string{"mixed"}, outageModes...), "destinations.down_how")
 
 	r := &sc.Recovery
@@ -506,7 +511,7 @@
 }
 
 // Length is the virtual duration of a complete run.
-func (sc *Scenario) Length() Span { return Span{sc.Duration.Micros + sc.Drain.Micros} }
+func (sc *Scenario) Length() Duration { return Duration{sc.Duration.Micros + sc.Drain.Micros} }
 
 // moduleSettings returns the settings of the decision module of a sender in a zone.
 func (sc *Scenario) moduleSettings(zone int) logic.Settings {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -47,16 +47,24 @@
 // Tolerances and timeouts in addition to those in the settings.
 const (
 	// From a message's deadline to its outcome: 300 ms, and 50 ms for socket I/O.
-	outcomeSlack      = 350 * time.Millisecond
-	schedulingSlack   = 250 * time.Millisecond                  // for scheduling delays, as senders and peers share one machine
-	restartGrace      = 1500*time.Millisecond + schedulingSlack // from a restart to the outcome of overdue messages
-	retryAfterSlack   = 100 * time.Millisecond                  // for a sender to act on a requested wait
-	maxDiscoveryDelay = 6 * time.Second                         // for a change to reach a sender if lists are not pushed or come slowly
-	maxReloadDelay    = 4 * time.Second                         // from a reload to the first list from the new discovery address
-	readyTimeout      = 10 * time.Second
-	clientTimeout     = 400 * time.Millisecond // for a client to connect, and for its answers
-	secondCopySlack   = 60 * time.Millisecond  // to notice that a connection was closed
-	minUntried        = 8                      // fewer untried messages at a restart are not checked
+	outcomeSlack = 350 * time.Millisecond
+
+	// For scheduling delays, as senders and peers share one machine.
+	schedulingSlack = 250 * time.Millisecond
+
+	restartGrace    = 1500*time.Millisecond + schedulingSlack // from a restart to the outcome of overdue messages
+	retryAfterSlack = 100 * time.Millisecond                  // for a sender to act on a requested wait
+
+	// For a change of the list to reach a sender if lists are not pushed or arrive slowly.
+	maxDiscoveryDelay = 6 * time.Second
+
+	// From a reload to the first list from the new discovery address.
+	maxReloadDelay = 4 * time.Second
+
+	readyTimeout    = 10 * time.Second
+	clientTimeout   = 400 * time.Millisecond // for a client to connect, and for its answers
+	secondCopySlack = 60 * time.Millisecond  // to notice that a connection was closed
+	minUntried      = 8                      // fewer untried messages at a restart are not checked
 )
 
 // clientAnswer is the answer that a client received to a request.
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -250,11 +250,11 @@
 	for _, m := range x.messages {
 		attempts = max(attempts, len(m.attempts))
 	}
-	gone, stop := watchClose(x.conn, r, func() { x.recordEnd(false, false) })
+	connClosed, stop := watchClose(x.conn, r, func() { x.recordEnd(false, false) })
 	defer stop()
 	switch {
 	case fault == Unresponsive:
-		<-gone
+		<-connClosed
 		return false
 	case fault == Unavailable:
 		return x.respondNotExecuted("503 Service Unavailable", 0)
@@ -278,7 +278,7 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-gone:
+	case <-connClosed:
 		return false
 	}
 	switch {
@@ -294,7 +294,7 @@
 			"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 99\r\n\r\nx",
 		}[int(chance*10)])
 		if chance < 0.15 {
-			<-gone
+			<-connClosed
 		}
 		return false
 	case fault == MalformedResponses && chance < 0.6:
@@ -339,9 +339,9 @@
 	return err == nil
 }
 
-// watchClose detects the end of a connection while a call on it is in progress. It then calls onClose and closes gone.
-// stop ends the detection, so that the connection can be read again.
-func watchClose(conn net.Conn, r *bufio.Reader, onClose func()) (gone <-chan struct{}, stop func()) {
+// watchClose detects the end of a connection while a call on it is in progress. It then calls onClose and closes the
+// channel connClosed. stop ends the detection, so that the connection can be read again.
+func watchClose(conn net.Conn, r *bufio.Reader, onClose func()) (connClosed <-chan struct{}, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	closed, finished := make(chan struct{}), make(chan struct{})
 	go func() {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -461,7 +461,7 @@
 // exponent the result is exact; digits past the sixth decimal are cut off.
 func ParseSeconds(w string) (logic.Micros, error) {
 	unsigned, negative := strings.CutPrefix(w, "-")
-	whole, frac, _ := strings.Cut(unsigned, ".")
+	intPart, frac, _ := strings.Cut(unsigned, ".")
 	if strings.ContainsAny(unsigned, "eE") {
 		x, err := strconv.ParseFloat(w, 64)
 		if err != nil || x-x != 0 || x > 1e12 || x < -1e12 {
@@ -478,9 +478,9 @@
 		}
 		frac = frac[:6]
 	}
-	digits := whole + frac + "000000"[len(frac):]
+	digits := intPart + frac + "000000"[len(frac):]
 	n, err := strconv.ParseUint(digits, 10, 63)
-	if err != nil || whole == "" {
+	if err != nil || intPart == "" {
 		return 0, fmt.Errorf("not a time: %q", w)
 	}
 	if negative {
