--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
 // Package clock provides a clock that stays consistent across process restarts.
 //
-// Deadlines, windows and waits are spans of real time, but the wall clock may be
-// stepped by seconds or an hour. Within a process, the monotonic readings of
+// Deadlines, windows and waits are durations of real time, but the wall clock may be
+// stepped, by seconds or by an hour. Within a process, the monotonic readings of
 // package time are immune to such steps, but they mean nothing to the next
 // process. The kernel's boot-time clock is valid across processes until the
 // machine reboots. A [Persistent] clock counts microseconds since the Unix epoch:
@@ -35,7 +35,9 @@
 // Read returns the current value of c, which is the same for all processes on a machine.
 func (c KernelClock) Read() (time.Duration, error) {
 	var ts syscall.Timespec
-	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, uintptr(c), uintptr(unsafe.Pointer(&ts)), 0); errno != 0 {
+	if _, _, errno := syscall.Syscall(
+		syscall.SYS_CLOCK_GETTIME, uintptr(c), uintptr(unsafe.Pointer(&ts)), 0,
+	); errno != 0 {
 		return 0, errno
 	}
 	return time.Duration(ts.Nano()), nil
--- a/internal/hollow/fleet_test.go
+++ b/internal/hollow/fleet_test.go
@@ -11,16 +11,33 @@
 	"rundeal/logic"
 )
 
-// smallScenario is a short scenario with restarts, lost machines, all outage modes, list changes, a failed zone and a cut
-// link between regions.
+// smallScenario is a short scenario with restarts, lost machines, all outage modes, list changes, a failed zone and
+// a cut link between regions.
 func smallScenario() *Scenario {
 	sc := Default()
 	sc.Duration, sc.Drain, sc.Day = seconds(20), seconds(16), seconds(20)
 	sc.Fleet.Senders, sc.Fleet.Regions, sc.Fleet.Zones, sc.Fleet.RestartsPerDay, sc.Fleet.LossesPerDay = 6, 2, 3, 8, 3
 	sc.Traffic.Rate, sc.Traffic.Popularity = 60, "zipf"
-	sc.Classes = []ClassConfig{defaultClass,
-		{Name: "keyed", Share: 0.5, LatencyTarget: seconds(1), Deadline: seconds(8), Worth: 1, Effect: "keyed", Window: seconds(6)},
-		{Name: "unsafe", Share: 0.5, LatencyTarget: seconds(1), Deadline: seconds(8), Worth: 1, Effect: "unsafe"}}
+	sc.Classes = []ClassConfig{
+		defaultClass,
+		{
+			Name:          "keyed",
+			Share:         0.5,
+			TargetLatency: seconds(1),
+			Deadline:      seconds(8),
+			Value:         1,
+			Idempotency:   "keyed",
+			DedupWindow:   seconds(6),
+		},
+		{
+			Name:          "unsafe",
+			Share:         0.5,
+			TargetLatency: seconds(1),
+			Deadline:      seconds(8),
+			Value:         1,
+			Idempotency:   "unsafe",
+		},
+	}
 	sc.Destinations.Count, sc.Destinations.Rate, sc.Destinations.ReportsLoad, sc.Destinations.DownShare = 6, 20, true, 0.1
 	sc.Destinations.RefusalStatus, sc.Destinations.RetryAfter, sc.Destinations.OutageMode = "429", seconds(0.3), "mixed"
 	sc.Destinations.MaxConnections, sc.Destinations.MeanOutage = 8, seconds(3)
@@ -54,16 +71,16 @@
 	}
 }
 
-// Whatever fails, each message ends exactly once or is still held, and none is held once the longest deadline has passed.
-// A message that ends twice makes the run return an error.
+// Whatever fails, each message ends exactly once or is still held, and none is held once the longest deadline has
+// passed. A message that ends twice makes the run return an error.
 func TestEachMessageEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sc := smallScenario()
 		sc.Seed = rapid.Uint64().Draw(t, "seed")
 		sc.Duration, sc.Day = seconds(6), seconds(6)
-		cut := rapid.Bool().Draw(t, "cut")
-		if cut {
-			sc.Drain = Span{}
+		withoutDrain := rapid.Bool().Draw(t, "cut")
+		if withoutDrain {
+			sc.Drain = Duration{}
 		}
 		sc.Fleet.Senders = rapid.IntRange(1, 20).Draw(t, "senders")
 		sc.Fleet.MaxOpen = rapid.SampledFrom([]int{0, 5, 2000}).Draw(t, "max_open")
@@ -74,8 +91,8 @@
 		sc.Destinations.DownShare = rapid.Float64Range(0, 0.5).Draw(t, "down")
 		sc.Faults = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) FaultConfig {
 			fault := FaultConfig{Kind: rapid.SampledFrom(faultKinds).Draw(t, "what"),
-				At:       Span{logic.Micros(rapid.IntRange(0, 6e6).Draw(t, "at"))},
-				Duration: Span{logic.Micros(rapid.IntRange(1, 4e6).Draw(t, "for"))}, Count: 1, Factor: 0.2}
+				At:       Duration{logic.Micros(rapid.IntRange(0, 6e6).Draw(t, "at"))},
+				Duration: Duration{logic.Micros(rapid.IntRange(1, 4e6).Draw(t, "for"))}, Count: 1, Factor: 0.2}
 			fault.OutageMode = rapid.SampledFrom(outageModes).Draw(t, "how")
 			if fault.Kind == faultLink {
 				fault.OtherRegion = 1
@@ -86,14 +103,14 @@
 		if sum := r.Delivered + r.Returned + r.Failed + r.Held; sum != r.Offered {
 			t.Fatalf("%d messages offered, %d accounted for: %+v", r.Offered, sum, r.Counts)
 		}
-		if !cut && r.Held != 0 {
+		if !withoutDrain && r.Held != 0 {
 			t.Fatalf("%d messages held after the longest deadline", r.Held)
 		}
 	})
 }
 
-// A killed process leaves its journal, so that after the restart its messages are tried again and an attempt whose outcome
-// is unknown still counts as one that may have run. A message not yet in the journal goes back to its client.
+// A killed process leaves its journal, so that after the restart its messages are sent again and an attempt whose
+// outcome is unknown still counts as one that may have run. A message not yet in the journal goes back to its client.
 func TestRestartKeepsJournal(t *testing.T) {
 	sc := Default()
 	sc.Fleet.Senders, sc.Destinations.Count, sc.Classes = 1, 1, []ClassConfig{defaultClass}
@@ -112,8 +129,8 @@
 	if m == nil || m.call == nil {
 		t.Fatal("the message has no call in progress")
 	}
-	late := &clientMessage{number: 2, createdAt: f.now}
-	f.submit(s, late)
+	second := &clientMessage{number: 2, createdAt: f.now}
+	f.submit(s, second)
 	f.restartSender(s)
 	if s.up || m.call != nil || !m.mayHaveRun || s.messages["1-0"] != m {
 		t.Errorf("after the kill: up %v, %+v", s.up, m)
@@ -123,7 +140,7 @@
 	}
 	for f.runNext(5 * logic.Second) {
 	}
-	if !first.ended || !late.ended || f.stats.Delivered != 2 {
+	if !first.ended || !second.ended || f.stats.Delivered != 2 {
 		t.Errorf("%d delivered of 2", f.stats.Delivered)
 	}
 }
@@ -145,7 +162,8 @@
 	}
 	sc.Fleet.Senders = -1
 	var fieldErr *FieldError
-	if _, err := Run(context.Background(), &sc, Options{}); !errors.As(err, &fieldErr) || fieldErr.Field != "fleet.senders" {
+	if _, err := Run(context.Background(), &sc, Options{}); !errors.As(err, &fieldErr) ||
+		fieldErr.Field != "fleet.senders" {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -14,22 +14,22 @@
 
 // The rules checked in every run. Each comment says what breaks the rule.
 const (
-	RuleLost           Rule = "lost"           // accepted, but neither delivered nor reported in a notice
-	RuleLate           Rule = "late"           // delivered or reported in a notice after its due time
-	RuleDuplicate      Rule = "duplicate"      // sent again although a repeat was not allowed
-	RuleConcurrentCopy Rule = "second-copy"    // sent again while an earlier call with it was in progress
-	RuleRefusedRun     Rule = "refused-run"    // refused or returned, but possibly executed by an endpoint
-	RuleSentAfterEnd   Rule = "sent-after-end" // sent after the notice that reported its outcome
-	RuleDrain          Rule = "drain"          // sent to an endpoint that is draining or was removed
-	RuleRetryAfter     Rule = "wait"           // sent before the destination's retry delay was over
-	RuleColdRamp       Rule = "cold-ramp"      // a destination was overloaded as it recovered from an outage
-	RuleMismatch       Rule = "foreign"        // unknown, altered, or sent to the wrong destination
-	RuleUntried        Rule = "untried"        // most untried messages given up early without a call after a restart
-	RuleClosedTwice    Rule = "closed"         // two connections in a row closed without an answer to the same request
-	RuleCrash          Rule = "crash"          // the process exited unexpectedly
-	RuleNotReady       Rule = "not-ready"      // not ready in time after a start or the end of system faults
-	RuleBadClient      Rule = "bad-client"     // an incomplete request got neither an error nor a close
-	RuleOwnCheck       Rule = "own-check"      // the sender's internal checks reported a violation
+	RuleLost              Rule = "lost"           // accepted, but neither delivered nor reported in a notice
+	RuleLate              Rule = "late"           // delivered or reported in a notice after its due time
+	RuleDuplicate         Rule = "duplicate"      // sent again although it must not be
+	RuleSecondCopy        Rule = "second-copy"    // sent again while an earlier call with it was in progress
+	RuleRejectedExecuted  Rule = "refused-run"    // rejected or returned, but possibly executed by an endpoint
+	RuleSentAfterEnd      Rule = "sent-after-end" // sent after the notice that reported its outcome
+	RuleDrain             Rule = "drain"          // sent to an endpoint that is draining or was removed
+	RuleRetryAfter        Rule = "wait"           // sent before the wait that the destination requested was over
+	RuleColdRamp          Rule = "cold-ramp"      // a destination was overloaded as it recovered from an outage
+	RuleMismatch          Rule = "foreign"        // unknown, altered, or sent to the wrong destination
+	RuleUntried           Rule = "untried"        // most untried messages given up early without a call after a restart
+	RuleClosedTwice       Rule = "closed"         // two connections in a row closed without an answer to the same request
+	RuleCrash             Rule = "crash"          // the process exited unexpectedly
+	RuleNotReady          Rule = "not-ready"      // not ready in time after a start or the end of system faults
+	RuleIncompleteRequest Rule = "bad-client"     // an incomplete request got neither an error nor a close
+	RuleOwnCheck          Rule = "own-check"      // the sender's internal checks reported a violation
 )
 
 // Violation is one observed breach of a rule.
@@ -46,16 +46,25 @@
 
 // Tolerances and timeouts in addition to those in the settings.
 const (
-	outcomeSlack      = 350 * time.Millisecond                  // from a message's deadline to its outcome: 300 ms, and 50 ms for socket I/O
-	schedulingSlack   = 250 * time.Millisecond                  // for scheduling delays, as senders and peers share one machine
-	restartGrace      = 1500*time.Millisecond + schedulingSlack // from a restart to the outcome of overdue messages
-	retryAfterSlack   = 100 * time.Millisecond                  // for a sender to act on a retry delay
-	maxDiscoveryDelay = 6 * time.Second                         // for a change to reach a sender if lists are not pushed or come slowly
-	maxReloadDelay    = 4 * time.Second                         // from a reload to the first list from the new discovery address
-	readyTimeout      = 10 * time.Second
-	clientTimeout     = 400 * time.Millisecond // for a client to connect, and for its answers
-	copyOverlapSlack  = 60 * time.Millisecond  // to notice that a connection was closed
-	minUntried        = 8                      // fewer untried messages at a restart are not checked
+	// From a message's deadline to its outcome: 300 ms, and 50 ms for socket I/O.
+	outcomeSlack = 350 * time.Millisecond
+
+	// For scheduling delays, as senders and peers share one machine.
+	schedulingSlack = 250 * time.Millisecond
+
+	restartGrace    = 1500*time.Millisecond + schedulingSlack // from a restart to the outcome of overdue messages
+	retryAfterSlack = 100 * time.Millisecond                  // for a sender to act on a requested wait
+
+	// For a change of the list to reach a sender if lists are not pushed or arrive slowly.
+	maxDiscoveryDelay = 6 * time.Second
+
+	// From a reload to the first list from the new discovery address.
+	maxReloadDelay = 4 * time.Second
+
+	readyTimeout    = 10 * time.Second
+	clientTimeout   = 400 * time.Millisecond // for a client to connect, and for its answers
+	secondCopySlack = 60 * time.Millisecond  // to notice that a connection was closed
+	minUntried      = 8                      // fewer untried messages at a restart are not checked
 )
 
 // clientAnswer is the answer that a client received to a request.
@@ -64,7 +73,7 @@
 const (
 	answerNone clientAnswer = iota
 	answerAccepted
-	answerRefused
+	answerRejected
 	answerFailed
 )
 
@@ -97,14 +106,14 @@
 // downtime is the time from the stop of a process until its successor is ready.
 type downtime struct {
 	start, readyAt time.Duration // readyAt is 0 until then
-	untried        []*message    // accepted by the old process but not sent, with over half of their time left
+	untried        []*message    // accepted by the old process, not sent, with over half of their time left
 }
 
 // Counts are the totals of a run.
 type Counts struct {
-	Offered, Accepted, Refused, Failed, Unanswered int
-	Delivered, Returned, FailedAfterAccept         int
-	Calls, Retries, Restarts                       int
+	Offered, Accepted, Rejected, Failed, Unanswered int
+	Delivered, Returned, FailedAfterAccept          int
+	Calls, Retries, Restarts                        int
 }
 
 // Checker records all traffic between the senders and their peers and checks it against the rules.
@@ -116,8 +125,8 @@
 	mu          sync.Mutex
 	messages    map[string]*message
 	downtimes   [][]*downtime                 // by sender
-	drains      []map[*endpoint]time.Duration // by sender: when it knew or should have known that an endpoint is retired
-	retryAfters []map[int][2]time.Duration    // by sender and destination: when the delay was requested, and its end
+	drains      []map[*endpoint]time.Duration // by sender: since when it should know that an endpoint is retired
+	retryAfters []map[int][2]time.Duration    // by sender and destination: when a wait was requested, and its end
 	violations  []Violation
 	calls       int
 }
@@ -163,8 +172,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m.answer, m.answeredAt = answer, c.elapsed()
-	if answer == answerRefused {
-		c.checkRefused(m)
+	if answer == answerRejected {
+		c.checkRejected(m)
 	}
 }
 
@@ -178,17 +187,17 @@
 	return attempts
 }
 
-// checkRefused checks that a message that was refused or returned has not been executed. Its client submits such
+// checkRejected checks that a message that was rejected or returned has not been executed. Its client submits such
 // a message again, so it would be executed twice, unless the class tolerates that.
-func (c *Checker) checkRefused(m *message) {
-	if m.answer != answerRefused && m.notice != "returned" || m.class.Effect == Retryable ||
-		m.class.Effect == Dedup && !m.class.DedupPerZone {
+func (c *Checker) checkRejected(m *message) {
+	if m.answer != answerRejected && m.notice != "returned" || m.class.Idempotency == Idempotent ||
+		m.class.Idempotency == IdempotentByKey && !m.class.DedupPerZone {
 		return
 	}
 	for _, a := range m.possiblyExecuted() {
-		if a.ended != 0 || m.answer == answerRefused { // otherwise an answer may still say that it was not executed
-			c.reportLocked(RuleRefusedRun, m.sender,
-				"%s of class %s was refused or returned, but a call with it was received at %.2fs",
+		if a.ended != 0 || m.answer == answerRejected { // otherwise an answer may still say that it was not executed
+			c.reportLocked(RuleRejectedExecuted, m.sender,
+				"%s of class %s was rejected or returned, but a call with it was received at %.2fs",
 				m.id, m.class.Name, a.received.Seconds())
 			return
 		}
@@ -206,7 +215,8 @@
 	for i, id := range ids {
 		m := c.messages[id]
 		if m == nil || m.dest != e.dest.number || m.body != bodies[i] {
-			c.reportLocked(RuleMismatch, -1, "unknown, altered or misrouted message %q at destination %d", id, e.dest.number)
+			c.reportLocked(RuleMismatch, -1,
+				"unknown, altered or misrouted message %q at destination %d", id, e.dest.number)
 			continue
 		}
 		a := &attempt{endpoint: e, started: started, received: now}
@@ -217,16 +227,17 @@
 			c.reportLocked(RuleSentAfterEnd, m.sender,
 				"%s was reported as %s at %.2fs but sent at %.2fs", id, m.notice, m.noticeAt.Seconds(), started.Seconds())
 		}
-		if m.answer == answerRefused && m.answeredAt+10*time.Millisecond < started {
-			c.reportLocked(RuleRefusedRun, m.sender,
-				"%s was refused at %.2fs but sent at %.2fs", id, m.answeredAt.Seconds(), started.Seconds())
+		if m.answer == answerRejected && m.answeredAt+10*time.Millisecond < started {
+			c.reportLocked(RuleRejectedExecuted, m.sender,
+				"%s was rejected at %.2fs but sent at %.2fs", id, m.answeredAt.Seconds(), started.Seconds())
 		}
 	}
 	if len(messages) == 0 {
 		return attempts, messages
 	}
 	sender := messages[0].sender
-	if since, ok := c.drains[sender][e]; ok && started > since+c.scenario.DrainGrace+50*time.Millisecond+schedulingSlack {
+	if since, ok := c.drains[sender][e]; ok &&
+		started > since+c.scenario.DrainGrace+50*time.Millisecond+schedulingSlack {
 		c.reportLocked(RuleDrain, sender,
 			"%s sent to %s %.2f s after the sender should have known that it was retired",
 			messages[0].id, e.name, (started - since).Seconds())
@@ -234,7 +245,7 @@
 	if retryAfter, ok := c.retryAfters[sender][e.dest.number]; ok &&
 		started > retryAfter[0]+retryAfterSlack+50*time.Millisecond && started < retryAfter[1]-20*time.Millisecond {
 		c.reportLocked(RuleRetryAfter, sender,
-			"%s sent %.3f s before the end of a retry delay of %.3f s",
+			"%s sent %.3f s before the end of a requested wait of %.3f s",
 			messages[0].id, (retryAfter[1] - started).Seconds(), (retryAfter[1] - retryAfter[0]).Seconds())
 	}
 	return attempts, messages
@@ -252,10 +263,10 @@
 
 // checkRetry checks a new attempt against the earlier ones of the same message.
 func (c *Checker) checkRetry(m *message, a *attempt) {
-	if !c.scenario.ConcurrentCopies {
+	if !c.scenario.SecondCopies {
 		for _, previous := range m.attempts {
 			if previous.ended == 0 {
-				time.AfterFunc(2*copyOverlapSlack, func() { c.checkConcurrentCopy(m, previous, a) })
+				time.AfterFunc(2*secondCopySlack, func() { c.checkSecondCopy(m, previous, a) })
 			}
 		}
 	}
@@ -264,12 +275,12 @@
 		return
 	}
 	first := earlier[0]
-	switch m.class.Effect {
-	case Fragile:
+	switch m.class.Idempotency {
+	case NonIdempotent:
 		c.reportLocked(RuleDuplicate, m.sender,
 			"%s of class %s sent again %.2f s after it may have been executed",
 			m.id, m.class.Name, (a.received - first.received).Seconds())
-	case Dedup:
+	case IdempotentByKey:
 		if m.class.DedupPerZone && a.endpoint.zone != first.endpoint.zone {
 			c.reportLocked(RuleDuplicate, m.sender, "%s of class %s sent again to another zone", m.id, m.class.Name)
 		}
@@ -281,11 +292,12 @@
 	}
 }
 
-func (c *Checker) checkConcurrentCopy(m *message, earlier, a *attempt) {
+func (c *Checker) checkSecondCopy(m *message, earlier, a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if earlier.ended == 0 || earlier.ended > a.received+copyOverlapSlack {
-		c.reportLocked(RuleConcurrentCopy, m.sender, "%s sent again while an earlier call with it was in progress", m.id)
+	if earlier.ended == 0 || earlier.ended > a.received+secondCopySlack {
+		c.reportLocked(RuleSecondCopy, m.sender,
+			"%s sent again while an earlier call with it was in progress", m.id)
 	}
 }
 
@@ -303,21 +315,21 @@
 		}
 		a.ended, a.notExecuted = c.elapsed(), notExecuted
 		if !notExecuted {
-			c.checkRefused(m)
+			c.checkRejected(m)
 		}
 	}
 }
 
 // recordRetryAfter records that a destination has told a sender to wait before it calls again.
-func (c *Checker) recordRetryAfter(sender int, dest int, delay time.Duration) {
+func (c *Checker) recordRetryAfter(sender int, dest int, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.elapsed()
-	if retryAfter := c.retryAfters[sender][dest]; now+delay > retryAfter[1] {
+	if retryAfter := c.retryAfters[sender][dest]; now+wait > retryAfter[1] {
 		if retryAfter[1] < now {
 			retryAfter[0] = now
 		}
-		c.retryAfters[sender][dest] = [2]time.Duration{retryAfter[0], now + delay}
+		c.retryAfters[sender][dest] = [2]time.Duration{retryAfter[0], now + wait}
 	}
 }
 
@@ -336,12 +348,13 @@
 	defer c.mu.Unlock()
 	m := c.messages[id]
 	if m == nil || m.sender != sender {
-		c.reportLocked(RuleMismatch, sender, "notice of message %q, which is unknown or belongs to another sender", id)
+		c.reportLocked(RuleMismatch, sender,
+			"notice of message %q, which is unknown or belongs to another sender", id)
 		return
 	}
 	if m.notice == "" {
 		m.notice, m.noticeAt = state, c.elapsed()
-		c.checkRefused(m)
+		c.checkRejected(m)
 	}
 }
 
@@ -362,7 +375,8 @@
 	clear(c.drains[sender]) // the next process does not know them
 	now := c.elapsed()
 	for _, m := range c.messages {
-		if m.sender == sender && m.answer == answerAccepted && m.deliveredAt == 0 && m.notice == "" && len(m.attempts) == 0 &&
+		if m.sender == sender && m.answer == answerAccepted &&
+			m.deliveredAt == 0 && m.notice == "" && len(m.attempts) == 0 &&
 			m.deadline-now > (m.deadline-m.sentAt)/2 {
 			d.untried = append(d.untried, m)
 		}
@@ -405,8 +419,8 @@
 		counts.Offered++
 		counts.Retries += max(len(m.attempts)-1, 0)
 		switch m.answer {
-		case answerRefused:
-			counts.Refused++
+		case answerRejected:
+			counts.Rejected++
 			continue
 		case answerFailed:
 			counts.Failed++
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -16,7 +16,7 @@
 // clientConn is a client connection to a sender.
 type clientConn struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 // clients submits messages to one sender.
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: conn, r: bufio.NewReader(conn)}, nil
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
 func (c *clients) release(conn *clientConn) {
@@ -106,12 +106,12 @@
 // command returns the MSG.PUT command for the message.
 func (m *message) command(timeLeft time.Duration) string {
 	opts := fmt.Sprintf("c=%s,d=%d,dest=%d", m.class.Name, timeLeft.Milliseconds(), m.dest)
-	if m.class.Effect == Dedup {
+	if m.class.Idempotency == IdempotentByKey {
 		opts += ",k=key-" + m.id
 	}
 	command := "*5\r\n"
-	for _, a := range []string{"MSG.PUT", "0000", m.id, opts, m.body} {
-		command += fmt.Sprintf("$%d\r\n%s\r\n", len(a), a)
+	for _, arg := range []string{"MSG.PUT", "0000", m.id, opts, m.body} {
+		command += fmt.Sprintf("$%d\r\n%s\r\n", len(arg), arg)
 	}
 	return command
 }
@@ -165,7 +165,7 @@
 		return batch, errClosedUnanswered
 	}
 	for i, m := range batch {
-		line, err := conn.r.ReadString('\n')
+		line, err := conn.reader.ReadString('\n')
 		if err != nil {
 			conn.Close()
 			var timeout net.Error
@@ -178,7 +178,7 @@
 		case strings.HasPrefix(line, "+OK"):
 			c.sender.run.checker.recordAnswer(m, answerAccepted)
 		case strings.HasPrefix(line, "-BUSY"):
-			c.sender.run.checker.recordAnswer(m, answerRefused)
+			c.sender.run.checker.recordAnswer(m, answerRejected)
 		default:
 			c.sender.run.checker.recordAnswer(m, answerFailed)
 		}
@@ -203,7 +203,7 @@
 	if errors.As(err, &timeout) && timeout.Timeout() && c.sender.processLock.TryLock() {
 		defer c.sender.processLock.Unlock()
 		if c.sender.answersPing() {
-			c.sender.run.checker.report(RuleBadClient, c.sender.number,
+			c.sender.run.checker.report(RuleIncompleteRequest, c.sender.number,
 				"an incomplete request got neither an error nor a close within 3 s")
 		}
 	}
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -18,14 +18,14 @@
 
 // Parameters of simulated endpoints.
 const (
-	minWork          = 10 * time.Millisecond // processing time of a call
-	maxWork          = 90 * time.Millisecond
-	maxExtraWork     = 900 * time.Millisecond // added by SlowResponses
-	idleTimeout      = 4 * time.Second        // conn_idle_s in the settings
-	minIdleTimeout   = 30 * time.Millisecond  // under EarlyIdleClose
-	queueSeconds     = 0.5                    // backlog that a destination accepts, in seconds of its capacity
-	maxRetryAfterMS  = 2500
-	extraMessageLoad = 0.2 // load of each further message in a call; the first one counts as 1
+	minServiceTime      = 10 * time.Millisecond // duration of a call at the endpoint
+	maxServiceTime      = 90 * time.Millisecond
+	maxExtraServiceTime = 900 * time.Millisecond // added by SlowResponses
+	idleTimeout         = 4 * time.Second        // conn_idle_s in the settings
+	minIdleTimeout      = 30 * time.Millisecond  // under EarlyIdleClose
+	queueSeconds        = 0.5                    // backlog that a destination accepts, in seconds of its capacity
+	maxRetryAfterMS     = 2500
+	extraMessageLoad    = 0.2 // load of each further message in a call; the first one counts as 1
 )
 
 // destination is the state that the endpoints of a destination share: its capacity and its outages.
@@ -170,8 +170,8 @@
 		}
 		started := e.checker.elapsed()
 		conn.SetReadDeadline(time.Time{})
-		if kind, chance := e.faultAndChance(); kind == ConnectionResets && chance < 0.15 { // before the request has been read
-			resetConn(conn)
+		if kind, chance := e.faultAndChance(); kind == ConnectionResets && chance < 0.15 {
+			resetConn(conn) // before the request has been read
 			return
 		}
 		req, err := http.ReadRequest(r)
@@ -203,7 +203,8 @@
 		ids, bodies = []string{req.Header.Get("X-Trace-Id")}, []string{string(body)}
 	case "/inbox/bulk":
 		var items []bulkItem
-		if err := json.Unmarshal(body, &items); err != nil || len(items) == 0 || len(items) > e.checker.scenario.MaxBatch {
+		if err := json.Unmarshal(body, &items); err != nil || len(items) == 0 ||
+			len(items) > e.checker.scenario.MaxBatch {
 			e.checker.report(RuleMismatch, -1, "malformed bulk call: %.80q", body)
 			io.WriteString(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 			return true
@@ -249,11 +250,11 @@
 	for _, m := range x.messages {
 		attempts = max(attempts, len(m.attempts))
 	}
-	gone, stop := watchClose(x.conn, r, func() { x.recordEnd(false, false) })
+	connClosed, stop := watchClose(x.conn, r, func() { x.recordEnd(false, false) })
 	defer stop()
 	switch {
 	case fault == Unresponsive:
-		<-gone
+		<-connClosed
 		return false
 	case fault == Unavailable:
 		return x.respondNotExecuted("503 Service Unavailable", 0)
@@ -261,22 +262,23 @@
 		return x.respondError()
 	case attempts > e.checker.scenario.MaxAttempts:
 		return x.respondNotExecuted("504 Gateway Timeout", 0)
-	case fault == RetryAfter && chance < 0.5:
-		return x.respondNotExecuted("429 Too Many Requests", time.Duration(100+chance*2*maxRetryAfterMS)*time.Millisecond)
+	case fault == RetryAfterResponses && chance < 0.5:
+		return x.respondNotExecuted("429 Too Many Requests",
+			time.Duration(100+chance*2*maxRetryAfterMS)*time.Millisecond)
 	case full && chance < 0.5:
 		return x.respondNotExecuted("429 Too Many Requests", time.Duration(50+chance*1000)*time.Millisecond)
 	case full:
 		return x.respondNotExecuted("503 Service Unavailable", 0)
 	}
-	work := minWork + time.Duration(chance*float64(maxWork-minWork))
+	serviceTime := minServiceTime + time.Duration(chance*float64(maxServiceTime-minServiceTime))
 	if fault == SlowResponses {
-		work += time.Duration(chance * float64(maxExtraWork))
+		serviceTime += time.Duration(chance * float64(maxExtraServiceTime))
 	}
-	timer := time.NewTimer(work)
+	timer := time.NewTimer(serviceTime)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-gone:
+	case <-connClosed:
 		return false
 	}
 	switch {
@@ -292,7 +294,7 @@
 			"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 99\r\n\r\nx",
 		}[int(chance*10)])
 		if chance < 0.15 {
-			<-gone
+			<-connClosed
 		}
 		return false
 	case fault == MalformedResponses && chance < 0.6:
@@ -301,7 +303,7 @@
 	return x.respondDelivered()
 }
 
-// respondNotExecuted answers that the call was not executed, and asks for a retry delay if retryAfter is not 0.
+// respondNotExecuted answers that the call was not executed, and requests a wait if retryAfter is not 0.
 func (x *exchange) respondNotExecuted(status string, retryAfter time.Duration) bool {
 	header := ""
 	if retryAfter > 0 {
@@ -337,9 +339,9 @@
 	return err == nil
 }
 
-// watchClose detects the end of a connection while a call on it is in progress. It then calls onClose and closes gone.
-// stop ends the detection, so that the connection can be read again.
-func watchClose(conn net.Conn, r *bufio.Reader, onClose func()) (gone <-chan struct{}, stop func()) {
+// watchClose detects the end of a connection while a call on it is in progress. It then calls onClose and closes the
+// channel connClosed. stop ends the detection, so that the connection can be read again.
+func watchClose(conn net.Conn, r *bufio.Reader, onClose func()) (connClosed <-chan struct{}, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	closed, finished := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -358,9 +360,9 @@
 	}
 }
 
-// addLoad adds a call to the backlog, or returns true if the backlog is full. During an outage it only marks the sender
-// as informed.
-func (d *destination) addLoad(checker *Checker, sender int, down bool, work float64) (full bool) {
+// addLoad adds the load of a call to the backlog, or returns true if the backlog is full. During an outage it only marks
+// the sender as informed.
+func (d *destination) addLoad(checker *Checker, sender int, down bool, load float64) (full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := checker.elapsed()
@@ -368,33 +370,34 @@
 		d.informed[sender] = true
 		return false
 	}
-	capacity := d.capacity * d.capacityShare(checker.scenario.ColdStart, now)
+	capacity := d.capacity * d.capacityShare(checker.scenario.Recovery, now)
 	d.backlog, d.backlogAt = max(0, d.backlog-capacity*(now-d.backlogAt).Seconds()), now
-	if d.recoveredAt != 0 && now < d.recoveredAt+checker.scenario.ColdStart.WarmupTime {
+	if d.recoveredAt != 0 && now < d.recoveredAt+checker.scenario.Recovery.WarmupTime {
 		d.arrivals = append(d.arrivals, arrival{now, d.informed[sender]})
 		d.checkRamp(checker, now)
 	}
 	if d.backlog > capacity*queueSeconds {
 		return true
 	}
-	d.backlog += work
+	d.backlog += load
 	return false
 }
 
 // capacityShare returns the share of its capacity that a destination has; it is below 1 while it warms up.
-func (d *destination) capacityShare(cold ColdStart, now time.Duration) float64 {
-	if d.recoveredAt == 0 || now >= d.recoveredAt+cold.WarmupTime {
+func (d *destination) capacityShare(recovery Recovery, now time.Duration) float64 {
+	if d.recoveredAt == 0 || now >= d.recoveredAt+recovery.WarmupTime {
 		return 1
 	}
-	return cold.InitialShare + (1-cold.InitialShare)*float64(now-d.recoveredAt)/float64(cold.WarmupTime)
+	return recovery.ColdCapacity +
+		(1-recovery.ColdCapacity)*float64(now-d.recoveredAt)/float64(recovery.WarmupTime)
 }
 
 // checkRamp checks that the calls in the last window do not overload a destination that is warming up. It reports a
 // violation only if at least two thirds of these calls came from senders that had a call fail during the outage; the
 // other senders cannot know of it.
 func (d *destination) checkRamp(checker *Checker, now time.Duration) {
-	cold := checker.scenario.ColdStart
-	from := now - cold.OverloadWindow
+	recovery := checker.scenario.Recovery
+	from := now - recovery.OverloadWindow
 	calls, informed := 0, 0
 	for _, a := range d.arrivals {
 		if a.at > from {
@@ -405,21 +408,21 @@
 		}
 	}
 	rampStart := max(from, d.recoveredAt)
-	mean := (cold.InitialShare*(rampStart-from).Seconds() +
-		(d.capacityShare(cold, rampStart)+d.capacityShare(cold, now))/2*(now-rampStart).Seconds()) /
-		cold.OverloadWindow.Seconds()
-	allowed := cold.OverloadFactor * mean * d.capacity * cold.OverloadWindow.Seconds()
-	if limit := MaxRampCalls(allowed); float64(calls) > limit && 3*informed >= 2*calls && !d.reported {
+	meanShare := (recovery.ColdCapacity*(rampStart-from).Seconds() +
+		(d.capacityShare(recovery, rampStart)+d.capacityShare(recovery, now))/2*(now-rampStart).Seconds()) /
+		recovery.OverloadWindow.Seconds()
+	allowed := recovery.OverloadMultiple * meanShare * d.capacity * recovery.OverloadWindow.Seconds()
+	if limit := MaxWindowCalls(allowed); float64(calls) > limit && 3*informed >= 2*calls && !d.reported {
 		d.reported = true
 		checker.report(RuleColdRamp, -1,
 			"destination %d: %d calls in %v, limit %.1f, %.1f s after its outage",
-			d.number, calls, cold.OverloadWindow, limit, (now - d.recoveredAt).Seconds())
+			d.number, calls, recovery.OverloadWindow, limit, (now - d.recoveredAt).Seconds())
 	}
 }
 
-// MaxRampCalls returns how many calls are tolerated in a window in which the settings allow the given number. The
-// margin of 2 to 3 times its square root covers random variation of the traffic.
-func MaxRampCalls(allowed float64) float64 {
+// MaxWindowCalls returns how many calls a cold destination tolerates in a window in which the settings allow the given
+// number. The margin of 2 to 3 times its square root covers random variation of the traffic.
+func MaxWindowCalls(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
 	}
