--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -24,8 +24,8 @@
 	return ln.Addr().String()
 }
 
-// adminCall sends a command and returns the whole answer.
-func adminCall(t *testing.T, addr, call string) string {
+// adminCommand sends a command and returns the whole answer.
+func adminCommand(t *testing.T, addr, call string) string {
 	t.Helper()
 	c := dialClient(t, addr)
 	if _, err := io.WriteString(c.conn, call); err != nil {
@@ -45,7 +45,7 @@
 	return n
 }
 
-func TestAdminCalls(t *testing.T) {
+func TestAdminCommands(t *testing.T) {
 	n, _, _, _ := startNodeWithEndpoints(t, 1)
 	addr := startAdmin(t, n.Node)
 	for command, want := range map[string]string{
@@ -58,7 +58,7 @@
 		"drain \n":                         "-ERR ",
 		strings.Repeat("x", 60<<10) + "\n": "-ERR ",
 	} {
-		if got := adminCall(t, addr, command); !strings.HasPrefix(got, want) || strings.Count(got, "\n") != 1 {
+		if got := adminCommand(t, addr, command); !strings.HasPrefix(got, want) || strings.Count(got, "\n") != 1 {
 			t.Errorf("%.20q: %q", command, got)
 		}
 	}
@@ -84,7 +84,7 @@
 
 // Any number of connections with incomplete commands must not block others, and each is closed after a deadline. The
 // commands must work without the event loop, which is not running here.
-func TestAdminWithIncompleteCalls(t *testing.T) {
+func TestAdminWithIncompleteCommands(t *testing.T) {
 	n := newNode(t, configText(newPlatform(t), EndpointList{}))
 	defer n.journal.Close()
 	n.clients.setPhase(serving)
@@ -96,7 +96,7 @@
 		incomplete = append(incomplete, c)
 	}
 	for range maxAdminConns / 2 {
-		if got := adminCall(t, addr, "ready\n"); got != "+OK\n" {
+		if got := adminCommand(t, addr, "ready\n"); got != "+OK\n" {
 			t.Fatalf("got %q", got)
 		}
 	}
@@ -118,7 +118,7 @@
 		}
 		return out
 	}
-	start := adminCall(t, addr, "show-stat\n")
+	start := adminCommand(t, addr, "show-stat\n")
 	want := []string{"+OK"}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		for _, end := range []string{"fulfilled", "throttled", "faulted"} {
@@ -130,7 +130,7 @@
 	for _, v := range allViolations {
 		want = append(want, "edge_balancer.violation."+string(v))
 	}
-	for _, reason := range refusalReasons {
+	for _, reason := range rejectReasons {
 		want = append(want, "edge_balancer.refused."+string(reason))
 	}
 	for _, reason := range closeReasons {
@@ -155,7 +155,7 @@
 	c.put("a", "safe", "+OK")
 	receive(t, calls, "call").reply(503) // refused, then delivered: two calls, one message
 	c2 := receive(t, calls, "second call")
-	open := metricValue(t, adminCall(t, addr, "show-stat\n"), "edge_balancer.open_requests")
+	open := metricValue(t, adminCommand(t, addr, "show-stat\n"), "edge_balancer.open_requests")
 	if open != 1 {
 		t.Errorf("%d open, want 1", open)
 	}
@@ -171,7 +171,7 @@
 	}
 	var text string
 	for stop := time.Now().Add(testTimeout); ; { // until the last outcome is counted
-		text = adminCall(t, addr, "show-stat\n")
+		text = adminCommand(t, addr, "show-stat\n")
 		if metricValue(t, text, "edge_balancer.operations.safe.fulfilled") == 1 || time.Now().After(stop) {
 			break
 		}
@@ -202,7 +202,7 @@
 	c.put("a", "unsafe", "+OK")
 	in := receive(t, e[0].calls, "call")
 	for range 2 { // repeating it changes nothing
-		if got := adminCall(t, addr, "drain\n"); got != "+OK\n" {
+		if got := adminCommand(t, addr, "drain\n"); got != "+OK\n" {
 			t.Fatalf("drain: %q", got)
 		}
 	}
@@ -210,7 +210,7 @@
 	if got := late.do("PING"); !strings.HasPrefix(got, "-ERR") {
 		t.Errorf("PING while draining: %q", got)
 	}
-	if got := adminCall(t, addr, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
+	if got := adminCommand(t, addr, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("ready while draining: %q", got)
 	}
 	late.put("b", "safe", "+OK")
@@ -230,7 +230,7 @@
 	receive(t, e[0].calls, "call").reply(200)
 	later.readToEnd()
 	for range 2 {
-		if got := adminCall(t, addr, "resume\n"); got != "+OK\n" {
+		if got := adminCommand(t, addr, "resume\n"); got != "+OK\n" {
 			t.Fatalf("resume: %q", got)
 		}
 	}
@@ -243,7 +243,7 @@
 	back.put("e", "safe", "+OK") // connections are kept open again
 	receive(t, e[0].calls, "call").reply(200)
 	stopAndCheckEmpty(t, n)
-	if got := adminCall(t, addr, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
+	if got := adminCommand(t, addr, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("resume of a stopping sender: %q", got)
 	}
 }
--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -43,7 +43,7 @@
 	"done":    {outcome: logic.Delivered},
 	"failed":  {outcome: logic.Errored},
 	"busy":    {outcome: logic.Refused},
-	"void":    {outcome: logic.Skipped, messageGone: true},
+	"void":    {outcome: logic.Skipped, messageEnded: true},
 	"used_up": {outcome: logic.Skipped},
 }
 
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -33,14 +33,14 @@
 	rows := n.directory.Apply(EndpointList{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
 	for _, id := range slices.Sorted(maps.Keys(bodies)) {
 		m := Message{ID: id, Class: "safe", Dest: 1, Body: []byte(bodies[id])}
-		n.active[id] = addHeldMessage(t, n, m)
+		n.active[id] = addJournaledMessage(t, n, m)
 		n.startAttempt(t.Context(), logic.Send{ID: id, Timeout: toMicros(testTimeout), Endpoint: rows[0].Endpoint}, true)
 	}
 	return n, e
 }
 
-// addHeldMessage records a message in the journal, with time left until its deadline.
-func addHeldMessage(t *testing.T, n *Node, m Message) *activeMessage {
+// addJournaledMessage records a message in the journal, with time left until its deadline.
+func addJournaledMessage(t *testing.T, n *Node, m Message) *activeMessage {
 	t.Helper()
 	m.Deadline = n.clock.Now() + (2 * testTimeout).Microseconds()
 	mustAppend(t, n.journal, record{Op: opAccept, Entry: &Entry{Message: m}})
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -55,7 +55,7 @@
 type callResult struct {
 	outcome      logic.Outcome
 	retryAfter   time.Duration // the wait that the endpoint asked for; 0 if none
-	messageGone  bool          // the endpoint reports that the message has already ended
+	messageEnded bool          // the endpoint reports that the message has already ended
 	localFailure bool          // nothing was sent because this host lacked a resource
 	loadReport   string        // value of the load report header, unparsed
 	idleTime     time.Duration // how long the connection had been idle; 0 for a new connection
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -53,7 +53,7 @@
 		{503, nil, callResult{outcome: logic.Refused}},
 		{503, []string{"X-Line-Busy: 1"}, callResult{outcome: logic.Skipped}},
 		{504, nil, callResult{outcome: logic.Skipped}},
-		{410, nil, callResult{outcome: logic.Skipped, messageGone: true}},
+		{410, nil, callResult{outcome: logic.Skipped, messageEnded: true}},
 	} {
 		got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 		in := receive(t, e.calls, "call")
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -159,7 +159,8 @@
 	delete(c.sessions, s)
 }
 
-// awaitInput waits until a connection has input, without reading it. data is false if the peer has closed the connection.
+// awaitInput waits until a connection has input, without reading it. data is false if the peer has closed the
+// connection.
 func awaitInput(conn net.Conn) (data bool, err error) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -16,11 +16,11 @@
 
 const (
 	starting phase = iota // clients are not served yet
-	waiting               // not served yet; another process is about to hand over
+	waiting               // not served yet; the owner is about to hand over
 	serving
-	draining // clients are sent away until an operator resumes service
-	stopping // clients are sent away for good
-	replaced // another process serves, and clients reconnect to it
+	draining // connections are closed when idle, until an operator resumes service
+	stopping // connections are closed when idle, until the process exits
+	replaced // the successor serves, and clients reconnect to it
 )
 
 func (p phase) String() string {
@@ -53,7 +53,7 @@
 	}
 }
 
-// setPhaseLocked sets the phase; c.mu must be held. A draining or stopping sender sends its clients away gradually: PING
+// setPhaseLocked sets the phase; c.mu must be held. A draining or stopping sender closes its connections gradually: PING
 // fails at once, but connections are closed only after closeIdleDelay, when those that the front end still routes here
 // have arrived.
 func (c *clientServer) setPhaseLocked(p phase) {
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -68,9 +68,9 @@
 	return faults
 }
 
-// acceptHeld has a sender accept messages that it does not send yet, because its only endpoint has told it to wait. It
+// acceptUnsent has a sender accept messages that it does not send yet, because its only endpoint has told it to wait. It
 // returns the ids of all messages that are owed.
-func acceptHeld(t *testing.T, proc *process, e *testEndpoint, ms, many int) (ids map[string]bool) {
+func acceptUnsent(t *testing.T, proc *process, e *testEndpoint, ms, many int) (ids map[string]bool) {
 	t.Helper()
 	c := dialClient(t, proc.addr)
 	c.putWithLifetime("first", "safe", ms, "+OK")
@@ -110,7 +110,7 @@
 			t.Parallel()
 			p, e, dir, known := newSingleEndpoint(t)
 			proc := startProcess(t, p, dir, known)
-			ids := acceptHeld(t, proc, e, 16000, 6)
+			ids := acceptUnsent(t, proc, e, 16000, 6)
 			proc.kill()
 			step := faultinject.Plan{Steps: []faultinject.Step{{At: faultTime(), Offset: offset}}}
 			proc = startWithFaults(t, p, dir, configText(p, known), step)
@@ -150,7 +150,7 @@
 func TestReadErrorAtStartLosesNothing(t *testing.T) {
 	p, e, dir, known := newSingleEndpoint(t)
 	proc := startProcess(t, p, dir, known)
-	ids := acceptHeld(t, proc, e, 16000, 6)
+	ids := acceptUnsent(t, proc, e, 16000, 6)
 	proc.kill()
 	proc = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{
 		Faults: faultsFor(1200*time.Millisecond, syscall.EIO, "read", "pread"),
@@ -177,7 +177,7 @@
 			t.Parallel()
 			p, e, dir, known := newSingleEndpoint(t)
 			proc := startProcess(t, p, dir, known)
-			ids := acceptHeld(t, proc, e, 16000, 2)
+			ids := acceptUnsent(t, proc, e, 16000, 2)
 			proc.kill()
 			begun := time.Now()
 			proc = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: make()})
@@ -415,16 +415,16 @@
 
 // A write that fails halfway may leave complete records in the file. No message that was refused because of it may be
 // among them.
-func TestRefusedIsNotLeftInJournal(t *testing.T) {
+func TestRejectedIsNotLeftInJournal(t *testing.T) {
 	for i := range 16 { // the position of the failure is random
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
-			testRefusedPartialWrite(t)
+			testRejectedPartialWrite(t)
 		})
 	}
 }
 
-func testRefusedPartialWrite(t *testing.T) {
+func testRejectedPartialWrite(t *testing.T) {
 	p, e, dir, known := newSingleEndpoint(t)
 	now := faultTime()
 	state := func(call string, errno syscall.Errno, most int, chance float64) faultinject.Fault {
@@ -478,7 +478,7 @@
 		p.list = EndpointList{Generation: 2, Instances: news[1:]}
 	})
 	proc.awaitLog("generation=2")
-	ids := acceptHeld(t, proc, stays, 16000, 6)
+	ids := acceptUnsent(t, proc, stays, 16000, 6)
 	next := execProcess(t, p, dir, text)
 	next.awaitLog("stands by")
 	p.update(func() { p.holdLists = true })
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -8,7 +8,7 @@
 )
 
 // protocolGuard checks every send, repeat, write, end, close and start of service against the rules of the protocol. It
-// is independent of the decision module: it relies only on what the sender has recorded and been told. Everything that
+// is independent of package logic: it relies only on what the sender has recorded and been told. Everything that
 // leaves this process passes through it. What it denies is not done. Having to deny something, or an end that comes too
 // late, is a violation, which is counted and logged with the id of the message; see allowSend for the one exception.
 //
@@ -18,7 +18,8 @@
 	waitUntil map[waitScope]time.Time // end of each wait that an endpoint has requested
 }
 
-// waitScope is what a requested wait applies to: a destination, or one of its routes where routes are limited separately.
+// waitScope is what a requested wait applies to: a destination, or one of its routes where routes are limited
+// separately.
 type waitScope struct {
 	dest  int64
 	route logic.EndpointID // 0 for the whole destination
@@ -41,7 +42,7 @@
 	violationAttemptsUsedUp      violation = "tries-used-up" // send beyond the maximum number of attempts
 	violationDeadlinePassed      violation = "time-up"       // send after the message's deadline
 	violationReturnedMayHaveRun  violation = "returned-run"  // message returned as not delivered although it may have run
-	violationRefusedAccepted     violation = "refused-taken" // refusal of a message that is in the journal
+	violationRejectedAccepted    violation = "refused-taken" // rejection of a message that is in the journal
 	violationOverdue             violation = "overdue"       // no end by the message's deadline
 	violationClosedWithRequests  violation = "closed-open"   // client connection closed with unanswered requests
 	violationNotOwner            violation = "not-owner"     // service without the state lock or the journal
@@ -61,7 +62,7 @@
 	violationAttemptsUsedUp,
 	violationDeadlinePassed,
 	violationReturnedMayHaveRun,
-	violationRefusedAccepted,
+	violationRejectedAccepted,
 	violationOverdue,
 	violationClosedWithRequests,
 	violationNotOwner,
@@ -98,7 +99,7 @@
 // checkSend returns the rule that a send at the time now would break, or noViolation.
 func (g *protocolGuard) checkSend(m *activeMessage, ep logic.EndpointID, now int64) violation {
 	n := g.node
-	target, known := n.directory.endpoints[ep]
+	info, known := n.directory.endpoints[ep]
 	entry := n.journal.Entry(m.msg.ID)
 	settings := &n.cfg.Deployment.Settings
 	switch {
@@ -112,7 +113,7 @@
 		return violationAlreadyEnded
 	case m.call != nil:
 		return violationAlreadyInFlight
-	case !known || target.dest != m.msg.Dest:
+	case !known || info.dest != m.msg.Dest:
 		return violationWrongDestination
 	case !n.directory.available(ep):
 		return violationEndpointUnavailable
@@ -123,7 +124,7 @@
 	case now >= m.msg.Deadline:
 		return violationDeadlinePassed
 	}
-	return g.checkRepeat(entry, target.zone, now)
+	return g.checkRepeat(entry, info.zone, now)
 }
 
 // checkRepeat returns the rule that a further attempt would break because an earlier one may have run, or noViolation.
@@ -145,31 +146,31 @@
 // noteWait records a wait that an endpoint has requested.
 func (g *protocolGuard) noteWait(ep logic.EndpointID, wait time.Duration) {
 	until := time.Now().Add(wait)
-	if key := g.waitScopeOf(ep); until.After(g.waitUntil[key]) {
-		g.waitUntil[key] = until
+	if scope := g.waitScopeOf(ep); until.After(g.waitUntil[scope]) {
+		g.waitUntil[scope] = until
 	}
 }
 
 // waitScopeOf returns the scope of a wait requested by an endpoint.
 func (g *protocolGuard) waitScopeOf(ep logic.EndpointID) waitScope {
-	target := g.node.directory.endpoints[ep]
+	info := g.node.directory.endpoints[ep]
 	if g.node.directory.separateRoute(ep) {
-		return waitScope{target.dest, ep}
+		return waitScope{info.dest, ep}
 	}
-	return waitScope{dest: target.dest}
+	return waitScope{dest: info.dest}
 }
 
 // expireWaits removes waits that have ended.
 func (g *protocolGuard) expireWaits() {
 	now := time.Now()
-	for key, until := range g.waitUntil {
+	for scope, until := range g.waitUntil {
 		if now.After(until) {
-			delete(g.waitUntil, key)
+			delete(g.waitUntil, scope)
 		}
 	}
 }
 
-// checkEnd checks an end decided by the sender. It only reports violations: the notice is sent in any case, because a
+// checkEnd checks an end decided by package logic. It only reports violations: the notice is sent in any case, because a
 // message without an end would be lost.
 func (g *protocolGuard) checkEnd(m *activeMessage, notice Notice) {
 	entry := g.node.journal.Entry(notice.ID)
@@ -185,17 +186,18 @@
 	}
 }
 
-// returnUnsafe reports whether it would be wrong to return a message, which tells its owner that it may be submitted
+// returnUnsafe reports whether it would be wrong to return a message: that tells its client that it may be submitted
 // again.
 func (g *protocolGuard) returnUnsafe(entry *Entry) bool {
 	class := g.node.cfg.classOf(&entry.Message)
-	return (entry.MayHaveRun || entry.InFlight) && (class.Idempotency == logic.NonIdempotent || class.Idempotency == logic.IdempotentByKey && class.DedupPerZone)
+	return (entry.MayHaveRun || entry.InFlight) &&
+		(class.Idempotency == logic.NonIdempotent || class.Idempotency == logic.IdempotentByKey && class.DedupPerZone)
 }
 
-// checkRefusal checks that a message which is refused is not in the journal.
-func (g *protocolGuard) checkRefusal(id string) {
+// checkReject checks that a rejected message is not in the journal.
+func (g *protocolGuard) checkReject(id string) {
 	if g.node.journal.Entry(id) != nil {
-		reportViolation(g.node.log, g.node.metrics, violationRefusedAccepted, id)
+		reportViolation(g.node.log, g.node.metrics, violationRejectedAccepted, id)
 	}
 }
 
@@ -210,7 +212,7 @@
 	}
 }
 
-// claimWrite decides at the last moment whether a call may be written. If it returns true the call may have run.
+// claimWrite decides, right before the write, whether a call may be written. If it returns true the call may have run.
 func (c *call) claimWrite() bool {
 	if !c.writeBy.IsZero() && time.Now().After(c.writeBy) {
 		c.state.CompareAndSwap(callConnecting, callAborted)
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -57,7 +57,7 @@
 // A send that was decided in time but has become too late since must be denied without counting as a violation.
 func TestGuardDeniesLateSend(t *testing.T) {
 	n := newIdleNode(t, newEndpoint(t))
-	h := addHeldMessage(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
+	h := addJournaledMessage(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
 	e := n.journal.Entry("m")
 	window := int64(n.cfg.classOf(h.msg).DedupWindow)
 	e.MayHaveRun, e.FirstMayRunAt = true, n.clock.Now()-window-1
@@ -72,16 +72,16 @@
 
 // The module must get the times as of the step. A message that waits for a step would otherwise seem to have more time
 // left, and an earlier attempt to be more recent.
-func TestCallTimesSetAtStep(t *testing.T) {
+func TestMessageTimesSetAtStep(t *testing.T) {
 	n := newIdleNode(t, newEndpoint(t))
-	h := addHeldMessage(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
+	h := addJournaledMessage(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
 	n.active["m"] = h
 	n.journal.Entry("m").FirstMayRunAt = h.msg.Deadline - 7_000_000
-	c := n.moduleCall(h.msg)
+	c := n.logicMessage(h.msg)
 	c.History = logic.History{Accepted: true, Attempts: 1, MayHaveRun: true}
 	events := []logic.Event{logic.TimerFired{}, c}
 	n.stepTime = h.msg.Deadline - 2_000_000
-	n.setCallTimes(events)
+	n.setMessageTimes(events)
 	if got := events[1].(logic.Message); got.TimeLeft != 2_000_000 || got.History.Age != 5_000_000 {
 		t.Errorf("left %d us, age %d us; want 2 s, 5 s", got.TimeLeft, got.History.Age)
 	}
@@ -97,11 +97,11 @@
 	e := n.journal.Entry("ran")
 	e.MayHaveRun = true
 	n.guard.checkEnd(&activeMessage{msg: &e.Message}, Notice{ID: "ran", State: noticeReturned})
-	n.guard.checkRefusal("ran")
+	n.guard.checkReject("ran")
 	n.active["late"] = &activeMessage{msg: &n.journal.Entry("late").Message}
 	n.guard.checkOverdue()
 	n.guard.checkOverdue()
-	for _, v := range []violation{violationReturnedMayHaveRun, violationRefusedAccepted, violationOverdue} {
+	for _, v := range []violation{violationReturnedMayHaveRun, violationRejectedAccepted, violationOverdue} {
 		if !strings.Contains(n.metrics.text(), "violation."+string(v)+"=1\n") {
 			t.Errorf("%q is not counted once:\n%s", v, n.metrics.text())
 		}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -14,57 +14,58 @@
 )
 
 // packet is what the two processes of a handover exchange after their greetings. First the owner sends its state, the
-// successor accepts it, and the owner releases its ownership. From then on the old process forwards what it receives
-// from clients and endpoints, and the new one sends answers and cancellations. One of the fields is set.
+// successor accepts it, and the owner releases its ownership. From then on the predecessor, as the former owner is
+// called, forwards what it receives from clients and endpoints, and the successor sends replies and cancellations. One of
+// the fields is set.
 type packet struct {
-	State    *handoverState    `json:",omitempty"`
-	Accepted bool              `json:"Understood,omitempty"`
-	Refused  string            `json:",omitempty"` // why the successor cannot use the state
-	Released bool              `json:"Yours,omitempty"`
-	Put      *relayedPut       `json:",omitempty"` // old to new: a message submitted by a client
-	Answer   *relayedPut       `json:",omitempty"` // new to old: the answer to that client
-	Reply    *remoteReply      `json:",omitempty"` // old to new: the outcome of a call
-	Health   *probeResultEvent `json:",omitempty"` // old to new: the outcome of a probe
-	Cancel   *remoteCall       `json:",omitempty"` // new to old: cancel a call
+	State       *handoverState    `json:",omitempty"`
+	Accepted    bool              `json:"Understood,omitempty"`
+	Rejected    string            `json:"Refused,omitempty"` // why the successor cannot use the state
+	Released    bool              `json:"Yours,omitempty"`
+	Put         *relayedPut       `json:",omitempty"`       // to the successor: a message submitted by a client
+	PutReply    *relayedPut       `json:"Answer,omitempty"` // to the predecessor: the reply to that client
+	Result      *remoteResult     `json:"Reply,omitempty"`  // to the successor: the result of a call
+	ProbeResult *probeResultEvent `json:"Health,omitempty"` // to the successor: the outcome of a probe
+	Cancel      *remoteCall       `json:",omitempty"`       // to the predecessor: cancel a call
 }
 
 // handoverState is the part of the owner's state that is not in the journal.
 type handoverState struct {
-	Snapshot          []byte `json:"Module"` // of logic.Sender
-	Now               logic.Micros
-	ClockNow          int64 `json:"Wall"` // the journal's clock at Now, microseconds
-	Held              []heldState
-	Recent            map[string]int64 // deadlines of messages that ended recently, by id, on the journal's clock
-	LastEndpoint      logic.EndpointID `json:"Last"`
-	Targets           []targetState
-	Discovery         string
-	Generation        int64 `json:"Gen"`
-	HasList           bool  `json:"Started"`
-	DiscoveryAnswered bool  `json:"Heard"`
-	Watching          bool  // the logic.Sender has asked for changes of the list
-}
-
-// heldState is a message in a handoverState.
-type heldState struct {
+	Snapshot     []byte               `json:"Module"` // of logic.Sender
+	LogicNow     logic.Micros         `json:"Now"`    // time of the handover on the clock of package logic
+	ClockNow     int64                `json:"Wall"`   // the same time on the persistent clock, microseconds
+	Active       []activeMessageState `json:"Held"`
+	RecentIDs    map[string]int64     `json:"Recent"` // ended messages by id, with their deadlines on the persistent clock
+	LastEndpoint logic.EndpointID     `json:"Last"`
+	Endpoints    []endpointState      `json:"Targets"`
+	Discovery    string               // address of discovery
+	Generation   int64                `json:"Gen"`
+	HasList      bool                 `json:"Started"`
+	ReceivedList bool                 `json:"Heard"`
+	Watching     bool                 // a watch of the list is running
+}
+
+// activeMessageState is an activeMessage in a handoverState.
+type activeMessageState struct {
 	Message    Message     // without its body, which is in the journal
 	Attempts   int         `json:"Tries"`
 	Ended      bool        `json:"Over"`
-	ReceivedAt int64       `json:"Came"` // on the journal's clock
+	ReceivedAt int64       `json:"Came"` // on the persistent clock
 	AttemptLog string      `json:"Trail"`
-	Call       *remoteCall // the attempt in flight
+	Call       *remoteCall // the attempt in flight; nil if there is none
 }
 
-// targetState is an endpoint in a handoverState.
-type targetState struct {
-	ID         logic.EndpointID
-	Name, Addr string
-	Zone, Kind int
-	Dest       int64
-	RemovedAt  int64 `json:"Gone"`           // on the journal's clock; 0 while it is listed
-	NoNewCalls bool  `json:"Shut,omitempty"` // the endpoint takes no new calls; older builds don't send this
+// endpointState is an endpoint in a handoverState.
+type endpointState struct {
+	ID          logic.EndpointID
+	Name, Addr  string // Name is the instance id
+	Zone, Kind  int
+	Dest        int64
+	RemovedAt   int64 `json:"Gone"`           // on the persistent clock; 0 while it is listed
+	Unavailable bool  `json:"Shut,omitempty"` // it accepts no new calls; older builds do not send this
 }
 
-// remoteCall is a call that the old process has in flight.
+// remoteCall is a call that the predecessor has in flight.
 type remoteCall struct {
 	ID       string
 	Attempt  int
@@ -76,43 +77,43 @@
 	return remoteCall{c.id, c.attempt, c.endpoint, c.state.Load()}
 }
 
-// remoteReply is the outcome of a call of the old process.
-type remoteReply struct {
-	Call        remoteCall
-	Outcome     logic.Outcome
-	RetryAfter  time.Duration `json:"Wait"`
-	MessageOver bool          `json:"Over"`
-	Load        string
-	Idle        time.Duration
-	Duration    time.Duration `json:"Took"`
+// remoteResult is the result of a call of the predecessor.
+type remoteResult struct {
+	Call         remoteCall
+	Outcome      logic.Outcome
+	RetryAfter   time.Duration `json:"Wait"`
+	MessageEnded bool          `json:"Over"`
+	LoadReport   string        `json:"Load"`
+	IdleTime     time.Duration `json:"Idle"`
+	Duration     time.Duration `json:"Took"`
 }
 
-// relayedPut is a message of a client of the old process, or the answer to it.
+// relayedPut is a message from a client of the predecessor, or the reply to it.
 type relayedPut struct {
 	Seq     int      `json:"N"`
 	Message *Message `json:"Msg,omitempty"`
-	Answer  string   `json:",omitempty"`
+	Reply   string   `json:"Answer,omitempty"`
 }
 
-// remoteEvent delivers a packet of the old process, or the loss of its connection, to the new one's event loop.
+// remoteEvent delivers a packet of the predecessor, or the loss of its connection, to the successor's event loop.
 type remoteEvent struct {
 	from *predecessor
 	packet
 	disconnected bool
 }
 
-// ---- The new process -----------------------------------------------------------------
+// ---- The successor's side ------------------------------------------------------------
 
 // predecessor is the process that handed over to this one, while it still runs.
 type predecessor struct {
 	link  *link
-	calls map[string]*call // calls in flight there, by message id; used by the event loop only
+	calls map[string]*call // its calls in flight, by message id; used by the event loop only
 }
 
 // acquireOwnership waits until this process owns the state folder. It returns the state that a predecessor has handed
 // over, or nil if there was no handover and the journal is all there is.
 func (n *Node) acquireOwnership(ctx context.Context) (*handoverState, error) {
-	failures := failureLog{log: n.log, operation: "no handover: waits for the owner's end"}
+	handoverFailures := failureLog{log: n.log, operation: "no handover: waits for the owner's end"}
 	for {
 		lock, err := tryLock(n.cfg.StateDir)
 		if err != nil && !isTransient(err) {
@@ -134,7 +135,7 @@
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		failures.observe(err)
+		handoverFailures.observe(err)
 		n.clients.setPhase(starting)
 		sleepContext(ctx, lockPollInterval)
 	}
@@ -171,7 +172,7 @@
 	}
 	sender, err := logic.Restore(n.cfg.Deployment.Settings, state.Snapshot)
 	if err != nil {
-		err = errors.Join(err, l.write(packet{Refused: err.Error()}))
+		err = errors.Join(err, l.write(packet{Rejected: err.Error()}))
 		l.close()
 		return nil, err
 	}
@@ -184,7 +185,7 @@
 		l.close()
 		return nil, errors.Join(errors.New("the owner did not release its ownership"), err)
 	}
-	// The old process writes nothing more to the journal. It releases the lock as soon as it has closed the journal.
+	// The predecessor writes nothing more to the journal. It releases the lock as soon as it has closed the journal.
 	for deadline := time.Now().Add(linkTimeout); ; sleepContext(ctx, time.Millisecond) {
 		if n.stateLock, err = tryLock(n.cfg.StateDir); n.stateLock != nil {
 			break
@@ -198,14 +199,14 @@
 	return state, nil
 }
 
-// restoreHandover restores the state that the old process has handed over. If that contradicts the journal, it changes
+// restoreHandover restores the state that the predecessor has handed over. If that contradicts the journal, it changes
 // nothing and returns an error.
 func (n *Node) restoreHandover(state *handoverState) error {
-	all := map[string]*activeMessage{}
-	open := 0
-	for i := range state.Held {
-		saved := &state.Held[i]
-		h := &activeMessage{
+	active := map[string]*activeMessage{}
+	openCount := 0
+	for i := range state.Active {
+		saved := &state.Active[i]
+		m := &activeMessage{
 			msg:      &saved.Message,
 			attempts: saved.Attempts,
 			ended:    saved.Ended,
@@ -216,45 +217,45 @@
 			if e == nil || e.End != nil {
 				return fmt.Errorf("message %s is not in the journal", saved.Message.ID)
 			}
-			h.msg = &e.Message
-			open++
+			m.msg = &e.Message
+			openCount++
 		}
 		if c := saved.Call; c != nil {
-			h.call = &call{id: c.ID, attempt: c.Attempt, endpoint: c.Endpoint, msg: h.msg, state: new(atomic.Int32)}
-			h.call.state.Store(c.State)
+			m.call = &call{id: c.ID, attempt: c.Attempt, endpoint: c.Endpoint, msg: m.msg, state: new(atomic.Int32)}
+			m.call.state.Store(c.State)
 		}
-		all[saved.Message.ID] = h
+		active[saved.Message.ID] = m
 	}
 	for _, e := range n.journal.Entries() {
-		if h := all[e.ID]; e.End == nil && (h == nil || h.ended) {
+		if m := active[e.ID]; e.End == nil && (m == nil || m.ended) {
 			return fmt.Errorf("message %s was not handed over", e.ID)
 		}
 	}
-	for _, h := range all {
-		if h.call != nil {
-			n.predecessor.calls[h.call.id] = h.call
-			n.attemptStarted(h, h.call, n.predecessor.cancelFunc(h.call))
+	for _, m := range active {
+		if m.call != nil {
+			n.predecessor.calls[m.call.id] = m.call
+			n.attemptStarted(m, m.call, n.predecessor.cancelFunc(m.call))
 		}
 	}
-	n.active, n.openCount = all, open
-	maps.Copy(n.recentIDs, state.Recent)
+	n.active, n.openCount = active, openCount
+	maps.Copy(n.recentIDs, state.RecentIDs)
 	n.directory.restore(state, n.clock)
-	n.moduleEpoch = n.clock.At(state.ClockNow).Add(-toDuration(state.Now))
+	n.logicEpoch = n.clock.At(state.ClockNow).Add(-toDuration(state.LogicNow))
 	for _, e := range n.journal.Entries() {
 		if e.End != nil {
 			n.notices.add(*e.End)
 		}
 	}
-	n.discovery.receivedList, n.watchFromStart = state.DiscoveryAnswered, state.Watching
+	n.discovery.receivedList, n.watchFromStart = state.ReceivedList, state.Watching
 	if state.Discovery == n.discovery.addr { // generations of different addresses are unrelated
 		n.discovery.generation, n.discovery.hasList = state.Generation, state.HasList
 	}
-	n.log.Info("handed over", "held", open, "calls", len(n.predecessor.calls))
+	n.log.Info("handed over", "held", openCount, "calls", len(n.predecessor.calls))
 	return nil
 }
 
-// cancelFunc returns a function that cancels a call of the old process. If the call is still connecting there and this
-// process has put it on hold, the old process does not write it any more.
+// cancelFunc returns a function that cancels a call of the predecessor. If this process has aborted the call and it is
+// still connecting there, the predecessor does not write it any more.
 func (p *predecessor) cancelFunc(c *call) context.CancelFunc {
 	return func() {
 		if p.calls[c.id] == c {
@@ -265,9 +266,9 @@
 	}
 }
 
-// receive passes packets of the old process to the event loop, until the link is closed.
-func (p *predecessor) receive(work context.Context, events chan<- any) {
-	defer context.AfterFunc(work, p.link.close)()
+// receive passes packets of the predecessor to the event loop, until the link is closed.
+func (p *predecessor) receive(workCtx context.Context, events chan<- any) {
+	defer context.AfterFunc(workCtx, p.link.close)()
 	for {
 		var in packet
 		var event any
@@ -276,15 +277,15 @@
 			p.link.close()
 			event = remoteEvent{from: p, disconnected: true}
 		case in.Put != nil && in.Put.Message != nil:
-			later := make(chan string, 1)
-			go p.sendAnswer(work, in.Put.Seq, later)
-			event = putEvent{*in.Put.Message, later}
+			pending := make(chan string, 1)
+			go p.sendReply(workCtx, in.Put.Seq, pending)
+			event = putEvent{*in.Put.Message, pending}
 		default:
 			event = remoteEvent{from: p, packet: in}
 		}
 		select {
 		case events <- event:
-		case <-work.Done():
+		case <-workCtx.Done():
 			return
 		}
 		if r, ok := event.(remoteEvent); ok && r.disconnected {
@@ -293,19 +294,19 @@
 	}
 }
 
-// sendAnswer sends the old process the answer to its client.
-func (p *predecessor) sendAnswer(work context.Context, n int, later <-chan string) {
+// sendReply sends the predecessor the reply to its client's put, once that is known.
+func (p *predecessor) sendReply(workCtx context.Context, seq int, pending <-chan string) {
 	select {
-	case line := <-later:
-		p.link.write(packet{Answer: &relayedPut{Seq: n, Answer: line}}) // the reader of the link reports a failed write
-	case <-work.Done():
+	case line := <-pending:
+		p.link.write(packet{PutReply: &relayedPut{Seq: seq, Reply: line}}) // the reader of the link reports a failed write
+	case <-workCtx.Done():
 	}
 }
 
-// replies returns the outcomes of calls that follow from an event of the old process. If its connection is lost, all of
-// its calls are severed: they may have run.
-func (p *predecessor) replies(ev remoteEvent) (out []attemptResultEvent) {
-	if r := ev.Reply; r != nil {
+// results returns the results of calls that follow from an event of the predecessor. If its connection is lost, all of
+// its calls end with ConnLost: they may have run.
+func (p *predecessor) results(ev remoteEvent) (out []attemptResultEvent) {
+	if r := ev.Result; r != nil {
 		c := p.calls[r.Call.ID]
 		if c == nil || c.attempt != r.Call.Attempt {
 			return nil
@@ -313,7 +314,13 @@
 		delete(p.calls, c.id)
 		return []attemptResultEvent{{
 			c,
-			callResult{outcome: r.Outcome, retryAfter: r.RetryAfter, messageGone: r.MessageOver, loadReport: r.Load, idleTime: r.Idle},
+			callResult{
+				outcome:      r.Outcome,
+				retryAfter:   r.RetryAfter,
+				messageEnded: r.MessageEnded,
+				loadReport:   r.LoadReport,
+				idleTime:     r.IdleTime,
+			},
 			r.Duration,
 		}}
 	}
@@ -326,22 +333,25 @@
 	return out
 }
 
-// handleRemote handles an event of the old process.
+// handleRemote handles an event of the predecessor.
 func (n *Node) handleRemote(ev remoteEvent) {
 	if ev.disconnected {
 		n.log.Info("predecessor disconnected", "calls", len(ev.from.calls))
 		n.predecessor = nil
 		n.shareLimits(1)
 	}
-	for _, r := range ev.from.replies(ev) {
+	for _, r := range ev.from.results(ev) {
 		n.handleAttemptResult(r)
 	}
-	if ev.Health != nil {
-		n.pendingEvents = append(n.pendingEvents, logic.ProbeResult{Endpoint: ev.Health.Endpoint, Outcome: ev.Health.Outcome})
+	if ev.ProbeResult != nil {
+		n.pendingEvents = append(n.pendingEvents, logic.ProbeResult{
+			Endpoint: ev.ProbeResult.Endpoint,
+			Outcome:  ev.ProbeResult.Outcome,
+		})
 	}
 }
 
-// ---- The old process -----------------------------------------------------------------
+// ---- The owner's side, and the predecessor's after the handover ----------------------
 
 // successorEvent tells the event loop that a successor has connected, or that it has disconnected.
 type successorEvent struct {
@@ -366,14 +376,15 @@
 func (n *Node) acceptSuccessors(ctx context.Context, ln handoverListener, clients *net.TCPListener) {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
 	delay := acceptRetryDelay
-	accepting := failureLog{log: n.log, operation: "handover: accept"} // lasts where the platform refuses Unix sockets
-	greeting := failureLog{log: n.log, operation: "handover: greeting"}
+	// Accepting fails all the time where the platform does not support Unix sockets.
+	acceptFailures := failureLog{log: n.log, operation: "handover: accept"}
+	greetingFailures := failureLog{log: n.log, operation: "handover: greeting"}
 	for {
 		conn, err := ln.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		accepting.observe(err)
+		acceptFailures.observe(err)
 		if err != nil {
 			sleepContext(ctx, delay)
 			delay = min(2*delay, maxAcceptRetryDelay)
@@ -385,7 +396,7 @@
 		if err := s.link.readGreeting(); err == nil {
 			n.events <- successorEvent{successor: s} // the event loop must know of it before it reports ready
 			err = s.link.sendListener(n.cfg.ListenAddr, clients)
-			greeting.observe(err)
+			greetingFailures.observe(err)
 			if err == nil {
 				s.receive(ctx) // a further successor waits until this one has disconnected
 			}
@@ -446,7 +457,7 @@
 	case p := <-s.packets:
 		if !p.Accepted {
 			s.link.close()
-			return fmt.Errorf("the successor did not accept the state: %s", p.Refused)
+			return fmt.Errorf("the successor did not accept the state: %s", p.Rejected)
 		}
 	case <-t.C:
 		s.link.close()
@@ -462,53 +473,53 @@
 	return nil
 }
 
-// collectHandoverState collects the state that is not in the journal.
+// collectHandoverState collects the part of the state that is not in the journal.
 func (n *Node) collectHandoverState() (*handoverState, error) {
 	now := time.Now()
 	state := &handoverState{
-		Now:               toMicros(now.Sub(n.moduleEpoch)),
-		ClockNow:          n.clock.Of(now),
-		Recent:            maps.Clone(n.recentIDs),
-		LastEndpoint:      n.directory.lastID,
-		Discovery:         n.discovery.addr,
-		Generation:        n.discovery.generation,
-		HasList:           n.discovery.hasList,
-		DiscoveryAnswered: n.discovery.receivedList,
-		Watching:          n.discovery.watching,
+		LogicNow:     toMicros(now.Sub(n.logicEpoch)),
+		ClockNow:     n.clock.Of(now),
+		RecentIDs:    maps.Clone(n.recentIDs),
+		LastEndpoint: n.directory.lastID,
+		Discovery:    n.discovery.addr,
+		Generation:   n.discovery.generation,
+		HasList:      n.discovery.hasList,
+		ReceivedList: n.discovery.receivedList,
+		Watching:     n.discovery.watching,
 	}
 	var err error
 	if state.Snapshot, err = n.sender.Snapshot(); err != nil {
 		return nil, err
 	}
-	for _, h := range n.active {
-		entry := heldState{
-			Message:    *h.msg,
-			Attempts:   h.attempts,
-			Ended:      h.ended,
-			ReceivedAt: n.clock.Of(h.log.receivedAt),
-			AttemptLog: string(h.log.text),
-		}
-		entry.Message.Body = nil
-		if h.call != nil {
-			c := newRemoteCall(h.call)
-			entry.Call = &c
-		}
-		state.Held = append(state.Held, entry)
-	}
-	for id, to := range n.directory.endpoints {
-		entry := targetState{
-			ID:         id,
-			Name:       to.instanceID,
-			Addr:       to.addr,
-			Zone:       to.zone,
-			Kind:       to.kind,
-			Dest:       to.dest,
-			NoNewCalls: n.directory.unavailable[id],
+	for _, m := range n.active {
+		saved := activeMessageState{
+			Message:    *m.msg,
+			Attempts:   m.attempts,
+			Ended:      m.ended,
+			ReceivedAt: n.clock.Of(m.log.receivedAt),
+			AttemptLog: string(m.log.text),
+		}
+		saved.Message.Body = nil
+		if m.call != nil {
+			c := newRemoteCall(m.call)
+			saved.Call = &c
+		}
+		state.Active = append(state.Active, saved)
+	}
+	for id, info := range n.directory.endpoints {
+		saved := endpointState{
+			ID:          id,
+			Name:        info.instanceID,
+			Addr:        info.addr,
+			Zone:        info.zone,
+			Kind:        info.kind,
+			Dest:        info.dest,
+			Unavailable: n.directory.unavailable[id],
 		}
 		if at, ok := n.directory.removedAt[id]; ok {
-			entry.RemovedAt = n.clock.Of(at)
+			saved.RemovedAt = n.clock.Of(at)
 		}
-		state.Targets = append(state.Targets, entry)
+		state.Endpoints = append(state.Endpoints, saved)
 	}
 	return state, nil
 }
@@ -516,38 +527,44 @@
 // restore fills an empty directory from the state of a handover.
 func (d *Directory) restore(state *handoverState, clock *clock.Lasting) {
 	d.lastID = state.LastEndpoint
-	for _, saved := range state.Targets {
-		to := endpointInfo{instanceID: saved.Name, addr: saved.Addr, zone: saved.Zone, kind: saved.Kind, dest: saved.Dest}
+	for _, saved := range state.Endpoints {
+		info := endpointInfo{
+			instanceID: saved.Name,
+			addr:       saved.Addr,
+			zone:       saved.Zone,
+			kind:       saved.Kind,
+			dest:       saved.Dest,
+		}
 		if saved.RemovedAt != 0 {
 			d.removedAt[saved.ID] = clock.At(saved.RemovedAt)
 		}
-		if saved.NoNewCalls || saved.RemovedAt != 0 {
+		if saved.Unavailable || saved.RemovedAt != 0 {
 			d.unavailable[saved.ID] = true
 		}
-		d.ids[saved.Name], d.endpoints[saved.ID] = saved.ID, to
+		d.ids[saved.Name], d.endpoints[saved.ID] = saved.ID, info
 		d.destCounts[saved.Dest]++
 	}
 }
 
-// relayUntilIdle does the remaining work after a handover: it forwards requests that arrive on the connections of
-// clients until all are closed, and the outcomes of the calls in flight. Whatever has not ended by the time limit after
-// SIGTERM is abandoned.
-func (n *Node) relayUntilIdle(work context.Context) {
+// relayUntilIdle does the remaining work after a handover: it forwards the messages that arrive on clients' connections
+// until all of those are closed, and the results of the calls in flight. Whatever has not ended when shutdownTimeout has
+// passed since SIGTERM is abandoned.
+func (n *Node) relayUntilIdle(workCtx context.Context) {
 	n.listener.Close() // the successor shares the socket, so connections waiting to be accepted are not lost
 	n.discovery.close()
 	n.caller.closeAllIdle()
 	n.clients.stopReadingAt(n.shutdownAt.Add(shutdownWorkTimeout))
 	n.clients.setPhase(replaced)
 	n.metrics.openMessages.Store(0)
-	grace, cancel := context.WithDeadline(work, n.shutdownAt.Add(shutdownTimeout))
+	graceCtx, cancel := context.WithDeadline(workCtx, n.shutdownAt.Add(shutdownTimeout))
 	defer cancel()
-	clientsGone := make(chan struct{})
+	clientsClosed := make(chan struct{})
 	go func() {
-		n.clients.awaitClosed(grace)
-		close(clientsGone)
+		n.clients.awaitClosed(graceCtx)
+		close(clientsClosed)
 	}()
 	r := relay{node: n, successor: n.successor, packets: n.successor.packets, waiting: map[int]chan<- string{}}
-	for idle := false; !idle || len(r.waiting) > 0 || len(n.calledEndpoints()) > 0; {
+	for noClients := false; !noClients || len(r.waiting) > 0 || len(n.calledEndpoints()) > 0; {
 		select {
 		case ev := <-n.events:
 			r.forward(ev)
@@ -558,9 +575,9 @@
 				continue
 			}
 			r.handle(p)
-		case <-clientsGone:
-			idle, clientsGone = true, nil
-		case <-grace.Done():
+		case <-clientsClosed:
+			noClients, clientsClosed = true, nil
+		case <-graceCtx.Done():
 			n.log.Warn("replaced, with calls out", "calls", len(n.calledEndpoints()))
 			return
 		}
@@ -573,15 +590,15 @@
 	node      *Node
 	successor *successor
 	packets   <-chan packet         // nil once the successor has disconnected
-	waiting   map[int]chan<- string // channels for the answers to clients, by sequence number of the message
+	waiting   map[int]chan<- string // channels for the replies to clients, by sequence number of the message
 	lastSeq   int
 }
 
-// failWaiting answers the clients whose messages were forwarded to a successor that has disconnected: whether it
-// accepted them is unknown.
+// failWaiting sends an error reply to the clients whose messages were forwarded to a successor that has disconnected:
+// whether it accepted them is unknown.
 func (r *relay) failWaiting() {
-	for seq, answer := range r.waiting {
-		answer <- replyFailed
+	for seq, reply := range r.waiting {
+		reply <- replyFailed
 		delete(r.waiting, seq)
 	}
 	r.packets = nil
@@ -600,27 +617,27 @@
 		r.waiting[r.lastSeq] = ev.reply
 		p.Put = &relayedPut{Seq: r.lastSeq, Message: &ev.msg}
 	case remoteEvent: // from a predecessor that still has calls in flight
-		for _, x := range ev.from.replies(ev) {
-			r.forward(x)
+		for _, result := range ev.from.results(ev) {
+			r.forward(result)
 		}
 		return
 	case attemptResultEvent:
-		c, x := ev.call, ev.result
-		if h := r.node.active[c.id]; h != nil && h.call == c {
-			r.node.attemptEnded(h)
-		}
-		p.Reply = &remoteReply{
-			Call:        newRemoteCall(c),
-			Outcome:     x.outcome,
-			RetryAfter:  x.retryAfter,
-			MessageOver: x.messageGone,
-			Load:        x.loadReport,
-			Idle:        x.idleTime,
-			Duration:    ev.duration,
+		c, result := ev.call, ev.result
+		if m := r.node.active[c.id]; m != nil && m.call == c {
+			r.node.attemptEnded(m)
+		}
+		p.Result = &remoteResult{
+			Call:         newRemoteCall(c),
+			Outcome:      result.outcome,
+			RetryAfter:   result.retryAfter,
+			MessageEnded: result.messageEnded,
+			LoadReport:   result.loadReport,
+			IdleTime:     result.idleTime,
+			Duration:     ev.duration,
 		}
 	case probeResultEvent:
-		p.Health = &ev
-	default: // changes of the list and confirmed notices: the successor receives its own
+		p.ProbeResult = &ev
+	default: // lists and confirmed notices: the successor receives its own
 		return
 	}
 	if err := r.successor.link.write(p); err != nil {
@@ -630,31 +647,31 @@
 
 // handle handles a packet of the successor.
 func (r *relay) handle(p packet) {
-	if p.Answer != nil {
-		if answer := r.waiting[p.Answer.Seq]; answer != nil {
-			answer <- p.Answer.Answer
-			delete(r.waiting, p.Answer.Seq)
+	if p.PutReply != nil {
+		if reply := r.waiting[p.PutReply.Seq]; reply != nil {
+			reply <- p.PutReply.Reply
+			delete(r.waiting, p.PutReply.Seq)
 		}
 	}
 	if p.Cancel != nil {
-		h := r.node.active[p.Cancel.ID]
-		if h == nil || h.call == nil || h.call.attempt != p.Cancel.Attempt {
+		m := r.node.active[p.Cancel.ID]
+		if m == nil || m.call == nil || m.call.attempt != p.Cancel.Attempt {
 			return
 		}
 		if p.Cancel.State == callAborted {
-			h.call.state.CompareAndSwap(callConnecting, callAborted)
+			m.call.state.CompareAndSwap(callConnecting, callAborted)
 		}
-		h.cancel()
+		m.cancel()
 	}
 }
 
-// shareLimits restricts this process to its share of the resource limits, for a total of so many processes.
+// shareLimits restricts this process to its share of the resource limits, which the given number of processes divide.
 func (n *Node) shareLimits(processes int) {
 	limits := n.cfg.Limits.dividedBy(processes)
 	limits.ApplyMemoryLimit()
 	cfg := *n.cfg
 	cfg.Limits = limits
-	most := newSocketBudget(&cfg)
-	n.clients.setMaxConns(most.clients)
-	n.caller.setLimits(most)
+	budget := newSocketBudget(&cfg)
+	n.clients.setMaxConns(budget.clients)
+	n.caller.setLimits(budget)
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -50,7 +50,7 @@
 	f.t.Helper()
 	proc := launchProcess(f.t, f.platform, f.dir, f.known)
 	proc.awaitLog("stands by")
-	if got := adminCall(f.t, proc.admin, "ready\n"); got != "+OK\n" {
+	if got := adminCommand(f.t, proc.admin, "ready\n"); got != "+OK\n" {
 		f.t.Fatalf("ready: %q", got)
 	}
 	return proc
@@ -76,7 +76,7 @@
 		incomplete := dialClient(t, proc.addr)
 		io.WriteString(incomplete.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$5\r\n"+id("half")+"\r\n")
 		next := fixture.startStandby()
-		if got := adminCall(t, next.admin, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
+		if got := adminCommand(t, next.admin, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("resume of a standby process: %q", got)
 		}
 		proc.terminate()
@@ -84,7 +84,7 @@
 		if next.addr != proc.addr {
 			t.Fatalf("serves at %s, want %s", next.addr, proc.addr)
 		}
-		if got := adminCall(t, proc.admin, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
+		if got := adminCommand(t, proc.admin, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("the old process is ready: %q", got)
 		}
 		// Read by the old process, accepted by the new one.
@@ -107,7 +107,7 @@
 		c.put(id("charge"), "unsafe", "+OK") // a repeated put: the new process has the message already
 		c.put(id("new"), "unsafe", "+OK")
 		receive(t, fixture.endpoint.calls, "call").reply(200)
-		text := adminCall(t, next.admin, "show-stat\n")
+		text := adminCommand(t, next.admin, "show-stat\n")
 		if n := metricValue(t, text, "edge_balancer.open_requests"); n < 1 || n > 3 {
 			t.Errorf("open_requests=%d", n)
 		}
@@ -118,7 +118,7 @@
 			if time.Now().After(stop) {
 				t.Fatalf("the charge is not counted as delivered:\n%s", text)
 			}
-			text = adminCall(t, proc.admin, "show-stat\n")
+			text = adminCommand(t, proc.admin, "show-stat\n")
 		}
 	}
 	proc.terminate()
@@ -127,7 +127,7 @@
 	if len(fixture.platform.notices) != 0 {
 		t.Errorf("notice %+v", <-fixture.platform.notices)
 	}
-	if ids := pendingMessageIDs(t, fixture.dir); ids != nil {
+	if ids := journaledMessageIDs(t, fixture.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
@@ -212,7 +212,7 @@
 	receive(t, fixture.endpoint.calls, "call").reply(200)
 	proc.terminate()
 	proc.awaitExit()
-	if ids := pendingMessageIDs(t, fixture.dir); ids != nil {
+	if ids := journaledMessageIDs(t, fixture.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
@@ -348,7 +348,7 @@
 func TestHandoverNotAccepted(t *testing.T) {
 	for name, respond := range map[string]func(*link) error{
 		"dies":          func(*link) error { return nil },
-		"refuses":       func(l *link) error { return l.write(packet{Refused: "no"}) },
+		"rejects":       func(l *link) error { return l.write(packet{Rejected: "no"}) },
 		"sends garbage": func(l *link) error { _, err := l.conn.Write([]byte("+OK\r\n+OK\r\n+OK\r\n")); return err },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -378,7 +378,7 @@
 			proc.awaitLog("the handover failed")
 			in.reply(200)
 			proc.awaitExit()
-			if ids := pendingMessageIDs(t, fixture.dir); ids != nil {
+			if ids := journaledMessageIDs(t, fixture.dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
 		})
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -144,21 +144,21 @@
 
 // testPlatform stands in for discovery and for the service that receives notices.
 type testPlatform struct {
-	srv            *httptest.Server
-	notices        chan Notice
-	listRequests   chan string // query of each request for the list
-	refusedNotices chan int    // number of lines of each refused request with notices
-	mu             sync.Mutex
-	list           EndpointList
-	changed        chan struct{} // closed when the list changes
-	down           bool          // discovery responds 503 to all requests
-	holdLists      bool          // requests for the list are never answered
-	refuseNotices  bool          // notices are refused
+	srv             *httptest.Server
+	notices         chan Notice
+	listRequests    chan string // query of each request for the list
+	rejectedNotices chan int    // number of lines of each refused request with notices
+	mu              sync.Mutex
+	list            EndpointList
+	changed         chan struct{} // closed when the list changes
+	down            bool          // discovery responds 503 to all requests
+	holdLists       bool          // requests for the list are never answered
+	rejectNotices   bool          // notices are refused
 }
 
 func newPlatform(t *testing.T) *testPlatform {
 	t.Helper()
-	p := &testPlatform{notices: make(chan Notice, 64), listRequests: make(chan string, 1024), refusedNotices: make(chan int, 1024),
+	p := &testPlatform{notices: make(chan Notice, 64), listRequests: make(chan string, 1024), rejectedNotices: make(chan int, 1024),
 		changed: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", p.hosts)
@@ -202,7 +202,7 @@
 
 func (p *testPlatform) outcomes(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	refuseNotices := p.refuseNotices
+	rejectNotices := p.rejectNotices
 	p.mu.Unlock()
 	var lines []Notice
 	for dec := json.NewDecoder(r.Body); dec.More(); {
@@ -213,8 +213,8 @@
 		}
 		lines = append(lines, notice)
 	}
-	if refuseNotices {
-		p.refusedNotices <- len(lines)
+	if rejectNotices {
+		p.rejectedNotices <- len(lines)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/node/idle_clients_test.go
+++ b/internal/node/idle_clients_test.go
@@ -90,9 +90,11 @@
 	}
 	p.srv.CloseClientConnections() // the next request needs a new connection
 	receive(t, p.listRequests, "call for the list on a new connection")
-	p.update(func() { p.holdLists, p.list = false, EndpointList{Generation: 2, Reset: true, Instances: instances(e, added)} })
+	p.update(func() {
+		p.holdLists, p.list = false, EndpointList{Generation: 2, Reset: true, Instances: instances(e, added)}
+	})
 	awaitListGeneration(t, p, 2)
-	if got := adminCall(t, x.admin, "ready\n"); got != "+OK\n" {
+	if got := adminCommand(t, x.admin, "ready\n"); got != "+OK\n" {
 		t.Errorf("operators get %q", got)
 	}
 	failing.reply(500)
@@ -116,7 +118,7 @@
 			t.Fatal("the endpoint of the new list gets no calls")
 		}
 	}
-	if got := adminCall(t, x.admin, "show-stat\n"); !strings.HasPrefix(got, "+OK\n") {
+	if got := adminCommand(t, x.admin, "show-stat\n"); !strings.HasPrefix(got, "+OK\n") {
 		t.Errorf("operators get %q", got)
 	}
 	if n := x.openDescriptors(); n < maxClients || n > sockets {
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -24,7 +24,7 @@
 	Class          string `json:"class"`
 	Tenant         string `json:"tenant,omitempty"`
 	Dest           int64  `json:"dest"`
-	Deadline       int64  `json:"deadline"` // microseconds on the journal's clock
+	Deadline       int64  `json:"deadline"` // microseconds on the persistent clock
 	Body           []byte `json:"body,omitempty"`
 }
 
@@ -96,7 +96,7 @@
 	fileDiskShare = 0.45
 	// damagedDiskShare is the share of the disk limit for the copy of damaged records.
 	damagedDiskShare = 0.05
-	// acceptFileShare is the share of a file that entries may fill before new messages are refused. The rest is kept
+	// acceptFileShare is the share of a file that entries may fill before new messages are rejected. The rest is kept
 	// free for later records of messages that have already been accepted.
 	acceptFileShare = 0.6
 	// rewriteRetryDelay is the minimum time between rewrites if one fails while it writes the new file.
@@ -124,7 +124,7 @@
 	liveBytes       int64 // estimated size of the file after a rewrite
 	seq             int
 	entries         map[string]*Entry
-	clock           *clock.Lasting
+	clock           *clock.Lasting // the persistent clock, which the times of all records refer to
 	stamp           clock.Stamp
 	hasStamp        bool     // replay has read a stamp
 	latestTime      int64    // latest time in any record
@@ -321,7 +321,8 @@
 		return nil
 	}
 	err := j.write(recs)
-	if err != nil && j.lastWriteFailed && time.Since(j.rewriteFailedAt) > rewriteRetryDelay && !errors.Is(err, errJournalFull) {
+	if err != nil && j.lastWriteFailed && time.Since(j.rewriteFailedAt) > rewriteRetryDelay &&
+		!errors.Is(err, errJournalFull) {
 		err = j.rewriteAndAppend(recs, err) // the error may be specific to this file
 	}
 	j.lastWriteFailed = err != nil
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -37,10 +37,10 @@
 	Outcome  logic.Outcome
 }
 
-// shutdownEvent starts the shutdown, or the handover to another process. at is the time of SIGTERM.
+// shutdownEvent starts the shutdown, or the handover to a successor. at is the time of SIGTERM.
 type shutdownEvent struct{ at time.Time }
 
-// activeMessage is a message that the decision module knows and that has not ended, or whose last attempt is in flight.
+// activeMessage is a message that package logic knows and that has not ended, or whose last attempt is in flight.
 type activeMessage struct {
 	msg      *Message
 	attempts int
@@ -64,7 +64,7 @@
 	t.stageStart = now
 }
 
-// Node is one sender process. It connects the decision module (package logic) with the clients, the journal, the
+// Node is one sender process. It connects package logic, which makes the decisions, with the clients, the journal, the
 // endpoints, discovery and the platform.
 type Node struct {
 	cfg             *Config
@@ -83,16 +83,16 @@
 	reloadSignals   <-chan os.Signal
 	loadConfig      func() (*Config, error)
 	reloadRequested chan struct{} // holds one token while a reload without a signal is pending
-	watchFromStart  bool          // watch discovery without waiting for the module to ask
+	watchFromStart  bool          // watch discovery without waiting for package logic to ask
 	wasStandby      bool          // another process owned the journal when this one started
 	stateLock       *os.File      // lock on the state folder; nil while another process owns it
 	listener        net.Listener  // for clients
 
 	// The fields below are owned by the event loop.
-	wakeTimer       *time.Timer // set by the module's SetTimer action
-	wakeToken       uint64      // identifies that timer to the module
+	wakeTimer       *time.Timer // set by the SetTimer action
+	wakeToken       uint64      // identifies that timer to package logic
 	startedAt       time.Time   // start of the process
-	moduleEpoch     time.Time   // zero of the module's clock
+	logicEpoch      time.Time   // zero of the clock of package logic
 	startup         startupTimer
 	active          map[string]*activeMessage
 	openCount       int                       // active messages that have not ended
@@ -100,15 +100,15 @@
 	recentIDs       map[string]int64          // ended messages by id, with their deadlines on the persistent clock
 	pendingEvents   []logic.Event             // for the next step
 	shutdownAt      time.Time                 // time of SIGTERM; zero until then
-	predecessor     *predecessor              // process that handed over to this one; nil if there is none
-	successor       *successor                // process waiting to take over; nil if there is none
+	predecessor     *predecessor              // nil if no process has handed over to this one, or it has ended
+	successor       *successor                // standby process that is ready to take over; nil if there is none
 	pendingPuts     []putEvent                // puts to be answered by the next step
 	pendingRecords  []record                  // journal records for the next step
 	pendingCalls    []pendingCall             // calls decided in the current step
 	clock           *clock.Lasting            // persistent clock, which continues across restarts
 	stepTime        int64                     // start of the current step on the persistent clock
 	guard           *protocolGuard
-	deferredNotices []delayedNotice // notices of ends that are not in the journal yet
+	delayedNotices  []delayedNotice // notices of ends that are not in the journal yet
 	flushTimer      *time.Timer     // retries journal writes that failed
 	journalFailures failureLog
 }
@@ -128,7 +128,7 @@
 	}
 	startup.finishStage("lock")
 	metrics := newMetrics(cfg)
-	// The module asks for the endpoint list only in on-request mode; in either mode it asks again after a failed call.
+	// Package logic asks for the endpoint list only in on-request mode; in either mode it asks again after a failed call.
 	n := &Node{
 		cfg:            cfg,
 		log:            log,
@@ -137,13 +137,18 @@
 		sender:         sender,
 		directory:      NewDirectory(cfg),
 		metrics:        metrics,
-		caller: newEndpointClient(toDuration(cfg.Deployment.ConnectTimeout), toDuration(settings.ConnIdleTimeout), settings.CallSlots,
-			newSocketBudget(cfg), &metrics.relayed),
+		caller: newEndpointClient(
+			toDuration(cfg.Deployment.ConnectTimeout),
+			toDuration(settings.ConnIdleTimeout),
+			settings.CallSlots,
+			newSocketBudget(cfg),
+			&metrics.relayed,
+		),
 		events:          make(chan any, eventQueueSize),
 		ready:           make(chan net.Addr, 1),
 		reloadRequested: make(chan struct{}, 1),
 		startedAt:       startedAt,
-		moduleEpoch:     time.Now(),
+		logicEpoch:      time.Now(),
 		startup:         startup,
 		wakeTimer:       time.NewTimer(time.Hour),
 		active:          map[string]*activeMessage{},
@@ -174,7 +179,7 @@
 }
 
 // openJournal opens and replays the journal. The caller must hold the state lock. A read error is returned, so that the
-// caller can retry, until readPatience has passed since the start; after that the journal ends before the error.
+// caller can retry, until journalReadTimeout has passed since the start; after that the journal ends before the error.
 func (n *Node) openJournal() error {
 	lenient := time.Since(n.startedAt) > journalReadTimeout
 	journal, err := OpenJournal(n.cfg.StateDir, int64(n.cfg.Limits.DiskMB*1e6), lenient)
@@ -182,8 +187,8 @@
 		return err
 	}
 	if journal.skippedBytes > 0 {
-		n.log.Warn("journal: the end cannot be read and is left out", "bytes", journal.skippedBytes, "kept", len(journal.entries),
-			"aside", journalFile+damagedSuffix, "err", journal.saveDamagedErr)
+		n.log.Warn("journal: the end cannot be read and is left out", "bytes", journal.skippedBytes,
+			"kept", len(journal.entries), "aside", journalFile+damagedSuffix, "err", journal.saveDamagedErr)
 	}
 	n.journal = journal
 	n.clock, n.clients.clock = journal.clock, journal.clock
@@ -191,8 +196,7 @@
 	return nil
 }
 
-// Run serves until ctx is cancelled. Then it hands over to a standby process if there is one, or else shuts down
-// gracefully.
+// Run serves until ctx is cancelled. Then it hands over to a successor if there is one, or else shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	workCtx, cancelWork := context.WithCancel(context.Background())
 	defer cancelWork()
@@ -218,7 +222,7 @@
 	if n.wasStandby && n.predecessor == nil {
 		n.awaitInitialList(workCtx)
 	}
-	n.step(workCtx) // handle journalled messages before new ones: some may be due to end
+	n.step(workCtx) // handle journaled messages before new ones: some may be due to end
 	n.startup.finishStage("step")
 	noticesCtx, stopNotices := context.WithCancel(workCtx)
 	defer stopNotices()
@@ -248,8 +252,8 @@
 	return nil
 }
 
-// takeOwnership makes this process the owner of the journal and continues with the messages that have not ended: with
-// the state of the previous process if that hands over, or else from the journal alone.
+// takeOwnership makes this process the owner of the journal and continues with the messages that have not ended: from
+// the state of the predecessor if that hands over, or else from the journal alone.
 func (n *Node) takeOwnership(ctx context.Context) error {
 	var state *handoverState
 	if n.stateLock == nil {
@@ -336,10 +340,10 @@
 	return closed, expired
 }
 
-// loop is the event loop. It owns the decision module and all of the state: at most once per tick it takes the events
-// that have arrived, steps the module, writes the journal and performs the module's actions.
+// loop is the event loop. It owns the logic.Sender and all of the state: at most once per tick it takes the events that
+// have arrived, steps the logic.Sender, writes the journal and performs the resulting actions.
 //
-// It returns true once another process has taken over.
+// It returns true once a successor has taken over.
 func (n *Node) loop(workCtx context.Context) bool {
 	tick := max(toDuration(n.cfg.Deployment.Settings.Tick), time.Millisecond)
 	sweepTicker := time.NewTicker(sweepInterval)
@@ -401,7 +405,9 @@
 				n.log.Error("the handover failed: this process stays the owner until its end", "err", err)
 			}
 			clientsClosed, timedOut = n.shutDownClients(workCtx)
-			n.pendingEvents = append(n.pendingEvents, logic.Shutdown{TimeLeft: toMicros(max(shutdownWorkTimeout-time.Since(n.shutdownAt), 0))})
+			n.pendingEvents = append(n.pendingEvents, logic.Shutdown{
+				TimeLeft: toMicros(max(shutdownWorkTimeout-time.Since(n.shutdownAt), 0)),
+			})
 			n.step(workCtx)
 		}
 		tickTimer.Reset(tick)
@@ -409,7 +415,7 @@
 	}
 }
 
-// resumeFromJournal passes the journalled messages to the module, with the outcome of their attempts so far.
+// resumeFromJournal passes the journaled messages to package logic, with the outcome of their attempts so far.
 func (n *Node) resumeFromJournal() {
 	if n.cfg.KnownList.Generation != 0 || len(n.cfg.KnownList.Instances) > 0 {
 		n.discovery.generation, n.discovery.hasList = n.cfg.KnownList.Generation, true
@@ -429,15 +435,15 @@
 		}
 		n.active[e.ID] = &activeMessage{msg: &e.Message, attempts: e.Attempts, log: attemptLog{receivedAt: time.Now()}}
 		n.openCount++
-		c := n.moduleCall(&e.Message)
-		c.History = logic.History{Accepted: true, Attempts: e.Attempts, MayHaveRun: e.MayHaveRun || e.InFlight}
-		if c.History.MayHaveRun {
-			c.History.Zone = e.FirstMayRunZone
+		m := n.logicMessage(&e.Message)
+		m.History = logic.History{Accepted: true, Attempts: e.Attempts, MayHaveRun: e.MayHaveRun || e.InFlight}
+		if m.History.MayHaveRun {
+			m.History.Zone = e.FirstMayRunZone
 		}
-		if e.InFlight { // the next reader of the journal must not attribute the outcome of a later attempt to this one
+		if e.InFlight { // otherwise the outcome of a later attempt would be replayed as that of this one
 			n.pendingRecords = append(n.pendingRecords, record{Op: opOutcome, ID: e.ID, MayHaveRun: true})
 		}
-		n.pendingEvents = append(n.pendingEvents, c)
+		n.pendingEvents = append(n.pendingEvents, m)
 	}
 }
 
@@ -449,19 +455,20 @@
 	}
 	n.log.Warn("message of an unknown class", "id", e.ID, "class", e.Class, "end", notice.State)
 	n.pendingRecords = append(n.pendingRecords, record{Op: opGiveUp, ID: e.ID, Notice: &notice})
-	n.deferredNotices = append(n.deferredNotices, delayedNotice{notice, e.Deadline})
+	n.delayedNotices = append(n.delayedNotices, delayedNotice{notice, e.Deadline})
 }
 
-// moduleCall returns the module's view of a message. Its times are set at the step, by setCallTimes.
-func (n *Node) moduleCall(m *Message) logic.Message {
-	c := logic.Message{ID: m.ID, OrderKey: m.OrderKey, Dest: m.Dest, Tenant: -1, Class: n.cfg.Classes[m.Class]}
+// logicMessage returns the event that passes a message to package logic. Its times are set at the step, by
+// setMessageTimes.
+func (n *Node) logicMessage(m *Message) logic.Message {
+	event := logic.Message{ID: m.ID, OrderKey: m.OrderKey, Dest: m.Dest, Tenant: -1, Class: n.cfg.Classes[m.Class]}
 	if t, ok := n.cfg.Tenants[m.Tenant]; ok && m.Tenant != "" {
-		c.Tenant = t
+		event.Tenant = t
 	}
-	return c
+	return event
 }
 
-// handleEvent processes an event of the loop. Most become module events for the next step.
+// handleEvent processes an event of the loop. Most become events of package logic for the next step.
 func (n *Node) handleEvent(workCtx context.Context, ev any) {
 	switch ev := ev.(type) {
 	case putEvent:
@@ -492,7 +499,7 @@
 	}
 }
 
-// handlePut queues a new message for the next step, refuses it, or confirms one that was accepted before.
+// handlePut queues a new message for the next step, rejects it, or confirms one that was accepted before.
 func (n *Node) handlePut(ev putEvent) {
 	id := ev.msg.ID
 	_, recentlyEnded := n.recentIDs[id]
@@ -505,7 +512,7 @@
 		return
 	}
 	if reply := n.admissionReply(&ev.msg); reply != "" {
-		n.guard.checkRefusal(id)
+		n.guard.checkReject(id)
 		n.metrics.countResult(ev.msg.Class, reply)
 		ev.reply <- reply
 		return
@@ -514,24 +521,24 @@
 	n.active[id] = &activeMessage{msg: &m, log: attemptLog{receivedAt: time.Now()}}
 	n.openCount++
 	n.pendingPuts = append(n.pendingPuts, ev)
-	n.pendingEvents = append(n.pendingEvents, n.moduleCall(&m))
+	n.pendingEvents = append(n.pendingEvents, n.logicMessage(&m))
 }
 
-// admissionReply returns the reply to a message that is refused without asking the module, or "" to admit it.
+// admissionReply returns the reply to a message that is rejected without asking package logic, or "" to admit it.
 func (n *Node) admissionReply(m *Message) string {
 	maxOpen := n.cfg.Deployment.Settings.MaxOpen
 	switch {
 	case !n.directory.hasDest(m.Dest) && n.discovery.receivedList:
-		n.metrics.refused.inc(string(refusedUnknownDest))
+		n.metrics.rejected.inc(string(rejectedUnknownDest))
 		return replyUnknownDestination
 	case !n.directory.hasDest(m.Dest): // no list from discovery yet: the destination may exist
-		n.metrics.refused.inc(string(refusedNoList))
+		n.metrics.rejected.inc(string(rejectedNoList))
 		return busyReply(logic.Second)
 	case maxOpen > 0 && n.openCount >= maxOpen:
-		n.metrics.refused.inc(string(refusedTooManyOpen))
+		n.metrics.rejected.inc(string(rejectedTooManyOpen))
 		return busyReply(0)
 	case !n.journal.HasRoom(len(m.Body)):
-		n.metrics.refused.inc(string(refusedJournalFull))
+		n.metrics.rejected.inc(string(rejectedJournalFull))
 		return busyReply(0)
 	}
 	return ""
@@ -555,27 +562,30 @@
 	return fmt.Sprintf("-BUSY %d\r\n", (after+999)/1000)
 }
 
-// handleList applies an answer of discovery. Calls that are still connecting to endpoints which are no longer ready are
-// aborted, and kept connections to those endpoints are closed.
+// handleList applies a response of discovery. Calls that are still connecting to endpoints which are no longer ready are
+// aborted, and idle connections to those endpoints are closed.
 func (n *Node) handleList(ev listEvent) {
 	if !n.discovery.accept(ev) {
 		return
 	}
 	if ev.err != nil {
-		n.pendingEvents = append(n.pendingEvents, logic.EndpointUpdate{Kind: logic.UpdateFailed, RequestTime: toMicros(ev.elapsed)})
+		n.pendingEvents = append(n.pendingEvents, logic.EndpointUpdate{
+			Kind:        logic.UpdateFailed,
+			RequestTime: toMicros(ev.elapsed),
+		})
 		return
 	}
-	form := logic.UpdateDelta
+	kind := logic.UpdateDelta
 	if ev.list.Reset {
-		form = logic.UpdateFull
+		kind = logic.UpdateFull
 	}
-	rows := n.directory.Apply(ev.list, time.Now())
-	if ev.list.Reset || len(rows) > 0 { // not logged for watches that end without changes
+	entries := n.directory.Apply(ev.list, time.Now())
+	if ev.list.Reset || len(entries) > 0 { // not logged for watches that end without changes
 		n.log.Info("list", "generation", ev.list.Generation, "whole", ev.list.Reset, "entries", len(ev.list.Instances))
 	}
-	ready := make(map[logic.EndpointID]bool, len(rows))
-	for _, row := range rows {
-		ready[row.Endpoint] = row.State == logic.Ready
+	ready := make(map[logic.EndpointID]bool, len(entries))
+	for _, entry := range entries {
+		ready[entry.Endpoint] = entry.State == logic.Ready
 	}
 	n.abortConnecting(func(ep logic.EndpointID) bool {
 		isReady, listed := ready[ep]
@@ -586,12 +596,12 @@
 			n.caller.closeIdleTo(ep)
 		}
 	}
-	if ev.list.Reset { // a full list omits removed endpoints, so they have no row
+	if ev.list.Reset { // a full list omits removed endpoints, so they have no entry here
 		for id := range n.directory.removedAt {
 			n.caller.closeIdleTo(id)
 		}
 	}
-	n.pendingEvents = append(n.pendingEvents, logic.EndpointUpdate{Kind: form, Entries: rows})
+	n.pendingEvents = append(n.pendingEvents, logic.EndpointUpdate{Kind: kind, Entries: entries})
 }
 
 // calledEndpoints returns the endpoints with a call in flight.
@@ -633,7 +643,7 @@
 	}
 }
 
-// handleAttemptResult records the result of an attempt and passes it to the module.
+// handleAttemptResult records the result of an attempt and passes it to package logic.
 func (n *Node) handleAttemptResult(ev attemptResultEvent) {
 	m := n.active[ev.call.id]
 	if m == nil {
@@ -653,13 +663,13 @@
 		n.abortForWait(ev.call.endpoint)
 	}
 	alreadyEnded := m.ended
-	done := r.outcome == logic.Delivered || r.messageGone
+	done := r.outcome == logic.Delivered || r.messageEnded
 	switch {
 	case alreadyEnded:
 	case done:
 		n.pendingRecords = append(n.pendingRecords, record{Op: opDone, ID: ev.call.id})
-		if late := time.Since(m.log.receivedAt) > toDuration(n.cfg.classOf(m.msg).TargetLatency); late || r.messageGone {
-			n.logAttempts(m, map[bool]string{true: "over", false: "late"}[r.messageGone])
+		if late := time.Since(m.log.receivedAt) > toDuration(n.cfg.classOf(m.msg).TargetLatency); late || r.messageEnded {
+			n.logAttempts(m, map[bool]string{true: "over", false: "late"}[r.messageEnded])
 		}
 		if r.outcome == logic.Delivered {
 			n.metrics.countFulfilled(m.msg.Class)
@@ -667,8 +677,12 @@
 		n.endMessage(ev.call.id, m)
 	case r.outcome == logic.LocalFailure && !ev.call.journaled: // the attempt is not in the journal
 	default:
-		n.pendingRecords = append(n.pendingRecords, record{Op: opOutcome, ID: ev.call.id,
-			MayHaveRun: mayHaveRun(r.outcome), Unsent: r.outcome == logic.LocalFailure})
+		n.pendingRecords = append(n.pendingRecords, record{
+			Op:         opOutcome,
+			ID:         ev.call.id,
+			MayHaveRun: mayHaveRun(r.outcome),
+			Unsent:     r.outcome == logic.LocalFailure,
+		})
 	}
 	if m.ended {
 		delete(n.active, ev.call.id)
@@ -686,9 +700,9 @@
 }
 
 // logAttempts logs the attempts of a message that was not delivered within the target time of its class.
-func (n *Node) logAttempts(m *activeMessage, outcome string) {
-	n.log.Info("message", "id", m.msg.ID, "class", m.msg.Class, "dest", m.msg.Dest, "end", outcome, "ms", m.log.elapsedMS(),
-		"attempts", string(m.log.text))
+func (n *Node) logAttempts(m *activeMessage, end string) {
+	n.log.Info("message", "id", m.msg.ID, "class", m.msg.Class, "dest", m.msg.Dest, "end", end,
+		"ms", m.log.elapsedMS(), "attempts", string(m.log.text))
 }
 
 // mayHaveRun reports whether the endpoint may have processed the message after an attempt with this outcome.
@@ -716,32 +730,32 @@
 	}
 }
 
-// setCallTimes sets the times of new messages relative to the current step, which is what the module counts from. The
-// messages may have waited for the step, for example for the endpoint list at startup.
-func (n *Node) setCallTimes(events []logic.Event) {
+// setMessageTimes sets the times of new messages relative to the current step, which is what package logic counts from.
+// The messages may have waited for the step, for example for the endpoint list at startup.
+func (n *Node) setMessageTimes(events []logic.Event) {
 	for i, ev := range events {
-		c, ok := ev.(logic.Message)
+		message, ok := ev.(logic.Message)
 		if !ok {
 			continue
 		}
-		if m := n.active[c.ID]; m != nil {
-			c.TimeLeft = logic.Micros(m.msg.Deadline - n.stepTime)
+		if m := n.active[message.ID]; m != nil {
+			message.TimeLeft = logic.Micros(m.msg.Deadline - n.stepTime)
 		}
-		if c.History.MayHaveRun {
-			c.History.Age = logic.Micros(max(n.stepTime-n.journal.Entry(c.ID).FirstMayRunAt, 0))
+		if message.History.MayHaveRun {
+			message.History.Age = logic.Micros(max(n.stepTime-n.journal.Entry(message.ID).FirstMayRunAt, 0))
 		}
-		events[i] = c
+		events[i] = message
 	}
 }
 
-// step lets the module decide on the pending events, writes the journal, replies to clients and then performs the
-// module's actions, in that order: nothing takes effect before it is in the journal.
+// step lets package logic decide on the pending events, writes the journal, replies to clients and then performs the
+// actions decided, in that order: nothing takes effect before it is in the journal.
 func (n *Node) step(workCtx context.Context) {
 	events := n.pendingEvents
 	n.pendingEvents = nil
 	n.stepTime = n.clock.Now()
-	n.setCallTimes(events)
-	actions := n.sender.Step(toMicros(time.Since(n.moduleEpoch)), events)
+	n.setMessageTimes(events)
+	actions := n.sender.Step(toMicros(time.Since(n.logicEpoch)), events)
 	replies := n.immediateReplies(actions)
 	for i, p := range n.pendingPuts {
 		if replies[p.msg.ID] == "" && !n.isRepeatedPut(i) {
@@ -752,8 +766,12 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.Send:
-			n.pendingRecords = append(n.pendingRecords, record{Op: opSend, ID: a.ID, At: n.stepTime,
-				Zone: n.directory.endpoints[a.Endpoint].zone})
+			n.pendingRecords = append(n.pendingRecords, record{
+				Op:   opSend,
+				ID:   a.ID,
+				At:   n.stepTime,
+				Zone: n.directory.endpoints[a.Endpoint].zone,
+			})
 		case logic.Reject, logic.Fail:
 			notice := noticeFor(a)
 			if replies[notice.ID] == "" && n.journal.Entry(notice.ID) != nil {
@@ -768,11 +786,11 @@
 		reply := replies[p.msg.ID]
 		switch {
 		case reply != "":
-			n.metrics.refused.inc(string(refusedBySender))
-			n.guard.checkRefusal(p.msg.ID)
+			n.metrics.rejected.inc(string(rejectedByLogic))
+			n.guard.checkReject(p.msg.ID)
 		case err != nil: // not in the journal, so not accepted
-			n.metrics.refused.inc(string(refusedJournalFailed))
-			reply = answerNotJournaled(err)
+			n.metrics.rejected.inc(string(rejectedJournalFailed))
+			reply = notJournaledReply(err)
 			n.dropMessage(p.msg.ID)
 			n.pendingEvents = append(n.pendingEvents, logic.ClientGone{ID: p.msg.ID})
 		default:
@@ -803,7 +821,7 @@
 	n.metrics.outOfRotation.Store(int64(n.sender.OutOfRotation()))
 }
 
-// immediateReplies returns the replies, by message id, to puts that the module ends in the step in which they arrived.
+// immediateReplies returns the replies, by message id, to puts that package logic ends in the step in which they arrived.
 // Their clients get the result as the reply to the put instead of a notice.
 func (n *Node) immediateReplies(actions []logic.Action) map[string]string {
 	replies := map[string]string{}
@@ -825,7 +843,7 @@
 	return replies
 }
 
-// noticeFor returns the notice for a Refuse or Fail action.
+// noticeFor returns the notice for a Reject or Fail action.
 func noticeFor(a logic.Action) Notice {
 	switch a := a.(type) {
 	case logic.Reject:
@@ -844,8 +862,8 @@
 	}
 }
 
-// perform carries out an action of the module. replies are those of immediateReplies; written tells whether the records
-// of the step are in the journal.
+// perform carries out an action decided by package logic. replies are those of immediateReplies; written tells whether
+// the records of the step are in the journal.
 func (n *Node) perform(workCtx context.Context, a logic.Action, replies map[string]string, written bool) {
 	switch a := a.(type) {
 	case logic.Send:
@@ -884,23 +902,28 @@
 }
 
 // startAttempt prepares an attempt for sendPendingCalls. An attempt whose record could not be written to the journal, or
-// that the guard denies, is not sent but reported as such.
+// that the guard denies, is not sent but reported to package logic as LocalFailure or Skipped.
 func (n *Node) startAttempt(workCtx context.Context, a logic.Send, written bool) {
 	m := n.active[a.ID]
-	if m == nil { // not accepted; the module still expects exactly one outcome
-		n.pendingEvents = append(n.pendingEvents, logic.AttemptResult{ID: a.ID, Final: true, Endpoint: a.Endpoint, Outcome: logic.Skipped})
+	if m == nil { // not accepted; package logic still expects exactly one result
+		n.pendingEvents = append(n.pendingEvents, logic.AttemptResult{
+			ID:       a.ID,
+			Final:    true,
+			Endpoint: a.Endpoint,
+			Outcome:  logic.Skipped,
+		})
 		return
 	}
 	permitted := !written || n.guard.allowSend(m, a.Endpoint)
 	attempt := m.attempts
 	m.attempts++
 	m.log.addSend(a.Endpoint)
-	target := n.directory.endpoints[a.Endpoint]
+	info := n.directory.endpoints[a.Endpoint]
 	c := &call{
 		id:           a.ID,
 		attempt:      attempt,
 		endpoint:     a.Endpoint,
-		addr:         target.addr,
+		addr:         info.addr,
 		timeout:      toDuration(a.Timeout),
 		msg:          m.msg,
 		state:        new(atomic.Int32),
@@ -916,7 +939,7 @@
 	n.attemptStarted(m, c, cancel)
 	var err error
 	c.journaled = written
-	if c.request, err = newDeliveryRequest(m.msg, target.addr, c.timeout); err != nil || !written || !permitted {
+	if c.request, err = newDeliveryRequest(m.msg, info.addr, c.timeout); err != nil || !written || !permitted {
 		if err != nil {
 			n.log.Error("cannot build the delivery request", "err", err)
 		}
@@ -932,7 +955,7 @@
 }
 
 // sendPendingCalls sends the calls of the current step. Calls to one endpoint are sent as one batch, up to the batch
-// size of its kind: both the module and the endpoint count a batch as one call.
+// size of its kind: both package logic and the endpoint count a batch as one call.
 func (n *Node) sendPendingCalls(workCtx context.Context) {
 	var group []pendingCall
 	for remaining := n.pendingCalls; len(remaining) > 0; {
@@ -955,7 +978,9 @@
 func (n *Node) sendCalls(workCtx context.Context, group []pendingCall) {
 	startedAt := time.Now()
 	if len(group) > 1 {
-		n.caller.doBulk(workCtx, group, func(c *call, r callResult) { n.events <- attemptResultEvent{c, r, time.Since(startedAt)} })
+		n.caller.doBulk(workCtx, group, func(c *call, r callResult) {
+			n.events <- attemptResultEvent{c, r, time.Since(startedAt)}
+		})
 		return
 	}
 	r := n.caller.do(group[0].ctx, group[0].call)
@@ -967,7 +992,7 @@
 }
 
 // abortConnecting ends matching calls that are still connecting, so that they are never written. They were decided
-// before the module learned of the change and would reach the endpoint long after it. They end as not sent.
+// before package logic learned of the change and would reach the endpoint long after it. They end as Skipped.
 func (n *Node) abortConnecting(match func(ep logic.EndpointID) bool) {
 	for _, m := range n.inFlight {
 		if match(m.call.endpoint) && m.call.state.CompareAndSwap(callConnecting, callAborted) {
@@ -979,9 +1004,9 @@
 // abortForWait aborts connecting calls that fall under a wait requested by ep: those to its whole destination, or only
 // to ep where routes are limited separately.
 func (n *Node) abortForWait(ep logic.EndpointID) {
-	target, separateRoutes := n.directory.endpoints[ep], n.directory.separateRoute(ep)
-	n.abortConnecting(func(x logic.EndpointID) bool {
-		return x == ep || !separateRoutes && n.directory.endpoints[x].dest == target.dest
+	info, separateRoute := n.directory.endpoints[ep], n.directory.separateRoute(ep)
+	n.abortConnecting(func(other logic.EndpointID) bool {
+		return other == ep || !separateRoute && n.directory.endpoints[other].dest == info.dest
 	})
 }
 
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,15 +10,15 @@
 
 const metricPrefix = "edge_balancer."
 
-// metrics are the figures shown to operators. Each message is counted once, when
-// it ends. They are safe for concurrent use.
+// metrics are the counters and gauges that operators read. Each message is counted once, when it ends. They are safe for
+// concurrent use.
 type metrics struct {
 	classes []string
 	byClass map[string]*classCounters // the map itself never changes
 	relayed atomic.Int64              // messages written completely to an endpoint; each attempt counts
 
 	violations counterSet // violations of the protocol, by rule
-	refused    counterSet // messages that were not accepted, by reason
+	rejected   counterSet // messages that were not accepted, by reason
 	closed     counterSet // closed connections of clients, by reason
 	attempts   counterSet // ended attempts, by outcome
 
@@ -55,28 +55,28 @@
 	return n
 }
 
-// refusalReason is why a message was not accepted.
-type refusalReason string
+// rejectReason is why a message was not accepted.
+type rejectReason string
 
-// Reasons for refusals. All refusals that the logic decides share one of them.
+// Reasons for rejecting a message. All rejections that package logic decides share one of them.
 const (
-	refusedUnknownDest   refusalReason = "unknown-destination"
-	refusedNoList        refusalReason = "no-list-yet"
-	refusedTooManyOpen   refusalReason = "hold-full"
-	refusedJournalFull   refusalReason = "journal-full"
-	refusedJournalFailed refusalReason = "journal-failed"
-	refusedStopping      refusalReason = "stopping"
-	refusedBySender      refusalReason = "decided"
+	rejectedUnknownDest   rejectReason = "unknown-destination"
+	rejectedNoList        rejectReason = "no-list-yet"
+	rejectedTooManyOpen   rejectReason = "hold-full"
+	rejectedJournalFull   rejectReason = "journal-full"
+	rejectedJournalFailed rejectReason = "journal-failed"
+	rejectedStopping      rejectReason = "stopping"
+	rejectedByLogic       rejectReason = "decided"
 )
 
-var refusalReasons = []refusalReason{
-	refusedUnknownDest,
-	refusedNoList,
-	refusedTooManyOpen,
-	refusedJournalFull,
-	refusedJournalFailed,
-	refusedStopping,
-	refusedBySender,
+var rejectReasons = []rejectReason{
+	rejectedUnknownDest,
+	rejectedNoList,
+	rejectedTooManyOpen,
+	rejectedJournalFull,
+	rejectedJournalFailed,
+	rejectedStopping,
+	rejectedByLogic,
 }
 
 // closeReason is why the connection of a client was closed.
@@ -113,7 +113,7 @@
 	m := &metrics{
 		byClass:    map[string]*classCounters{},
 		violations: newCounterSet(allViolations),
-		refused:    newCounterSet(refusalReasons),
+		rejected:   newCounterSet(rejectReasons),
 		closed:     newCounterSet(closeReasons),
 		attempts:   newCounterSet(outcomes),
 	}
@@ -128,7 +128,7 @@
 func (m *metrics) countThrottled(class string) { m.byClass[class].throttled.Add(1) }
 func (m *metrics) countFaulted(class string)   { m.byClass[class].faulted.Add(1) }
 
-// countResult counts a message that this sender ends itself. The result is the answer to the client or the state of the
+// countResult counts a message that this sender ends itself. The result is the reply to the client or the state of the
 // notice.
 func (m *metrics) countResult(class, result string) {
 	switch {
@@ -157,7 +157,7 @@
 	for _, group := range []struct {
 		name     string
 		counters *counterSet
-	}{{"violation", &m.violations}, {"refused", &m.refused}, {"closed", &m.closed}, {"attempts", &m.attempts}} {
+	}{{"violation", &m.violations}, {"refused", &m.rejected}, {"closed", &m.closed}, {"attempts", &m.attempts}} {
 		for _, name := range group.counters.names {
 			writeMetric(group.name+"."+name, group.counters.counts[name].Load())
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,8 +15,8 @@
 	"rundeal/logic"
 )
 
-// pendingMessageIDs returns the ids of the messages that a stopped sender has left in its journal.
-func pendingMessageIDs(t *testing.T, dir string) (ids []string) {
+// journaledMessageIDs returns the ids of the messages that a stopped sender has left in its journal.
+func journaledMessageIDs(t *testing.T, dir string) (ids []string) {
 	t.Helper()
 	for _, e := range openJournal(t, dir, 3e6).Entries() {
 		ids = append(ids, e.ID)
@@ -31,7 +31,7 @@
 	if err := receive(t, n.done, "end of the sender"); err != nil {
 		t.Fatal(err)
 	}
-	if ids := pendingMessageIDs(t, n.cfg.StateDir); ids != nil {
+	if ids := journaledMessageIDs(t, n.cfg.StateDir); ids != nil {
 		t.Errorf("still in the journal: %v", ids)
 	}
 }
@@ -76,7 +76,7 @@
 
 // A message that the module refuses in the step in which it arrives must be refused in the reply, with a time to retry
 // after, and without a notice.
-func TestImmediateRefusal(t *testing.T) {
+func TestImmediateReject(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.putWithLifetime("late", "safe", 1, "-BUSY 2000")
 	c.put("b", "safe", "+OK")
@@ -189,7 +189,7 @@
 }
 
 // When an endpoint reports that the message is over (410), the message ends without a retry or a notice.
-func TestEndpointReportsMessageOver(t *testing.T) {
+func TestEndpointReportsMessageEnded(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "unsafe", "+OK")
 	receive(t, e[0].calls, "call").reply(410)
@@ -329,12 +329,12 @@
 // A notice must be resent until the platform has confirmed it.
 func TestNoticesDown(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
-	p.update(func() { p.refuseNotices = true })
+	p.update(func() { p.rejectNotices = true })
 	c.put("u", "unsafe", "+OK")
 	receive(t, e[0].calls, "call").reply(500)
-	receive(t, p.refusedNotices, "notice")
-	receive(t, p.refusedNotices, "second notice")
-	p.update(func() { p.refuseNotices = false })
+	receive(t, p.rejectedNotices, "notice")
+	receive(t, p.rejectedNotices, "second notice")
+	p.update(func() { p.rejectNotices = false })
 	if x := receive(t, p.notices, "notice"); x.ID != "u" || x.State != "failed" {
 		t.Errorf("notice %+v", x)
 	}
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// maxNoticeTimeout is the longest timeout for the platform's answer.
+	// maxNoticeTimeout is the longest timeout for the platform's response.
 	maxNoticeTimeout = time.Second
-	// firstNoticeTimeout is the timeout of a first try. The platform answers at once or not at all, and a notice may
+	// firstNoticeTimeout is the timeout of a first try. The platform responds at once or not at all, and a notice may
 	// be 0.3 s late at most, so there must be time for a second try.
 	firstNoticeTimeout = 150 * time.Millisecond
 	noticeRetryDelay   = 100 * time.Millisecond // before notices that were not confirmed are sent again
@@ -127,8 +127,8 @@
 	}
 }
 
-// post sends the oldest notices, as many as one body may hold, and returns their number. It waits for the answer for the
-// given timeout.
+// post sends the oldest notices, as many as one body may hold, and returns their number. It waits for the response for
+// the given timeout.
 func (q *noticeQueue) post(ctx context.Context, timeout time.Duration) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -159,7 +159,7 @@
 		return 0, err
 	}
 	if resp.StatusCode != http.StatusNoContent {
-		return 0, fmt.Errorf("platform answered %s", resp.Status)
+		return 0, fmt.Errorf("platform responded with %s", resp.Status)
 	}
 	return n, nil
 }
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -162,7 +162,7 @@
 	proc.terminate()
 	proc.awaitExit()
 	e.expectNoCall(t)
-	if ids := pendingMessageIDs(t, dir); ids != nil {
+	if ids := journaledMessageIDs(t, dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
@@ -285,12 +285,12 @@
 	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
 	known := EndpointList{Generation: 1, Reset: true, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1",
 		Zone: "a", MachineType: "std", Dest: 2, Lifecycle: "draining"})}
-	p.list, p.refuseNotices = known, true
+	p.list, p.rejectNotices = known, true
 	proc := startProcess(t, p, dir, known)
 	c := dialClient(t, proc.addr)
 	c.put("failed", "unsafe", "+OK")
 	receive(t, e.calls, "call").reply(500)
-	receive(t, p.refusedNotices, "notice")
+	receive(t, p.rejectedNotices, "notice")
 	c.put("refused", "unsafe", "+OK")
 	receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	if got := c.do("MSG.PUT", "0", "short", "c=unsafe,d=600,dest=2", "x"); got != "+OK" {
@@ -312,7 +312,7 @@
 	c.put("unsent", "unsafe", "+OK") // not sent: the endpoint has told the sender to wait
 	proc.kill()
 	time.Sleep(time.Until(over))
-	p.update(func() { p.refuseNotices = false })
+	p.update(func() { p.rejectNotices = false })
 	proc = startProcess(t, p, dir, known)
 	got := map[string]bool{}
 	for range 2 {
@@ -353,7 +353,7 @@
 			}
 			in.reply(200)
 			proc.awaitExit()
-			if ids := pendingMessageIDs(t, dir); ids != nil {
+			if ids := journaledMessageIDs(t, dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
 			if len(p.notices) != 0 {
@@ -375,7 +375,7 @@
 	if d := time.Since(at); d > shutdownTimeout+2*time.Second {
 		t.Errorf("ended after %v", d)
 	}
-	if ids := pendingMessageIDs(t, dir); len(ids) != 1 {
+	if ids := journaledMessageIDs(t, dir); len(ids) != 1 {
 		t.Errorf("owed: %v", ids)
 	}
 	proc = startProcess(t, p, dir, known)
--- a/internal/node/record.go
+++ b/internal/node/record.go
@@ -31,13 +31,13 @@
 		n.notices.add(notice)
 		return
 	}
-	n.deferredNotices = append(n.deferredNotices, delayedNotice{notice, deadline})
+	n.delayedNotices = append(n.delayedNotices, delayedNotice{notice, deadline})
 }
 
 // delayedNotice is a notice whose record is not in the journal yet.
 type delayedNotice struct {
 	notice   Notice
-	deadline int64 // of the message, on the journal's clock
+	deadline int64 // of the message, on the persistent clock
 }
 
 // delayedNoticeMargin is how long before the message's deadline its notice is sent in any case.
@@ -46,8 +46,8 @@
 // queueDelayedNotices queues the delayed notices that need not wait any longer, and schedules another write of the
 // journal if records are still pending.
 func (n *Node) queueDelayedNotices() {
-	waiting := n.deferredNotices
-	n.deferredNotices = nil
+	waiting := n.delayedNotices
+	n.delayedNotices = nil
 	for _, delayed := range waiting {
 		n.queueNotice(delayed.notice, delayed.deadline)
 	}
@@ -56,9 +56,9 @@
 	}
 }
 
-// answerNotJournaled is the answer to a message that could not be written to the journal. It is a refusal only if no
+// notJournaledReply returns the reply to a message that could not be written to the journal. It is a rejection only if no
 // later process can find the message in the file.
-func answerNotJournaled(err error) string {
+func notJournaledReply(err error) string {
 	if errors.Is(err, errTruncateFailed) {
 		return replyFailed
 	}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -73,7 +73,7 @@
 }
 
 // switchDiscovery switches discovery and notices to the address in cfg.
-func (n *Node) switchDiscovery(work context.Context, cfg *Config) {
+func (n *Node) switchDiscovery(workCtx context.Context, cfg *Config) {
 	if cfg.DiscoveryAddr == n.discovery.addr {
 		n.log.Info("reload: same discovery", "addr", cfg.DiscoveryAddr)
 		return
@@ -81,5 +81,5 @@
 	n.log.Info("reload: discovery moves", "from", n.discovery.addr, "to", cfg.DiscoveryAddr)
 	n.notices.setAddr(cfg.DiscoveryAddr)
 	n.discovery.setAddr(cfg.DiscoveryAddr)
-	n.discovery.startWatch(work) // at once: this sender is soon expected to follow what the new address announces
+	n.discovery.startWatch(workCtx) // at once: this sender is soon expected to follow what the new address announces
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -56,10 +56,10 @@
 		in.reply(200)
 	}
 
-	old.update(func() { old.refuseNotices = true })
+	old.update(func() { old.rejectNotices = true })
 	c.put("fails", "unsafe", "+OK")
 	receive(t, e.calls, "call").reply(500)
-	receive(t, old.refusedNotices, "notice")
+	receive(t, old.rejectedNotices, "notice")
 	// The new address has its own generation numbers: a watch from the old generation would wait forever.
 	fresh.list = EndpointList{Generation: 2, Reset: true, Instances: instances(e, added)}
 	proc.reload(configText(fresh, known))
--- a/internal/node/answer.go
+++ b/internal/node/response.go
@@ -188,7 +188,7 @@
 	case http.StatusGatewayTimeout:
 		return callResult{outcome: logic.Skipped}
 	case http.StatusGone:
-		return callResult{outcome: logic.Skipped, messageGone: true}
+		return callResult{outcome: logic.Skipped, messageEnded: true}
 	}
 	return callResult{outcome: logic.Errored}
 }
--- a/internal/node/answer_test.go
+++ b/internal/node/response_test.go
@@ -51,7 +51,7 @@
 			got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 			in := receive(t, e.calls, "call")
 			io.WriteString(in.conn, text)
-			if r := receive(t, got, "result"); r.outcome != logic.Unreadable || r.messageGone {
+			if r := receive(t, got, "result"); r.outcome != logic.Unreadable || r.messageEnded {
 				t.Errorf("got %+v, want the outcome of a malformed response", r)
 			}
 			in.awaitEnd(t)
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -157,14 +157,15 @@
 }
 
 // awaitRequest waits for the first byte of a request. If it returns false the connection ends, for the reason returned.
-// A request counts as open before any of it is read: until then the connection may be closed, and the client resends the
-// request on another one.
+// A request counts as open before any of it is read: until then the connection may be closed, and the client sends the
+// request again on another one.
 func (s *session) awaitRequest(r *bufio.Reader) (closeReason, bool) {
 	if r.Buffered() > 0 {
 		return "", true // counted by requestDone of the previous request
 	}
 	s.server.mu.Lock()
-	s.conn.SetReadDeadline(s.idleDeadline(time.Now())) // under the lock, so as not to override the deadline of startClosingIdle
+	// Under the lock, so as not to override the deadline of startClosingIdle.
+	s.conn.SetReadDeadline(s.idleDeadline(time.Now()))
 	s.server.mu.Unlock()
 	data, err := awaitInput(s.conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -289,7 +290,7 @@
 		afterCutoff := c.pastReadCutoff()
 		c.mu.Unlock()
 		if afterCutoff { // the request was pipelined behind others that were read in time
-			c.metrics.refused.inc(string(refusedStopping))
+			c.metrics.rejected.inc(string(rejectedStopping))
 			return clientReply{line: busyReply(0)}
 		}
 		pending := make(chan string, 1)
--- a/internal/node/signal_test.go
+++ b/internal/node/signal_test.go
@@ -146,7 +146,7 @@
 				default:
 					x.awaitExit()
 				}
-				if ids := pendingMessageIDs(t, c.dir); ids != nil {
+				if ids := journaledMessageIDs(t, c.dir); ids != nil {
 					t.Errorf("still in the journal: %v", ids)
 				}
 				if len(c.p.notices) != 0 {
@@ -243,7 +243,7 @@
 
 // Whether messages of a class may be repeated must depend on the settings of the class, not on its name or on the other
 // classes.
-func TestEffectComesFromTheSettings(t *testing.T) {
+func TestIdempotencyComesFromSettings(t *testing.T) {
 	for _, swapped := range []bool{false, true} {
 		p, e := newPlatform(t), newEndpoint(t)
 		p.list = EndpointList{Generation: 1, Reset: true, Instances: instances(e)}
@@ -323,7 +323,7 @@
 		}
 	}
 	x.awaitExit()
-	ids := pendingMessageIDs(t, dir)
+	ids := journaledMessageIDs(t, dir)
 	for len(sent) > 0 {
 		ids = append(ids, <-sent)
 	}
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -93,7 +93,7 @@
 
 // listenForClients opens the listener for clients. After a transient error it keeps trying in the background, so that
 // the delivery of accepted messages does not wait for the listener.
-func (n *Node) listenForClients(work context.Context) error {
+func (n *Node) listenForClients(workCtx context.Context) error {
 	open := func() (err error) {
 		if n.listener == nil {
 			n.listener, err = net.Listen("tcp", n.cfg.ListenAddr)
@@ -102,7 +102,7 @@
 	}
 	err := open()
 	if err == nil {
-		n.serveClients(work, n.listener)
+		n.serveClients(workCtx, n.listener)
 		return nil
 	}
 	if !isTransient(err) {
@@ -110,14 +110,14 @@
 	}
 	go func() {
 		var ln net.Listener
-		err := RetryTransient(work, n.log, "listen", func() (err error) {
+		err := RetryTransient(workCtx, n.log, "listen", func() (err error) {
 			ln, err = net.Listen("tcp", n.cfg.ListenAddr)
 			return err
 		})
 		switch {
 		case err == nil:
 			n.events <- listenerEvent{ln}
-		case work.Err() == nil:
+		case workCtx.Err() == nil:
 			n.log.Error("listen", "err", err)
 		}
 	}()
@@ -125,7 +125,7 @@
 }
 
 // serveClients starts serving clients on ln, unless this process is shutting down.
-func (n *Node) serveClients(work context.Context, ln net.Listener) {
+func (n *Node) serveClients(workCtx context.Context, ln net.Listener) {
 	if !n.shutdownAt.IsZero() {
 		ln.Close()
 		return
@@ -134,7 +134,7 @@
 		reportViolation(n.log, n.metrics, violationNotOwner, "")
 	}
 	n.listener = ln
-	go n.serveSuccessors(work, ln)
+	go n.serveSuccessors(workCtx, ln)
 	n.clients.setPhase(serving)
 	go n.clients.serve(ln)
 	n.startup.finishStage("listen")
@@ -164,7 +164,7 @@
 
 // serveOperators serves the operators' interface as soon as its address can be listened on. The returned channel is
 // closed when it has ended.
-func (n *Node) serveOperators(work context.Context) (<-chan struct{}, error) {
+func (n *Node) serveOperators(workCtx context.Context) (<-chan struct{}, error) {
 	served := make(chan struct{})
 	ln, err := net.Listen("tcp", n.cfg.AdminAddr)
 	if err != nil && !isTransient(err) {
@@ -173,7 +173,7 @@
 	go func() {
 		defer close(served)
 		if ln == nil {
-			err := RetryTransient(work, n.log, "listen for operators", func() (err error) {
+			err := RetryTransient(workCtx, n.log, "listen for operators", func() (err error) {
 				ln, err = net.Listen("tcp", n.cfg.AdminAddr)
 				return err
 			})
@@ -182,7 +182,7 @@
 			}
 		}
 		n.log.Info("operators", "addr", ln.Addr().String())
-		n.admin.serve(work, ln)
+		n.admin.serve(workCtx, ln)
 	}()
 	return served, nil
 }
--- a/internal/node/window_test.go
+++ b/internal/node/window_test.go
@@ -107,7 +107,7 @@
 	}
 	for n.active["m"].call == nil { // the rate limit admits it shortly after the start
 		n.step(t.Context())
-		if time.Since(n.moduleEpoch) > testTimeout {
+		if time.Since(n.logicEpoch) > testTimeout {
 			t.Fatal("not retried")
 		}
 	}
@@ -161,7 +161,7 @@
 		}
 		restarted.terminate()
 		restarted.awaitExit()
-		if ids := pendingMessageIDs(t, dir); ids != nil {
+		if ids := journaledMessageIDs(t, dir); ids != nil {
 			t.Errorf("unfinished messages: %v", ids)
 		}
 		if len(calls)+len(others)+len(p.notices) != 0 {
