--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -15,14 +15,13 @@
 
 const (
 	maxAdminConns      = 24                     // at one time; the oldest is closed to make room
-	adminTimeout       = 2 * time.Second        // for reading the command, and again for writing the answer
-	adminLingerTimeout = 200 * time.Millisecond // after the answer, for the operator to read it
+	adminTimeout       = 2 * time.Second        // for reading the command, and again for writing the reply
+	adminLingerTimeout = 200 * time.Millisecond // after the reply, for the operator to read it
 	maxAdminLine       = 256
 )
 
-// adminServer serves operators: one line with a command on each connection, answered
-// at once. It has a connection limit of its own and needs nothing from the event
-// loop, so that it answers even when everything else is overloaded.
+// adminServer serves operators: one line with a command on each connection, replied to at once. It has a connection
+// limit of its own and needs nothing from the event loop, so that it replies even when everything else is overloaded.
 type adminServer struct {
 	log      *slog.Logger
 	commands map[string]func() string
@@ -66,13 +65,13 @@
 			conn.Close()
 		}
 	})()
-	failing := failureLog{log: a.log, operation: "operators: accept"}
+	acceptFailures := failureLog{log: a.log, operation: "operators: accept"}
 	for {
 		conn, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		failing.observe(err)
+		acceptFailures.observe(err)
 		if err != nil {
 			sleepContext(ctx, acceptRetryDelay)
 			continue
@@ -110,27 +109,27 @@
 	}
 }
 
-// handleConn reads one command from a connection and writes the answer.
+// handleConn reads one command from a connection and writes the reply.
 func (a *adminServer) handleConn(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(adminTimeout))
 	r := bufio.NewReaderSize(conn, maxAdminLine)
 	line, err := r.ReadSlice('\n')
-	var answer string
+	var reply string
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		answer = "-ERR call too long"
+		reply = "-ERR call too long"
 	case errors.Is(err, io.EOF), errors.Is(err, os.ErrDeadlineExceeded):
-		answer = "-ERR call not complete"
+		reply = "-ERR call not complete"
 	case err != nil:
 		return // the operator has closed the connection
 	default:
-		answer = a.execute(strings.TrimSuffix(strings.TrimSuffix(string(line), "\n"), "\r"))
+		reply = a.execute(strings.TrimSuffix(strings.TrimSuffix(string(line), "\n"), "\r"))
 	}
 	conn.SetDeadline(time.Now().Add(adminTimeout))
-	if _, err := io.WriteString(conn, answer+"\n"); err != nil {
+	if _, err := io.WriteString(conn, reply+"\n"); err != nil {
 		return
 	}
-	// Closing a connection with unread input resets it, and a reset can destroy an answer in transit.
+	// Closing a connection with unread input resets it, and a reset can destroy a reply in transit.
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -24,11 +24,11 @@
 	return ln.Addr().String()
 }
 
-// adminCommand sends a command and returns the whole answer.
-func adminCommand(t *testing.T, addr, call string) string {
+// adminCommand sends a command and returns the whole reply.
+func adminCommand(t *testing.T, addr, command string) string {
 	t.Helper()
 	c := dialClient(t, addr)
-	if _, err := io.WriteString(c.conn, call); err != nil {
+	if _, err := io.WriteString(c.conn, command); err != nil {
 		t.Fatal(err)
 	}
 	return c.readToEnd()
@@ -153,19 +153,19 @@
 		}()
 	}
 	c.put("a", "safe", "+OK")
-	receive(t, calls, "call").reply(503) // refused, then delivered: two calls, one message
+	receive(t, calls, "call").reply(503) // refused there, then delivered: two calls, one message
 	c2 := receive(t, calls, "second call")
 	open := metricValue(t, adminCommand(t, addr, "show-stat\n"), "edge_balancer.open_requests")
 	if open != 1 {
 		t.Errorf("%d open, want 1", open)
 	}
 	c2.reply(200)
-	c.putWithLifetime("late", "safe", 1, "-BUSY 2000") // refused at once
+	c.putWithLifetime("late", "safe", 1, "-BUSY 2000") // rejected at once
 	c.put("b", "unsafe", "+OK")
 	receive(t, calls, "call").reply(500)
 	receive(t, p.notices, "notice") // failed
 	if got := c.do("MSG.PUT", "0", "x", "c=keyed,k=1,d=9000,dest=7", "x"); got+"\r\n" != replyUnknownDestination {
-		if got != "-BUSY 1000" { // discovery has not answered yet
+		if got != "-BUSY 1000" { // discovery has not responded yet
 			t.Errorf("got %q", got)
 		}
 	}
@@ -176,9 +176,16 @@
 			break
 		}
 	}
-	for name, want := range map[string]int{"operations.safe.fulfilled": 1, "operations.safe.throttled": 1,
-		"operations.safe.faulted": 0, "operations.unsafe.fulfilled": 0, "operations.unsafe.faulted": 1, "relayed": 3,
-		"open_requests": 0, "registry_entries": 2} {
+	for name, want := range map[string]int{
+		"operations.safe.fulfilled":   1,
+		"operations.safe.throttled":   1,
+		"operations.safe.faulted":     0,
+		"operations.unsafe.fulfilled": 0,
+		"operations.unsafe.faulted":   1,
+		"relayed":                     3,
+		"open_requests":               0,
+		"registry_entries":            2,
+	} {
 		if got := metricValue(t, text, "edge_balancer."+name); got != want {
 			t.Errorf("%s=%d, want %d", name, got, want)
 		}
@@ -191,7 +198,7 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// While a sender drains, PING and ready must refuse at once, but requests that still arrive are served. Connections are
+// While a sender drains, PING and ready must fail at once, but requests that still arrive are served. Connections are
 // closed between requests, never within one, and accepted messages are delivered. After resume, PING and ready must
 // succeed at once.
 func TestDrainAndResume(t *testing.T) {
--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -37,8 +37,8 @@
 	State string `json:"state"`
 }
 
-// bulkResultsByState are the results for the known values of bulkStatus.State.
-// Any other value makes the result malformed.
+// bulkResultsByState are the results for the known values of bulkStatus.State. Any other value makes the result
+// malformed.
 var bulkResultsByState = map[string]callResult{
 	"done":    {outcome: logic.Delivered},
 	"failed":  {outcome: logic.Errored},
@@ -47,19 +47,20 @@
 	"used_up": {outcome: logic.Skipped},
 }
 
-// bulkItemSize estimates how many bytes m adds to the body of a bulk request. It
-// ignores escape sequences in the id and the key, and that an empty key is omitted.
+// bulkItemSize estimates how many bytes m adds to the body of a bulk request. It ignores escape sequences in the id and
+// the key, and that an empty key is omitted.
 func bulkItemSize(m *Message) int {
 	return len(`{"id":"","key":"","body":""},`) + len(m.ID) + len(m.IdempotencyKey) + (len(m.Body)+2)/3*4
 }
 
-// splitBulk selects the calls that are sent together with the first one: those to
-// the same endpoint, up to maxMessages and the body limit. The others are returned as rest.
+// splitBulk selects the calls that are sent together with the first one: those to the same endpoint, up to maxMessages
+// and the body limit. The others are returned as rest.
 func splitBulk(calls []pendingCall, maxMessages int) (group, rest []pendingCall) {
 	size := 2
 	for _, pc := range calls {
 		itemSize := bulkItemSize(pc.msg)
-		if pc.endpoint == calls[0].endpoint && len(group) < max(maxMessages, 1) && (len(group) == 0 || size+itemSize <= maxBulkBody) {
+		if pc.endpoint == calls[0].endpoint && len(group) < max(maxMessages, 1) &&
+			(len(group) == 0 || size+itemSize <= maxBulkBody) {
 			group = append(group, pc)
 			size += itemSize
 		} else {
@@ -69,11 +70,10 @@
 	return group, rest
 }
 
-// bulkCall is a call in flight with several messages. Each message gets exactly one
-// result: from the response, or earlier if it times out or is cancelled while
-// others still wait for the response. If second copies are not allowed, a message
-// gets no result before the call ends, since a result permits sending it again.
-// The call is cancelled once no message waits for it.
+// bulkCall is a call in flight with several messages. Each message gets exactly one result: from the response, or
+// earlier if it times out or is cancelled while others still wait for the response. If second copies are not allowed, a
+// message gets no result before the call ends, since a result permits sending it again. The call is cancelled once no
+// message waits for it.
 type bulkCall struct {
 	mu                sync.Mutex
 	pending           map[*call]bool // messages without a result; false once nothing waits for them
@@ -136,8 +136,7 @@
 	b.cancel()
 }
 
-// doBulk sends several messages in one call and reports the result of each. It
-// returns when the call has ended.
+// doBulk sends several messages in one call and reports the result of each. It returns when the call has ended.
 func (c *endpointClient) doBulk(ctx context.Context, group []pendingCall, report func(*call, callResult)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -177,9 +176,9 @@
 		}
 		return
 	}
-	// The endpoint identifies the call by its first message. Once that message's
-	// deadline has passed, no response counts for the others, so the latest deadline goes first.
-	slices.SortStableFunc(sent, func(a, bc *call) int { return cmp.Compare(bc.msg.Deadline, a.msg.Deadline) })
+	// The endpoint identifies the call by its first message. Once that message's deadline has passed, no response counts
+	// for the others, so the latest deadline goes first.
+	slices.SortStableFunc(sent, func(x, y *call) int { return cmp.Compare(y.msg.Deadline, x.msg.Deadline) })
 	combined.request, err = newBulkRequest(sent, combined.addr, combined.timeout)
 	if err != nil {
 		c.closeConn(conn)
@@ -198,8 +197,8 @@
 	}
 }
 
-// parseBulkResponse returns the result of each call, in the order of sent. A
-// message that is missing from the body, or whose state is malformed, may have been processed.
+// parseBulkResponse returns the result of each call, in the order of sent. A message that is missing from the body, or
+// whose state is malformed, may have been processed.
 func parseBulkResponse(sent []*call, body []byte, response callResult) []callResult {
 	var statuses []bulkStatus
 	if err := json.Unmarshal(body, &statuses); err != nil {
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -14,8 +14,8 @@
 	"rundeal/logic"
 )
 
-// newBulkNode returns a sender that is not running and has decided to send each message to an
-// endpoint whose machine type accepts batches.
+// newBulkNode returns a sender that is not running and has decided to send each message to an endpoint whose machine
+// type accepts batches.
 func newBulkNode(t *testing.T, bodies map[string]string) (*Node, *testEndpoint) {
 	t.Helper()
 	e, p := newEndpoint(t), newPlatform(t)
@@ -30,11 +30,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { n.journal.Close() })
-	rows := n.directory.Apply(EndpointList{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
+	entries := n.directory.Apply(EndpointList{Generation: 1, Reset: true, Instances: instances(e)}, time.Now())
 	for _, id := range slices.Sorted(maps.Keys(bodies)) {
 		m := Message{ID: id, Class: "safe", Dest: 1, Body: []byte(bodies[id])}
 		n.active[id] = addJournaledMessage(t, n, m)
-		n.startAttempt(t.Context(), logic.Send{ID: id, Timeout: toMicros(testTimeout), Endpoint: rows[0].Endpoint}, true)
+		n.startAttempt(t.Context(), logic.Send{ID: id, Timeout: toMicros(testTimeout), Endpoint: entries[0].Endpoint}, true)
 	}
 	return n, e
 }
@@ -64,8 +64,8 @@
 	c.keepReading <- true
 }
 
-// All messages that one step sends to one endpoint go in one call, since package logic
-// counts slots, rate and budget that way.
+// All messages that one step sends to one endpoint go in one call, since package logic counts slots, rate and budget
+// that way.
 func TestBulkIsOneCall(t *testing.T) {
 	bodies := map[string]string{"a": "body of a", "b": "\x00\xff", "c": ""}
 	n, e := newBulkNode(t, bodies)
@@ -96,8 +96,8 @@
 	}
 }
 
-// The endpoint identifies a bulk call by its first message. If that message's deadline passed
-// before the others', their responses would not count either.
+// The endpoint identifies a bulk call by its first message. If that message's deadline passed before the others', their
+// responses would not count either.
 func TestBulkLatestDeadlineFirst(t *testing.T) {
 	n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y", "c": "z"})
 	for id, deadline := range map[string]int64{"a": 2, "b": 1, "c": 3} {
@@ -123,25 +123,28 @@
 	}
 }
 
-// A response to the whole call applies to each message. If it is malformed, any message
-// may have been processed.
+// A response to the whole call applies to each message. If it is malformed, any message may have been processed.
 func TestBulkResponses(t *testing.T) {
 	for name, x := range map[string]struct {
-		answer string
-		a, b   logic.Outcome
+		response string
+		a, b     logic.Outcome
 	}{
-		"full":       {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", logic.Refused, logic.Refused},
-		"no slot":    {"HTTP/1.1 503 x\r\nX-Line-Busy: 1\r\nContent-Length: 0\r\n\r\n", logic.Skipped, logic.Skipped},
-		"error":      {"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", logic.Errored, logic.Errored},
-		"malformed":  {"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nnot JSON!", logic.Unreadable, logic.Unreadable},
-		"cut short":  {"HTTP/1.1 200 x\r\nContent-Length: 99\r\n\r\n[]", logic.ConnLost, logic.ConnLost},
-		"one absent": {"HTTP/1.1 200 x\r\nContent-Length: 27\r\n\r\n[{\"id\":\"a\",\"state\":\"done\"}]", logic.Delivered, logic.Unreadable},
+		"refused":   {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", logic.Refused, logic.Refused},
+		"no slot":   {"HTTP/1.1 503 x\r\nX-Line-Busy: 1\r\nContent-Length: 0\r\n\r\n", logic.Skipped, logic.Skipped},
+		"error":     {"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", logic.Errored, logic.Errored},
+		"malformed": {"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nnot JSON!", logic.Unreadable, logic.Unreadable},
+		"cut short": {"HTTP/1.1 200 x\r\nContent-Length: 99\r\n\r\n[]", logic.ConnLost, logic.ConnLost},
+		"one absent": {
+			"HTTP/1.1 200 x\r\nContent-Length: 27\r\n\r\n[{\"id\":\"a\",\"state\":\"done\"}]",
+			logic.Delivered,
+			logic.Unreadable,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y"})
 			n.sendPendingCalls(t.Context())
 			in := receive(t, e.calls, "call")
-			io.WriteString(in.conn, x.answer)
+			io.WriteString(in.conn, x.response)
 			if name == "cut short" {
 				in.conn.Close()
 			}
@@ -153,8 +156,8 @@
 	}
 }
 
-// A cancelled message ends at once if second copies are allowed, and with the call
-// otherwise. The other messages get their results from the response.
+// A cancelled message ends at once if second copies are allowed, and with the call otherwise. The other messages get
+// their results from the response.
 func TestBulkCancelOne(t *testing.T) {
 	for _, copies := range []bool{true, false} {
 		n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y", "c": "z"})
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -22,7 +22,7 @@
 const (
 	abortGracePeriod = 50 * time.Millisecond  // for the endpoint to notice that a call was aborted
 	idleExpiryMargin = 500 * time.Millisecond // an idle connection is not reused this close to its idle timeout
-	reuseDelay       = 20 * time.Millisecond  // after a response, so that unsolicited data behind it shows up before the next call
+	reuseDelay       = 20 * time.Millisecond  // after a response, for unsolicited data to arrive before the next call
 	freshConnPeriod  = 5 * time.Second        // after a reused connection broke, non-retryable calls open new connections
 	probeTimeout     = 1500 * time.Millisecond
 )
@@ -54,7 +54,7 @@
 // callResult is how a call ended.
 type callResult struct {
 	outcome      logic.Outcome
-	retryAfter   time.Duration // the wait that the endpoint asked for; 0 if none
+	retryAfter   time.Duration // the wait that the endpoint requested; 0 if none
 	messageEnded bool          // the endpoint reports that the message has already ended
 	localFailure bool          // nothing was sent because this host lacked a resource
 	loadReport   string        // value of the load report header, unparsed
@@ -73,9 +73,8 @@
 // errConnLimit means that a call would exceed this process's limit on connections to endpoints.
 var errConnLimit = errors.New("connection limit reached")
 
-// endpointClient makes calls over a pool of connections. It never resends a
-// request on its own, and it knows whether the last byte was written, which
-// separates messages that were never processed from those that may have been.
+// endpointClient makes calls over a pool of connections. It never resends a request on its own, and it knows whether
+// the last byte was written, which separates messages that were never processed from those that may have been.
 // net/http's transport provides neither.
 type endpointClient struct {
 	dialer             net.Dialer
@@ -130,9 +129,15 @@
 	return c.roundTrip(ctx, cl, conn, deadline, nil)
 }
 
-// roundTrip writes a request and reads its response. If body is not nil, the
-// response body is copied to it. Afterwards conn is returned to the pool or closed.
-func (c *endpointClient) roundTrip(ctx context.Context, cl *call, conn *pooledConn, deadline time.Time, body *bytes.Buffer) callResult {
+// roundTrip writes a request and reads its response. If body is not nil, the response body is copied to it. Afterwards
+// conn is returned to the pool or closed.
+func (c *endpointClient) roundTrip(
+	ctx context.Context,
+	cl *call,
+	conn *pooledConn,
+	deadline time.Time,
+	body *bytes.Buffer,
+) callResult {
 	var buf bytes.Buffer
 	if err := cl.request.Write(&buf); err != nil {
 		c.closeConn(conn)
@@ -171,9 +176,8 @@
 	return res
 }
 
-// callDeadline bounds the time of a call. The call's own deadline and its
-// cancellation apply until the call has ended, even when part of a response
-// has already arrived.
+// callDeadline bounds the time of a call. The call's own deadline and its cancellation apply until the call has ended,
+// even when part of a response has already arrived.
 type callDeadline struct {
 	conn      net.Conn
 	deadline  time.Time
@@ -191,8 +195,7 @@
 	}
 }
 
-// limitIO gives the next reads and writes the given time at most, or all of the
-// call's remaining time if timeout is 0.
+// limitIO gives the next reads and writes the given time at most, or all of the call's remaining time if timeout is 0.
 func (d *callDeadline) limitIO(timeout time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -211,9 +214,9 @@
 	}
 }
 
-// abort closes our side of the connection, which tells the endpoint that the call
-// is aborted, and leaves it the grace period to react, so that the next call with
-// the message does not overlap this one. A response that arrives in that time still counts.
+// abort closes our side of the connection, which tells the endpoint that the call is aborted, and gives it the grace
+// period to react, so that the next call with the message does not overlap this one. A response that arrives in that
+// time still counts.
 func (d *callDeadline) abort() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -238,8 +241,8 @@
 	return logic.TimedOut
 }
 
-// ended reports whether the call was aborted or cancelled. Its connection must not
-// be reused, since the cancellation may still change the connection's deadline.
+// ended reports whether the call was aborted or cancelled. Its connection must not be reused, since the cancellation
+// may still change the connection's deadline.
 func (d *callDeadline) ended() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -265,10 +268,10 @@
 	return &pooledConn{Conn: conn, reader: bufio.NewReader(limited), limited: limited, addr: cl.addr}, nil
 }
 
-// isLocalError reports whether connecting failed because this host lacks a
-// resource or a network, which says nothing about the endpoint.
+// isLocalError reports whether connecting failed because this host lacks a resource or a network, which says nothing
+// about the endpoint.
 func isLocalError(err error) bool {
-	for _, target := range []error{
+	for _, localErr := range []error{
 		errConnLimit,
 		syscall.EMFILE,
 		syscall.ENFILE,
@@ -278,15 +281,15 @@
 		syscall.ENETUNREACH,
 		syscall.ENETDOWN,
 	} {
-		if errors.Is(err, target) {
+		if errors.Is(err, localErr) {
 			return true
 		}
 	}
 	return false
 }
 
-// reserveConn counts a new connection against the limit. At the limit it closes
-// the oldest idle connection to make room; it returns false if there is none.
+// reserveConn counts a new connection against the limit. At the limit it closes the oldest idle connection to make
+// room; it returns false if there is none.
 func (c *endpointClient) reserveConn() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -309,8 +312,7 @@
 	c.unreserveConn()
 }
 
-// The functions below manage idle connections. Those with the suffix Locked
-// require c.mu to be held.
+// The functions below manage idle connections. Those with the suffix Locked require c.mu to be held.
 
 func (c *endpointClient) closeIdleLocked(conn *pooledConn) {
 	conn.Close()
@@ -319,23 +321,22 @@
 }
 
 func (c *endpointClient) closeOldestLocked() bool {
-	var owner logic.EndpointID
+	var endpoint logic.EndpointID
 	var oldest *pooledConn
 	for ep, list := range c.idle {
 		if oldest == nil || list[0].idleSince.Before(oldest.idleSince) {
-			owner, oldest = ep, list[0]
+			endpoint, oldest = ep, list[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	c.setIdleLocked(owner, c.idle[owner][1:])
+	c.setIdleLocked(endpoint, c.idle[endpoint][1:])
 	c.closeIdleLocked(oldest)
 	return true
 }
 
-// setIdleLocked replaces the idle connections to ep. The list is ordered by the
-// time at which they became idle.
+// setIdleLocked replaces the idle connections to ep. The list is ordered by the time at which they became idle.
 func (c *endpointClient) setIdleLocked(ep logic.EndpointID, list []*pooledConn) {
 	if len(list) == 0 {
 		delete(c.idle, ep)
@@ -344,9 +345,9 @@
 	}
 }
 
-// takeIdle returns the most recently used idle connection to the call's endpoint
-// that can be reused, and closes those that cannot. It skips connections whose last
-// response is younger than the reuse delay: unsolicited data may still follow.
+// takeIdle returns the most recently used idle connection to the call's endpoint that can be reused, and closes those
+// that cannot. It skips connections whose last response is younger than the reuse delay: unsolicited data may still
+// follow.
 func (c *endpointClient) takeIdle(cl *call) *pooledConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -371,8 +372,8 @@
 	return nil
 }
 
-// reusable reports whether an idle connection can carry another call: it is not
-// close to its idle timeout, not closed by the endpoint, and holds no unsolicited data.
+// reusable reports whether an idle connection can carry another call: it is not close to its idle timeout, not closed
+// by the endpoint, and holds no unsolicited data.
 func (c *endpointClient) reusable(conn *pooledConn) bool {
 	if time.Since(conn.idleSince) > c.idleTimeout-min(idleExpiryMargin, c.idleTimeout/4) {
 		return false
@@ -413,8 +414,7 @@
 	}
 }
 
-// setLimits changes the limits on connections and closes the oldest idle
-// connections that exceed them.
+// setLimits changes the limits on connections and closes the oldest idle connections that exceed them.
 func (c *endpointClient) setLimits(limits socketBudget) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -34,8 +34,8 @@
 	return ch
 }
 
-// If a response were mapped to the wrong outcome, a message that may have been
-// processed would be sent again, or one that never was would be given up.
+// If a response were mapped to the wrong outcome, a message that may have been processed would be sent again, or one
+// that never was would be given up.
 func TestOutcomeOfResponse(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	c.reuseDelay = 0
@@ -73,8 +73,8 @@
 	}
 }
 
-// A connection that breaks before the last byte of the request is written proves
-// that the endpoint never processed the call.
+// A connection that breaks before the last byte of the request is written proves that the endpoint never processed the
+// call.
 func TestBreakBeforeLastByte(t *testing.T) {
 	small := func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -106,8 +106,7 @@
 	}
 }
 
-// Once the last byte of the request is written the call may have been processed,
-// however the connection ends.
+// Once the last byte of the request is written the call may have been processed, however the connection ends.
 func TestBreakAfterLastByte(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
@@ -133,10 +132,12 @@
 	}
 }
 
-// Reusing a connection that the endpoint has closed, or will soon close as idle, ends
-// the next call with a reset, after which a message of an unsafe class has failed.
+// Reusing a connection that the endpoint has closed, or will soon close as idle, ends the next call with a reset, after
+// which a message of an unsafe class has failed.
 func TestUnusableConnectionIsNotReused(t *testing.T) {
-	e, c := newEndpoint(t), newEndpointClient(time.Second, time.Hour, 4, socketBudget{calls: 16, idle: 16}, new(atomic.Int64))
+	e, c := newEndpoint(t), newEndpointClient(
+		time.Second, time.Hour, 4, socketBudget{calls: 16, idle: 16}, new(atomic.Int64),
+	)
 	c.reuseDelay = 0
 	call := func(end func(*receivedCall)) {
 		t.Helper()
@@ -178,8 +179,7 @@
 	}
 }
 
-// If a call is cancelled while it gets its connection, nothing may be written: the
-// message may already have ended.
+// If a call is cancelled while it gets its connection, nothing may be written: the message may already have ended.
 func TestCancelledBeforeWrite(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	c.reuseDelay = 0
@@ -196,8 +196,8 @@
 	e.expectNoCall(t)
 }
 
-// The endpoint must have seen the end of an aborted call before the outcome is
-// reported. Otherwise the next attempt would be a second copy.
+// The endpoint must have seen the end of an aborted call before the outcome is reported. Otherwise the next attempt
+// would be a second copy.
 func TestAbort(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	c.abortGrace = 2 * testTimeout // so only the endpoint can end the call earlier
@@ -249,8 +249,8 @@
 	e.expectNoCall(t)
 }
 
-// If the destination asks for a wait, or the endpoint starts to drain, while a call
-// is still connecting, the request must not be written.
+// If the destination requests a wait, or the endpoint starts to drain, while a call is still connecting, the request
+// must not be written.
 func TestAbortedWhileConnecting(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	in := newTestCall(t, e.addr(), "hello", testTimeout)
@@ -264,8 +264,7 @@
 	e.expectNoCall(t)
 }
 
-// Connecting takes time. A retry must not be written after the destination has
-// forgotten the idempotency key.
+// Connecting takes time. A retry must not be written after the destination has forgotten the idempotency key.
 func TestWriteBy(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	in := newTestCall(t, e.addr(), "hello", testTimeout)
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -16,7 +16,7 @@
 	maxPipelined       = 16      // requests of one connection that wait for their replies
 	smallRequestBytes  = 4 << 10 // a larger request needs a slot of its own
 	maxRequestBytes    = maxBulkBytes + smallRequestBytes
-	largeMemoryDivisor = 8 // large requests may use 1/8 of the memory until they are answered
+	largeMemoryDivisor = 8 // large requests may use 1/8 of the memory until they are replied to
 	defaultMemoryMB    = 192
 )
 
@@ -35,7 +35,7 @@
 	clock          *clock.Lasting // set before clients are served
 	metrics        *metrics
 	maxConns       int
-	largeSlots     chan struct{} // holds one element per large request that is not answered
+	largeSlots     chan struct{} // holds one element per large request without a reply
 	mu             sync.Mutex
 	sessions       map[*session]struct{}
 	phase          phase
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -22,7 +22,11 @@
 // A client that sends nothing, or part of a request, must be disconnected: it would occupy a connection forever.
 func TestSilentClients(t *testing.T) {
 	n, _, _, _ := startNodeWithEndpoints(t, 1)
-	for name, input := range map[string]string{"nothing": "", "half a length": "*5", "half a request": "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0"} {
+	for name, input := range map[string]string{
+		"nothing":        "",
+		"half a length":  "*5",
+		"half a request": "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0",
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			at, c := time.Now(), dialClient(t, n.addr)
@@ -80,7 +84,7 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// Hundreds of pipelined requests must each be answered, in order, and faster than one per tick.
+// Hundreds of pipelined requests must each get a reply, in order, and faster than one per tick.
 func TestPipelined(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1)
 	go func() {
@@ -94,7 +98,8 @@
 		switch {
 		case i%100 == 0:
 			id := fmt.Sprint("m-", i)
-			fmt.Fprintf(&b, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n", len(id), id)
+			fmt.Fprintf(&b, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n",
+				len(id), id)
 		default:
 			fmt.Fprintf(&b, "*2\r\n$4\r\nPING\r\n$3\r\n%03d\r\n", i)
 		}
@@ -103,10 +108,10 @@
 	for i := range many {
 		if got := c.readLine(); i%100 == 0 {
 			if got != "+OK" {
-				t.Errorf("answer %d: %q", i, got)
+				t.Errorf("reply %d: %q", i, got)
 			}
 		} else if body := c.readLine(); got != "$3" || body != fmt.Sprintf("%03d", i) {
-			t.Fatalf("answer %d: %q %q", i, got, body)
+			t.Fatalf("reply %d: %q %q", i, got, body)
 		}
 	}
 	stopAndCheckEmpty(t, n)
@@ -134,7 +139,8 @@
 		}
 	}()
 	got := c.readToEnd()
-	if k := strings.Count(got, "-ERR unknown command"); k < maxConsecutiveErrors || k > maxConsecutiveErrors+maxPipelined {
+	if k := strings.Count(got, "-ERR unknown command"); k < maxConsecutiveErrors ||
+		k > maxConsecutiveErrors+maxPipelined {
 		t.Errorf("%d errors before the close", k)
 	}
 	stopAndCheckEmpty(t, n)
@@ -154,7 +160,9 @@
 	}
 	d := dialClient(t, n.addr)
 	for range 2 * cap(n.clients.largeSlots) { // fails if a request does not release its slot
-		if got := d.do("MSG.PUT", "0", "id", "c=safe,d=9000,dest=99", strings.Repeat("x", maxBulkBytes)); !strings.HasPrefix(got, "-") {
+		if got := d.do(
+			"MSG.PUT", "0", "id", "c=safe,d=9000,dest=99", strings.Repeat("x", maxBulkBytes),
+		); !strings.HasPrefix(got, "-") {
 			t.Fatalf("got %q", got)
 		}
 		d.conn.Close()
@@ -167,15 +175,17 @@
 	}
 }
 
-// After a start with an empty list the destinations are unknown, so clients are told to retry. Once discovery has
-// answered, an unknown destination is an error.
+// After a start with an empty list the destinations are unknown, so clients get -BUSY. Once discovery has responded, an
+// unknown destination is an error.
 func TestUnknownDestination(t *testing.T) {
 	p, e := newPlatform(t), newEndpoint(t)
 	p.holdLists = true
 	n := startNode(t, p, t.TempDir(), EndpointList{})
 	c := dialClient(t, n.addr)
 	c.put("a", "safe", "-BUSY 1000")
-	p.update(func() { p.holdLists, p.list = false, EndpointList{Generation: 1, Reset: true, Instances: instances(e)} })
+	p.update(func() {
+		p.holdLists, p.list = false, EndpointList{Generation: 1, Reset: true, Instances: instances(e)}
+	})
 	awaitListGeneration(t, p, 1)
 	c.put("b", "safe", "+OK")
 	receive(t, e.calls, "call").reply(200)
@@ -203,7 +213,8 @@
 	}
 }
 
-// For any input a request without large-request slots must stay small, and an error must be one of the documented kinds.
+// For any input a request without large-request slots must stay small, and an error must be one of the documented
+// kinds.
 func FuzzReadCommand(f *testing.F) {
 	f.Add("*1\r\n$4\r\nPING\r\n")
 	f.Add("*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$1\r\na\r\n$20\r\nc=safe,d=9000,dest=1\r\n$3\r\n\r\n\x00\r\n")
--- a/internal/node/close_test.go
+++ b/internal/node/close_test.go
@@ -61,7 +61,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hooks := &hookConn{TCPConn: conn.(*net.TCPConn), beforeClose: func() {}, beforeRead: func() {}, afterWrite: func(int) {}}
+	hooks := &hookConn{
+		TCPConn:     conn.(*net.TCPConn),
+		beforeClose: func() {},
+		beforeRead:  func() {},
+		afterWrite:  func(int) {},
+	}
 	s := &session{
 		server:       newClientServer(cfg, slog.New(slog.DiscardHandler), events, newMetrics(cfg)),
 		conn:         hooks,
@@ -116,10 +121,10 @@
 	if err := c.conn.(*net.TCPConn).SetReadBuffer(4096); err != nil { // most of the replies stay in the sender's buffer
 		t.Fatal(err)
 	}
-	answered, sum := make(chan struct{}), 0
+	allReplied, sum := make(chan struct{}), 0
 	h.afterWrite = func(n int) {
 		if sum += n; sum == want.Len() {
-			close(answered)
+			close(allReplied)
 		}
 	}
 	h.beforeClose = func() {
@@ -130,7 +135,7 @@
 	for range pings {
 		c.send("PING", arg)
 	}
-	awaitClosed(t, answered, "end of all replies")
+	awaitClosed(t, allReplied, "end of all replies")
 	s.server.setPhase(stopping)
 	s.server.startClosingIdle()
 	if got := c.readToEnd(); got != want.String() {
@@ -154,7 +159,7 @@
 }
 
 // A request must count as open before any of it is read: until then its connection may be closed to make room, and
-// clients resend only requests that were not read.
+// clients send only requests again that were not read.
 func TestRequestCountsBeforeRead(t *testing.T) {
 	events := make(chan any)
 	s, h, c := newHookedSession(t, events)
@@ -188,7 +193,8 @@
 	if got := c.readLine() + c.readLine(); got != "+OK+OK" {
 		t.Errorf("got %q", got)
 	}
-	for stop := time.Now().Add(testTimeout); !s.server.evictIdlest(); { // the connection is idle once both are answered
+	// The connection is idle once both have their replies.
+	for stop := time.Now().Add(testTimeout); !s.server.evictIdlest(); {
 		if time.Now().After(stop) {
 			t.Fatal("the connection was never idle")
 		}
@@ -200,8 +206,8 @@
 }
 
 // A request that arrives so late in a shutdown that the loop might not reply any more must not be passed on: one that
-// has not begun to arrive is left unread, one that is pipelined behind others is refused, and an incomplete one gets an
-// error reply.
+// has not begun to arrive is left unread, one that is pipelined behind others is rejected, and an incomplete one gets
+// an error reply.
 func TestReadCutoffAtShutdown(t *testing.T) {
 	t.Run("unread", func(t *testing.T) {
 		events := make(chan any, 1)
@@ -243,7 +249,7 @@
 		awaitClosed(t, done, "end of the session")
 		close(events)
 	})
-	t.Run("half", func(t *testing.T) {
+	t.Run("incomplete", func(t *testing.T) {
 		s, _, _ := newHookedSession(t, nil)
 		at := time.Now().Add(minRequestTime / 2)
 		s.server.stopReadingAt(at)
@@ -253,7 +259,7 @@
 			}
 		}
 	})
-	t.Run("answer", func(t *testing.T) {
+	t.Run("execute", func(t *testing.T) {
 		events := make(chan any, 1)
 		s, _, _ := newHookedSession(t, events)
 		args, err := readCommand(bufio.NewReader(strings.NewReader(putRequest)), func() error { return nil })
@@ -273,7 +279,8 @@
 		t.Helper()
 		n.clients.mu.Lock()
 		defer n.clients.mu.Unlock()
-		if got, want := n.clients.readCutoff, n.shutdownAt.Add(shutdownWorkTimeout); !got.Equal(want) || shutdownWorkTimeout >= shutdownTimeout {
+		if got, want := n.clients.readCutoff, n.shutdownAt.Add(shutdownWorkTimeout); !got.Equal(want) ||
+			shutdownWorkTimeout >= shutdownTimeout {
 			t.Errorf("%s: read until %v, want %v", how, got, want)
 		}
 	}
@@ -294,8 +301,8 @@
 	check("replaced", old)
 }
 
-// TCP_NODELAY must be set on clients' connections, also on those of a listener inherited from the previous process: a
-// small reply that the kernel holds back would be lost if the connection is closed with unread input.
+// TCP_NODELAY must be set on clients' connections, also on those of a listener received from the predecessor: a small
+// reply that the kernel holds back would be lost if the connection is closed with unread input.
 func TestRepliesAreNotDelayed(t *testing.T) {
 	own, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -307,12 +314,12 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	inherited, err := net.FileListener(f)
+	received, err := net.FileListener(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer inherited.Close()
-	for _, ln := range []net.Listener{own, inherited} {
+	defer received.Close()
+	for _, ln := range []net.Listener{own, received} {
 		s, _, _ := newHookedSession(t, nil)
 		go s.server.serve(ln)
 		if got := dialClient(t, ln.Addr().String()).do("PING"); got != "+PONG" {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,6 +1,5 @@
-// Package node runs a sender on real sockets: it accepts messages from clients,
-// keeps them in a journal, and sends them as a logic.Sender decides. All
-// decisions about messages are made there, none in this package.
+// Package node runs a sender on real sockets: it accepts messages from clients, keeps them in a journal, and sends them
+// as a logic.Sender decides. All decisions about messages are made there, none in this package.
 package node
 
 import (
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// A sender must act on a change 6 s after discovery could have delivered it, even if a watch hangs.
-	// maxWatchHold plus watchTimeoutMargin leaves time for a new call after a silent watch.
+	// A sender must act on a change 6 s after discovery could have delivered it, even if a watch hangs. maxWatchHold plus
+	// watchTimeoutMargin leaves time for a new call after a silent watch.
 	maxWatchHold       = 4 * time.Second // longest time that discovery may hold a watch open without a change
 	watchTimeoutMargin = time.Second     // after the hold time, for the response to arrive
 
-	// For a full list. After a change of discovery's address the sender must act on the new list
-	// within 4 s, so this leaves time for two calls.
+	// For a full list. After a change of discovery's address the sender must act on the new list within 4 s, so this
+	// leaves time for two calls.
 	listTimeout          = 2500 * time.Millisecond
 	discoveryDialTimeout = 2 * time.Second
 
 	// Longest interval between the starts of a failed call and the next one, within the 6 s for a change.
 	maxRetryInterval = 5400 * time.Millisecond
 
-	// Many senders may start at the same moment, so each delays its first watch by a random time.
-	// The range of that delay grows with the number of senders.
+	// Many senders may start at the same moment, so each delays its first watch by a random time. The range of that delay
+	// grows with the number of senders.
 	minStartSpread       = 300 * time.Millisecond
 	startSpreadPerSender = 25 * time.Millisecond
 	maxStartSpread       = 3 * time.Second // a change must take effect 6 s after a start
@@ -41,8 +41,8 @@
 	shortRetryPause      = 200 * time.Millisecond // after each of those, and after failed calls to the local agent
 )
 
-// errDiscoveryStatus means that discovery responded with an error status. It may be
-// overloaded and should not be called again at once.
+// errDiscoveryStatus means that discovery responded with an error status. It may be overloaded and should not be called
+// again at once.
 var errDiscoveryStatus = errors.New("discovery returned status")
 
 // EndpointList is discovery's response.
@@ -71,8 +71,8 @@
 	epoch   int           // of the discovery address that was called
 }
 
-// Directory maps the instance ids of the endpoint list to the endpoint numbers
-// of package logic. It belongs to the event loop.
+// Directory maps the instance ids of the endpoint list to the endpoint numbers of package logic. It belongs to the
+// event loop.
 type Directory struct {
 	zones       []string
 	kinds       []logic.DestinationKind
@@ -127,8 +127,7 @@
 // hasDest reports whether a destination has an endpoint, including recently removed ones.
 func (d *Directory) hasDest(dest int64) bool { return d.destCounts[dest] > 0 }
 
-// purgeRemoved deletes endpoints that were removed from the list more than
-// removedRetention ago, except those in use.
+// purgeRemoved deletes endpoints that were removed from the list more than removedRetention ago, except those in use.
 func (d *Directory) purgeRemoved(now time.Time, inUse map[logic.EndpointID]bool) {
 	for id, at := range d.removedAt {
 		if now.Sub(at) > removedRetention && !inUse[id] {
@@ -151,9 +150,8 @@
 	}
 }
 
-// Apply updates the directory with a list that arrived at the given time and
-// returns the entries for package logic. An endpoint keeps its number while it is
-// on the list, even if its address changes, and for some time after its removal.
+// Apply updates the directory with a list that arrived at the given time and returns the entries for package logic. An
+// endpoint keeps its number while it is on the list, even if its address changes, and for some time after its removal.
 func (d *Directory) Apply(list EndpointList, now time.Time) []logic.EndpointEntry {
 	entries := make([]logic.EndpointEntry, 0, len(list.Instances))
 	if list.Reset {
@@ -229,12 +227,10 @@
 	d.unavailable[id] = true
 }
 
-// discoveryClient follows the endpoint list. In on-request mode it calls discovery
-// itself: a watch runs from the moment it is requested until a call fails or
-// discovery's address changes. In pushed mode the address is that of a local agent.
-// A sender must act on what the agent has from the start of the process, so the
-// first watch begins without delay and ends only when the address changes.
-// It belongs to the event loop.
+// discoveryClient follows the endpoint list. In on-request mode it calls discovery itself: a watch runs from the moment
+// it is requested until a call fails or discovery's address changes. In pushed mode the address is that of a local
+// agent. A sender must act on what the agent has from the start of the process, so the first watch begins without delay
+// and ends only when the address changes. It belongs to the event loop.
 type discoveryClient struct {
 	addr         string
 	pushed       bool
@@ -279,16 +275,16 @@
 	d.client.CloseIdleConnections()
 }
 
-// setAddr stops the watch and changes the address. The next watch requests a full
-// list, since generations at the new address need not continue those of the old one.
+// setAddr stops the watch and changes the address. The next watch requests a full list, since generations at the new
+// address need not continue those of the old one.
 func (d *discoveryClient) setAddr(addr string) {
 	d.close()
 	d.addr, d.hasList, d.watching = addr, false, false
 	d.epoch++
 }
 
-// accept updates the state with an event of a watch. It returns false for events
-// from a previous address, which must be ignored.
+// accept updates the state with an event of a watch. It returns false for events from a previous address, which must be
+// ignored.
 func (d *discoveryClient) accept(ev listEvent) bool {
 	if ev.epoch != d.epoch {
 		return false
@@ -326,11 +322,9 @@
 	}()
 }
 
-// watchStartSpread is the range of the random delay before a watch. In on-request
-// mode the sender has 6 s after its start to act on changes, and the cached list is
-// good enough for part of that time. In pushed mode it must act at once on what the
-// local agent has. Only the first watch is delayed: later ones follow a failed call
-// and the pause after it.
+// watchStartSpread is the range of the random delay before a watch. In on-request mode the sender has 6 s after its
+// start to act on changes, and the cached list is good enough for part of that time. In pushed mode it must act at once
+// on what the local agent has. Only the first watch is delayed: later ones follow a failed call and the pause after it.
 func (d *discoveryClient) watchStartSpread() time.Duration {
 	if d.pushed || d.receivedList || !d.hasList || d.stopWatch != nil {
 		return 0
@@ -338,15 +332,14 @@
 	return d.fleetStartSpread()
 }
 
-// fleetStartSpread is the range over which senders that start at the same moment
-// begin their watches. Discovery serves a limited number of calls per second and
-// rejects those that wait too long.
+// fleetStartSpread is the range over which senders that start at the same moment begin their watches. Discovery serves
+// a limited number of calls per second and rejects those that wait too long.
 func (d *discoveryClient) fleetStartSpread() time.Duration {
 	return min(max(minStartSpread, time.Duration(d.senders)*startSpreadPerSender), maxStartSpread)
 }
 
-// listWatch is a sequence of long-polling calls. Each follows the previous response
-// immediately, so that no change is missed in between.
+// listWatch is a sequence of long-polling calls. Each follows the previous response immediately, so that no change is
+// missed in between.
 type listWatch struct {
 	client      *discoveryClient
 	baseURL     string
@@ -397,9 +390,8 @@
 	}
 }
 
-// holdTime is the hold time of the next watch. A change ends the watches of all
-// senders at once, so that their next ones begin together. In on-request mode the
-// hold time is random, so that those do not also expire together.
+// holdTime is the hold time of the next watch. A change ends the watches of all senders at once, so that their next
+// ones begin together. In on-request mode the hold time is random, so that those do not also expire together.
 func (w *listWatch) holdTime() time.Duration {
 	if w.client.pushed {
 		return w.client.watchHold
@@ -407,10 +399,9 @@
 	return w.client.watchHold - time.Duration(w.client.randN(int64(w.client.watchHold/4)))
 }
 
-// pauseAfterFailure waits before the call after a failed one, remaining at most.
-// Calls that probably failed for all senders at once, or that were rejected because
-// of load, are spread over the same range as starts. Calls to a local agent or to a
-// new address are retried soon.
+// pauseAfterFailure waits before the call after a failed one, remaining at most. Calls that probably failed for all
+// senders at once, or that were rejected because of load, are spread over the same range as starts. Calls to a local
+// agent or to a new address are retried soon.
 func (w *listWatch) pauseAfterFailure(ctx context.Context, remaining time.Duration, gotStatus bool) {
 	spread := shortRetryPause
 	if w.retriesLeft < 0 && (gotStatus || !w.client.pushed) {
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -23,14 +23,16 @@
 	"time"
 )
 
-// changeDeadline is when a sender must act on a change, counted from the moment at which discovery had it and was reachable.
+// changeDeadline is when a sender must act on a change, counted from the moment at which discovery had it and was
+// reachable.
 const changeDeadline = 6 * time.Second
 
-// addressChangeDeadline is when a sender must act on the list at a new discovery address, counted from the signal to reload.
+// addressChangeDeadline is when a sender must act on the list at a new discovery address, counted from the signal to
+// reload.
 const addressChangeDeadline = 4 * time.Second
 
-// fakeDiscovery is an in-memory discovery server. A fault affects the watch that is held and
-// each call that arrives while it lasts. Affected calls do not recover when the fault ends.
+// fakeDiscovery is an in-memory discovery server. A fault affects the watch that is held and each call that arrives
+// while it lasts. Affected calls do not recover when the fault ends.
 type fakeDiscovery struct {
 	mu       sync.Mutex
 	fault    string
@@ -43,8 +45,14 @@
 }
 
 func newFakeDiscovery(list EndpointList, fault string) *fakeDiscovery {
-	return &fakeDiscovery{fault: fault, list: list, changed: make(chan struct{}), closed: make(chan struct{}),
-		requests: make(chan string, 4096), faulted: make(chan struct{}, 4096)}
+	return &fakeDiscovery{
+		fault:    fault,
+		list:     list,
+		changed:  make(chan struct{}),
+		closed:   make(chan struct{}),
+		requests: make(chan string, 4096),
+		faulted:  make(chan struct{}, 4096),
+	}
 }
 
 // set changes fault and list atomically.
@@ -178,8 +186,8 @@
 	seed        int
 }
 
-// run returns how long after discovery was reachable again the change was sent to the sender. It must run in a
-// synctest bubble. Every random delay is the longest possible, except those of package logic.
+// run returns how long after discovery was reachable again the change was sent to the sender. It must run in a synctest
+// bubble. Every random delay is the longest possible, except those of package logic.
 func (p discoveryFailure) run(t *testing.T) (delay time.Duration) {
 	const oldAddr, freshAddr = "127.0.0.2:1", "127.0.0.3:1"
 	instance := func(id, addr, state string) Instance {
@@ -235,7 +243,9 @@
 	n := startNodeWithConfig(t, text("127.0.0.4:1"), dir, func(n *Node) {
 		n.listener = ln
 		n.ReloadOn(signals, func() (*Config, error) { return ParseConfig([]byte(text("127.0.0.5:1"))) })
-		n.discovery.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
+		n.discovery.client.Transport.(*http.Transport).DialContext = func(
+			ctx context.Context, _, addr string,
+		) (net.Conn, error) {
 			return servers[addr].dial(ctx)
 		}
 		n.discovery.randN = func(n int64) int64 {
@@ -244,7 +254,9 @@
 			}
 			return n - 1
 		}
-		n.notices.client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
+		n.notices.client.Transport.(*http.Transport).DialContext = func(
+			context.Context, string, string,
+		) (net.Conn, error) {
 			return nil, syscall.ECONNREFUSED
 		}
 		// Each attempt is recorded and fails here, as if there were no free descriptor, and is retried elsewhere.
@@ -271,16 +283,16 @@
 	go func() { // a client, whose messages reach the event loop as a session would pass them on
 		for i := 0; ; i++ {
 			time.Sleep(200 * time.Millisecond)
-			id, answer := fmt.Sprintf("%06d", i), make(chan string, 1)
+			id, reply := fmt.Sprintf("%06d", i), make(chan string, 1)
 			m := Message{ID: id, IdempotencyKey: id, Class: "keyed", Tenant: "acme", Dest: 1, Body: []byte("x"),
 				Deadline: time.Now().Add(3 * time.Second).UnixMicro()}
 			select {
-			case n.events <- putEvent{m, answer}:
+			case n.events <- putEvent{m, reply}:
 			case <-stopClient:
 				return
 			}
 			select {
-			case <-answer:
+			case <-reply:
 			case <-stopClient:
 				return
 			}
@@ -292,7 +304,7 @@
 		for len(initial.requests) > 0 {
 			<-initial.requests
 		}
-		for range 2 { // the second one begins after the first was answered
+		for range 2 { // the second one begins after the response to the first
 			if q := <-initial.requests; !strings.HasPrefix(q, "from=1&") {
 				t.Fatalf("call for %q, want a watch", q)
 			}
@@ -335,21 +347,21 @@
 		freshUsed = freshUsed || at.Sub(recovered) > within
 	}
 	if lateAttempts > 0 || !freshUsed {
-		t.Errorf("%+v: %d attempts at a draining endpoint after the change had to take effect (list sent after %v); attempts elsewhere: %v",
+		t.Errorf("%+v: %d late attempts at a draining endpoint (list sent after %v); attempts elsewhere: %v",
 			p, lateAttempts, failing.lastSent.Sub(recovered), freshUsed)
 	}
 	return failing.lastSent.Sub(recovered)
 }
 
-// However calls to discovery fail, and however many in a row: the sender acts on a change 6 s after discovery
-// had it and was reachable, even with the longest pauses and with a call that began just before that moment.
+// However calls to discovery fail, and however many in a row: the sender acts on a change 6 s after discovery had it
+// and was reachable, even with the longest pauses and with a call that began just before that moment.
 func TestChangeTakesEffectAfterAnyFailure(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
-		for _, at := range []string{"first call", "watch", "SIGHUP"} {
+		for _, phase := range []string{"first call", "watch", "SIGHUP"} {
 			for _, fault := range []string{
 				"refuses", "resets", "silent", "stalls", "error status", "late error status", "unreachable", "slow and stalls",
 			} {
-				t.Run(fmt.Sprintf("pushed %v, %s, %s", pushed, at, fault), func(t *testing.T) {
+				t.Run(fmt.Sprintf("pushed %v, %s, %s", pushed, phase, fault), func(t *testing.T) {
 					t.Parallel()
 					var longest time.Duration
 					counts := map[string][]int{
@@ -357,10 +369,10 @@
 						"watch":      {0, 1, 2, 6},
 						"SIGHUP":     {1, addressChangeRetries + 1, 3 * (addressChangeRetries + 1)},
 					}
-					for _, calls := range counts[at] {
+					for _, calls := range counts[phase] {
 						for seed := range map[bool]int{false: 2, true: 1}[pushed] { // only package logic uses the seed
 							synctest.Test(t, func(t *testing.T) {
-								longest = max(longest, discoveryFailure{pushed, at, fault, calls, seed}.run(t))
+								longest = max(longest, discoveryFailure{pushed, phase, fault, calls, seed}.run(t))
 							})
 						}
 					}
@@ -376,7 +388,9 @@
 	t.Helper()
 	for range senders {
 		d := newDiscoveryClient("127.0.0.4:1", senders, slog.New(slog.DiscardHandler), make(chan any, 64))
-		d.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { return s.dial(ctx) }
+		d.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
+			return s.dial(ctx)
+		}
 		ctx, stop := context.WithCancel(t.Context())
 		t.Cleanup(func() { stop(); d.close() })
 		d.startWatch(ctx)
@@ -388,8 +402,8 @@
 	}
 }
 
-// countPerInterval counts the values from ch over a number of intervals, and returns the highest count in one
-// interval and the total.
+// countPerInterval counts the values from ch over a number of intervals, and returns the highest count in one interval
+// and the total.
 func countPerInterval[T any](ch <-chan T, interval time.Duration, intervals int) (peak, total int) {
 	for range intervals {
 		time.Sleep(interval)
@@ -403,7 +417,8 @@
 	return peak, total
 }
 
-// A change ends the watches of all senders at once, so that the next ones begin together. They must not all expire together.
+// A change ends the watches of all senders at once, so that the next ones begin together. They must not all expire
+// together.
 func TestWatchExpiryIsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeDiscovery(EndpointList{Generation: 1, Reset: true}, "")
@@ -418,8 +433,8 @@
 	})
 }
 
-// Discovery fails and all watches break. Go's HTTP client retries once at once after a reused connection broke.
-// The retries after that must be spread over some seconds.
+// Discovery fails and all watches break. Go's HTTP client retries once at once after a reused connection broke. The
+// retries after that must be spread over some seconds.
 func TestRetriesOfManySendersAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeDiscovery(EndpointList{Generation: 1, Reset: true}, "")
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// setPhaseLocked sets the phase; c.mu must be held. A draining or stopping sender closes its connections gradually: PING
-// fails at once, but connections are closed only after closeIdleDelay, when those that the front end still routes here
-// have arrived.
+// setPhaseLocked sets the phase; c.mu must be held. A draining or stopping sender closes its connections gradually:
+// PING fails at once, but connections are closed only after closeIdleDelay, when those that the front end still routes
+// here have arrived.
 func (c *clientServer) setPhaseLocked(p phase) {
 	previous := c.phase
 	c.phase = p
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -42,7 +42,8 @@
 	return execProgram(t, path, p, dir, config, faultinject.EnvPlan+"="+file)
 }
 
-// faultDelay is the delay of faults that must not begin before a process has started, which takes long on a busy machine.
+// faultDelay is the delay of faults that must not begin before a process has started, which takes long on a busy
+// machine.
 const faultDelay = 4 * time.Second
 
 // faultTime returns the current time as used in fault plans. It builds the program first, so that this takes no time
@@ -68,8 +69,8 @@
 	return faults
 }
 
-// acceptUnsent has a sender accept messages that it does not send yet, because its only endpoint has told it to wait. It
-// returns the ids of all messages that are owed.
+// acceptUnsent has a sender accept messages that it does not send yet, because its only endpoint has requested a wait.
+// It returns the ids of all messages that have not ended.
 func acceptUnsent(t *testing.T, proc *process, e *testEndpoint, ms, many int) (ids map[string]bool) {
 	t.Helper()
 	c := dialClient(t, proc.addr)
@@ -77,7 +78,7 @@
 	receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	ids = map[string]bool{"first": true}
 	for i := range many {
-		id := fmt.Sprint("held-", i)
+		id := fmt.Sprint("unsent-", i)
 		c.putWithLifetime(id, []string{"safe", "unsafe"}[i%2], ms, "+OK")
 		ids[id] = true
 	}
@@ -122,8 +123,14 @@
 			step.Steps[0].Offset = -offset
 			at := time.Now()
 			p.update(func() {
-				p.list = EndpointList{Generation: 2, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1", Zone: "a",
-					MachineType: "std", Dest: 2, Lifecycle: "draining"})}
+				p.list = EndpointList{Generation: 2, Instances: append(instances(e), Instance{
+					ID:          "drains",
+					HostPort:    "127.0.0.1:1",
+					Zone:        "a",
+					MachineType: "std",
+					Dest:        2,
+					Lifecycle:   "draining",
+				})}
 			})
 			proc = startWithFaults(t, p, dir, configText(p, p.list), step)
 			proc.addr = receive(t, proc.ready, "ready program")
@@ -146,7 +153,8 @@
 	}
 }
 
-// A transient read error must not be taken for the end of the journal: the messages in the records after it are owed.
+// A transient read error must not be taken for the end of the journal: the messages in the records after it would be
+// lost.
 func TestReadErrorAtStartLosesNothing(t *testing.T) {
 	p, e, dir, known := newSingleEndpoint(t)
 	proc := startProcess(t, p, dir, known)
@@ -164,9 +172,13 @@
 // A transient error at the start may delay readiness for as long as it lasts, but must not end the process.
 func TestStartSurvivesTransientErrors(t *testing.T) {
 	const span = 1500 * time.Millisecond
-	for name, make := range map[string]func() []faultinject.Fault{
-		"folder full":        func() []faultinject.Fault { return faultsFor(span, syscall.ENOSPC, "open", "pwrite", "truncate") },
-		"folder fails":       func() []faultinject.Fault { return faultsFor(span, syscall.EIO, "open", "unlink", "truncate") },
+	for name, makeFaults := range map[string]func() []faultinject.Fault{
+		"folder full": func() []faultinject.Fault {
+			return faultsFor(span, syscall.ENOSPC, "open", "pwrite", "truncate")
+		},
+		"folder fails": func() []faultinject.Fault {
+			return faultsFor(span, syscall.EIO, "open", "unlink", "truncate")
+		},
 		"truncation fails":   func() []faultinject.Fault { return faultsFor(span, syscall.EIO, "truncate") },
 		"lock interrupted":   func() []faultinject.Fault { return faultsFor(span, syscall.EINTR, "lock") },
 		"no socket":          func() []faultinject.Fault { return faultsAnywhere(span, syscall.ENOBUFS, "socket") },
@@ -179,12 +191,12 @@
 			proc := startProcess(t, p, dir, known)
 			ids := acceptUnsent(t, proc, e, 16000, 2)
 			proc.kill()
-			begun := time.Now()
-			proc = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: make()})
+			startedAt := time.Now()
+			proc = startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: makeFaults()})
 			select {
 			case proc.addr = <-proc.ready:
 			case err := <-proc.exited:
-				t.Fatalf("ended with %v after %v", err, time.Since(begun))
+				t.Fatalf("ended with %v after %v", err, time.Since(startedAt))
 			case <-time.After(span + 3*time.Second):
 				t.Fatal("not ready after the errors have ended")
 			}
@@ -254,8 +266,13 @@
 	known := EndpointList{Generation: 5, Reset: true, Instances: instances(e)}
 	old.list, fresh.list = known, known
 	now := faultTime()
-	proc := startWithFaults(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "open",
-		Errno: syscall.ENFILE, From: now + 800*time.Millisecond, To: now + 1800*time.Millisecond, Chance: 1}}})
+	proc := startWithFaults(t, old, dir, configText(old, known), faultinject.Plan{Faults: []faultinject.Fault{{
+		Call:   "open",
+		Errno:  syscall.ENFILE,
+		From:   now + 800*time.Millisecond,
+		To:     now + 1800*time.Millisecond,
+		Chance: 1,
+	}}})
 	receive(t, proc.ready, "ready program")
 	for faultinject.Now() < now+time.Second {
 		time.Sleep(10 * time.Millisecond)
@@ -274,37 +291,43 @@
 func TestReturnedIsNotSentAfterRestart(t *testing.T) {
 	p, e, dir, known := newSingleEndpoint(t)
 	now := faultTime()
-	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "pwrite", On: faultinject.StateFiles,
-		Errno: syscall.EIO, From: now + faultDelay, To: now + time.Minute, Chance: 1}}})
+	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{
+		Call:   "pwrite",
+		On:     faultinject.StateFiles,
+		Errno:  syscall.EIO,
+		From:   now + faultDelay,
+		To:     now + time.Minute,
+		Chance: 1,
+	}}})
 	proc.addr = receive(t, proc.ready, "ready program")
 	c := dialClient(t, proc.addr)
-	const usual = time.Second // duration of a call; a message with less time left is returned
+	const callTime = time.Second // duration of a call; a message with less time left is returned
 	for i := range 5 {
-		c.put(fmt.Sprint("usual-", i), "safe", "+OK")
+		c.put(fmt.Sprint("early-", i), "safe", "+OK")
 	}
 	for range 5 {
 		in := receive(t, e.calls, "call")
-		time.AfterFunc(usual-time.Since(in.at), func() { in.reply(200) })
+		time.AfterFunc(callTime-time.Since(in.at), func() { in.reply(200) })
 	}
-	time.Sleep(usual + 50*time.Millisecond)
-	c.put("told-to-wait", "safe", "+OK")
+	time.Sleep(callTime + 50*time.Millisecond)
+	c.put("wait-requested", "safe", "+OK")
 	receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	const span = faultDelay + time.Second // the message is returned after the faults have begun
-	taken := time.Now()
-	c.putWithLifetime("held", "safe", int(span.Milliseconds()), "+OK")
+	submitted := time.Now()
+	c.putWithLifetime("late", "safe", int(span.Milliseconds()), "+OK")
 	returned := false
 	select {
 	case notice := <-p.notices:
-		returned = notice == Notice{ID: "held", State: "returned", AfterMS: notice.AfterMS}
-	case <-time.After(span - usual/2 - time.Since(taken)):
+		returned = notice == Notice{ID: "late", State: "returned", AfterMS: notice.AfterMS}
+	case <-time.After(span - callTime/2 - time.Since(submitted)):
 	}
 	proc.kill()
 	proc = startProcess(t, p, dir, known)
-	for wait := time.After(span - time.Since(taken)); ; {
+	for wait := time.After(span - time.Since(submitted)); ; {
 		select {
 		case in := <-e.calls:
 			in.reply(200)
-			if in.id() == "held" && returned {
+			if in.id() == "late" && returned {
 				t.Error("sent after it was returned")
 			}
 			continue
@@ -315,12 +338,17 @@
 	proc.kill()
 }
 
-// A read interrupted by a signal must not close the connection: it stays open, and requests on it are answered.
+// A read interrupted by a signal must not close the connection: it stays open, and requests on it get replies.
 func TestInterruptedReadKeepsConnection(t *testing.T) {
 	p, e, dir, known := newSingleEndpoint(t)
 	now := faultTime()
-	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "receive",
-		Errno: syscall.EINTR, From: now, To: now + time.Minute, Chance: 0.5}}})
+	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{
+		Call:   "receive",
+		Errno:  syscall.EINTR,
+		From:   now,
+		To:     now + time.Minute,
+		Chance: 0.5,
+	}}})
 	proc.addr = receive(t, proc.ready, "ready program")
 	c := dialClient(t, proc.addr)
 	for i := range 40 {
@@ -337,11 +365,16 @@
 			t.Parallel()
 			p, e, dir, known := newSingleEndpoint(t)
 			now := faultTime()
-			proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{Call: "accept",
-				Errno: errno, From: now + 700*time.Millisecond, To: now + 1700*time.Millisecond, Chance: 0.9}}})
+			proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{{
+				Call:   "accept",
+				Errno:  errno,
+				From:   now + 700*time.Millisecond,
+				To:     now + 1700*time.Millisecond,
+				Chance: 0.9,
+			}}})
 			proc.addr = receive(t, proc.ready, "ready program")
-			resting := dialClient(t, proc.addr)
-			resting.put("before", "safe", "+OK")
+			idle := dialClient(t, proc.addr)
+			idle.put("before", "safe", "+OK")
 			receive(t, e.calls, "call").reply(200)
 			for faultinject.Now() < now+700*time.Millisecond {
 				time.Sleep(10 * time.Millisecond)
@@ -350,7 +383,7 @@
 				dialClient(t, proc.addr).put(fmt.Sprint("new-", i), "safe", "+OK")
 				receive(t, e.calls, "call").reply(200)
 			}
-			resting.put("after", "safe", "+OK")
+			idle.put("after", "safe", "+OK")
 			receive(t, e.calls, "call").reply(200)
 			proc.kill()
 		})
@@ -359,7 +392,7 @@
 
 // The sender must go on if the reader of its log stalls or exits.
 func TestUnreadLogDoesNotBlock(t *testing.T) {
-	for name, closed := range map[string]bool{"reader stalls": false, "reader is gone": true} {
+	for name, closed := range map[string]bool{"reader stalls": false, "reader exits": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p, _, dir, known := newSingleEndpoint(t)
@@ -413,7 +446,7 @@
 	}
 }
 
-// A write that fails halfway may leave complete records in the file. No message that was refused because of it may be
+// A write that fails halfway may leave complete records in the file. No message that was rejected because of it may be
 // among them.
 func TestRejectedIsNotLeftInJournal(t *testing.T) {
 	for i := range 16 { // the position of the failure is random
@@ -427,12 +460,22 @@
 func testRejectedPartialWrite(t *testing.T) {
 	p, e, dir, known := newSingleEndpoint(t)
 	now := faultTime()
-	state := func(call string, errno syscall.Errno, most int, chance float64) faultinject.Fault {
-		return faultinject.Fault{Call: call, On: faultinject.StateFiles, Errno: errno, Most: most, Chance: chance,
-			From: now + faultDelay, To: now + time.Minute}
+	fault := func(call string, errno syscall.Errno, most int, chance float64) faultinject.Fault {
+		return faultinject.Fault{
+			Call:   call,
+			On:     faultinject.StateFiles,
+			Errno:  errno,
+			Most:   most,
+			Chance: chance,
+			From:   now + faultDelay,
+			To:     now + time.Minute,
+		}
 	}
 	proc := startWithFaults(t, p, dir, configText(p, known), faultinject.Plan{Faults: []faultinject.Fault{
-		state("pwrite", 0, 400, 1), state("pwrite", syscall.ENOSPC, 0, 0.5), state("open", syscall.EIO, 0, 1)}})
+		fault("pwrite", 0, 400, 1),
+		fault("pwrite", syscall.ENOSPC, 0, 0.5),
+		fault("open", syscall.EIO, 0, 1),
+	}})
 	proc.addr = receive(t, proc.ready, "ready program")
 	c := dialClient(t, proc.addr)
 	c.putWithLifetime("first", "safe", 16000, "+OK")
@@ -441,29 +484,30 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	c = dialClient(t, proc.addr) // the first connection may have been closed as idle
-	refused := map[string]bool{}
+	rejected := map[string]bool{}
 	var batch strings.Builder // sent together, so that one write has several records
 	const many = 6
 	for i := range many {
 		id := fmt.Sprint("m-", i)
 		opts := "c=unsafe,d=16000,dest=1"
-		fmt.Fprintf(&batch, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\nx\r\n", len(id), id, len(opts), opts)
+		fmt.Fprintf(&batch, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\nx\r\n",
+			len(id), id, len(opts), opts)
 	}
 	io.WriteString(c.conn, batch.String())
 	for i := range many {
-		refused[fmt.Sprint("m-", i)] = strings.HasPrefix(c.readLine(), "-BUSY")
+		rejected[fmt.Sprint("m-", i)] = strings.HasPrefix(c.readLine(), "-BUSY")
 	}
 	proc.kill()
 	j := openJournal(t, dir, 3e6)
-	for id, busy := range refused {
+	for id, busy := range rejected {
 		if busy && j.Entry(id) != nil {
-			t.Errorf("%s was refused and is in the file", id)
+			t.Errorf("%s was rejected and is in the file", id)
 		}
 	}
 }
 
 // A standby process that takes over without a handover continues for the same sender. Changes of the list that the
-// previous process was told of must apply to it too, although its own list may be older.
+// previous owner has received must apply to it too, although its own list may be older.
 func TestTakeoverWithoutHandoverUsesNewList(t *testing.T) {
 	p, dir := newPlatform(t), t.TempDir()
 	stays, drains := newEndpoint(t), newEndpoint(t)
@@ -471,11 +515,11 @@
 	p.list = old
 	text := []byte(strings.Replace(string(configText(p, old)), `"on_request"`, `"pushed"`, 1))
 	proc := execProcess(t, p, dir, text)
-	proc.admin, proc.addr = receive(t, proc.adminReady, "operators' address"), receive(t, proc.ready, "ready program")
+	proc.adminAddr, proc.addr = receive(t, proc.adminReady, "operators' address"), receive(t, proc.ready, "ready program")
 	p.update(func() {
-		news := instances(stays, drains)
-		news[1].Lifecycle = "draining"
-		p.list = EndpointList{Generation: 2, Instances: news[1:]}
+		changed := instances(stays, drains)
+		changed[1].Lifecycle = "draining"
+		p.list = EndpointList{Generation: 2, Instances: changed[1:]}
 	})
 	proc.awaitLog("generation=2")
 	ids := acceptUnsent(t, proc, stays, 16000, 6)
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -8,9 +8,9 @@
 )
 
 // protocolGuard checks every send, repeat, write, end, close and start of service against the rules of the protocol. It
-// is independent of package logic: it relies only on what the sender has recorded and been told. Everything that
-// leaves this process passes through it. What it denies is not done. Having to deny something, or an end that comes too
-// late, is a violation, which is counted and logged with the id of the message; see allowSend for the one exception.
+// is independent of package logic: it relies only on what the sender has recorded and been told. Everything that leaves
+// this process passes through it. What it denies is not done. Having to deny something, or an end that comes too late,
+// is a violation, which is counted and logged with the id of the message; see allowSend for the one exception.
 //
 // All methods belong to the event loop, except call.claimWrite.
 type protocolGuard struct {
@@ -44,7 +44,7 @@
 	violationReturnedMayHaveRun  violation = "returned-run"  // message returned as not delivered although it may have run
 	violationRejectedAccepted    violation = "refused-taken" // rejection of a message that is in the journal
 	violationOverdue             violation = "overdue"       // no end by the message's deadline
-	violationClosedWithRequests  violation = "closed-open"   // client connection closed with unanswered requests
+	violationClosedWithRequests  violation = "closed-open"   // client connection closed with requests without a reply
 	violationNotOwner            violation = "not-owner"     // service without the state lock or the journal
 	noViolation                  violation = ""
 )
@@ -68,8 +68,8 @@
 	violationNotOwner,
 }
 
-// overdueGrace is how long after its deadline a message that has not ended counts as overdue. The protocol allows 300 ms
-// for its notice.
+// overdueGrace is how long after its deadline a message that has not ended counts as overdue. The protocol allows
+// 300 ms for its notice.
 const overdueGrace = 300 * time.Millisecond
 
 func newProtocolGuard(n *Node) *protocolGuard {
@@ -170,8 +170,8 @@
 	}
 }
 
-// checkEnd checks an end decided by package logic. It only reports violations: the notice is sent in any case, because a
-// message without an end would be lost.
+// checkEnd checks an end decided by package logic. It only reports violations: the notice is sent in any case, because
+// a message without an end would be lost.
 func (g *protocolGuard) checkEnd(m *activeMessage, notice Notice) {
 	entry := g.node.journal.Entry(notice.ID)
 	v := noViolation
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -12,9 +12,9 @@
 func TestGuardDeniesSend(t *testing.T) {
 	const id = "m"
 	for _, test := range []struct {
-		rule  violation
-		class string
-		spoil func(n *Node, m *activeMessage, e *Entry)
+		rule      violation
+		class     string
+		breakRule func(n *Node, m *activeMessage, e *Entry)
 	}{
 		{noViolation, "unsafe", func(*Node, *activeMessage, *Entry) {}},
 		{violationAlreadyEnded, "safe", func(_ *Node, m *activeMessage, _ *Entry) { m.ended = true }},
@@ -22,7 +22,9 @@
 		{violationNotAccepted, "safe", func(n *Node, _ *activeMessage, _ *Entry) { delete(n.journal.entries, id) }},
 		{violationAlreadyInFlight, "safe", func(_ *Node, m *activeMessage, _ *Entry) { m.call = &call{} }},
 		{violationWrongDestination, "safe", func(_ *Node, m *activeMessage, _ *Entry) { m.msg.Dest = 2 }},
-		{violationEndpointUnavailable, "safe", func(n *Node, _ *activeMessage, _ *Entry) { n.directory.unavailable[1] = true }},
+		{violationEndpointUnavailable, "safe", func(n *Node, _ *activeMessage, _ *Entry) {
+			n.directory.unavailable[1] = true
+		}},
 		{violationWaitNotOver, "safe", func(n *Node, _ *activeMessage, _ *Entry) { n.guard.noteWait(1, time.Minute) }},
 		{violationAttemptsUsedUp, "safe", func(_ *Node, m *activeMessage, _ *Entry) { m.attempts = 3 }},
 		{violationDeadlinePassed, "safe", func(n *Node, m *activeMessage, _ *Entry) { m.msg.Deadline = n.clock.Now() - 1 }},
@@ -39,11 +41,17 @@
 	} {
 		e := newEndpoint(t)
 		n := newIdleNode(t, e)
-		msg := Message{ID: id, Class: test.class, Dest: 1, Deadline: n.clock.Now() + time.Minute.Microseconds(), Body: []byte("x")}
+		msg := Message{
+			ID:       id,
+			Class:    test.class,
+			Dest:     1,
+			Deadline: n.clock.Now() + time.Minute.Microseconds(),
+			Body:     []byte("x"),
+		}
 		mustAppend(t, n.journal, record{Op: opAccept, Entry: &Entry{Message: msg}})
 		entry := n.journal.Entry(id)
 		m := &activeMessage{msg: &entry.Message}
-		test.spoil(n, m, entry)
+		test.breakRule(n, m, entry)
 		n.stepTime = n.clock.Now()
 		if got := n.guard.allowSend(m, 1); got != (test.rule == noViolation) {
 			t.Errorf("%q: permitted %v", test.rule, got)
@@ -57,12 +65,12 @@
 // A send that was decided in time but has become too late since must be denied without counting as a violation.
 func TestGuardDeniesLateSend(t *testing.T) {
 	n := newIdleNode(t, newEndpoint(t))
-	h := addJournaledMessage(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
+	m := addJournaledMessage(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
 	e := n.journal.Entry("m")
-	window := int64(n.cfg.classOf(h.msg).DedupWindow)
+	window := int64(n.cfg.classOf(m.msg).DedupWindow)
 	e.MayHaveRun, e.FirstMayRunAt = true, n.clock.Now()-window-1
 	n.stepTime = e.FirstMayRunAt + window - 1
-	if n.guard.allowSend(h, 1) {
+	if n.guard.allowSend(m, 1) {
 		t.Error("permitted after the window")
 	}
 	if !strings.Contains(n.metrics.text(), metricPrefix+"violations=0\n") {
@@ -70,24 +78,24 @@
 	}
 }
 
-// The module must get the times as of the step. A message that waits for a step would otherwise seem to have more time
-// left, and an earlier attempt to be more recent.
+// Package logic must get the times as of the step. A message that waits for a step would otherwise seem to have more
+// time left, and an earlier attempt to be more recent.
 func TestMessageTimesSetAtStep(t *testing.T) {
 	n := newIdleNode(t, newEndpoint(t))
-	h := addJournaledMessage(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
-	n.active["m"] = h
-	n.journal.Entry("m").FirstMayRunAt = h.msg.Deadline - 7_000_000
-	c := n.logicMessage(h.msg)
-	c.History = logic.History{Accepted: true, Attempts: 1, MayHaveRun: true}
-	events := []logic.Event{logic.TimerFired{}, c}
-	n.stepTime = h.msg.Deadline - 2_000_000
+	m := addJournaledMessage(t, n, Message{ID: "m", Class: "keyed", Dest: 1})
+	n.active["m"] = m
+	n.journal.Entry("m").FirstMayRunAt = m.msg.Deadline - 7_000_000
+	message := n.logicMessage(m.msg)
+	message.History = logic.History{Accepted: true, Attempts: 1, MayHaveRun: true}
+	events := []logic.Event{logic.TimerFired{}, message}
+	n.stepTime = m.msg.Deadline - 2_000_000
 	n.setMessageTimes(events)
 	if got := events[1].(logic.Message); got.TimeLeft != 2_000_000 || got.History.Age != 5_000_000 {
 		t.Errorf("left %d us, age %d us; want 2 s, 5 s", got.TimeLeft, got.History.Age)
 	}
 }
 
-// Returned messages, refusals and messages past their deadline must be checked, and each violation counted once.
+// Returned messages, rejections and messages past their deadline must be checked, and each violation counted once.
 func TestGuardChecksEnds(t *testing.T) {
 	n := newIdleNode(t, newEndpoint(t))
 	for _, id := range []string{"ran", "late"} {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -15,8 +15,8 @@
 
 // packet is what the two processes of a handover exchange after their greetings. First the owner sends its state, the
 // successor accepts it, and the owner releases its ownership. From then on the predecessor, as the former owner is
-// called, forwards what it receives from clients and endpoints, and the successor sends replies and cancellations. One of
-// the fields is set.
+// called, forwards what it receives from clients and endpoints, and the successor sends replies and cancellations. One
+// of the fields is set.
 type packet struct {
 	State       *handoverState    `json:",omitempty"`
 	Accepted    bool              `json:"Understood,omitempty"`
@@ -461,7 +461,7 @@
 		}
 	case <-t.C:
 		s.link.close()
-		return errors.New("the successor did not answer")
+		return errors.New("the successor did not reply")
 	}
 	if err := s.link.write(packet{Released: true}); err != nil {
 		return err
@@ -547,8 +547,8 @@
 }
 
 // relayUntilIdle does the remaining work after a handover: it forwards the messages that arrive on clients' connections
-// until all of those are closed, and the results of the calls in flight. Whatever has not ended when shutdownTimeout has
-// passed since SIGTERM is abandoned.
+// until all of those are closed, and the results of the calls in flight. Whatever has not ended when shutdownTimeout
+// has passed since SIGTERM is abandoned.
 func (n *Node) relayUntilIdle(workCtx context.Context) {
 	n.listener.Close() // the successor shares the socket, so connections waiting to be accepted are not lost
 	n.discovery.close()
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -50,7 +50,7 @@
 	f.t.Helper()
 	proc := launchProcess(f.t, f.platform, f.dir, f.known)
 	proc.awaitLog("stands by")
-	if got := adminCommand(f.t, proc.admin, "ready\n"); got != "+OK\n" {
+	if got := adminCommand(f.t, proc.adminAddr, "ready\n"); got != "+OK\n" {
 		f.t.Fatalf("ready: %q", got)
 	}
 	return proc
@@ -62,9 +62,9 @@
 	p.addr = receive(p.t, p.ready, "ready program")
 }
 
-// In an upgrade the old process keeps its connections and calls until they end, while the new one handles their
-// outcomes. No unsafe message may fail or run twice, and clients must not notice the upgrade. The second round upgrades a
-// process that has itself taken over.
+// In an upgrade the predecessor keeps its connections and calls until they end, while the successor handles their
+// outcomes. No unsafe message may fail or run twice, and clients must not notice the upgrade. The second round upgrades
+// a process that has itself taken over.
 func TestUpgrade(t *testing.T) {
 	fixture := newUpgradeFixture(t)
 	proc := fixture.start()
@@ -76,7 +76,7 @@
 		incomplete := dialClient(t, proc.addr)
 		io.WriteString(incomplete.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$5\r\n"+id("half")+"\r\n")
 		next := fixture.startStandby()
-		if got := adminCommand(t, next.admin, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
+		if got := adminCommand(t, next.adminAddr, "resume\n"); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("resume of a standby process: %q", got)
 		}
 		proc.terminate()
@@ -84,10 +84,10 @@
 		if next.addr != proc.addr {
 			t.Fatalf("serves at %s, want %s", next.addr, proc.addr)
 		}
-		if got := adminCommand(t, proc.admin, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("the old process is ready: %q", got)
+		if got := adminCommand(t, proc.adminAddr, "ready\n"); !strings.HasPrefix(got, "-ERR ") {
+			t.Errorf("the predecessor is ready: %q", got)
 		}
-		// Read by the old process, accepted by the new one.
+		// Read by the predecessor, accepted by the successor.
 		io.WriteString(incomplete.conn, "$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n")
 		if got := incomplete.readLine(); got != "+OK" {
 			t.Errorf("relayed: %q", got)
@@ -98,16 +98,16 @@
 		}
 		in.reply(200)
 		if got := c.readLine(); got != "" {
-			t.Errorf("got %q on an idle connection of the old process", got)
+			t.Errorf("got %q on an idle connection of the predecessor", got)
 		}
 		c = dialClient(t, next.addr)
 		if got := c.do("PING"); got != "+PONG" {
 			t.Errorf("PING: %q", got)
 		}
-		c.put(id("charge"), "unsafe", "+OK") // a repeated put: the new process has the message already
+		c.put(id("charge"), "unsafe", "+OK") // a repeated put: the successor has the message already
 		c.put(id("new"), "unsafe", "+OK")
 		receive(t, fixture.endpoint.calls, "call").reply(200)
-		text := adminCommand(t, next.admin, "show-stat\n")
+		text := adminCommand(t, next.adminAddr, "show-stat\n")
 		if n := metricValue(t, text, "edge_balancer.open_requests"); n < 1 || n > 3 {
 			t.Errorf("open_requests=%d", n)
 		}
@@ -118,7 +118,7 @@
 			if time.Now().After(stop) {
 				t.Fatalf("the charge is not counted as delivered:\n%s", text)
 			}
-			text = adminCommand(t, proc.admin, "show-stat\n")
+			text = adminCommand(t, proc.adminAddr, "show-stat\n")
 		}
 	}
 	proc.terminate()
@@ -128,11 +128,11 @@
 		t.Errorf("notice %+v", <-fixture.platform.notices)
 	}
 	if ids := journaledMessageIDs(t, fixture.dir); ids != nil {
-		t.Errorf("still owed: %v", ids)
+		t.Errorf("still in the journal: %v", ids)
 	}
 }
 
-// A wait that an endpoint has asked for, and the attempts made so far, must still count after a handover.
+// A wait that an endpoint has requested, and the attempts made so far, must still count after a handover.
 func TestUpgradeKeepsWaits(t *testing.T) {
 	fixture := newUpgradeFixture(t)
 	proc := fixture.start()
@@ -140,7 +140,7 @@
 	in := receive(t, fixture.endpoint.calls, "call")
 	next := fixture.startStandby()
 	in.reply(429, "X-Come-Back-Ms: 1500")
-	told := time.Now()
+	requestedAt := time.Now()
 	awaitJournalText(t, fixture.dir, `"op":3`)
 	proc.terminate()
 	next.awaitReady()
@@ -148,7 +148,7 @@
 	c.put("b", "unsafe", "+OK")
 	for range 2 {
 		in := receive(t, fixture.endpoint.calls, "call")
-		if d := in.at.Sub(told); d < 1500*time.Millisecond {
+		if d := in.at.Sub(requestedAt); d < 1500*time.Millisecond {
 			t.Errorf("%s was sent %v after a wait of 1.5 s", in.id(), d)
 		}
 		in.reply(200)
@@ -159,23 +159,23 @@
 }
 
 // awaitJournalText waits until the journal file contains a text.
-func awaitJournalText(t *testing.T, dir, op string) {
+func awaitJournalText(t *testing.T, dir, text string) {
 	t.Helper()
 	for stop := time.Now().Add(testTimeout); ; {
 		b, err := os.ReadFile(dir + "/" + journalFile)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.Contains(string(b), op) {
+		if strings.Contains(string(b), text) {
 			return
 		}
 		if time.Now().After(stop) {
-			t.Fatalf("no %s in the journal", op)
+			t.Fatalf("no %s in the journal", text)
 		}
 	}
 }
 
-// If the old process is killed after the handover, its calls in flight may have run.
+// If the predecessor is killed after the handover, its calls in flight may have run.
 func TestUpgradeThenKill(t *testing.T) {
 	fixture := newUpgradeFixture(t)
 	proc := fixture.start()
@@ -213,7 +213,7 @@
 	proc.terminate()
 	proc.awaitExit()
 	if ids := journaledMessageIDs(t, fixture.dir); ids != nil {
-		t.Errorf("still owed: %v", ids)
+		t.Errorf("still in the journal: %v", ids)
 	}
 }
 
@@ -227,7 +227,7 @@
 	receive(t, fixture.endpoint.calls, "call")
 	next := fixture.startStandby()
 	proc.kill()
-	late := dialClient(t, proc.addr) // possibly before the new process serves
+	late := dialClient(t, proc.addr) // possibly before the successor serves
 	next.awaitReady()
 	late.put("b", "safe", "+OK")
 	receive(t, fixture.endpoint.calls, "call").reply(200)
@@ -238,8 +238,8 @@
 	next.awaitExit()
 }
 
-// After SIGHUP during an upgrade the standby process uses the new address once it has taken over, both for discovery and
-// for the notices that are owed.
+// After SIGHUP during an upgrade the standby process uses the new address once it has taken over, both for discovery
+// and for unconfirmed notices.
 func TestReloadDuringUpgrade(t *testing.T) {
 	fixture := newUpgradeFixture(t)
 	fresh := newPlatform(t)
@@ -253,7 +253,7 @@
 	proc.terminate()
 	next.awaitReady()
 	if q := receive(t, fresh.listRequests, "call at the new address"); q != "" {
-		t.Errorf("asked %q, want the whole list", q)
+		t.Errorf("requested %q, want the full list", q)
 	}
 	in.reply(500)
 	if notice := receive(t, fresh.notices, "notice at the new address"); notice != (Notice{ID: "u", State: "failed"}) {
@@ -301,10 +301,10 @@
 
 // A successor must reject an incomplete or invalid handover, and continue from the journal alone.
 func TestInvalidHandover(t *testing.T) {
-	whole := []byte(`{"State":{"Module":"e30="}}`)
-	frame := binary.LittleEndian.AppendUint32(nil, uint32(len(whole)))
-	frame = binary.LittleEndian.AppendUint32(frame, crc32.ChecksumIEEE(whole))
-	frame = append(frame, whole...)
+	body := []byte(`{"State":{"Module":"e30="}}`)
+	frame := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
+	frame = binary.LittleEndian.AppendUint32(frame, crc32.ChecksumIEEE(body))
+	frame = append(frame, body...)
 	corrupt := append([]byte{}, frame...)
 	corrupt[len(corrupt)-4] ^= 1
 	for name, b := range map[string][]byte{
@@ -321,7 +321,13 @@
 			fixture := newUpgradeFixture(t)
 			lock, accept := fakeOwner(t, fixture.dir)
 			j := openJournal(t, fixture.dir, 3e6)
-			m := Message{ID: "kept", Class: "unsafe", Dest: 1, Deadline: time.Now().Add(time.Minute).UnixMicro(), Body: []byte("x")}
+			m := Message{
+				ID:       "kept",
+				Class:    "unsafe",
+				Dest:     1,
+				Deadline: time.Now().Add(time.Minute).UnixMicro(),
+				Body:     []byte("x"),
+			}
 			if err := j.Append([]record{{Op: opAccept, Entry: &Entry{Message: m}}}); err != nil {
 				t.Fatal(err)
 			}
@@ -379,7 +385,7 @@
 			in.reply(200)
 			proc.awaitExit()
 			if ids := journaledMessageIDs(t, fixture.dir); ids != nil {
-				t.Errorf("still owed: %v", ids)
+				t.Errorf("still in the journal: %v", ids)
 			}
 		})
 	}
@@ -397,7 +403,7 @@
 
 func (f *failingListener) Close() error { return nil }
 
-// On a platform that refuses Unix sockets, accepting fails every few milliseconds. This must be logged once only.
+// On a platform without Unix sockets, accepting fails every few milliseconds. This must be logged once only.
 func TestHandoverAcceptErrorIsLoggedOnce(t *testing.T) {
 	var log strings.Builder
 	n := &Node{log: slog.New(slog.NewTextHandler(&log, nil))}
@@ -421,20 +427,20 @@
 	proc.awaitExit()
 }
 
-// A call that the predecessor has in flight must count as in flight here too: a wait puts it on hold while it is still
-// connecting, and its endpoint is in use until it ends.
+// A call that the predecessor has in flight must count as in flight here too: a requested wait aborts it while it is
+// still connecting, and its endpoint is in use until it ends.
 func TestPredecessorCallIsInFlight(t *testing.T) {
-	old, n := newStoppedNode(t, t.TempDir()), newStoppedNode(t, t.TempDir())
+	owner, n := newStoppedNode(t, t.TempDir()), newStoppedNode(t, t.TempDir())
 	rec := acceptRecord("a", 10)
 	mustAppend(t, n.journal, rec)
-	old.active["a"] = &activeMessage{msg: &rec.Entry.Message}
-	old.attemptStarted(old.active["a"], &call{id: "a", endpoint: 7, state: new(atomic.Int32)}, func() {})
-	st, err := old.collectHandoverState()
+	owner.active["a"] = &activeMessage{msg: &rec.Entry.Message}
+	owner.attemptStarted(owner.active["a"], &call{id: "a", endpoint: 7, state: new(atomic.Int32)}, func() {})
+	state, err := owner.collectHandoverState()
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.predecessor = &predecessor{link: &link{conn: new(net.UnixConn)}, calls: map[string]*call{}}
-	if err := n.restoreHandover(st); err != nil {
+	if err := n.restoreHandover(state); err != nil {
 		t.Fatal(err)
 	}
 	c := n.predecessor.calls["a"]
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// testEndpoint is an endpoint whose calls are answered one by one by the test.
+// testEndpoint is an endpoint to whose calls the test responds one by one.
 type testEndpoint struct {
 	ln    net.Listener
 	calls chan *receivedCall
@@ -122,7 +122,14 @@
 			conn.Close()
 			return
 		}
-		c := &receivedCall{req: req, body: string(body), at: time.Now(), conn: conn, reader: r, keepReading: make(chan bool, 1)}
+		c := &receivedCall{
+			req:         req,
+			body:        string(body),
+			at:          time.Now(),
+			conn:        conn,
+			reader:      r,
+			keepReading: make(chan bool, 1),
+		}
 		e.calls <- c
 		if !<-c.keepReading {
 			return
@@ -147,19 +154,23 @@
 	srv             *httptest.Server
 	notices         chan Notice
 	listRequests    chan string // query of each request for the list
-	rejectedNotices chan int    // number of lines of each refused request with notices
+	rejectedNotices chan int    // number of notices in each rejected request
 	mu              sync.Mutex
 	list            EndpointList
 	changed         chan struct{} // closed when the list changes
 	down            bool          // discovery responds 503 to all requests
-	holdLists       bool          // requests for the list are never answered
-	rejectNotices   bool          // notices are refused
+	holdLists       bool          // requests for the list get no response
+	rejectNotices   bool          // requests with notices are rejected
 }
 
 func newPlatform(t *testing.T) *testPlatform {
 	t.Helper()
-	p := &testPlatform{notices: make(chan Notice, 64), listRequests: make(chan string, 1024), rejectedNotices: make(chan int, 1024),
-		changed: make(chan struct{})}
+	p := &testPlatform{
+		notices:         make(chan Notice, 64),
+		listRequests:    make(chan string, 1024),
+		rejectedNotices: make(chan int, 1024),
+		changed:         make(chan struct{}),
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", p.hosts)
 	mux.HandleFunc("/v1/outcomes", p.outcomes)
@@ -228,14 +239,21 @@
 func instances(eps ...*testEndpoint) []Instance {
 	var out []Instance
 	for i, e := range eps {
-		out = append(out, Instance{ID: fmt.Sprintf("s-%d", i), HostPort: e.addr(), Zone: "a", MachineType: "std", Dest: 1,
-			Lifecycle: "up", Weight: 100})
+		out = append(out, Instance{
+			ID:          fmt.Sprintf("s-%d", i),
+			HostPort:    e.addr(),
+			Zone:        "a",
+			MachineType: "std",
+			Dest:        1,
+			Lifecycle:   "up",
+			Weight:      100,
+		})
 	}
 	return out
 }
 
-// newSingleEndpoint returns a platform that lists one endpoint, that endpoint, a state folder for a sender, and the list
-// for the sender's configuration.
+// newSingleEndpoint returns a platform that lists one endpoint, that endpoint, a state folder for a sender, and the
+// list for the sender's configuration.
 func newSingleEndpoint(t *testing.T) (p *testPlatform, e *testEndpoint, dir string, known EndpointList) {
 	t.Helper()
 	p, e = newPlatform(t), newEndpoint(t)
@@ -244,7 +262,7 @@
 	return p, e, t.TempDir(), known
 }
 
-// testSettings are the settings of the tests, with one class of each effect.
+// testSettings are the settings of the tests, with one class of each idempotency.
 const testSettings = `{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"tick_s":0.005,"membership_mode":"on_request",
 "weights":"nominal","over_share_worth":0.2,"machine_types":["std"],
 "classes":[
@@ -260,10 +278,15 @@
 
 // configText returns the text of a configuration file.
 func configText(p *testPlatform, known EndpointList) []byte {
-	b, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0",
-		"discovery": strings.TrimPrefix(p.srv.URL, "http://"), "seed": "1f",
-		"limits": Limits{Cores: 1, MemoryMB: 192, Sockets: 256, DiskMB: 3}, "known": known,
-		"settings": json.RawMessage(testSettings)})
+	b, err := json.Marshal(map[string]any{
+		"name":      "n0",
+		"listen":    "127.0.0.1:0",
+		"discovery": strings.TrimPrefix(p.srv.URL, "http://"),
+		"seed":      "1f",
+		"limits":    Limits{Cores: 1, MemoryMB: 192, Sockets: 256, DiskMB: 3},
+		"known":     known,
+		"settings":  json.RawMessage(testSettings),
+	})
 	if err != nil {
 		panic(err)
 	}
@@ -385,8 +408,11 @@
 	}
 }
 
-// startNodeWithEndpoints starts a sender with a number of endpoints of destination 1, a connected client and a platform.
-func startNodeWithEndpoints(t *testing.T, endpoints int, options ...func(*Node)) (*testNode, *testClient, *testPlatform, []*testEndpoint) {
+// startNodeWithEndpoints starts a sender with a number of endpoints of destination 1, a connected client and a
+// platform.
+func startNodeWithEndpoints(
+	t *testing.T, endpoints int, options ...func(*Node),
+) (*testNode, *testClient, *testPlatform, []*testEndpoint) {
 	t.Helper()
 	p := newPlatform(t)
 	var eps []*testEndpoint
--- a/internal/node/idle_clients_test.go
+++ b/internal/node/idle_clients_test.go
@@ -14,27 +14,28 @@
 )
 
 // limitDescriptors sets the descriptor limit of a running process.
-func (x *process) limitDescriptors(descriptors int) {
-	x.t.Helper()
+func (p *process) limitDescriptors(descriptors int) {
+	p.t.Helper()
 	limit := syscall.Rlimit{Cur: uint64(descriptors), Max: uint64(descriptors)}
-	if _, _, err := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(x.cmd.Process.Pid), syscall.RLIMIT_NOFILE,
+	if _, _, err := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(p.cmd.Process.Pid), syscall.RLIMIT_NOFILE,
 		uintptr(unsafe.Pointer(&limit)), 0, 0, 0); err != 0 {
-		x.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 }
 
 // openDescriptors returns the number of descriptors that a process has open.
-func (x *process) openDescriptors() int {
-	x.t.Helper()
-	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", x.cmd.Process.Pid))
+func (p *process) openDescriptors() int {
+	p.t.Helper()
+	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
-		x.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	return len(open)
 }
 
 // openIdleClients connects clients that send nothing and stay connected, 200 per second until the end of the test. Each
-// may stay for more than 2 s, so that there are more of them than descriptors. It returns once one has been disconnected.
+// may stay for more than 2 s, so that there are more of them than descriptors. It returns once one has been
+// disconnected.
 func openIdleClients(t *testing.T, addr string) {
 	t.Helper()
 	stop, closed := make(chan struct{}), make(chan struct{}, 1)
@@ -67,22 +68,22 @@
 
 // Silent clients use up the client connections while discovery is down. They must not starve the rest of the process:
 // when discovery is back, and with the silent clients still connected, the list is fetched, calls are made, notices
-// reach the platform, and operators and new clients are answered.
+// reach the platform, and operators and new clients get replies.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	p, e, added := newPlatform(t), newEndpoint(t), newEndpoint(t)
 	known := EndpointList{Generation: 1, Reset: true, Instances: instances(e)}
 	p.list, p.holdLists = known, true
-	x := startProcess(t, p, t.TempDir(), known)
-	t.Cleanup(func() { x.kill() })
+	proc := startProcess(t, p, t.TempDir(), known)
+	t.Cleanup(func() { proc.kill() })
 	const sockets = 256 // as in the configuration
-	x.limitDescriptors(sockets)
+	proc.limitDescriptors(sockets)
 	receive(t, p.listRequests, "watch")
-	dialClient(t, x.addr).put("fails", "unsafe", "+OK")
+	dialClient(t, proc.addr).put("fails", "unsafe", "+OK")
 	failing := receive(t, e.calls, "call")
 
-	openIdleClients(t, x.addr)
+	openIdleClients(t, proc.addr)
 	maxClients := newSocketBudget(&Config{Limits: Limits{Sockets: sockets}}).clients
-	if n := x.openDescriptors(); n < maxClients {
+	if n := proc.openDescriptors(); n < maxClients {
 		t.Errorf("%d descriptors open, want %d at least", n, maxClients)
 	}
 	for len(p.listRequests) > 0 {
@@ -94,7 +95,7 @@
 		p.holdLists, p.list = false, EndpointList{Generation: 2, Reset: true, Instances: instances(e, added)}
 	})
 	awaitListGeneration(t, p, 2)
-	if got := adminCommand(t, x.admin, "ready\n"); got != "+OK\n" {
+	if got := adminCommand(t, proc.adminAddr, "ready\n"); got != "+OK\n" {
 		t.Errorf("operators get %q", got)
 	}
 	failing.reply(500)
@@ -102,7 +103,7 @@
 		t.Errorf("notice %+v", n)
 	}
 	for i := 0; ; i++ { // until the endpoint added by the new list gets a call
-		dialClient(t, x.addr).put(fmt.Sprint("m-", i), "safe", "+OK")
+		dialClient(t, proc.addr).put(fmt.Sprint("m-", i), "safe", "+OK")
 		var in *receivedCall
 		select {
 		case in = <-e.calls:
@@ -118,14 +119,14 @@
 			t.Fatal("the endpoint of the new list gets no calls")
 		}
 	}
-	if got := adminCommand(t, x.admin, "show-stat\n"); !strings.HasPrefix(got, "+OK\n") {
+	if got := adminCommand(t, proc.adminAddr, "show-stat\n"); !strings.HasPrefix(got, "+OK\n") {
 		t.Errorf("operators get %q", got)
 	}
-	if n := x.openDescriptors(); n < maxClients || n > sockets {
+	if n := proc.openDescriptors(); n < maxClients || n > sockets {
 		t.Errorf("%d descriptors at the end, want %d to %d", n, maxClients, sockets)
 	}
-	for len(x.logLines) > 0 { // neither side may use up the descriptors of the other
-		if line := <-x.logLines; strings.Contains(line, "too many open files") {
+	for len(proc.logLines) > 0 { // neither side may use up the descriptors of the other
+		if line := <-proc.logLines; strings.Contains(line, "too many open files") {
 			t.Fatal(line)
 		}
 	}
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -41,8 +41,7 @@
 	AfterMS int64  `json:"after_ms,omitempty"`
 }
 
-// Entry is the journal's state of a message that has not ended, or whose notice
-// the platform has not confirmed yet.
+// Entry is the journal's state of a message that has not ended, or whose notice the platform has not confirmed yet.
 type Entry struct {
 	Message
 	Attempts        int     `json:"tries,omitempty"`
@@ -96,8 +95,8 @@
 	fileDiskShare = 0.45
 	// damagedDiskShare is the share of the disk limit for the copy of damaged records.
 	damagedDiskShare = 0.05
-	// acceptFileShare is the share of a file that entries may fill before new messages are rejected. The rest is kept
-	// free for later records of messages that have already been accepted.
+	// acceptFileShare is the share of a file that entries may fill before new messages are rejected. The rest is kept free
+	// for later records of messages that have already been accepted.
 	acceptFileShare = 0.6
 	// rewriteRetryDelay is the minimum time between rewrites if one fails while it writes the new file.
 	rewriteRetryDelay = 250 * time.Millisecond
@@ -112,9 +111,8 @@
 	errTruncateFailed = errors.New("cannot truncate the file after a failed write")
 )
 
-// Journal keeps accepted messages in a file that survives the process. Records
-// are appended; when the file reaches its limit it is rewritten with the live
-// entries only. A Journal is not safe for concurrent use.
+// Journal keeps accepted messages in a file that survives the process. Records are appended; when the file reaches its
+// limit it is rewritten with the live entries only. A Journal is not safe for concurrent use.
 type Journal struct {
 	dir             string
 	file            *os.File
@@ -139,9 +137,8 @@
 	saveDamagedErr error // why the skipped bytes could not be copied
 }
 
-// OpenJournal replays the journal in dir and opens it for appending. The total
-// size of its files stays below diskBytes. A failed read is an error, unless
-// lenient is set: then the journal is taken to end before it.
+// OpenJournal replays the journal in dir and opens it for appending. The total size of its files stays below diskBytes.
+// A failed read is an error, unless lenient is set: then the journal is taken to end before it.
 func OpenJournal(dir string, diskBytes int64, lenient bool) (*Journal, error) {
 	disk := float64(diskBytes)
 	if diskBytes <= 0 || disk*fileDiskShare > maxFileBytes {
@@ -173,13 +170,13 @@
 
 // startClock resumes the clock of the records, or starts a new one. A new stamp is written before all other records.
 func (j *Journal) startClock() {
-	old := j.stamp
+	previous := j.stamp
 	if j.hasStamp {
 		j.clock, j.stamp = clock.Resume(j.stamp, j.latestTime)
 	} else { // written by an older build: its times are Unix time
 		j.clock, j.stamp = clock.Begin()
 	}
-	if !j.hasStamp || j.stamp != old {
+	if !j.hasStamp || j.stamp != previous {
 		j.pending = append(j.pending, record{Op: opClock, Clock: &j.stamp})
 	}
 }
@@ -216,8 +213,8 @@
 // errIncompleteRecord: the next bytes are not a complete, valid record.
 var errIncompleteRecord = errors.New("incomplete or damaged record")
 
-// readRecord reads the next record and returns its size in the file. Any error other than errIncompleteRecord is a
-// read error of the file.
+// readRecord reads the next record and returns its size in the file. Any error other than errIncompleteRecord is a read
+// error of the file.
 func readRecord(r io.Reader) (rec record, size int64, err error) {
 	var head [frameHeaderLen]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -311,11 +308,9 @@
 	return float64(j.liveBytes)+float64(body)*4/3+512 <= acceptFileShare*float64(j.maxBytes)
 }
 
-// Append writes records in a single write, in order, so that if the process dies
-// a later record is never in the file without the earlier ones. On an error the
-// caller must neither accept a message nor make a send that is among recs.
-// Records of past events take effect even then, and are written before any
-// others once writing works again.
+// Append writes records in a single write, in order, so that if the process dies a later record is never in the file
+// without the earlier ones. On an error the caller must neither accept a message nor make a send that is among recs.
+// Records of past events take effect even then, and are written before any others once writing works again.
 func (j *Journal) Append(recs []record) error {
 	if len(recs) == 0 && len(j.pending) == 0 {
 		return nil
@@ -340,8 +335,8 @@
 	return nil
 }
 
-// rewriteAndAppend rewrites the journal into a new file and appends recs to it. The error of the write to the current
-// file is why.
+// rewriteAndAppend rewrites the journal into a new file and appends recs to it. cause is the error of the write to the
+// current file.
 func (j *Journal) rewriteAndAppend(recs []record, cause error) error {
 	if err := j.Compact(); err != nil {
 		return errors.Join(cause, err)
@@ -376,8 +371,8 @@
 		return errJournalFull
 	}
 	if _, err := j.file.WriteAt(b, j.size); err != nil {
-		// A partial write must be removed: it would corrupt later records, and complete records in it must not be
-		// replayed. The number of bytes returned by WriteAt leaves out what its last system call wrote.
+		// A partial write must be removed: it would corrupt later records, and complete records in it must not be replayed.
+		// The number of bytes returned by WriteAt leaves out what its last system call wrote.
 		j.needsTruncate = true
 		if truncateErr := j.truncateTail(); truncateErr != nil {
 			return errors.Join(err, errTruncateFailed, truncateErr)
@@ -424,8 +419,7 @@
 	return append(b, body...), nil
 }
 
-// Compact rewrites the journal with the live entries only. The old file stays in
-// place until the new one is complete.
+// Compact rewrites the journal with the live entries only. The old file stays in place until the new one is complete.
 func (j *Journal) Compact() error {
 	recs := []record{{Op: opClock, Clock: &j.stamp}}
 	for _, e := range j.Entries() {
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -38,15 +38,15 @@
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
 	mustAppend(t, j, acceptRecord("sent", 3), acceptRecord("done", 3), acceptRecord("never", 3),
-		acceptRecord("may", 3), acceptRecord("ended", 3), acceptRecord("heard", 3))
+		acceptRecord("may", 3), acceptRecord("ended", 3), acceptRecord("confirmed", 3))
 	for _, id := range []string{"sent", "done", "never", "may"} {
 		mustAppend(t, j, record{Op: opSend, ID: id, At: 100, Zone: 1})
 	}
 	mustAppend(t, j, record{Op: opDone, ID: "done"}, record{Op: opOutcome, ID: "never"},
 		record{Op: opOutcome, ID: "may", MayHaveRun: true}, record{Op: opSend, ID: "may", At: 200, Zone: 0},
 		record{Op: opGiveUp, ID: "ended", Notice: &Notice{ID: "ended", State: "failed"}},
-		record{Op: opGiveUp, ID: "heard", Notice: &Notice{ID: "heard", State: "failed"}},
-		record{Op: opNoticeConfirmed, ID: "heard"})
+		record{Op: opGiveUp, ID: "confirmed", Notice: &Notice{ID: "confirmed", State: "failed"}},
+		record{Op: opNoticeConfirmed, ID: "confirmed"})
 	check := func(when string) {
 		t.Helper()
 		j := openJournal(t, dir, 3e6)
@@ -55,17 +55,18 @@
 			ids = append(ids, e.ID)
 		}
 		if got := fmt.Sprint(ids); got != "[sent never may ended]" {
-			t.Fatalf("%s: owed %v", when, got)
+			t.Fatalf("%s: entries %v", when, got)
 		}
-		if e := j.Entry("sent"); e.Attempts != 1 || !e.InFlight || e.MayHaveRun || e.FirstMayRunAt != 100 || e.FirstMayRunZone != 1 ||
-			string(e.Body) != "bbb" {
+		if e := j.Entry("sent"); e.Attempts != 1 || !e.InFlight || e.MayHaveRun || e.FirstMayRunAt != 100 ||
+			e.FirstMayRunZone != 1 || string(e.Body) != "bbb" {
 			t.Errorf("%s: sent: %+v", when, e)
 		}
 		if e := j.Entry("never"); e.Attempts != 1 || e.InFlight || e.MayHaveRun {
 			t.Errorf("%s: never: %+v", when, e)
 		}
 		// The window of a keyed message starts with the first attempt that may have run, not with the last.
-		if e := j.Entry("may"); e.Attempts != 2 || !e.InFlight || !e.MayHaveRun || e.FirstMayRunAt != 100 || e.FirstMayRunZone != 1 {
+		if e := j.Entry("may"); e.Attempts != 2 || !e.InFlight || !e.MayHaveRun || e.FirstMayRunAt != 100 ||
+			e.FirstMayRunZone != 1 {
 			t.Errorf("%s: may: %+v", when, e)
 		}
 		if e := j.Entry("ended"); e.End == nil || e.End.State != "failed" {
@@ -115,8 +116,8 @@
 	}
 }
 
-// Valid records after a damaged one are dropped. They must not reappear when a record of the same length is written over
-// the damaged one.
+// Valid records after a damaged one are dropped. They must not reappear when a record of the same length is written
+// over the damaged one.
 func TestJournalDropsRecordsAfterDamage(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
@@ -149,7 +150,7 @@
 }
 
 // The platform treats a state folder above its disk limit as a crash. Entries of ended messages must be removed to make
-// room. If no message has ended, new messages must be refused while there is still room for further records of the
+// room. If no message has ended, new messages must be rejected while there is still room for further records of the
 // accepted ones.
 func TestJournalStaysWithinDiskLimit(t *testing.T) {
 	dir := t.TempDir()
@@ -179,18 +180,18 @@
 		t.Errorf("after many rewrites: %+v", e)
 	}
 	if err := j.Append([]record{acceptRecord("big", 40_000)}); !errors.Is(err, errJournalFull) {
-		t.Errorf("got %v, want errFull", err)
+		t.Errorf("got %v, want errJournalFull", err)
 	}
 }
 
-// A failed write must not leave a partial record behind, nor accept a message. Past events among its records must not be
-// lost.
+// A failed write must not leave a partial record behind, nor accept a message. Past events among its records must not
+// be lost.
 func TestJournalWriteError(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
 	mustAppend(t, j, acceptRecord("a", 10), acceptRecord("b", 10))
 	writable := j.file
-	readOnly, err := os.Open(writable.Name()) // read-only
+	readOnly, err := os.Open(writable.Name())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,8 +217,13 @@
 	p, e, dir, known := newSingleEndpoint(t)
 	j := openJournal(t, dir, 3e6)
 	for _, id := range []string{"ran", "waits"} {
-		mustAppend(t, j, record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, Class: "forgotten", Dest: 1,
-			Deadline: j.clock.Now() + time.Minute.Microseconds(), Body: []byte("x")}}})
+		mustAppend(t, j, record{Op: opAccept, Entry: &Entry{Message: Message{
+			ID:       id,
+			Class:    "removed",
+			Dest:     1,
+			Deadline: j.clock.Now() + time.Minute.Microseconds(),
+			Body:     []byte("x"),
+		}}})
 	}
 	mustAppend(t, j, record{Op: opSend, ID: "ran", At: j.clock.Now()})
 	n := startNode(t, p, dir, known)
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -28,8 +28,8 @@
 // errBadFrame: the data received on the link is not a complete, valid frame.
 var errBadFrame = errors.New("invalid frame")
 
-// tryLock takes the lock on the state folder, and returns nil if another process holds it. The lock is released when the
-// file is closed or the process ends.
+// tryLock takes the lock on the state folder, and returns nil if another process holds it. The lock is released when
+// the file is closed or the process ends.
 func tryLock(dir string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// sendListener answers the successor's greeting and sends it the listener on which this process serves clients.
+// sendListener replies to the successor's greeting and sends it the listener on which this process serves clients.
 func (l *link) sendListener(listen string, ln *net.TCPListener) error {
 	if err := l.write(greeting{Version: linkProtocolVersion, Listen: listen}); err != nil {
 		return err
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -6,15 +6,14 @@
 	"io"
 )
 
-// maxListSize limits an encoded list, in bytes. An endpoint takes about 160 bytes at
-// most, so three times 70,000 endpoints fit.
+// maxListSize limits an encoded list, in bytes. An endpoint takes about 160 bytes at most, so three times 70,000
+// endpoints fit.
 const maxListSize = 32 << 20
 
 // errListTooLong means that a list exceeds maxListSize and was not read to its end.
 var errListTooLong = fmt.Errorf("list of more than %d bytes", maxListSize)
 
-// readList decodes discovery's response one entry at a time, so that the encoded
-// list is never in memory as a whole.
+// readList decodes discovery's response one entry at a time, so that the encoded list is never in memory as a whole.
 func readList(r io.Reader) (EndpointList, error) {
 	limited := &io.LimitedReader{R: r, N: maxListSize + 1}
 	var list EndpointList
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -102,7 +102,7 @@
 	shutdownAt      time.Time                 // time of SIGTERM; zero until then
 	predecessor     *predecessor              // nil if no process has handed over to this one, or it has ended
 	successor       *successor                // standby process that is ready to take over; nil if there is none
-	pendingPuts     []putEvent                // puts to be answered by the next step
+	pendingPuts     []putEvent                // puts that the next step replies to
 	pendingRecords  []record                  // journal records for the next step
 	pendingCalls    []pendingCall             // calls decided in the current step
 	clock           *clock.Lasting            // persistent clock, which continues across restarts
@@ -562,8 +562,8 @@
 	return fmt.Sprintf("-BUSY %d\r\n", (after+999)/1000)
 }
 
-// handleList applies a response of discovery. Calls that are still connecting to endpoints which are no longer ready are
-// aborted, and idle connections to those endpoints are closed.
+// handleList applies a response of discovery. Calls that are still connecting to endpoints which are no longer ready
+// are aborted, and idle connections to those endpoints are closed.
 func (n *Node) handleList(ev listEvent) {
 	if !n.discovery.accept(ev) {
 		return
@@ -821,8 +821,8 @@
 	n.metrics.outOfRotation.Store(int64(n.sender.OutOfRotation()))
 }
 
-// immediateReplies returns the replies, by message id, to puts that package logic ends in the step in which they arrived.
-// Their clients get the result as the reply to the put instead of a notice.
+// immediateReplies returns the replies, by message id, to puts that package logic ends in the step in which they
+// arrived. Their clients get the result as the reply to the put instead of a notice.
 func (n *Node) immediateReplies(actions []logic.Action) map[string]string {
 	replies := map[string]string{}
 	if len(n.pendingPuts) == 0 {
@@ -901,8 +901,8 @@
 	}
 }
 
-// startAttempt prepares an attempt for sendPendingCalls. An attempt whose record could not be written to the journal, or
-// that the guard denies, is not sent but reported to package logic as LocalFailure or Skipped.
+// startAttempt prepares an attempt for sendPendingCalls. An attempt whose record could not be written to the journal,
+// or that the guard denies, is not sent but reported to package logic as LocalFailure or Skipped.
 func (n *Node) startAttempt(workCtx context.Context, a logic.Send, written bool) {
 	m := n.active[a.ID]
 	if m == nil { // not accepted; package logic still expects exactly one result
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,8 +10,8 @@
 
 const metricPrefix = "edge_balancer."
 
-// metrics are the counters and gauges that operators read. Each message is counted once, when it ends. They are safe for
-// concurrent use.
+// metrics are the counters and gauges that operators read. Each message is counted once, when it ends. They are safe
+// for concurrent use.
 type metrics struct {
 	classes []string
 	byClass map[string]*classCounters // the map itself never changes
@@ -25,7 +25,7 @@
 	// Set by the event loop after each step.
 	openMessages    atomic.Int64 // accepted messages that have not ended
 	listedEndpoints atomic.Int64 // endpoints on discovery's list
-	outOfRotation   atomic.Int64 // listed endpoints that get no ordinary traffic
+	outOfRotation   atomic.Int64 // listed endpoints that get no regular traffic
 }
 
 // classCounters count the messages of a class by how they ended.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -51,8 +51,8 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// A client whose connection was closed may put the same message id again. That must not create a second message, whether
-// the first one is pending or delivered.
+// A client whose connection was closed may put the same message id again. That must not create a second message,
+// whether the first one is pending or delivered.
 func TestSameIDTwice(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1)
 	c.send("MSG.PUT", "0", "a", "c=safe,d=9000,dest=1", "x")
@@ -74,8 +74,8 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// A message that the module refuses in the step in which it arrives must be refused in the reply, with a time to retry
-// after, and without a notice.
+// A message that package logic rejects in the step in which it arrives must be rejected in the reply, with a time to
+// retry after, and without a notice.
 func TestImmediateReject(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.putWithLifetime("late", "safe", 1, "-BUSY 2000")
@@ -87,7 +87,7 @@
 	}
 }
 
-// Messages above max_open, or for which the journal has no room, must be refused.
+// Messages above max_open, or for which the journal has no room, must be rejected.
 func TestAdmissionLimits(t *testing.T) {
 	p := newPlatform(t)
 	cfg, err := ParseConfig(configText(p, EndpointList{}))
@@ -100,22 +100,25 @@
 		t.Fatal(err)
 	}
 	defer n.journal.Close()
-	n.directory.Apply(EndpointList{Reset: true, Instances: []Instance{{ID: "s", HostPort: "127.0.0.1:1", Dest: 1, Lifecycle: "up"}}}, time.Now())
-	answer := make(chan string, 1)
-	put := putEvent{Message{ID: "a", Class: "safe", Dest: 1, Body: make([]byte, 100)}, answer}
+	n.directory.Apply(EndpointList{
+		Reset:     true,
+		Instances: []Instance{{ID: "s", HostPort: "127.0.0.1:1", Dest: 1, Lifecycle: "up"}},
+	}, time.Now())
+	reply := make(chan string, 1)
+	put := putEvent{Message{ID: "a", Class: "safe", Dest: 1, Body: make([]byte, 100)}, reply}
 	n.openCount = cfg.Deployment.Settings.MaxOpen
-	if n.handlePut(put); receive(t, answer, "answer") != "-BUSY\r\n" {
+	if n.handlePut(put); receive(t, reply, "reply") != "-BUSY\r\n" {
 		t.Error("accepted above max_open")
 	}
 	n.openCount = 0
 	n.journal.maxBytes = 500
-	if n.handlePut(put); receive(t, answer, "answer") != "-BUSY\r\n" {
+	if n.handlePut(put); receive(t, reply, "reply") != "-BUSY\r\n" {
 		t.Error("accepted without room in the journal")
 	}
 }
 
-// A message that cannot be journalled must not be accepted: it would be lost with the process. It must not be sent
-// either, and the module must still get an outcome for the attempt, or one of its call slots would be lost forever.
+// A message that cannot be journaled must not be accepted: it would be lost with the process. It must not be sent
+// either, and package logic must still get a result for the attempt, or one of its call slots would be lost forever.
 func TestJournalFails(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
 	n, c, _, e := startNodeWithEndpoints(t, 1, func(n *Node) {
@@ -148,15 +151,15 @@
 	c.put("a", "safe", "+OK")
 	in := receive(t, e[0].calls, "call")
 	const wait = 400 * time.Millisecond
-	told := time.Now()
+	requestedAt := time.Now()
 	in.reply(429, "X-Come-Back-Ms: 400")
 	c.put("b", "safe", "+OK")
 	for range 2 {
 		in := receive(t, e[0].calls, "call")
-		if in.at.Sub(told) < wait {
+		if in.at.Sub(requestedAt) < wait {
 			// b may have been sent before the response was read; 100 ms are allowed for that.
-			if in.at.Sub(told) > 100*time.Millisecond {
-				t.Errorf("%s was sent %v after a wait of %v was requested", in.id(), in.at.Sub(told), wait)
+			if in.at.Sub(requestedAt) > 100*time.Millisecond {
+				t.Errorf("%s was sent %v after a wait of %v was requested", in.id(), in.at.Sub(requestedAt), wait)
 			}
 		}
 		in.reply(200)
@@ -168,19 +171,20 @@
 // attempts are used up.
 func TestRefusedAttemptsRetried(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
-	c.put("full", "unsafe", "+OK")
+	c.put("refused", "unsafe", "+OK")
 	receive(t, e[0].calls, "call").reply(503)
 	receive(t, e[0].calls, "second call").reply(200)
-	for _, answer := range [][]string{{"503", "X-Line-Busy: 1"}, {"504"}} {
-		c.put("moot"+answer[0], "unsafe", "+OK")
+	for _, response := range [][]string{{"503", "X-Line-Busy: 1"}, {"504"}} {
+		c.put("skipped-"+response[0], "unsafe", "+OK")
 		status := 503
-		if answer[0] == "504" {
+		if response[0] == "504" {
 			status = 504
 		}
 		for range 3 { // max_attempts
-			receive(t, e[0].calls, "call").reply(status, answer[1:]...)
+			receive(t, e[0].calls, "call").reply(status, response[1:]...)
 		}
-		if x := receive(t, p.notices, "notice"); x.ID != "moot"+answer[0] || x.State != "returned" || x.AfterMS != 2000 {
+		if x := receive(t, p.notices, "notice"); x.ID != "skipped-"+response[0] || x.State != "returned" ||
+			x.AfterMS != 2000 {
 			t.Errorf("notice %+v", x)
 		}
 	}
@@ -188,7 +192,7 @@
 	e[0].expectNoCall(t)
 }
 
-// When an endpoint reports that the message is over (410), the message ends without a retry or a notice.
+// When an endpoint reports that the message has ended (410), the message ends here too, without a retry or a notice.
 func TestEndpointReportsMessageEnded(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "unsafe", "+OK")
@@ -326,7 +330,7 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// A notice must be resent until the platform has confirmed it.
+// A notice must be sent again until the platform has confirmed it.
 func TestNoticesDown(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	p.update(func() { p.rejectNotices = true })
@@ -371,7 +375,12 @@
 	if got := c.do("PING"); got != "+PONG" {
 		t.Errorf("afterwards: %q", got)
 	}
-	for _, raw := range []string{"*1\r\n$9223372036854775807\r\n", "*1000000000\r\n", "GET / HTTP/1.1\r\n\r\n", "*1\r\n$65537\r\n"} {
+	for _, raw := range []string{
+		"*1\r\n$9223372036854775807\r\n",
+		"*1000000000\r\n",
+		"GET / HTTP/1.1\r\n\r\n",
+		"*1\r\n$65537\r\n",
+	} {
 		bad := dialClient(t, n.addr)
 		bad.conn.Write([]byte(raw))
 		if got := bad.readLine(); !strings.HasPrefix(got, "-ERR ") {
@@ -396,7 +405,7 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// A request that arrives just before the sender closes its connections must be answered.
+// A request that arrives just before the sender closes its connections must get a reply.
 func TestRequestArrivesDuringShutdown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -442,21 +451,22 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// A requested wait or a change of the list must abort the calls that are still connecting to the endpoints concerned, and
-// no others.
+// A requested wait or a change of the list must abort the calls that are still connecting to the endpoints concerned,
+// and no others.
 func TestAbortConnectingCalls(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		apart bool
-		learn func(n *Node)
-		held  [4]bool // calls connecting to endpoints 1 and 2 of destination 1 and 3 of destination 2, and one written to 1
+		name           string
+		separateRoutes bool
+		change         func(n *Node)
+		// Of the calls connecting to endpoints 1 and 2 of destination 1 and 3 of destination 2, and one written to 1.
+		aborted [4]bool
 	}{
-		{"wait, one limit", false, func(n *Node) { n.abortForWait(1) }, [4]bool{true, true, false, false}},
-		{"wait, routes apart", true, func(n *Node) { n.abortForWait(1) }, [4]bool{true, false, false, false}},
+		{"wait, common limit", false, func(n *Node) { n.abortForWait(1) }, [4]bool{true, true, false, false}},
+		{"wait, separate routes", true, func(n *Node) { n.abortForWait(1) }, [4]bool{true, false, false, false}},
 		{"drain", false, func(n *Node) {
 			n.handleList(listEvent{list: EndpointList{Instances: []Instance{{ID: "b", Dest: 1, Lifecycle: "draining"}}}})
 		}, [4]bool{false, true, false, false}},
-		{"whole list", false, func(n *Node) {
+		{"full list", false, func(n *Node) {
 			n.handleList(listEvent{list: EndpointList{Reset: true, Instances: []Instance{{ID: "a", Dest: 1, Lifecycle: "up"}}}})
 		}, [4]bool{false, true, true, false}},
 	} {
@@ -465,14 +475,17 @@
 			t.Fatal(err)
 		}
 		cfg.StateDir = t.TempDir()
-		cfg.Deployment.Settings.Kinds[0].SeparateRoutes = test.apart
+		cfg.Deployment.Settings.Kinds[0].SeparateRoutes = test.separateRoutes
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer n.journal.Close()
-		n.directory.Apply(EndpointList{Instances: []Instance{{ID: "a", HostPort: "h:1", MachineType: "std", Dest: 1},
-			{ID: "b", HostPort: "h:2", MachineType: "std", Dest: 1}, {ID: "c", HostPort: "h:3", MachineType: "std", Dest: 2}}}, time.Now())
+		n.directory.Apply(EndpointList{Instances: []Instance{
+			{ID: "a", HostPort: "h:1", MachineType: "std", Dest: 1},
+			{ID: "b", HostPort: "h:2", MachineType: "std", Dest: 1},
+			{ID: "c", HostPort: "h:3", MachineType: "std", Dest: 2},
+		}}, time.Now())
 		var calls []*call
 		for i, ep := range []logic.EndpointID{1, 2, 3, 1} {
 			calls = append(calls, &call{endpoint: ep, state: new(atomic.Int32)})
@@ -481,10 +494,10 @@
 			n.attemptStarted(n.active[calls[i].id], calls[i], func() {})
 		}
 		calls[3].state.Store(callWritten)
-		test.learn(n)
+		test.change(n)
 		for i, c := range calls {
-			if got := c.state.Load() == callAborted; got != test.held[i] {
-				t.Errorf("%s: call %d held: %v", test.name, i, got)
+			if got := c.state.Load() == callAborted; got != test.aborted[i] {
+				t.Errorf("%s: call %d aborted: %v", test.name, i, got)
 			}
 		}
 	}
@@ -500,7 +513,7 @@
 	}
 }
 
-// In pushed mode the module does not ask for the list. The sender must watch it all the same, also after a failed
+// In pushed mode package logic does not ask for the list. The sender must watch it all the same, also after a failed
 // request.
 func TestPushedListIsFollowed(t *testing.T) {
 	p, old, added := newPlatform(t), newEndpoint(t), newEndpoint(t)
@@ -512,7 +525,7 @@
 	go func() { done <- n.Run(ctx) }()
 	addr := receive(t, n.ready, "ready sender").String()
 	if q := receive(t, p.listRequests, "watch"); !strings.Contains(q, "from=1") {
-		t.Errorf("asked %q", q)
+		t.Errorf("requested %q", q)
 	}
 	p.update(func() { p.down = true })
 	receive(t, p.listRequests, "watch after a failed call")
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -18,8 +18,8 @@
 const (
 	// maxNoticeTimeout is the longest timeout for the platform's response.
 	maxNoticeTimeout = time.Second
-	// firstNoticeTimeout is the timeout of a first try. The platform responds at once or not at all, and a notice may
-	// be 0.3 s late at most, so there must be time for a second try.
+	// firstNoticeTimeout is the timeout of a first try. The platform responds at once or not at all, and a notice may be
+	// 0.3 s late at most, so there must be time for a second try.
 	firstNoticeTimeout = 150 * time.Millisecond
 	noticeRetryDelay   = 100 * time.Millisecond // before notices that were not confirmed are sent again
 	maxNoticeBody      = 64 << 10               // bytes in one request or response body
@@ -28,9 +28,8 @@
 // noticesConfirmedEvent tells the event loop that the platform has confirmed the notices of these messages.
 type noticesConfirmedEvent struct{ ids []string }
 
-// noticeQueue sends notices to the platform, in order, until it confirms them. The
-// journal bounds its length, since it holds every message whose notice is not
-// confirmed.
+// noticeQueue sends notices to the platform, in order, until it confirms them. The journal bounds its length, since it
+// holds every message whose notice is not confirmed.
 type noticeQueue struct {
 	client *http.Client
 	log    *slog.Logger
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -55,16 +55,16 @@
 	}
 }
 
-// When the address changes while a request to the old one is still unanswered, the notices must go to the new address at
-// once.
+// When the address changes while a request to the old one has no response yet, the notices must go to the new address
+// at once.
 func TestNoticesMoveFromSilentAddress(t *testing.T) {
-	asked := make(chan struct{}, 1)
+	requested := make(chan struct{}, 1)
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		// Read completely, so that the server notices when the connection is closed.
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			t.Error(err)
 		}
-		asked <- struct{}{}
+		requested <- struct{}{}
 		<-r.Context().Done()
 	}))
 	defer silent.Close()
@@ -72,24 +72,24 @@
 	q := newNoticeQueue(strings.TrimPrefix(silent.URL, "http://"), slog.New(slog.DiscardHandler), make(chan any, 1))
 	go q.run(t.Context())
 	q.add(Notice{ID: "a", State: "failed"})
-	receive(t, asked, "post")
+	receive(t, requested, "post")
 	q.setAddr(strings.TrimPrefix(p.srv.URL, "http://"))
 	if notice := receive(t, p.notices, "notice"); notice.ID != "a" {
 		t.Errorf("notice %+v", notice)
 	}
 }
 
-// A notice may be at most 0.3 s late, even if the first request gets no answer.
+// A notice may be at most 0.3 s late, even if the first request gets no response.
 func TestNoticeOverSilentConnection(t *testing.T) {
 	var first atomic.Bool
-	heard := make(chan time.Time, 8)
+	received := make(chan time.Time, 8)
 	silent := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if first.CompareAndSwap(false, true) {
 			<-silent
 			return
 		}
-		heard <- time.Now()
+		received <- time.Now()
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	defer srv.Close()
@@ -97,9 +97,9 @@
 	events := make(chan any, 8)
 	q := newNoticeQueue(strings.TrimPrefix(srv.URL, "http://"), slog.New(slog.DiscardHandler), events)
 	go q.run(t.Context())
-	begun := time.Now()
+	addedAt := time.Now()
 	q.add(Notice{ID: "a", State: noticeFailed})
-	if took := receive(t, heard, "notice").Sub(begun); took > 300*time.Millisecond {
+	if took := receive(t, received, "notice").Sub(addedAt); took > 300*time.Millisecond {
 		t.Errorf("notice arrived after %v", took)
 	}
 	receive(t, events, "confirmation")
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -43,7 +43,7 @@
 	t           *testing.T
 	cmd         *exec.Cmd
 	addr        string
-	admin       string // address of the operators' interface
+	adminAddr   string // address of the operators' interface
 	configPath  string
 	exited      chan error
 	logLines    chan string   // lines of its log
@@ -64,7 +64,7 @@
 func launchProcess(t *testing.T, p *testPlatform, dir string, known EndpointList) *process {
 	t.Helper()
 	proc := execProcess(t, p, dir, configText(p, known))
-	proc.admin = receive(t, proc.adminReady, "operators' address")
+	proc.adminAddr = receive(t, proc.adminReady, "operators' address")
 	return proc
 }
 
@@ -93,12 +93,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	proc := &process{t: t, cmd: cmd, configPath: config, exited: make(chan error, 1), logLines: make(chan string, 4096),
-		ready: make(chan string, 1), adminReady: make(chan string, 1)}
+	proc := &process{
+		t:          t,
+		cmd:        cmd,
+		configPath: config,
+		exited:     make(chan error, 1),
+		logLines:   make(chan string, 4096),
+		ready:      make(chan string, 1),
+		adminReady: make(chan string, 1),
+	}
 	t.Cleanup(func() { cmd.Process.Kill() })
 	go func() {
 		for s := bufio.NewScanner(logs); s.Scan(); {
@@ -107,7 +114,7 @@
 			addr, _, _ := strings.Cut(rest, " ")
 			switch {
 			case strings.Contains(s.Text(), "msg=ready "):
-				proc.startupTime = time.Since(begun)
+				proc.startupTime = time.Since(startedAt)
 				proc.ready <- addr
 			case strings.Contains(s.Text(), "msg=operators "):
 				proc.adminReady <- addr
@@ -163,7 +170,7 @@
 	proc.awaitExit()
 	e.expectNoCall(t)
 	if ids := journaledMessageIDs(t, dir); ids != nil {
-		t.Errorf("still owed: %v", ids)
+		t.Errorf("still in the journal: %v", ids)
 	}
 }
 
@@ -202,7 +209,8 @@
 			c.putWithLifetime("first", "unsafe", 16000, "+OK")
 			receive(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 			var want []string
-			for i, class := range []string{"safe", "keyed", "unsafe", "safe", "unsafe", "keyed"} { // not sent because of the wait
+			// These are not sent because of the wait.
+			for i, class := range []string{"safe", "keyed", "unsafe", "safe", "unsafe", "keyed"} {
 				id := fmt.Sprintf("untried-%d", i)
 				want = append(want, id)
 				c.putWithLifetime(id, class, 16000, "+OK")
@@ -283,8 +291,14 @@
 // deadline has passed meanwhile is returned, and an unconfirmed notice is sent again.
 func TestKillWithoutCallInFlight(t *testing.T) {
 	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
-	known := EndpointList{Generation: 1, Reset: true, Instances: append(instances(e), Instance{ID: "drains", HostPort: "127.0.0.1:1",
-		Zone: "a", MachineType: "std", Dest: 2, Lifecycle: "draining"})}
+	known := EndpointList{Generation: 1, Reset: true, Instances: append(instances(e), Instance{
+		ID:          "drains",
+		HostPort:    "127.0.0.1:1",
+		Zone:        "a",
+		MachineType: "std",
+		Dest:        2,
+		Lifecycle:   "draining",
+	})}
 	p.list, p.rejectNotices = known, true
 	proc := startProcess(t, p, dir, known)
 	c := dialClient(t, proc.addr)
@@ -296,7 +310,7 @@
 	if got := c.do("MSG.PUT", "0", "short", "c=unsafe,d=600,dest=2", "x"); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
-	over := time.Now().Add(600 * time.Millisecond)
+	deadline := time.Now().Add(600 * time.Millisecond)
 	for stop := time.Now().Add(testTimeout); ; {
 		b, err := os.ReadFile(filepath.Join(dir, journalFile))
 		if err != nil {
@@ -309,9 +323,9 @@
 			t.Fatal("no outcome in the journal")
 		}
 	}
-	c.put("unsent", "unsafe", "+OK") // not sent: the endpoint has told the sender to wait
+	c.put("unsent", "unsafe", "+OK") // not sent: the endpoint has requested a wait
 	proc.kill()
-	time.Sleep(time.Until(over))
+	time.Sleep(time.Until(deadline))
 	p.update(func() { p.rejectNotices = false })
 	proc = startProcess(t, p, dir, known)
 	got := map[string]bool{}
@@ -336,8 +350,8 @@
 	e.expectNoCall(t)
 }
 
-// At SIGTERM the sender must close connections between requests, let calls in flight end and write their outcomes to the
-// journal, so that nothing is owed at the next start.
+// At SIGTERM the sender must close connections between requests, let calls in flight end and write their outcomes to
+// the journal, so that the journal is empty at the next start.
 func TestTermWithCallInFlight(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
@@ -354,7 +368,7 @@
 			in.reply(200)
 			proc.awaitExit()
 			if ids := journaledMessageIDs(t, dir); ids != nil {
-				t.Errorf("still owed: %v", ids)
+				t.Errorf("still in the journal: %v", ids)
 			}
 			if len(p.notices) != 0 {
 				t.Errorf("notice %+v", <-p.notices)
@@ -376,7 +390,7 @@
 		t.Errorf("ended after %v", d)
 	}
 	if ids := journaledMessageIDs(t, dir); len(ids) != 1 {
-		t.Errorf("owed: %v", ids)
+		t.Errorf("in the journal: %v", ids)
 	}
 	proc = startProcess(t, p, dir, known)
 	if notice := receive(t, p.notices, "notice"); notice != (Notice{ID: "a", State: "failed"}) {
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -45,19 +45,21 @@
 	}
 }
 
-// Clients of a restarted process wait until it is ready, so it must be ready in time: without an answer of discovery,
+// Clients of a restarted process wait until it is ready, so it must be ready in time: without a response of discovery,
 // with any journal, and when many processes start at once. The ready log line breaks the time down.
 func TestReadyInTime(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		disk      float64
 		processes int
-		leave     func(t *testing.T, dir string, p *testPlatform) // prepares the state folder
+		prepare   func(t *testing.T, dir string, p *testPlatform) // changes the state folder or the platform
 		served    string                                          // id prefix of a message that must be sent; empty for none
 	}{
 		{"nothing", 3, 1, func(*testing.T, string, *testPlatform) {}, ""},
 		{"full journal", 3, 1, func(t *testing.T, dir string, _ *testPlatform) { fillJournal(t, dir, 3) }, "m-"},
-		{"full journal of the maximum size", 40, 1, func(t *testing.T, dir string, _ *testPlatform) { fillJournal(t, dir, 40) }, "m-"},
+		{"full journal of the maximum size", 40, 1, func(t *testing.T, dir string, _ *testPlatform) {
+			fillJournal(t, dir, 40)
+		}, "m-"},
 		{"torn journal", 3, 1, func(t *testing.T, dir string, _ *testPlatform) {
 			fillJournal(t, dir, 3)
 			path := filepath.Join(dir, journalFile)
@@ -69,7 +71,9 @@
 				t.Fatal(err)
 			}
 		}, "m-"},
-		{"discovery down", 3, 1, func(_ *testing.T, _ string, p *testPlatform) { p.update(func() { p.holdLists = true }) }, ""},
+		{"discovery down", 3, 1, func(_ *testing.T, _ string, p *testPlatform) {
+			p.update(func() { p.holdLists = true })
+		}, ""},
 		{"discovery down, 16 at once with full journals", 3, 16, func(t *testing.T, dir string, p *testPlatform) {
 			p.update(func() { p.holdLists = true })
 			fillJournal(t, dir, 3)
@@ -87,7 +91,7 @@
 				first := execProcess(t, p, dir, config)
 				receive(t, first.ready, "ready program")
 				first.kill()
-				test.leave(t, dir, p)
+				test.prepare(t, dir, p)
 			}
 			var procs []*process
 			for _, dir := range dirs {
--- a/internal/node/record.go
+++ b/internal/node/record.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Writes to the journal and what depends on them: no message is accepted, sent or
-// given up before the journal has the record of it.
+// Writes to the journal and what depends on them: no message is accepted, sent or given up before the journal has the
+// record of it.
 
 // flushRetryDelay is the time after which records that could not be written are tried again.
 const flushRetryDelay = 50 * time.Millisecond
@@ -56,8 +56,8 @@
 	}
 }
 
-// notJournaledReply returns the reply to a message that could not be written to the journal. It is a rejection only if no
-// later process can find the message in the file.
+// notJournaledReply returns the reply to a message that could not be written to the journal. It is a rejection only if
+// no later process can find the message in the file.
 func notJournaledReply(err error) string {
 	if errors.Is(err, errTruncateFailed) {
 		return replyFailed
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,9 +9,8 @@
 // reloadEvent delivers a newly read configuration to the event loop.
 type reloadEvent struct{ cfg *Config }
 
-// ReloadOn makes Run reload the configuration with load at each signal. Of the new
-// configuration only the address of discovery and notices takes effect; all other
-// changes need a restart.
+// ReloadOn makes Run reload the configuration with load at each signal. Of the new configuration only the address of
+// discovery and notices takes effect; all other changes need a restart.
 func (n *Node) ReloadOn(signals <-chan os.Signal, load func() (*Config, error)) {
 	n.reloadSignals, n.loadConfig = signals, load
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -37,8 +37,8 @@
 	proc := startProcess(t, old, t.TempDir(), known)
 	receive(t, old.listRequests, "watch")
 	c := dialClient(t, proc.addr)
-	c.put("under-way", "safe", "+OK")
-	underWay := receive(t, e.calls, "call")
+	c.put("in-flight", "safe", "+OK")
+	inFlight := receive(t, e.calls, "call")
 
 	for i, bad := range []string{
 		"{",
@@ -67,11 +67,11 @@
 		t.Errorf("notice %+v", notice)
 	}
 	if q := receive(t, fresh.listRequests, "call at the new address"); q != "" {
-		t.Errorf("asked %q, want the whole list", q)
+		t.Errorf("requested %q, want the full list", q)
 	}
 	receive(t, fresh.listRequests, "watch at the new address") // the list has been read by then
 	old.srv.CloseClientConnections()
-	underWay.reply(200)
+	inFlight.reply(200)
 	for i := 0; ; i++ { // until the endpoint that only the new address lists gets a call
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
 		var in *receivedCall
--- a/internal/node/resp_test.go
+++ b/internal/node/resp_test.go
@@ -24,13 +24,13 @@
 
 // A request that is cut off at any byte must give io.ErrUnexpectedEOF, and the complete one must be parsed.
 func TestReadCommandTruncated(t *testing.T) {
-	whole := "*2\r\n$4\r\nPING\r\n$2\r\nab\r\n"
-	for i := 1; i < len(whole); i++ {
-		if _, err := readCommand(bufio.NewReader(strings.NewReader(whole[:i])), nil); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%q: got %v", whole[:i], err)
+	request := "*2\r\n$4\r\nPING\r\n$2\r\nab\r\n"
+	for i := 1; i < len(request); i++ {
+		if _, err := readCommand(bufio.NewReader(strings.NewReader(request[:i])), nil); !errors.Is(err, io.ErrUnexpectedEOF) {
+			t.Errorf("%q: got %v", request[:i], err)
 		}
 	}
-	args, err := readCommand(bufio.NewReader(strings.NewReader(whole)), nil)
+	args, err := readCommand(bufio.NewReader(strings.NewReader(request)), nil)
 	if err != nil || len(args) != 2 || string(args[0]) != "PING" || string(args[1]) != "ab" {
 		t.Errorf("got %q, %v", args, err)
 	}
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -30,16 +30,15 @@
 
 var errMalformedResponse = errors.New("malformed response")
 
-// readResponse reads the response to a written request and reports whether the
-// connection can be reused. It does not use net/http's reader for two reasons: a
-// status line of 200 counts even if the rest of the header is malformed, and
+// readResponse reads the response to a written request and reports whether the connection can be reused. It does not
+// use net/http's reader for two reasons: a status line of 200 counts even if the rest of the header is malformed, and
 // ambiguous body lengths must be rejected.
 func readResponse(r *bufio.Reader, deadline *callDeadline) (callResult, bool) {
 	return readResponseBody(r, deadline, nil)
 }
 
-// readResponseBody is readResponse that also copies the body if body is not nil.
-// In that case a 200 response counts only if it is read completely.
+// readResponseBody is readResponse that also copies the body if body is not nil. In that case a 200 response counts
+// only if it is read completely.
 func readResponseBody(r *bufio.Reader, deadline *callDeadline, body *bytes.Buffer) (callResult, bool) {
 	for {
 		deadline.limitIO(0)
@@ -83,8 +82,7 @@
 	}
 }
 
-// resultOfError returns the result of a call whose response could not be read
-// completely because of err.
+// resultOfError returns the result of a call whose response could not be read completely because of err.
 func (d *callDeadline) resultOfError(err error) callResult {
 	switch {
 	case d.ended():
@@ -95,9 +93,8 @@
 	return callResult{outcome: logic.ConnLost}
 }
 
-// readStatusLine reads the status line of a response, of any length. An
-// incomplete line is an error even if a status code is visible: the endpoint has
-// not finished writing it, and the call may still end either way.
+// readStatusLine reads the status line of a response, of any length. An incomplete line is an error even if a status
+// code is visible: the endpoint has not finished writing it, and the call may still end either way.
 func readStatusLine(r *bufio.Reader) (int, error) {
 	line, err := r.ReadSlice('\n')
 	start := string(line)
@@ -123,8 +120,7 @@
 	return http.Header(header), markMalformed(err)
 }
 
-// markMalformed wraps a parse error with errMalformedResponse. Errors of the
-// connection itself are returned unchanged.
+// markMalformed wraps a parse error with errMalformedResponse. Errors of the connection itself are returned unchanged.
 func markMalformed(err error) error {
 	var netErr net.Error
 	if err == nil || errors.As(err, &netErr) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
@@ -133,8 +129,7 @@
 	return fmt.Errorf("%w: %w", errMalformedResponse, err)
 }
 
-// readHeaderAndBody reads what follows the status line and reports whether the
-// connection can be reused.
+// readHeaderAndBody reads what follows the status line and reports whether the connection can be reused.
 func readHeaderAndBody(r *bufio.Reader, status int, body io.Writer) (http.Header, bool, error) {
 	header, err := readHeader(r)
 	if err != nil {
@@ -193,7 +188,7 @@
 	return callResult{outcome: logic.Errored}
 }
 
-// parseRetryAfter returns the wait that a response asks for, 0 if none.
+// parseRetryAfter returns the wait that a response requests, 0 if none.
 func parseRetryAfter(header http.Header) time.Duration {
 	ms, err := strconv.ParseInt(header.Get("X-Come-Back-Ms"), 10, 64)
 	if err != nil || ms < 0 {
@@ -202,8 +197,8 @@
 	return time.Duration(min(ms, maxLifetime.Milliseconds())) * time.Millisecond
 }
 
-// parseLoadReport returns the values of a load report in the order of names, and
-// nil if the report is empty or malformed.
+// parseLoadReport returns the values of a load report in the order of names, and nil if the report is empty or
+// malformed.
 func parseLoadReport(report string, names []string) []float64 {
 	if report == "" || len(names) == 0 {
 		return nil
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -41,8 +41,8 @@
 	"interim, then text": "HTTP/1.1 100 Continue\r\n\r\nnoise\r\n\r\n",
 }
 
-// A message whose response is malformed may have been processed: this is neither a
-// refusal nor an outage. The connection is closed.
+// A message whose response is malformed may have been processed: this is neither a refusal nor an outage. The
+// connection is closed.
 func TestMalformedResponses(t *testing.T) {
 	for name, text := range malformedResponses {
 		t.Run(name, func(t *testing.T) {
@@ -89,11 +89,18 @@
 	}
 }
 
-// An incomplete status line is not an outcome, even if it shows 200: a message counted as
-// delivered because of it would be neither retried nor reported. A long but complete line counts.
+// An incomplete status line is not an outcome, even if it shows 200: a message counted as delivered because of it would
+// be neither retried nor reported. A long but complete line counts.
 func TestTruncatedStatusLine(t *testing.T) {
-	for _, line := range []string{"HTTP/1.1 200 OK\r", "HTTP/1.1 200 O", "HTTP/1.1 200 ", "HTTP/1.1 200", "HTTP/1.1 503 x\r",
-		"HTTP/1.1 200 " + strings.Repeat("x", 8192), "HTTP/1.1 200 " + strings.Repeat("x", 8192) + "\n"} {
+	for _, line := range []string{
+		"HTTP/1.1 200 OK\r",
+		"HTTP/1.1 200 O",
+		"HTTP/1.1 200 ",
+		"HTTP/1.1 200",
+		"HTTP/1.1 503 x\r",
+		"HTTP/1.1 200 " + strings.Repeat("x", 8192),
+		"HTTP/1.1 200 " + strings.Repeat("x", 8192) + "\n",
+	} {
 		for name, end := range map[string]func(*receivedCall){
 			"silent": func(*receivedCall) {},
 			"closed": func(in *receivedCall) { in.conn.CloseWrite() },
@@ -119,8 +126,8 @@
 	}
 }
 
-// After a malformed response, messages of classes that permit retries are sent again,
-// and those of the unsafe class have failed. A status line of 200 ends the message in every class.
+// After a malformed response, messages of classes that permit retries are sent again, and those of the unsafe class
+// have failed. A status line of 200 ends the message in every class.
 func TestMalformedResponseByClass(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
@@ -156,9 +163,8 @@
 	}
 }
 
-// An unsolicited second response must never be taken for the response to the next
-// call. A connection whose response has just arrived is not reused yet, and one
-// with unsolicited data is closed.
+// An unsolicited second response must never be taken for the response to the next call. A connection whose response has
+// just arrived is not reused yet, and one with unsolicited data is closed.
 func TestUnsolicitedResponse(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	c.reuseDelay = time.Hour
@@ -178,9 +184,9 @@
 	}
 	for stop := time.Now().Add(testTimeout); ; { // until the unsolicited response has arrived
 		c.mu.Lock()
-		good := c.reusable(c.idle[1][0])
+		reusable := c.reusable(c.idle[1][0])
 		c.mu.Unlock()
-		if !good {
+		if !reusable {
 			break
 		}
 		if time.Now().After(stop) {
@@ -211,8 +217,15 @@
 			time.Sleep(headTimeout + headTimeout/4) // longer than the timeout for the rest of a header
 			in.reply(200)
 		}, logic.Delivered},
-		{"cancelled", testTimeout, func(cancel func(), in *receivedCall) { cancel(); in.awaitEnd(t); in.reset() }, logic.Cancelled},
-		{"silent", 100 * time.Millisecond, func(_ func(), in *receivedCall) { in.awaitEnd(t); in.reset() }, logic.TimedOut},
+		{"cancelled", testTimeout, func(cancel func(), in *receivedCall) {
+			cancel()
+			in.awaitEnd(t)
+			in.reset()
+		}, logic.Cancelled},
+		{"silent", 100 * time.Millisecond, func(_ func(), in *receivedCall) {
+			in.awaitEnd(t)
+			in.reset()
+		}, logic.TimedOut},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
@@ -230,13 +243,16 @@
 	}
 }
 
-// A call that gets no file descriptor was never sent and says nothing about the
-// endpoint. Idle connections are closed to make room.
+// A call that gets no file descriptor was never sent and says nothing about the endpoint. Idle connections are closed
+// to make room.
 func TestNoFreeDescriptor(t *testing.T) {
-	e, c := newEndpoint(t), newEndpointClient(time.Second, time.Hour, 4, socketBudget{calls: 1, idle: 1}, new(atomic.Int64))
+	e, c := newEndpoint(t), newEndpointClient(
+		time.Second, time.Hour, 4, socketBudget{calls: 1, idle: 1}, new(atomic.Int64),
+	)
 	got := doAsync(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 	in := receive(t, e.calls, "call")
-	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.LocalFailure || !r.localFailure {
+	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.LocalFailure ||
+		!r.localFailure {
 		t.Errorf("got %+v, want a local failure", r)
 	}
 	in.reply(200)
@@ -249,7 +265,8 @@
 	receive(t, got, "result")
 	c.closeIdleTo(2)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return syscall.EMFILE }
-	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.LocalFailure || !r.localFailure {
+	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.LocalFailure ||
+		!r.localFailure {
 		t.Errorf("got %+v, want a local failure", r)
 	}
 	if c.connCount != 0 || c.idleCount != 0 {
@@ -257,8 +274,8 @@
 	}
 }
 
-// Endpoints come and go all the time. Those removed long ago are deleted, and no
-// endpoint number is used twice.
+// Endpoints are added and removed all the time. Those removed long ago are deleted, and no endpoint number is used
+// twice.
 func TestDirectoryChurn(t *testing.T) {
 	cfg, err := ParseConfig(configText(newPlatform(t), EndpointList{}))
 	if err != nil {
@@ -305,12 +322,13 @@
 	d.Apply(EndpointList{Reset: true}, time.Now())
 	d.purgeRemoved(time.Now().Add(2*removedRetention), nil)
 	if len(d.endpoints)+len(d.ids)+len(d.destCounts)+len(d.removedAt) != 0 {
-		t.Errorf("left: %d endpoints, %d ids, %d destinations, %d removal times", len(d.endpoints), len(d.ids), len(d.destCounts), len(d.removedAt))
+		t.Errorf("left: %d endpoints, %d ids, %d destinations, %d removal times",
+			len(d.endpoints), len(d.ids), len(d.destCounts), len(d.removedAt))
 	}
 }
 
-// Endpoints come, go and return, by incremental and by full lists. The directory knows
-// which ones are listed at any time, also after a handover, and deletes none of those.
+// Endpoints are added, removed and added again, by incremental and by full lists. The directory knows which ones are
+// listed at any time, also after a handover, and deletes none of those.
 func TestDirectoryListedCount(t *testing.T) {
 	n := newStoppedNode(t, t.TempDir())
 	rnd := rand.New(rand.NewPCG(3, 1))
@@ -329,12 +347,12 @@
 			list.Instances = append(list.Instances, inst)
 		}
 		n.directory.Apply(list, time.Now())
-		st, err := n.collectHandoverState()
+		state, err := n.collectHandoverState()
 		if err != nil {
 			t.Fatal(err)
 		}
 		successor := NewDirectory(n.cfg)
-		successor.restore(st, n.clock)
+		successor.restore(state, n.clock)
 		for who, d := range map[string]*Directory{"this process": n.directory, "the successor": successor} {
 			if d.listedCount() != len(present) {
 				t.Fatalf("list %d: %s has %d endpoints, want %d", i, who, d.listedCount(), len(present))
@@ -370,8 +388,8 @@
 	})
 }
 
-// Connections to an endpoint that is removed from the list are closed. A new endpoint
-// at the same address gets new connections.
+// Connections to an endpoint that is removed from the list are closed. A new endpoint at the same address gets new
+// connections.
 func TestRemovedEndpoint(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "safe", "+OK")
@@ -406,8 +424,7 @@
 	stopAndCheckEmpty(t, n)
 }
 
-// After a reused connection broke, a non-retryable call, which a reset would fail for
-// good, uses a new connection.
+// After a reused connection broke, a non-retryable call, which a reset would fail for good, uses a new connection.
 func TestNonRetryableAvoidsFailingConnections(t *testing.T) {
 	e, c := newEndpoint(t), newTestEndpointClient()
 	c.reuseDelay = 0
@@ -434,8 +451,7 @@
 	}
 }
 
-// Package logic limits its rate by the load that endpoints report, so it must receive
-// the report with any outcome.
+// Package logic limits its rate by the load that endpoints report, so it must receive the report with any outcome.
 func TestLoadReportReachesLogic(t *testing.T) {
 	for _, status := range []int{200, 503, 500} {
 		n, e := newBulkNode(t, map[string]string{"a": "x"})
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -168,26 +168,26 @@
 
 // A change of one endpoint, and the purge of removed endpoints each second, take the same time with a list of any size.
 func TestListChangeScale(t *testing.T) {
-	changed, swept := map[int]time.Duration{}, map[int]time.Duration{}
+	changed, purged := map[int]time.Duration{}, map[int]time.Duration{}
 	for _, size := range listSizes {
 		n := newNodeWithList(t, size)
 		changed[size] = shortestRun(50, func(i int) {
 			n.handleList(endpointChange(i))
 			n.step(t.Context())
 		})
-		swept[size] = shortestRun(50, func(int) { n.directory.purgeRemoved(time.Now(), nil) })
+		purged[size] = shortestRun(50, func(int) { n.directory.purgeRemoved(time.Now(), nil) })
 		if n.directory.listedCount() != size {
 			t.Errorf("%d endpoints are listed, want %d", n.directory.listedCount(), size)
 		}
 	}
 	checkConstantCost(t, "a change", listSizes, changed)
-	checkConstantCost(t, "a purge of removed endpoints", listSizes, swept)
+	checkConstantCost(t, "a purge of removed endpoints", listSizes, purged)
 }
 
-// backlogSizes are numbers of messages held.
+// backlogSizes are numbers of active messages.
 var backlogSizes = []int{1000, 5000, 20000, 100000}
 
-// newNodeWithBacklog returns a sender that is not running and holds messages, none with a call in flight.
+// newNodeWithBacklog returns a sender that is not running and has active messages, none with a call in flight.
 func newNodeWithBacklog(tb testing.TB, size int) *Node {
 	tb.Helper()
 	n := newNodeWithList(tb, listSizes[0])
@@ -197,7 +197,7 @@
 	return n
 }
 
-// A change of one endpoint, a wait that an endpoint asks for, and the search for endpoints in use take the same time
+// A change of one endpoint, a wait that an endpoint requests, and the search for endpoints in use take the same time
 // with a backlog of any size.
 func TestListChangeWithBacklogScale(t *testing.T) {
 	changed, waited, used := map[int]time.Duration{}, map[int]time.Duration{}, map[int]time.Duration{}
@@ -266,7 +266,7 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			text := listJSON(size)
 			cfg := newStoppedNode(b, b.TempDir()).cfg
-			take := func() (*Directory, *logic.Sender) {
+			load := func() (*Directory, *logic.Sender) {
 				list, err := readList(bytes.NewReader(text))
 				if err != nil {
 					b.Fatal(err)
@@ -280,13 +280,13 @@
 				return d, s
 			}
 			before := heapBytes()
-			d, s := take()
+			d, s := load()
 			kept := heapBytes() - before
 			runtime.KeepAlive(d)
 			runtime.KeepAlive(s)
 			b.ReportAllocs()
 			for b.Loop() {
-				take()
+				load()
 			}
 			each := func(x float64, unit string) { b.ReportMetric(x/float64(size), unit+"/endpoint") }
 			each(float64(b.Elapsed().Nanoseconds())/float64(b.N), "ns")
@@ -311,7 +311,7 @@
 	}
 }
 
-// A change of one endpoint, by the size of the list and the number of messages held.
+// A change of one endpoint, by the size of the list and the number of active messages.
 func BenchmarkListChange(b *testing.B) {
 	run := func(name string, n *Node) {
 		b.Run(name, func(b *testing.B) {
@@ -448,11 +448,11 @@
 			n := newNodeWithList(b, size)
 			var frame []byte
 			for b.Loop() {
-				st, err := n.collectHandoverState()
+				state, err := n.collectHandoverState()
 				if err != nil {
 					b.Fatal(err)
 				}
-				if frame, err = json.Marshal(packet{State: st}); err != nil {
+				if frame, err = json.Marshal(packet{State: state}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -39,10 +39,10 @@
 	consecutiveErrors atomic.Int32
 
 	// Guarded by clientServer.mu.
-	openRequests   int       // requests that have begun to arrive and are not answered
+	openRequests   int       // requests that have begun to arrive and have no reply
 	readingRequest bool      // one of them has not arrived completely
 	noRequestYet   bool      // no request has begun to arrive on this connection
-	idleSince      time.Time // when the last request was answered
+	idleSince      time.Time // when the last reply was sent
 	evicted        bool      // closed to make room for another connection
 }
 
@@ -67,7 +67,7 @@
 	s.lingeringClose()
 }
 
-// recordClose counts the end of a connection by its reason and checks that every request was answered.
+// recordClose counts the end of a connection by its reason and checks that every request got a reply.
 func (s *session) recordClose(reason closeReason) {
 	s.server.mu.Lock()
 	openRequests, evicted := s.openRequests, s.evicted
@@ -169,7 +169,7 @@
 	s.server.mu.Unlock()
 	data, err := awaitInput(s.conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		_, data = peekConn(s.conn) // a request that arrived just before the deadline must be answered
+		_, data = peekConn(s.conn) // a request that arrived just before the deadline must get a reply
 	}
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
@@ -245,7 +245,7 @@
 	return w.Flush()
 }
 
-// replySent records that a request has been answered.
+// replySent records that the reply to a request has been sent.
 func (s *session) replySent() {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
--- a/internal/node/signal_test.go
+++ b/internal/node/signal_test.go
@@ -24,47 +24,49 @@
 func (c *testClient) sendPartialPut(id, class string) string {
 	c.t.Helper()
 	opts := fmt.Sprintf("c=%s,t=acme,d=10000,k=key-%s,dest=1", class, id)
-	request := fmt.Sprintf("*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$4\r\nbody\r\n", len(id), id, len(opts), opts)
+	request := fmt.Sprintf("*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$4\r\nbody\r\n",
+		len(id), id, len(opts), opts)
 	if _, err := io.WriteString(c.conn, request[:len(request)-3]); err != nil {
 		c.t.Fatal(err)
 	}
 	return request[len(request)-3:]
 }
 
-// A signal may arrive at any point of the process's work. SIGHUP and SIGTERM must not abort work that has begun, SIGTERM
-// must end the process without an error, and after SIGKILL the next process must continue from the state folder.
+// A signal may arrive at any point of the process's work. SIGHUP and SIGTERM must not abort work that has begun,
+// SIGTERM must end the process without an error, and after SIGKILL the next process must continue from the state
+// folder.
 func TestSignalAtEachStep(t *testing.T) {
 	signals := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGKILL}
 	// Each step interrupts the sender's work at some point, calls sendSignal, and continues if the process survives.
 	steps := map[string]func(t *testing.T, c *signalCase, sendSignal func(*process)){
 		"start, not the owner yet": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
 			release := lockStateDir(t, c.dir)
-			x := launchProcess(t, c.p, c.dir, c.known)
-			x.awaitLog("waits for the owner's end")
-			sendSignal(x)
+			proc := launchProcess(t, c.p, c.dir, c.known)
+			proc.awaitLog("waits for the owner's end")
+			sendSignal(proc)
 			release()
 			if c.survives {
-				x.addr = receive(t, x.ready, "ready program")
+				proc.addr = receive(t, proc.ready, "ready program")
 			}
 		},
 		"start, with a journal": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
-			x := startProcess(t, c.p, c.dir, c.known)
-			dialClient(t, x.addr).put("m", "safe", "+OK")
+			proc := startProcess(t, c.p, c.dir, c.known)
+			dialClient(t, proc.addr).put("m", "safe", "+OK")
 			receive(t, c.e.calls, "call")
-			x.kill()
-			x = launchProcess(t, c.p, c.dir, c.known)
-			sendSignal(x)
+			proc.kill()
+			proc = launchProcess(t, c.p, c.dir, c.known)
+			sendSignal(proc)
 			if c.sig != syscall.SIGKILL {
 				receive(t, c.e.calls, "call from the journal").reply(200)
 			}
 			c.pendingID = "m"
 		},
-		"half a request": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
-			x := startProcess(t, c.p, c.dir, c.known)
-			client, watch := dialClient(t, x.addr), dialClient(t, x.addr)
+		"incomplete request": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
+			proc := startProcess(t, c.p, c.dir, c.known)
+			client, watch := dialClient(t, proc.addr), dialClient(t, proc.addr)
 			watch.do("PING")
 			rest := client.sendPartialPut("m", "safe")
-			sendSignal(x)
+			sendSignal(proc)
 			if c.sig == syscall.SIGKILL {
 				return
 			}
@@ -77,20 +79,20 @@
 			receive(t, c.e.calls, "call").reply(200)
 		},
 		"a call": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
-			x := startProcess(t, c.p, c.dir, c.known)
-			dialClient(t, x.addr).put("m", "safe", "+OK")
+			proc := startProcess(t, c.p, c.dir, c.known)
+			dialClient(t, proc.addr).put("m", "safe", "+OK")
 			in := receive(t, c.e.calls, "call")
-			sendSignal(x)
+			sendSignal(proc)
 			in.reply(200)
 			c.pendingID = "m"
 		},
-		"half a line of an answer": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
-			x := startProcess(t, c.p, c.dir, c.known)
-			watch := dialClient(t, x.addr)
+		"half a line of a response": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
+			proc := startProcess(t, c.p, c.dir, c.known)
+			watch := dialClient(t, proc.addr)
 			watch.put("m", "safe", "+OK")
 			in := receive(t, c.e.calls, "call")
 			io.WriteString(in.conn, "HTTP/1.1 20")
-			sendSignal(x)
+			sendSignal(proc)
 			for c.sig == syscall.SIGTERM && watch.do("PING") != "-ERR stopping" { // until the sender has handled it
 			}
 			io.WriteString(in.conn, "0 OK\r\nContent-Length: 0\r\n\r\n")
@@ -98,15 +100,15 @@
 			c.pendingID = "m"
 		},
 		"a stop, with a call": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
-			x := startProcess(t, c.p, c.dir, c.known)
-			client := dialClient(t, x.addr)
+			proc := startProcess(t, c.p, c.dir, c.known)
+			client := dialClient(t, proc.addr)
 			client.put("m", "safe", "+OK")
 			in := receive(t, c.e.calls, "call")
-			x.terminate()
+			proc.terminate()
 			for client.readLine() != "" { // until the sender closes the client's connection
 			}
 			c.survives = false
-			sendSignal(x)
+			sendSignal(proc)
 			in.reply(200)
 			c.pendingID = "m"
 		},
@@ -115,36 +117,42 @@
 		for _, sig := range signals {
 			t.Run(fmt.Sprintf("%s, %v", name, sig), func(t *testing.T) {
 				t.Parallel()
-				c := &signalCase{p: newPlatform(t), e: newEndpoint(t), dir: t.TempDir(), sig: sig, survives: sig == syscall.SIGHUP}
+				c := &signalCase{
+					p:        newPlatform(t),
+					e:        newEndpoint(t),
+					dir:      t.TempDir(),
+					sig:      sig,
+					survives: sig == syscall.SIGHUP,
+				}
 				c.known = EndpointList{Generation: 1, Reset: true, Instances: instances(c.e)}
 				c.p.list = c.known
-				var x *process
-				step(t, c, func(y *process) {
-					x = y
+				var proc *process
+				step(t, c, func(target *process) {
+					proc = target
 					if sig == syscall.SIGKILL { // killed before anything else happens
-						x.kill()
+						proc.kill()
 						return
 					}
-					if err := x.cmd.Process.Signal(sig); err != nil {
+					if err := proc.cmd.Process.Signal(sig); err != nil {
 						t.Fatal(err)
 					}
 				})
 				switch {
 				case sig == syscall.SIGKILL && c.pendingID == "":
 				case sig == syscall.SIGKILL:
-					y := startProcess(t, c.p, c.dir, c.known)
+					restarted := startProcess(t, c.p, c.dir, c.known)
 					if in := receive(t, c.e.calls, "call again"); in.id() != c.pendingID {
 						t.Errorf("call with %s", in.id())
 					} else {
 						in.reply(200)
 					}
-					y.terminate()
-					y.awaitExit()
+					restarted.terminate()
+					restarted.awaitExit()
 				case c.survives:
-					x.terminate()
-					x.awaitExit()
+					proc.terminate()
+					proc.awaitExit()
 				default:
-					x.awaitExit()
+					proc.awaitExit()
 				}
 				if ids := journaledMessageIDs(t, c.dir); ids != nil {
 					t.Errorf("still in the journal: %v", ids)
@@ -175,7 +183,8 @@
 	var b strings.Builder
 	for i := range 5 {
 		id := fmt.Sprint("m-", i)
-		fmt.Fprintf(&b, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n", len(id), id)
+		fmt.Fprintf(&b, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n",
+			len(id), id)
 	}
 	leaving := dialClient(t, n.addr)
 	io.WriteString(leaving.conn, b.String()+"*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nha")
@@ -218,9 +227,11 @@
 		var b strings.Builder
 		for k := range 50 {
 			id := fmt.Sprintf("%04d-%04d", i, k)
-			fmt.Fprintf(&b, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$9\r\n%s\r\n$20\r\nc=safe,d=3000,dest=1\r\n$%d\r\n%s\r\n", id, len(large), large)
+			fmt.Fprintf(&b, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$9\r\n%s\r\n$20\r\nc=safe,d=3000,dest=1\r\n$%d\r\n%s\r\n",
+				id, len(large), large)
 		}
-		io.WriteString(leaving.conn, b.String()[:b.Len()-100*(i%2)]) // every second client stops within a request; a write may be cut short
+		// Every second client stops within a request. A write may be cut short.
+		io.WriteString(leaving.conn, b.String()[:b.Len()-100*(i%2)])
 		leaving.conn.(*net.TCPConn).SetLinger(0)
 		leaving.conn.Close()
 		if got := c.do("PING"); got != "+PONG" {
@@ -253,13 +264,13 @@
 		}
 		n := startNodeWithConfig(t, text, t.TempDir())
 		c := dialClient(t, n.addr)
-		repeats, ends := "safe", "unsafe"
+		repeatable, unrepeatable := "safe", "unsafe"
 		if swapped {
-			repeats, ends = ends, repeats
+			repeatable, unrepeatable = unrepeatable, repeatable
 		}
-		c.put("r", repeats, "+OK")
+		c.put("r", repeatable, "+OK")
 		first := receive(t, e.calls, "call")
-		c.put("f", ends, "+OK")
+		c.put("f", unrepeatable, "+OK")
 		second := receive(t, e.calls, "call")
 		second.reset()
 		if x := receive(t, p.notices, "notice"); x != (Notice{ID: "f", State: "failed"}) {
@@ -275,12 +286,12 @@
 	}
 }
 
-// A client may keep sending until its connection is closed, also while the sender shuts down. Every request that is read
-// must get a reply, and every message that is sent to an endpoint or left in the journal must have been accepted by that
-// reply.
+// A client may keep sending until its connection is closed, also while the sender shuts down. Every request that is
+// read must get a reply, and every message that is sent to an endpoint or left in the journal must have been accepted
+// by that reply.
 func TestFloodAcrossShutdown(t *testing.T) {
 	p, e, dir, known := newSingleEndpoint(t)
-	x := startProcess(t, p, dir, known)
+	proc := startProcess(t, p, dir, known)
 	sent := make(chan string, 1<<16)
 	stop := make(chan struct{})
 	defer close(stop)
@@ -295,45 +306,47 @@
 			}
 		}
 	}()
-	c := dialClient(t, x.addr)
+	c := dialClient(t, proc.addr)
 	go func() {
 		for i := 0; ; i++ {
-			if _, err := fmt.Fprintf(c.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$8\r\n%08d\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n", i); err != nil {
+			if _, err := fmt.Fprintf(
+				c.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$8\r\n%08d\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n", i,
+			); err != nil {
 				return // the sender has closed the connection
 			}
 		}
 	}()
-	taken := map[string]bool{}
-	answers := 0
+	accepted := map[string]bool{}
+	replies := 0
 	for {
 		line, err := c.r.ReadString('\n')
 		if err == io.EOF && line == "" { // a graceful close; a reset could destroy replies
 			break
 		} else if err != nil {
-			t.Fatalf("after %d answers: %v", answers, err)
+			t.Fatalf("after %d replies: %v", replies, err)
 		}
 		switch line = strings.TrimRight(line, "\r\n"); {
 		case line == "+OK":
-			taken[fmt.Sprintf("%08d", answers)] = true
+			accepted[fmt.Sprintf("%08d", replies)] = true
 		case !strings.HasPrefix(line, "-"):
-			t.Fatalf("answer %d: %q", answers, line)
+			t.Fatalf("reply %d: %q", replies, line)
 		}
-		if answers++; answers == 100 {
-			x.terminate()
+		if replies++; replies == 100 {
+			proc.terminate()
 		}
 	}
-	x.awaitExit()
+	proc.awaitExit()
 	ids := journaledMessageIDs(t, dir)
 	for len(sent) > 0 {
 		ids = append(ids, <-sent)
 	}
 	for _, id := range ids {
-		if !taken[id] {
-			t.Errorf("%s was sent or journalled without a reply to its client", id)
+		if !accepted[id] {
+			t.Errorf("%s was sent or journaled without a reply to its client", id)
 		}
 	}
 	if len(ids) == 0 {
-		t.Error("no message was sent or journalled")
+		t.Error("no message was sent or journaled")
 	}
-	t.Logf("%d replies, %d accepted, %d sent or journalled", answers, len(taken), len(ids))
+	t.Logf("%d replies, %d accepted, %d sent or journaled", replies, len(accepted), len(ids))
 }
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Steps of the start that fail with a transient error are retried until they
-// succeed: if the start gave up, no process would handle the accepted messages.
+// Steps of the start that fail with a transient error are retried until they succeed: if the start gave up, no process
+// would handle the accepted messages.
 
 const (
 	startRetryDelay    = 100 * time.Millisecond // between tries of a step that fails
@@ -55,7 +55,7 @@
 	count     int
 }
 
-// observe takes the result of one try of the operation.
+// observe records the result of one try of the operation.
 func (f *failureLog) observe(err error) {
 	if err == nil {
 		if f.count > 0 {
--- a/internal/node/window_test.go
+++ b/internal/node/window_test.go
@@ -30,26 +30,32 @@
 	j := openJournal(t, dir, 3e6)
 	now := time.Now()
 	accepted := func(id, class string) record {
-		return record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, IdempotencyKey: "key-" + id, Class: class, Dest: 1,
-			Deadline: now.Add(2 * testTimeout).UnixMicro()}}}
+		return record{Op: opAccept, Entry: &Entry{Message: Message{
+			ID:             id,
+			IdempotencyKey: "key-" + id,
+			Class:          class,
+			Dest:           1,
+			Deadline:       now.Add(2 * testTimeout).UnixMicro(),
+		}}}
 	}
 	sent := func(id string, at time.Time) record {
 		return record{Op: opSend, ID: id, At: at.UnixMicro(), Zone: 1}
 	}
 	firstSend := now.Add(testTimeout) // in the future, so that the window is open however long the start takes
-	mustAppend(t, j, accepted("open", "keyed"), accepted("over", "keyed"), accepted("answered late", "keyed"), accepted("never ran", "keyed"),
+	mustAppend(t, j, accepted("open", "keyed"), accepted("over", "keyed"), accepted("late outcome", "keyed"),
+		accepted("never ran", "keyed"),
 		accepted("untried", "keyed"), accepted("unsafe", "unsafe"),
 		sent("open", firstSend), sent("over", now.Add(-1001*time.Millisecond)),
-		sent("answered late", now.Add(-2*time.Second)), record{Op: opOutcome, ID: "answered late", MayHaveRun: true},
-		sent("answered late", now.Add(-500*time.Millisecond)), // the window counts from the first send
+		sent("late outcome", now.Add(-2*time.Second)), record{Op: opOutcome, ID: "late outcome", MayHaveRun: true},
+		sent("late outcome", now.Add(-500*time.Millisecond)), // the window counts from the first send
 		sent("never ran", now.Add(-2*time.Second)), record{Op: opOutcome, ID: "never ran"},
 		sent("unsafe", now.Add(-time.Millisecond)))
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
 	n := startNodeWithConfig(t, shortWindowConfig(p, p.list), dir)
-	failed := map[string]bool{"over": true, "answered late": true, "unsafe": true}
-	for len(failed) > 0 { // before any call is answered, and long before the deadlines
+	failed := map[string]bool{"over": true, "late outcome": true, "unsafe": true}
+	for len(failed) > 0 { // before any call has a response, and long before the deadlines
 		x := receive(t, p.notices, "notice")
 		if !failed[x.ID] || x.State != "failed" {
 			t.Fatalf("notice %+v", x)
@@ -90,10 +96,24 @@
 	cfg.StateDir = t.TempDir()
 	j := openJournal(t, cfg.StateDir, 3e6)
 	first := time.Now().Add(testTimeout)
-	mustAppend(t, j, record{Op: opAccept, Entry: &Entry{Message: Message{ID: "m", IdempotencyKey: "k", Class: "keyed", Dest: 1,
-		Deadline: first.Add(testTimeout).UnixMicro()}}}, record{Op: opSend, ID: "m", At: first.UnixMicro()},
-		record{Op: opAccept, Entry: &Entry{Message: Message{ID: "over", IdempotencyKey: "l", Class: "keyed", Dest: 1,
-			Deadline: first.UnixMicro()}}}, record{Op: opSend, ID: "over", At: time.Now().Add(-1001 * time.Millisecond).UnixMicro()})
+	mustAppend(t, j,
+		record{Op: opAccept, Entry: &Entry{Message: Message{
+			ID:             "m",
+			IdempotencyKey: "k",
+			Class:          "keyed",
+			Dest:           1,
+			Deadline:       first.Add(testTimeout).UnixMicro(),
+		}}},
+		record{Op: opSend, ID: "m", At: first.UnixMicro()},
+		record{Op: opAccept, Entry: &Entry{Message: Message{
+			ID:             "over",
+			IdempotencyKey: "l",
+			Class:          "keyed",
+			Dest:           1,
+			Deadline:       first.UnixMicro(),
+		}}},
+		record{Op: opSend, ID: "over", At: time.Now().Add(-1001 * time.Millisecond).UnixMicro()},
+	)
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
