--- a/internal/node/attempt_log.go
+++ b/internal/node/attempt_log.go
@@ -8,9 +8,18 @@
 )
 
 // outcomeNames are the names of outcomes in logs and metrics.
-var outcomeNames = map[logic.Outcome]string{logic.Delivered: "ok", logic.Errored: "error", logic.Refused: "full",
-	logic.TimedOut: "timeout", logic.ConnRefused: "no-connection", logic.ConnLost: "reset", logic.Cancelled: "recalled",
-	logic.Skipped: "not-sent", logic.LocalFailure: "held-here", logic.Unreadable: "unreadable"}
+var outcomeNames = map[logic.Outcome]string{
+	logic.Delivered:    "ok",
+	logic.Errored:      "error",
+	logic.Refused:      "full",
+	logic.TimedOut:     "timeout",
+	logic.ConnRefused:  "no-connection",
+	logic.ConnLost:     "reset",
+	logic.Cancelled:    "recalled",
+	logic.Skipped:      "not-sent",
+	logic.LocalFailure: "held-here",
+	logic.Unreadable:   "unreadable",
+}
 
 // attemptLog lists the attempts of a message as text. Each attempt has the time of its send, its endpoint, its outcome
 // and the time of that, in milliseconds since the message arrived.
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -161,7 +161,7 @@
 func TestBulkCancelOne(t *testing.T) {
 	for _, copies := range []bool{true, false} {
 		n, e := newBulkNode(t, map[string]string{"a": "x", "b": "y", "c": "z"})
-		n.caller.allowSecondCopies = copies
+		n.endpointClient.allowSecondCopies = copies
 		n.sendPendingCalls(t.Context())
 		in := receive(t, e.calls, "call")
 		n.active["a"].cancel()
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -61,8 +61,11 @@
 		return nil, fmt.Errorf("config %s: %w", path, err)
 	}
 	cfg.StateDir = os.Getenv("BALANCER_STATE")
-	for name, field := range map[string]*string{"BALANCER_NAME": &cfg.Name, "BALANCER_LISTEN": &cfg.ListenAddr,
-		"BALANCER_ADMIN_ADDR": &cfg.AdminAddr} {
+	for name, field := range map[string]*string{
+		"BALANCER_NAME":       &cfg.Name,
+		"BALANCER_LISTEN":     &cfg.ListenAddr,
+		"BALANCER_ADMIN_ADDR": &cfg.AdminAddr,
+	} {
 		if v := os.Getenv(name); v != "" {
 			*field = v
 		}
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -260,7 +260,7 @@
 			return nil, syscall.ECONNREFUSED
 		}
 		// Each attempt is recorded and fails here, as if there were no free descriptor, and is retried elsewhere.
-		n.caller.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
+		n.endpointClient.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
 			mu.Lock()
 			defer mu.Unlock()
 			if sent[addr] = append(sent[addr], time.Now()); addr == oldAddr {
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -390,7 +390,7 @@
 	}
 }
 
-// The sender must go on if the reader of its log stalls or exits.
+// The sender must keep serving if the reader of its log stalls or exits.
 func TestUnreadLogDoesNotBlock(t *testing.T) {
 	for name, closed := range map[string]bool{"reader stalls": false, "reader exits": true} {
 		t.Run(name, func(t *testing.T) {
@@ -510,19 +510,19 @@
 // previous owner has received must apply to it too, although its own list may be older.
 func TestTakeoverWithoutHandoverUsesNewList(t *testing.T) {
 	p, dir := newPlatform(t), t.TempDir()
-	stays, drains := newEndpoint(t), newEndpoint(t)
-	old := EndpointList{Generation: 1, Reset: true, Instances: instances(stays, drains)}
+	available, draining := newEndpoint(t), newEndpoint(t)
+	old := EndpointList{Generation: 1, Reset: true, Instances: instances(available, draining)}
 	p.list = old
 	text := []byte(strings.Replace(string(configText(p, old)), `"on_request"`, `"pushed"`, 1))
 	proc := execProcess(t, p, dir, text)
 	proc.adminAddr, proc.addr = receive(t, proc.adminReady, "operators' address"), receive(t, proc.ready, "ready program")
 	p.update(func() {
-		changed := instances(stays, drains)
+		changed := instances(available, draining)
 		changed[1].Lifecycle = "draining"
 		p.list = EndpointList{Generation: 2, Instances: changed[1:]}
 	})
 	proc.awaitLog("generation=2")
-	ids := acceptUnsent(t, proc, stays, 16000, 6)
+	ids := acceptUnsent(t, proc, available, 16000, 6)
 	next := execProcess(t, p, dir, text)
 	next.awaitLog("stands by")
 	p.update(func() { p.holdLists = true })
@@ -531,10 +531,10 @@
 	receive(t, next.ready, "ready program")
 	for left := len(ids); left > 0; {
 		select {
-		case in := <-stays.calls:
+		case in := <-available.calls:
 			in.reply(200)
 			left--
-		case in := <-drains.calls:
+		case in := <-draining.calls:
 			t.Fatalf("%s sent to a draining endpoint", in.id())
 		case <-time.After(testTimeout):
 			t.Fatalf("%d messages are not sent", left)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -24,9 +24,9 @@
 	Released    bool              `json:"Yours,omitempty"`
 	Put         *relayedPut       `json:",omitempty"`       // to the successor: a message submitted by a client
 	PutReply    *relayedPut       `json:"Answer,omitempty"` // to the predecessor: the reply to that client
-	Result      *remoteResult     `json:"Reply,omitempty"`  // to the successor: the result of a call
+	Result      *relayedResult    `json:"Reply,omitempty"`  // to the successor: the result of a call
 	ProbeResult *probeResultEvent `json:"Health,omitempty"` // to the successor: the outcome of a probe
-	Cancel      *remoteCall       `json:",omitempty"`       // to the predecessor: cancel a call
+	Cancel      *relayedCall      `json:",omitempty"`       // to the predecessor: cancel a call
 }
 
 // handoverState is the part of the owner's state that is not in the journal.
@@ -47,12 +47,12 @@
 
 // activeMessageState is an activeMessage in a handoverState.
 type activeMessageState struct {
-	Message    Message     // without its body, which is in the journal
-	Attempts   int         `json:"Tries"`
-	Ended      bool        `json:"Over"`
-	ReceivedAt int64       `json:"Came"` // on the persistent clock
-	AttemptLog string      `json:"Trail"`
-	Call       *remoteCall // the attempt in flight; nil if there is none
+	Message    Message      // without its body, which is in the journal
+	Attempts   int          `json:"Tries"`
+	Ended      bool         `json:"Over"`
+	ReceivedAt int64        `json:"Came"` // on the persistent clock
+	AttemptLog string       `json:"Trail"`
+	Call       *relayedCall // the attempt in flight; nil if there is none
 }
 
 // endpointState is an endpoint in a handoverState.
@@ -65,21 +65,21 @@
 	Unavailable bool  `json:"Shut,omitempty"` // it accepts no new calls; older builds do not send this
 }
 
-// remoteCall is a call that the predecessor has in flight.
-type remoteCall struct {
+// relayedCall is a call that the predecessor has in flight.
+type relayedCall struct {
 	ID       string
 	Attempt  int
 	Endpoint logic.EndpointID
 	State    int32
 }
 
-func newRemoteCall(c *call) remoteCall {
-	return remoteCall{c.id, c.attempt, c.endpoint, c.state.Load()}
+func newRelayedCall(c *call) relayedCall {
+	return relayedCall{c.id, c.attempt, c.endpoint, c.state.Load()}
 }
 
-// remoteResult is the result of a call of the predecessor.
-type remoteResult struct {
-	Call         remoteCall
+// relayedResult is the result of a call of the predecessor.
+type relayedResult struct {
+	Call         relayedCall
 	Outcome      logic.Outcome
 	RetryAfter   time.Duration `json:"Wait"`
 	MessageEnded bool          `json:"Over"`
@@ -95,8 +95,8 @@
 	Reply   string   `json:"Answer,omitempty"`
 }
 
-// remoteEvent delivers a packet of the predecessor, or the loss of its connection, to the successor's event loop.
-type remoteEvent struct {
+// predecessorEvent delivers a packet of the predecessor, or the loss of its connection, to the successor's event loop.
+type predecessorEvent struct {
 	from *predecessor
 	packet
 	disconnected bool
@@ -260,8 +260,8 @@
 	return func() {
 		if p.calls[c.id] == c {
 			// The reader of the link reports a failed write, and that ends all calls.
-			remote := newRemoteCall(c)
-			p.link.write(packet{Cancel: &remote})
+			relayed := newRelayedCall(c)
+			p.link.write(packet{Cancel: &relayed})
 		}
 	}
 }
@@ -275,20 +275,20 @@
 		switch err := p.link.read(&in, time.Time{}); {
 		case err != nil:
 			p.link.close()
-			event = remoteEvent{from: p, disconnected: true}
+			event = predecessorEvent{from: p, disconnected: true}
 		case in.Put != nil && in.Put.Message != nil:
 			pending := make(chan string, 1)
 			go p.sendReply(workCtx, in.Put.Seq, pending)
 			event = putEvent{*in.Put.Message, pending}
 		default:
-			event = remoteEvent{from: p, packet: in}
+			event = predecessorEvent{from: p, packet: in}
 		}
 		select {
 		case events <- event:
 		case <-workCtx.Done():
 			return
 		}
-		if r, ok := event.(remoteEvent); ok && r.disconnected {
+		if r, ok := event.(predecessorEvent); ok && r.disconnected {
 			return
 		}
 	}
@@ -305,7 +305,7 @@
 
 // results returns the results of calls that follow from an event of the predecessor. If its connection is lost, all of
 // its calls end with ConnLost: they may have run.
-func (p *predecessor) results(ev remoteEvent) (out []attemptResultEvent) {
+func (p *predecessor) results(ev predecessorEvent) (out []attemptResultEvent) {
 	if r := ev.Result; r != nil {
 		c := p.calls[r.Call.ID]
 		if c == nil || c.attempt != r.Call.Attempt {
@@ -333,8 +333,8 @@
 	return out
 }
 
-// handleRemote handles an event of the predecessor.
-func (n *Node) handleRemote(ev remoteEvent) {
+// handlePredecessor handles an event of the predecessor.
+func (n *Node) handlePredecessor(ev predecessorEvent) {
 	if ev.disconnected {
 		n.log.Info("predecessor disconnected", "calls", len(ev.from.calls))
 		n.predecessor = nil
@@ -501,7 +501,7 @@
 		}
 		saved.Message.Body = nil
 		if m.call != nil {
-			c := newRemoteCall(m.call)
+			c := newRelayedCall(m.call)
 			saved.Call = &c
 		}
 		state.Active = append(state.Active, saved)
@@ -525,7 +525,7 @@
 }
 
 // restore fills an empty directory from the state of a handover.
-func (d *Directory) restore(state *handoverState, clock *clock.Lasting) {
+func (d *Directory) restore(state *handoverState, persistentClock *clock.Lasting) {
 	d.lastID = state.LastEndpoint
 	for _, saved := range state.Endpoints {
 		info := endpointInfo{
@@ -536,7 +536,7 @@
 			dest:       saved.Dest,
 		}
 		if saved.RemovedAt != 0 {
-			d.removedAt[saved.ID] = clock.At(saved.RemovedAt)
+			d.removedAt[saved.ID] = persistentClock.At(saved.RemovedAt)
 		}
 		if saved.Unavailable || saved.RemovedAt != 0 {
 			d.unavailable[saved.ID] = true
@@ -552,7 +552,7 @@
 func (n *Node) relayUntilIdle(workCtx context.Context) {
 	n.listener.Close() // the successor shares the socket, so connections waiting to be accepted are not lost
 	n.discovery.close()
-	n.caller.closeAllIdle()
+	n.endpointClient.closeAllIdle()
 	n.clients.stopReadingAt(n.shutdownAt.Add(shutdownWorkTimeout))
 	n.clients.setPhase(replaced)
 	n.metrics.openMessages.Store(0)
@@ -616,7 +616,7 @@
 		r.lastSeq++
 		r.waiting[r.lastSeq] = ev.reply
 		p.Put = &relayedPut{Seq: r.lastSeq, Message: &ev.msg}
-	case remoteEvent: // from a predecessor that still has calls in flight
+	case predecessorEvent: // from a predecessor that still has calls in flight
 		for _, result := range ev.from.results(ev) {
 			r.forward(result)
 		}
@@ -626,8 +626,8 @@
 		if m := r.node.active[c.id]; m != nil && m.call == c {
 			r.node.attemptEnded(m)
 		}
-		p.Result = &remoteResult{
-			Call:         newRemoteCall(c),
+		p.Result = &relayedResult{
+			Call:         newRelayedCall(c),
 			Outcome:      result.outcome,
 			RetryAfter:   result.retryAfter,
 			MessageEnded: result.messageEnded,
@@ -673,5 +673,5 @@
 	cfg.Limits = limits
 	budget := newSocketBudget(&cfg)
 	n.clients.setMaxConns(budget.clients)
-	n.caller.setLimits(budget)
+	n.endpointClient.setLimits(budget)
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -201,7 +201,7 @@
 	fixture.endpoint.expectNoCall(t)
 }
 
-// If a successor dies before the handover, the owner goes on as before, and SIGTERM ends it as without a successor.
+// If a successor dies before the handover, the owner continues as before, and SIGTERM ends it as without a successor.
 func TestSuccessorDies(t *testing.T) {
 	fixture := newUpgradeFixture(t)
 	proc := fixture.start()
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -138,7 +138,7 @@
 }
 
 // OpenJournal replays the journal in dir and opens it for appending. The total size of its files stays below diskBytes.
-// A failed read is an error, unless lenient is set: then the journal is taken to end before it.
+// A failed read is an error, unless lenient is set: then the journal is replayed up to it.
 func OpenJournal(dir string, diskBytes int64, lenient bool) (*Journal, error) {
 	disk := float64(diskBytes)
 	if diskBytes <= 0 || disk*fileDiskShare > maxFileBytes {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -71,7 +71,7 @@
 	log             *slog.Logger
 	journal         *Journal
 	sender          *logic.Sender
-	caller          *endpointClient
+	endpointClient  *endpointClient
 	directory       *Directory
 	discovery       *discoveryClient
 	notices         *noticeQueue
@@ -95,7 +95,7 @@
 	logicEpoch      time.Time   // zero of the clock of package logic
 	startup         startupTimer
 	active          map[string]*activeMessage
-	openCount       int                       // active messages that have not ended
+	openCount       int                       // number of active messages that have not ended
 	inFlight        map[string]*activeMessage // active messages with an attempt in flight
 	recentIDs       map[string]int64          // ended messages by id, with their deadlines on the persistent clock
 	pendingEvents   []logic.Event             // for the next step
@@ -137,12 +137,12 @@
 		sender:         sender,
 		directory:      NewDirectory(cfg),
 		metrics:        metrics,
-		caller: newEndpointClient(
+		endpointClient: newEndpointClient(
 			toDuration(cfg.Deployment.ConnectTimeout),
 			toDuration(settings.ConnIdleTimeout),
 			settings.CallSlots,
 			newSocketBudget(cfg),
-			&metrics.relayed,
+			&metrics.messagesWritten,
 		),
 		events:          make(chan any, eventQueueSize),
 		ready:           make(chan net.Addr, 1),
@@ -159,7 +159,7 @@
 		journalFailures: failureLog{log: log, operation: "journal"},
 	}
 	n.guard = newProtocolGuard(n)
-	n.caller.allowSecondCopies = cfg.Deployment.SecondCopies
+	n.endpointClient.allowSecondCopies = cfg.Deployment.SecondCopies
 	n.discovery = newDiscoveryClient(cfg.DiscoveryAddr, settings.Senders, log, n.events)
 	n.discovery.pushed = !settings.ListOnRequest
 	n.notices = newNoticeQueue(cfg.DiscoveryAddr, log, n.events)
@@ -367,7 +367,7 @@
 		case <-n.flushTimer.C:
 			n.writeRecords(nil)
 		case <-sweepTicker.C:
-			n.caller.closeUnusable()
+			n.endpointClient.closeUnusable()
 			if len(n.directory.removedAt) > 0 {
 				n.directory.purgeRemoved(time.Now(), n.calledEndpoints())
 			}
@@ -492,8 +492,8 @@
 		n.shutdownAt = ev.at
 	case listenerEvent:
 		n.serveClients(workCtx, ev.ln)
-	case remoteEvent:
-		n.handleRemote(ev)
+	case predecessorEvent:
+		n.handlePredecessor(ev)
 	case successorEvent:
 		n.updateSuccessor(ev)
 	}
@@ -593,12 +593,12 @@
 	})
 	for ep, isReady := range ready {
 		if !isReady {
-			n.caller.closeIdleTo(ep)
+			n.endpointClient.closeIdleTo(ep)
 		}
 	}
 	if ev.list.Reset { // a full list omits removed endpoints, so they have no entry here
 		for id := range n.directory.removedAt {
-			n.caller.closeIdleTo(id)
+			n.endpointClient.closeIdleTo(id)
 		}
 	}
 	n.pendingEvents = append(n.pendingEvents, logic.EndpointUpdate{Kind: kind, Entries: entries})
@@ -893,7 +893,7 @@
 	case logic.Probe:
 		n.probe(workCtx, a.Endpoint)
 	case logic.ReleaseConns:
-		n.caller.closeIdleTo(a.Endpoint)
+		n.endpointClient.closeIdleTo(a.Endpoint)
 	case logic.Subscribe:
 		n.discovery.startWatch(workCtx)
 	case logic.Log:
@@ -978,12 +978,12 @@
 func (n *Node) sendCalls(workCtx context.Context, group []pendingCall) {
 	startedAt := time.Now()
 	if len(group) > 1 {
-		n.caller.doBulk(workCtx, group, func(c *call, r callResult) {
+		n.endpointClient.doBulk(workCtx, group, func(c *call, r callResult) {
 			n.events <- attemptResultEvent{c, r, time.Since(startedAt)}
 		})
 		return
 	}
-	r := n.caller.do(group[0].ctx, group[0].call)
+	r := n.endpointClient.do(group[0].ctx, group[0].call)
 	duration := time.Since(startedAt)
 	if r.localFailure {
 		sleepContext(group[0].ctx, jitter(attemptRetryDelay)) // gives a local shortage, e.g. of descriptors, time to clear
@@ -1016,7 +1016,7 @@
 	go func() {
 		outcome := logic.ConnRefused
 		if req, err := newProbeRequest(addr); err == nil {
-			outcome = n.caller.do(workCtx, &call{
+			outcome = n.endpointClient.do(workCtx, &call{
 				endpoint: ep,
 				addr:     addr,
 				timeout:  probeTimeout,
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -13,9 +13,9 @@
 // metrics are the counters and gauges that operators read. Each message is counted once, when it ends. They are safe
 // for concurrent use.
 type metrics struct {
-	classes []string
-	byClass map[string]*classCounters // the map itself never changes
-	relayed atomic.Int64              // messages written completely to an endpoint; each attempt counts
+	classes         []string
+	byClass         map[string]*classCounters // the map itself never changes
+	messagesWritten atomic.Int64              // messages written completely to an endpoint; each attempt counts
 
 	violations counterSet // violations of the protocol, by rule
 	rejected   counterSet // messages that were not accepted, by reason
@@ -149,7 +149,7 @@
 		writeMetric("operations."+class+".throttled", counters.throttled.Load())
 		writeMetric("operations."+class+".faulted", counters.faulted.Load())
 	}
-	writeMetric("relayed", m.relayed.Load())
+	writeMetric("relayed", m.messagesWritten.Load())
 	writeMetric("open_requests", m.openMessages.Load())
 	writeMetric("registry_entries", m.listedEndpoints.Load())
 	writeMetric("out_of_rotation", m.outOfRotation.Load())
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -396,9 +396,9 @@
 	first := receive(t, e[0].calls, "call")
 	first.reply(200)
 	for stop := time.Now().Add(testTimeout); ; { // until the connection is idle
-		n.caller.mu.Lock()
-		idle := n.caller.idleCount
-		n.caller.mu.Unlock()
+		n.endpointClient.mu.Lock()
+		idle := n.endpointClient.idleCount
+		n.endpointClient.mu.Unlock()
 		if idle == 1 {
 			break
 		}
@@ -416,11 +416,11 @@
 		t.Error("the new endpoint is called over a connection of the old one")
 	}
 	second.reply(200)
-	n.caller.mu.Lock()
-	if len(n.caller.idle[1]) != 0 {
-		t.Errorf("%d connections to the old endpoint are kept", len(n.caller.idle[1]))
+	n.endpointClient.mu.Lock()
+	if len(n.endpointClient.idle[1]) != 0 {
+		t.Errorf("%d connections to the old endpoint are kept", len(n.endpointClient.idle[1]))
 	}
-	n.caller.mu.Unlock()
+	n.endpointClient.mu.Unlock()
 	stopAndCheckEmpty(t, n)
 }
 
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -157,12 +157,12 @@
 
 // checkConstantCost checks that a duration does not grow with the size. If it were linear, it would be about a hundred
 // times as long for the largest size.
-func checkConstantCost(t *testing.T, what string, sizes []int, took map[int]time.Duration) {
+func checkConstantCost(t *testing.T, what string, sizes []int, durations map[int]time.Duration) {
 	t.Helper()
-	t.Logf("%s: %v", what, took)
+	t.Logf("%s: %v", what, durations)
 	small, large := sizes[0], sizes[len(sizes)-1]
-	if took[large] > 20*took[small] {
-		t.Errorf("%s: %v with %d, %v with %d", what, took[small], small, took[large], large)
+	if durations[large] > 20*durations[small] {
+		t.Errorf("%s: %v with %d, %v with %d", what, durations[small], small, durations[large], large)
 	}
 }
 
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Steps of the start that fail with a transient error are retried until they succeed: if the start gave up, no process
-// would handle the accepted messages.
+// Steps of the startup that fail with a transient error are retried until they succeed: if the startup gave up, no
+// process would handle the accepted messages.
 
 const (
 	startRetryDelay    = 100 * time.Millisecond // between tries of a step that fails
