--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -69,14 +69,14 @@
 
 // record is one entry of the journal file.
 type record struct {
-	Op         op      `json:"op"`
-	ID         string  `json:"id,omitempty"`
-	Entry      *Entry  `json:"entry,omitempty"`
-	At         int64   `json:"at,omitempty"`
-	Zone       int     `json:"zone,omitempty"`
-	MayHaveRun bool    `json:"may_run,omitempty"`
-	Unsent     bool    `json:"unsent,omitempty"` // with opOutcome: the attempt does not count
-	Notice     *Notice `json:"notice,omitempty"`
+	Op           op      `json:"op"`
+	ID           string  `json:"id,omitempty"`
+	Entry        *Entry  `json:"entry,omitempty"`
+	At           int64   `json:"at,omitempty"`
+	Zone         int     `json:"zone,omitempty"`
+	MayHaveRun   bool    `json:"may_run,omitempty"`
+	LocalFailure bool    `json:"unsent,omitempty"` // with opOutcome: the attempt does not count
+	Notice       *Notice `json:"notice,omitempty"`
 
 	Clock *clock.Stamp `json:"clock,omitempty"`
 }
@@ -287,7 +287,7 @@
 			e.FirstMayRunAt, e.FirstMayRunZone = rec.At, rec.Zone
 		}
 	case opOutcome:
-		if rec.Unsent {
+		if rec.LocalFailure {
 			e.Attempts--
 		}
 		e.InFlight = false
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -678,10 +678,10 @@
 	case r.outcome == logic.LocalFailure && !ev.call.journaled: // the attempt is not in the journal
 	default:
 		n.pendingRecords = append(n.pendingRecords, record{
-			Op:         opOutcome,
-			ID:         ev.call.id,
-			MayHaveRun: mayHaveRun(r.outcome),
-			Unsent:     r.outcome == logic.LocalFailure,
+			Op:           opOutcome,
+			ID:           ev.call.id,
+			MayHaveRun:   mayHaveRun(r.outcome),
+			LocalFailure: r.outcome == logic.LocalFailure,
 		})
 	}
 	if m.ended {
