--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,6 +1,5 @@
-// Package node runs a sender on real sockets: it accepts messages from clients,
-// keeps them in a journal, and sends them as a logic.Sender decides. All
-// decisions about messages are made there, none in this package.
+// Package node runs a sender on real sockets: it accepts messages from clients, keeps them in a journal, and sends them
+// as a logic.Sender decides. All decisions about messages are made there, none in this package.
 package node
 
 import (
@@ -62,8 +61,11 @@
 		return nil, fmt.Errorf("config %s: %w", path, err)
 	}
 	cfg.StateDir = os.Getenv("BALANCER_STATE")
-	for name, field := range map[string]*string{"BALANCER_NAME": &cfg.Name, "BALANCER_LISTEN": &cfg.ListenAddr,
-		"BALANCER_ADMIN_ADDR": &cfg.AdminAddr} {
+	for name, field := range map[string]*string{
+		"BALANCER_NAME":       &cfg.Name,
+		"BALANCER_LISTEN":     &cfg.ListenAddr,
+		"BALANCER_ADMIN_ADDR": &cfg.AdminAddr,
+	} {
 		if v := os.Getenv(name); v != "" {
 			*field = v
 		}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,9 +9,8 @@
 // reloadEvent delivers a newly read configuration to the event loop.
 type reloadEvent struct{ cfg *Config }
 
-// ReloadOn makes Run reload the configuration with load at each signal. Of the new
-// configuration only the address of discovery and notices takes effect; all other
-// changes need a restart.
+// ReloadOn makes Run reload the configuration with load at each signal. Of the new configuration only the address of
+// discovery and notices takes effect; all other changes need a restart.
 func (n *Node) ReloadOn(signals <-chan os.Signal, load func() (*Config, error)) {
 	n.reloadSignals, n.loadConfig = signals, load
 }
@@ -73,7 +72,7 @@
 }
 
 // switchDiscovery switches discovery and notices to the address in cfg.
-func (n *Node) switchDiscovery(work context.Context, cfg *Config) {
+func (n *Node) switchDiscovery(workCtx context.Context, cfg *Config) {
 	if cfg.DiscoveryAddr == n.discovery.addr {
 		n.log.Info("reload: same discovery", "addr", cfg.DiscoveryAddr)
 		return
@@ -81,5 +80,5 @@
 	n.log.Info("reload: discovery moves", "from", n.discovery.addr, "to", cfg.DiscoveryAddr)
 	n.notices.setAddr(cfg.DiscoveryAddr)
 	n.discovery.setAddr(cfg.DiscoveryAddr)
-	n.discovery.startWatch(work) // at once: this sender is soon expected to follow what the new address announces
+	n.discovery.startWatch(workCtx) // at once: this sender is soon expected to follow what the new address announces
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -37,8 +37,8 @@
 	proc := startProcess(t, old, t.TempDir(), known)
 	receive(t, old.listRequests, "watch")
 	c := dialClient(t, proc.addr)
-	c.put("under-way", "safe", "+OK")
-	underWay := receive(t, e.calls, "call")
+	c.put("in-flight", "safe", "+OK")
+	inFlight := receive(t, e.calls, "call")
 
 	for i, bad := range []string{
 		"{",
@@ -56,10 +56,10 @@
 		in.reply(200)
 	}
 
-	old.update(func() { old.refuseNotices = true })
+	old.update(func() { old.rejectNotices = true })
 	c.put("fails", "unsafe", "+OK")
 	receive(t, e.calls, "call").reply(500)
-	receive(t, old.refusedNotices, "notice")
+	receive(t, old.rejectedNotices, "notice")
 	// The new address has its own generation numbers: a watch from the old generation would wait forever.
 	fresh.list = EndpointList{Generation: 2, Reset: true, Instances: instances(e, added)}
 	proc.reload(configText(fresh, known))
@@ -67,11 +67,11 @@
 		t.Errorf("notice %+v", notice)
 	}
 	if q := receive(t, fresh.listRequests, "call at the new address"); q != "" {
-		t.Errorf("asked %q, want the whole list", q)
+		t.Errorf("requested %q, want the full list", q)
 	}
 	receive(t, fresh.listRequests, "watch at the new address") // the list has been read by then
 	old.srv.CloseClientConnections()
-	underWay.reply(200)
+	inFlight.reply(200)
 	for i := 0; ; i++ { // until the endpoint that only the new address lists gets a call
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
 		var in *receivedCall
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -39,10 +39,10 @@
 	consecutiveErrors atomic.Int32
 
 	// Guarded by clientServer.mu.
-	openRequests   int       // requests that have begun to arrive and are not answered
+	openRequests   int       // requests that have begun to arrive and have no reply
 	readingRequest bool      // one of them has not arrived completely
 	noRequestYet   bool      // no request has begun to arrive on this connection
-	idleSince      time.Time // when the last request was answered
+	idleSince      time.Time // when the last reply was sent
 	evicted        bool      // closed to make room for another connection
 }
 
@@ -67,7 +67,7 @@
 	s.lingeringClose()
 }
 
-// recordClose counts the end of a connection by its reason and checks that every request was answered.
+// recordClose counts the end of a connection by its reason and checks that every request got a reply.
 func (s *session) recordClose(reason closeReason) {
 	s.server.mu.Lock()
 	openRequests, evicted := s.openRequests, s.evicted
@@ -157,18 +157,19 @@
 }
 
 // awaitRequest waits for the first byte of a request. If it returns false the connection ends, for the reason returned.
-// A request counts as open before any of it is read: until then the connection may be closed, and the client resends the
-// request on another one.
+// A request counts as open before any of it is read: until then the connection may be closed, and the client sends the
+// request again on another one.
 func (s *session) awaitRequest(r *bufio.Reader) (closeReason, bool) {
 	if r.Buffered() > 0 {
 		return "", true // counted by requestDone of the previous request
 	}
 	s.server.mu.Lock()
-	s.conn.SetReadDeadline(s.idleDeadline(time.Now())) // under the lock, so as not to override the deadline of startClosingIdle
+	// Under the lock, so as not to override the deadline of startClosingIdle.
+	s.conn.SetReadDeadline(s.idleDeadline(time.Now()))
 	s.server.mu.Unlock()
 	data, err := awaitInput(s.conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		_, data = peekConn(s.conn) // a request that arrived just before the deadline must be answered
+		_, data = peekConn(s.conn) // a request that arrived just before the deadline must get a reply
 	}
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
@@ -244,7 +245,7 @@
 	return w.Flush()
 }
 
-// replySent records that a request has been answered.
+// replySent records that the reply to a request has been sent.
 func (s *session) replySent() {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
@@ -289,7 +290,7 @@
 		afterCutoff := c.pastReadCutoff()
 		c.mu.Unlock()
 		if afterCutoff { // the request was pipelined behind others that were read in time
-			c.metrics.refused.inc(string(refusedStopping))
+			c.metrics.rejected.inc(string(rejectedStopping))
 			return clientReply{line: busyReply(0)}
 		}
 		pending := make(chan string, 1)
