--- a/internal/faultinject/plan.go
+++ b/internal/faultinject/plan.go
@@ -31,8 +31,8 @@
 	MaxBytes    int           // limit of a transfer; 0 for no limit
 	Delay       time.Duration // pause before the call
 	From        time.Duration // on the clock of Now
-	To          time.Duration
-	Probability float64 // of each call to be affected, from 0 to 1
+	To          time.Duration // exclusive
+	Probability float64       // of each call to be affected, from 0 to 1
 }
 
 // ClockStep steps the wall clock: from At on, it is ahead of the real one by Offset.
--- a/internal/hollow/call.go
+++ b/internal/hollow/call.go
@@ -48,8 +48,8 @@
 	c.connect()
 }
 
-// recordOutageSend counts a call whose endpoint is in an outage. With the first such call it starts to measure
-// how long the sender takes to detect the outage.
+// recordOutageSend counts a call whose endpoint is in an outage. With the first call into an outage it starts to
+// measure how long the sender takes to detect it.
 func (s *sender) recordOutageSend(c *call) {
 	o := c.endpoint.currentOutage()
 	if o == nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// takeIdleConn returns the most recently used idle connection that is still usable, or nil.
+// takeIdleConn removes and returns the most recently used idle connection that is still usable; nil if there is none.
 func (s *sender) takeIdleConn(id logic.EndpointID) *conn {
 	conns := s.idleConns[id]
 	for len(conns) > 0 {
--- a/internal/hollow/discovery.go
+++ b/internal/hollow/discovery.go
@@ -55,7 +55,7 @@
 	addedIn, drainingIn, removedIn int64
 }
 
-// instanceAt returns the instance with its lifecycle state in generation g.
+// instanceAt returns the instance with its lifecycle state in generation g, which must not precede its addition.
 func (e *listEntry) instanceAt(g int64) instance {
 	x := e.instance
 	switch {
--- a/internal/hollow/doc.go
+++ b/internal/hollow/doc.go
@@ -25,7 +25,7 @@
 // Names in quotes are sections of the protocol document.
 //
 //   - Clients ("Clients to senders"): Poisson arrivals at each sender; destinations
-//     are equally popular or follow Zipf's law. A client whose sender dies submits
+//     are equally popular or follow Zipf's law. A client whose sender is down submits
 //     its message to another one, after 400 ms if the machine has vanished. A
 //     rejected message counts as returned and is not submitted again.
 //   - Destinations ("Senders to endpoints"): a token bucket shared by a
--- a/internal/hollow/fleet_test.go
+++ b/internal/hollow/fleet_test.go
@@ -78,7 +78,7 @@
 		sc := smallScenario()
 		sc.Seed = rapid.Uint64().Draw(t, "seed")
 		sc.Duration, sc.Day = seconds(6), seconds(6)
-		withoutDrain := rapid.Bool().Draw(t, "cut")
+		withoutDrain := rapid.Bool().Draw(t, "without drain")
 		if withoutDrain {
 			sc.Drain = Duration{}
 		}
@@ -158,7 +158,7 @@
 	sc := Default()
 	sc.Fleet.Senders, sc.Destinations.Count, sc.Classes = 580, 35_000, []ClassConfig{defaultClass}
 	if _, err := Run(context.Background(), &sc, Options{MemoryMB: 12_000}); err == nil {
-		t.Error("a run that needs 25 GB was accepted with a limit of 12 GB")
+		t.Error("a run with an estimate of 70 GB was accepted with a limit of 12 GB")
 	}
 	sc.Fleet.Senders = -1
 	var fieldErr *FieldError
--- a/internal/hollow/live.go
+++ b/internal/hollow/live.go
@@ -583,9 +583,9 @@
 	}
 }
 
-// command sends a command over an idle connection or a new one, and reads one line. A sender may close a connection
-// between requests. A command that fails on an idle connection for that reason is sent again on a new one ("Clients
-// to senders").
+// command sends a command over an idle connection or a new one, and reads one line. As a sender may close a connection
+// between requests, a command that fails on an idle connection is sent once more on a new one, unless it timed out
+// ("Clients to senders").
 func (s *liveSender) command(request string) (string, error) {
 	s.mu.Lock()
 	var c *liveConn
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -33,7 +33,7 @@
 	Connections        int64 `json:"connections"`  // connections opened
 	Outages            int64 `json:"outages"`      // of destinations, relapses included
 	Relapses           int64 `json:"falls"`        // outages of cold destinations caused by too many calls
-	InformedRelapses   int64 `json:"blamed"`       // relapses mostly caused by senders that knew of the outage
+	InformedRelapses   int64 `json:"blamed"`       // relapses with over 2/3 of the calls from senders with a failed call in the outage
 	Undetected         int64 `json:"unnoticed"`    // pairs of an outage and a sender that called into it and never detected it
 	Restarts           int64 `json:"restarts"`     // of sender processes
 	Losses             int64 `json:"losses"`       // of sender machines
@@ -126,7 +126,7 @@
 // stats collects measurements during a run.
 type stats struct {
 	Counts
-	withClients     int64 // messages on their way from a client to a sender, or without an answer
+	withClients     int64 // messages at clients: on their way, waiting to be submitted again, or without an answer
 	latency         *hdrhistogram.Histogram
 	detections      int64
 	detectionTotal  logic.Micros
@@ -142,36 +142,36 @@
 
 func newStats() *stats { return &stats{latency: hdrhistogram.New(1, maxLatencyMicros, 3)} }
 
-// countEnd counts a message that ended after the given time.
-func (r *stats) countEnd(took logic.Micros, state endState, c *ClassConfig) {
+// countEnd counts a message that ended the given time after its creation.
+func (s *stats) countEnd(took logic.Micros, state endState, c *ClassConfig) {
 	switch state {
 	case returned:
-		r.Returned++
+		s.Returned++
 	case failed:
-		r.Failed++
+		s.Failed++
 	case delivered:
-		r.Delivered++
+		s.Delivered++
 		if took > c.TargetLatency.Micros {
-			r.Late++
+			s.Late++
 		}
 		// RecordValue cannot fail, as the value is within the bounds of the histogram.
-		_ = r.latency.RecordValue(min(max(int64(took), 1), maxLatencyMicros))
+		_ = s.latency.RecordValue(min(max(int64(took), 1), maxLatencyMicros))
 	}
 }
 
 // open is the number of messages that have not ended.
-func (r *stats) open() int64 { return r.Offered - r.Delivered - r.Returned - r.Failed }
+func (s *stats) open() int64 { return s.Offered - s.Delivered - s.Returned - s.Failed }
 
-func (r *stats) recordDetection(d logic.Micros) {
-	r.detections++
-	r.detectionTotal += d
-	r.detectionMax = max(r.detectionMax, d)
+func (s *stats) recordDetection(d logic.Micros) {
+	s.detections++
+	s.detectionTotal += d
+	s.detectionMax = max(s.detectionMax, d)
 }
 
 // recordColdWindow takes the worst window of one cold recovery into account.
-func (r *stats) recordColdWindow(w ColdWindow) {
-	if w.ratio() > r.worstColdWindow.ratio() {
-		r.worstColdWindow = w
+func (s *stats) recordColdWindow(w ColdWindow) {
+	if w.ratio() > s.worstColdWindow.ratio() {
+		s.worstColdWindow = w
 	}
 }
 
--- a/internal/hollow/scenario.go
+++ b/internal/hollow/scenario.go
@@ -23,19 +23,19 @@
 type Duration struct{ logic.Micros }
 
 // UnmarshalText parses a non-negative duration.
-func (s *Duration) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
-	if err != nil || d < 0 {
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	if err != nil || parsed < 0 {
 		return fmt.Errorf("%q is not a duration: want one like 12s or 350ms", text)
 	}
-	s.Micros = logic.Micros(d / time.Microsecond)
+	d.Micros = logic.Micros(parsed / time.Microsecond)
 	return nil
 }
 
 // MarshalText writes the form that UnmarshalText reads.
-func (s Duration) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-func (s Duration) String() string { return (time.Duration(s.Micros) * time.Microsecond).String() }
+func (d Duration) String() string { return (time.Duration(d.Micros) * time.Microsecond).String() }
 
 // Scenario describes a run. Fields that a file leaves out have the values of [Default].
 type Scenario struct {
@@ -114,9 +114,9 @@
 type RecoveryConfig struct {
 	ColdCapacity     float64  `toml:"from"`          // fraction of its limit available at first
 	WarmupTime       Duration `toml:"warm_after"`    // until the full limit is available
-	OverloadMultiple float64  `toml:"fall_multiple"` // a cold destination that gets more than this multiple of its limit
-	OverloadWindow   Duration `toml:"fall_window"`   // within this window relapses into an outage
-	RelapseDuration  Duration `toml:"fall_for"`      // of this duration
+	OverloadMultiple float64  `toml:"fall_multiple"` // multiple of the limit above which a cold destination relapses
+	OverloadWindow   Duration `toml:"fall_window"`   // period in which calls are counted for OverloadMultiple
+	RelapseDuration  Duration `toml:"fall_for"`      // duration of the outage that a relapse causes
 }
 
 // DiscoveryConfig describes the endpoint list and its changes.
--- a/internal/hollow/sender.go
+++ b/internal/hollow/sender.go
@@ -72,7 +72,7 @@
 	module        *logic.Sender
 	directory     *node.Directory
 	pendingEvents []logic.Event
-	unaccepted    []*message // the module sees them first in the next step
+	unaccepted    []*message // new messages that the next step accepts or rejects
 	inFlight      []*call
 	openCount     int // messages not closed
 	idleConns     map[logic.EndpointID][]*conn
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -39,7 +39,7 @@
 	retirements []retirement
 }
 
-// retirement is the time from which on an endpoint accepts no more calls.
+// retirement records from when on an endpoint must get no more calls.
 type retirement struct {
 	endpoint *endpoint
 	at       time.Duration
@@ -123,7 +123,7 @@
 
 	processSince time.Duration // when the sender's process was started
 	slowSince    time.Duration // when lists last began to be slow
-	slowUntil    time.Duration // when lists stopped being slow; distantFuture if they are slow now
+	slowUntil    time.Duration // until when lists may arrive slowly; distantFuture while the fault lasts
 }
 
 func newDiscoveryAgent(sender int, checker *Checker, r *registry) (*discoveryAgent, error) {
@@ -219,7 +219,8 @@
 	return a.fault, a.faultChanged
 }
 
-// serveHosts answers a request for the list. It holds the request until there are changes or hold_ms have passed.
+// serveHosts answers a request for the list. It holds the request until there are changes or hold_ms have passed, and
+// in any case while discovery is down.
 func (a *discoveryAgent) serveHosts(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if err != nil {
@@ -301,7 +302,7 @@
 	defer a.registry.mu.Unlock()
 	for _, retired := range a.registry.retirements {
 		at := max(retired.at, reachableSince)
-		if !a.pushed || at >= slowSince-slowListDelay && at < slowUntil { // a slow list also delays the next one
+		if !a.pushed || at >= slowSince-slowListDelay && at < slowUntil { // several slow lists may follow each other
 			at += maxDiscoveryDelay
 		}
 		if discoveryMovedAt != 0 {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -52,8 +52,10 @@
 	// For scheduling delays, as senders and peers share one machine.
 	schedulingSlack = 250 * time.Millisecond
 
-	restartGrace    = 1500*time.Millisecond + schedulingSlack // from a restart to the outcome of overdue messages
-	retryAfterSlack = 100 * time.Millisecond                  // for a sender to act on a requested wait
+	// From the readiness of a restarted process to the outcome of messages that are overdue by then.
+	restartGrace = 1500*time.Millisecond + schedulingSlack
+
+	retryAfterSlack = 100 * time.Millisecond // for a sender to act on a requested wait
 
 	// For a change of the list to reach a sender if lists are not pushed or arrive slowly.
 	maxDiscoveryDelay = 6 * time.Second
@@ -239,7 +241,7 @@
 	if since, ok := c.drains[sender][e]; ok &&
 		started > since+c.scenario.DrainGrace+50*time.Millisecond+schedulingSlack {
 		c.reportLocked(RuleDrain, sender,
-			"%s sent to %s %.2f s after the sender should have known that it was retired",
+			"%s sent to %s %.2f s after the sender should have known that the endpoint was retired",
 			messages[0].id, e.name, (started - since).Seconds())
 	}
 	if retryAfter, ok := c.retryAfters[sender][e.dest.number]; ok &&
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -415,13 +415,13 @@
 	if limit := MaxWindowCalls(allowed); float64(calls) > limit && 3*informed >= 2*calls && !d.reported {
 		d.reported = true
 		checker.report(RuleColdRamp, -1,
-			"destination %d: %d calls in %v, limit %.1f, %.1f s after its outage",
+			"destination %d: %d calls in %v, limit %.1f, %.1f s after the end of its outage",
 			d.number, calls, recovery.OverloadWindow, limit, (now - d.recoveredAt).Seconds())
 	}
 }
 
 // MaxWindowCalls returns how many calls a cold destination tolerates in a window in which the settings allow the given
-// number. The margin of 2 to 3 times its square root covers random variation of the traffic.
+// number n. The margin for random variation of the traffic is 3√n + 3 if n is below 30, else 2√n + 2.
 func MaxWindowCalls(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -22,7 +22,7 @@
 // Timing of process control, as on the platform.
 const (
 	stopTimeout    = 3700 * time.Millisecond // from SIGTERM to SIGKILL
-	restartDelay   = 600 * time.Millisecond  // from SIGKILL to the next start
+	restartDelay   = 600 * time.Millisecond  // from the exit of a process to the next start
 	upgradeTimeout = 6 * time.Second         // for the new process to report that it is ready
 	pollInterval   = 15 * time.Millisecond
 )
@@ -35,7 +35,7 @@
 	listenAddr  string
 	agent       *discoveryAgent
 	processLock sync.Mutex    // held while the process is started, stopped, replaced or reconfigured
-	started     chan struct{} // closed when startFirst returns
+	started     chan struct{} // closed when startFirst returns; current is nil then if it failed
 
 	mu               sync.Mutex
 	current          *process
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -293,7 +293,7 @@
 		e.setFault(fault.Kind)
 	}
 	sleep(ctx, fault.To-fault.From)
-	if fault.Kind == ConnectionsRefused { // failed connection attempts are not seen here
+	if fault.Kind == ConnectionsRefused { // failed connection attempts are not recorded: assume that every sender had one
 		d.mu.Lock()
 		for i := range r.senders {
 			d.informed[i] = true
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -27,7 +27,7 @@
 	Idempotency  Idempotency
 	DedupPerZone bool // only endpoints of the same zone recognize each other's duplicates
 	Deadline     time.Duration
-	DedupWindow  time.Duration // how long duplicates are dropped, from the first attempt
+	DedupWindow  time.Duration // how long duplicates are dropped, from the first attempt that may have been executed
 }
 
 // Recovery describes how a destination recovers from an outage: its capacity grows linearly, and calls that exceed it
@@ -206,8 +206,8 @@
 	return sc
 }
 
-// addCoincidentFaults adds faults around restarts, where bugs are most likely to show: steps of the wall clock, disk
-// faults, and destination outages, which leave undelivered messages that a restart could lose.
+// addCoincidentFaults adds to restarts the faults that most often expose bugs together with them: steps of the wall
+// clock, disk faults, and destination outages, which leave undelivered messages that the restart could lose.
 func (sc *Scenario) addCoincidentFaults(rng *rand.Rand, only []FaultKind) {
 	add := func(fault Fault) {
 		if len(only) == 0 || slices.Contains(only, fault.Kind) {
@@ -298,11 +298,11 @@
 	}
 }
 
-// processSettleTime is part of the minimum time between two process faults of a sender.
+// processSettleTime is a time after a process fault in which its sender has no other one; withoutConflicts adds 4 s.
 const processSettleTime = 2500 * time.Millisecond
 
-// withoutConflicts returns the faults without those that would overlap another process fault of the same sender,
-// another fault of the same destination, or a fault of the same kind and place.
+// withoutConflicts returns the faults without those that would overlap or closely follow another process fault of the
+// same sender or another fault of the same destination, or that overlap a fault of the same kind and place.
 func (sc *Scenario) withoutConflicts() (faults []Fault) {
 	for _, fault := range sc.Faults {
 		conflict := slices.ContainsFunc(faults, func(other Fault) bool {
