--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -39,7 +39,7 @@
 	retirements []retirement
 }
 
-// retirement records from when on an endpoint must get no more calls.
+// retirement records from when on an endpoint should get no more calls.
 type retirement struct {
 	endpoint *endpoint
 	at       time.Duration
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -335,7 +335,7 @@
 	}
 }
 
-// recordDrain records since when a sender knows, or should know, that an endpoint accepts no more calls.
+// recordDrain records since when a sender knows, or should know, that an endpoint is retired.
 func (c *Checker) recordDrain(sender int, e *endpoint, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
