--- a/cmd/cometrack/log.go
+++ b/cmd/cometrack/log.go
@@ -13,7 +13,7 @@
 )
 
 // logWriter writes log lines in the background, because a stalled log reader must not block the sender. When the queue
-// is full, lines are dropped; their number is logged once writing succeeds again.
+// is full, lines are dropped; their number is logged after the next line that is written.
 type logWriter struct {
 	out     io.Writer
 	queue   chan []byte
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -29,7 +29,7 @@
 // options defines the flags.
 type options struct {
 	From     uint64        `help:"First seed." default:"1"`
-	To       uint64        `help:"Last seed. A value below the first seed runs only that one."`
+	To       uint64        `help:"Last seed. If it is below the first seed, only the first seed is run."`
 	Senders  int           `help:"Number of sender processes in a run." default:"10"`
 	Length   time.Duration `help:"Duration of the traffic and the faults." default:"12s"`
 	Parallel int           `help:"Number of runs at the same time." default:"3"`
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -96,7 +96,7 @@
 	SenderNumber    int      // number of this sender
 	Zones           []string // zone names, indexed by logic.EndpointEntry.Zone
 	ConnectTimeout  logic.Micros
-	SecondCopies    bool     // a message may be sent again while an earlier call with it is in progress
+	SecondCopies    bool     // a message may be sent again while an earlier call with it is in flight
 	LoadMetricNames []string // indexed as logic.AttemptResult.Load; nil if endpoints report no load
 }
 
--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -22,11 +22,11 @@
 	}
 }
 
-// When a destination stopped answering, a sender whose calls there were all cancelled at τ saw no failure, and sent
-// all that it held once the first trial was answered. Seen with twenty senders.
+// When a destination stopped answering, a sender whose calls there were all cancelled at τ recorded no failure, and
+// sent all that it held once the first trial was answered. This occurred with twenty senders.
 func TestLongSilenceMakesEndpointCold(t *testing.T) {
 	for _, x := range []struct {
-		silent float64
+		outage float64 // seconds without an answer
 		cold   bool
 	}{{1.5, false}, {2.5, true}} {
 		h := newHarness(t, baseSettings())
@@ -36,10 +36,10 @@
 		h.s.recordSuccess(e, sec(0.9))
 		h.s.now = sec(20)
 		h.s.eject(e, "no answer")
-		h.s.now += sec(x.silent)
+		h.s.now += sec(x.outage)
 		h.s.recordSuccess(e, h.s.now)
 		if e.ejected || e.cold != x.cold {
-			t.Errorf("silent for %v s: ejected %v, cold %v", x.silent, e.ejected, e.cold)
+			t.Errorf("no answer for %v s: ejected %v, cold %v", x.outage, e.ejected, e.cold)
 		}
 	}
 }
--- a/logic/decisions_test.go
+++ b/logic/decisions_test.go
@@ -241,7 +241,7 @@
 func TestSilentDestinationsEndByDeadline(t *testing.T) {
 	for name, list := range map[string]EndpointUpdate{
 		"no list":             {},
-		"silent":              fullList(2),
+		"no answers":          fullList(2),
 		"unknown destination": {Entries: []EndpointEntry{{Endpoint: 5, Dest: 4}}},
 	} {
 		h := newHarness(t, baseSettings())
@@ -342,7 +342,7 @@
 	}
 }
 
-// With rate limits that other senders use up, several refusals in a row used to look like an outage.
+// With rate limits that other senders use up, every refusal used to look like an outage.
 func TestRefusalsBetweenAnswersAreNoOutage(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(2))
@@ -535,7 +535,7 @@
 }
 
 // Answers to calls that were in flight at the siblings when a destination went down used to mark them as healthy, so
-// that they got calls without a budget when it returned.
+// that they got calls without a budget when it recovered.
 func TestOldAnswerDoesNotMarkSiblingHealthy(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(2))
@@ -701,7 +701,8 @@
 }
 
 // A burst from many senders at once used up a limit with refused calls for seconds, and the next burst did so again.
-// What all senders send together must stay near the unused part of the limit, however many messages they hold.
+// What all senders send together must stay near the limit divided by its used fraction, however many messages they
+// hold.
 func TestManySendersShareALimit(t *testing.T) {
 	const limit, span = 200.0, 10
 	for _, x := range []struct {
@@ -759,7 +760,8 @@
 	}
 }
 
-// New connections cost time and points: among many senders an endpoint with an open connection is preferred.
+// New connections take time and are charged ConnCost: among many senders an endpoint with an open connection is
+// preferred.
 func TestOpenConnectionPreferredAmongManySenders(t *testing.T) {
 	for _, senders := range []int{2, fewSendersMax + 1} {
 		cfg := baseSettings()
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -11,7 +11,7 @@
 )
 
 // fleetPlan is a simulation of several Senders, each with its own seed, on one virtual clock with one destination.
-// The destination fails from outageStart to outageEnd, returns with ColdCapacity of its capacity and has all of it
+// The destination fails from outageStart to outageEnd, recovers with ColdCapacity of its capacity and has all of it
 // after WarmupTime. It queues calls for half a second and refuses calls beyond that.
 type fleetPlan struct {
 	cfg         Settings
@@ -355,8 +355,8 @@
 }
 
 // The fleet sizes at which overload was seen: few messages per sender, refusals above the capacity, no load reports.
-// Only windows in which over two thirds of the calls came from senders that knew of the outage count: the others cannot
-// limit their calls.
+// A window counts only if over two thirds of its calls came from senders that knew of the outage: the other senders have
+// no reason to limit their calls.
 func TestFleetKeepsRampLimitAtAnySize(t *testing.T) {
 	for _, senders := range []int{2, 5, 16, 17, 60, 120, 300, 580, 900} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -20,7 +20,7 @@
 	binCount          = 48          // the last edge lies near 70 s
 	minSamples        = 4.0         // samples needed before a histogram is used
 	minRestartSamples = 12.0        // samples needed before τ is used; an early τ cancels healthy calls
-	maxRestartCost    = 0.85        // τ must cut the mean time to an answer to this fraction; noise reaches 0.9
+	maxRestartCost    = 0.85        // highest mean answer time with τ, relative to without; noise reaches 0.9
 	resendMargin      = Second      // time to cancel a keyed call and resend it; a quarter of a shorter window
 	maxRestarts       = 2           // restarts of one message; each doubles the next limit
 	stuckP95Factor    = 2.0         // a call is stuck after this multiple of the 95th percentile ...
@@ -75,14 +75,14 @@
 	quotaHalfLife     = 5 * Second // half-life of the count that gives a tenant's rate
 	valueLossHorizon  = Second     // messages are ordered by the value they lose within this time
 	minTryShare       = 0.7        // by protocol, an accepted message is tried for this fraction of its time
-	heldHighWatermark = 0.7        // fraction of MaxOpen from which messages that cannot be sent in time end
-	heldFullWatermark = 0.9        // fraction of MaxOpen from which the least valuable messages are rejected
+	heldHighWatermark = 0.7        // fraction of MaxOpen above which messages that cannot be sent in time end
+	heldFullWatermark = 0.9        // fraction of MaxOpen above which the least valuable messages are rejected
 
 	defaultFullScanMax = 512 // up to this many waiting messages are all examined in each step ...
 	sampleSize         = 64  // ... else this many of a backlog's front, and of the rest in turn ...
 	backlogsPerRound   = 4   // ... and this many backlogs in turn, besides those that are due
 
-	cachedListTime       = 6 * Second // by protocol, changes to the list count as known this long after a start
+	cachedListTime       = 6 * Second // latest time after a start when list changes count as known, by protocol
 	minSubscribeDelay    = Second     // first pause before the list is requested again
 	maxSubscribeDelay    = 3 * Second // longest pause before the list is requested again
 	maxSubscribeInterval = 5_400_000  // from the start of a failed request to the start of the next one
@@ -642,12 +642,12 @@
 	}
 	l.reducedAt = s.now
 	s.paceAllowsAt(l)
-	// Other senders were refused at the same time. Spread the next calls by up to half an interval early or
-	// late, or up to one interval after a requested wait.
+	// Other senders were refused at the same time. Spread the next calls by up to half a call interval early
+	// or late, or up to one call interval after a requested wait.
 	l.tokens = min(l.tokens, s.rng.Float64()-0.5)
 	if s.manySenders && l.limit == 0 && l.refusals == 0 && countAfter(l.servedAt, s.now-recentAnswer) == 0 {
 		// The destination may be down. Spread the retries of senders that were refused once in its last seconds,
-		// so that they do not all meet it when it returns.
+		// so that their calls do not all arrive when it recovers.
 		l.tokens = min(l.tokens, 1-l.pace*seconds(minFirstPause+Micros(s.rng.Float64()*float64(minFirstPause))))
 	}
 	if l.waitUntil > s.now {
@@ -713,7 +713,8 @@
 }
 
 // recompute finds the median, the 95th percentile and τ: the bin edge that gives the least mean time to an
-// answer if every attempt is restarted at it, without limit. τ stays 0 if restarts gain too little.
+// answer if every attempt is restarted at it, without limit. τ stays 0 if there are too few samples, or if
+// restarts gain too little.
 func (h *histogram) recompute() {
 	h.tau, h.median, h.p95 = 0, 0, 0
 	total := h.total + max(h.censored, 0)
@@ -816,7 +817,8 @@
 			}
 		}
 	}
-	// An attempt that cannot be repeated may take its time, but not in the last slot while others wait.
+	// A call that cannot be repeated is left to be answered, unless all slots are taken and messages for other
+	// destinations wait.
 	if oldest != nil && s.slotsUsed >= s.cfg.CallSlots && s.cfg.CallSlots > 0 &&
 		s.waiting.count > oldest.msg.dest.waiting() {
 		s.cancel(oldest)
@@ -963,7 +965,7 @@
 // recordOutcome records what the outcome of a call says about an outage of e.
 func (s *Sender) recordOutcome(e *endpoint, o Outcome) {
 	switch o {
-	case Unreadable: // may come from any endpoint, so only a row of them says something about health
+	case Unreadable: // may come from any endpoint: only several in a row say something about health
 		if e.unreadable++; e.unreadable >= outageUnreadable {
 			s.recordFailure(e, "unreadable answers")
 		}
@@ -988,7 +990,7 @@
 	if e.ejected && sentAt < e.lastFail {
 		return
 	}
-	if e.ejected { // after a long silence it is as cold as after failures that were seen
+	if e.ejected { // an endpoint that gave no answer for long is as cold as one that was seen to fail
 		s.logf("endpoint %d recovered", e.id)
 		s.setStatus(e, e.state, false)
 		e.upAt, e.trialInterval = s.now, 0
@@ -1024,7 +1026,7 @@
 
 // recordRefusal records a refused call. Refusals in a row for longer than the window of a rate limit, or a
 // long requested wait, count as an outage. Each of many senders calls too rarely to wait for the usual
-// number: those that were refused twice would together overload the destination when it returns.
+// number: those that were refused twice would together overload the destination when it recovers.
 func (s *Sender) recordRefusal(e *endpoint, retryAfter Micros) {
 	s.slowDown(e.limiter)
 	e.refusals++
@@ -1041,12 +1043,13 @@
 }
 
 // isConnShortage reports whether a call was refused because the endpoint had no connection free. Where
-// answers carry load reports, such a refusal has none: it is made before anything that knows the limits.
+// answers carry load reports, such a refusal has none: it is sent before the call reaches any part of
+// the endpoint that knows the limits.
 func (s *Sender) isConnShortage(r AttemptResult) bool {
 	return r.Outcome == Refused && r.RetryAfter == 0 && len(r.Load) == 0 && s.hasLoadReports()
 }
 
-// hasLoadReports reports whether any destination has sent a load report with its limit.
+// hasLoadReports reports whether the limit of any destination is known from a load report.
 func (s *Sender) hasLoadReports() bool { return s.reportedLimits > 0 }
 
 // recordConnShortage records a call for which e had no connection free. It says nothing about a rate limit,
@@ -1059,7 +1062,7 @@
 	}
 }
 
-// ejectFailed ejects an endpoint that has failed, and limits the calls to it after its return (slow start).
+// ejectFailed ejects an endpoint that has failed, and limits the calls to it after its recovery (slow start).
 func (s *Sender) ejectFailed(e *endpoint, reason string) {
 	s.eject(e, reason)
 	if !e.cold {
@@ -1187,8 +1190,8 @@
 
 // ---- Timers and idle state -----------------------------------------------------------
 
-// resetIfIdle drops the latencies and the pace of a destination that was idle for long when a message for it
-// comes.
+// resetIfIdle is called when a message for d arrives. It drops the latencies and the pace if d was idle for
+// long.
 func (s *Sender) resetIfIdle(d *dest) {
 	if s.now-d.lastUsedAt > idleDestinationTTL && d.limiter.inFlight == 0 {
 		d.latency, d.limiter.pace = histogram{}, 0
--- a/logic/outage_test.go
+++ b/logic/outage_test.go
@@ -120,8 +120,9 @@
 	}
 }
 
-// The cached list that a sender starts with may contain endpoints that no longer exist. A refused connection at one of
-// them used to count as an outage of its destination and held up its siblings for seconds.
+// The cached list that a sender starts with may contain endpoints that no longer exist; after one restart these were
+// half of the list. A refused connection at one of them used to count as an outage of its destination, and delayed calls
+// to its siblings for seconds.
 func TestCachedListAndOutage(t *testing.T) {
 	for _, updated := range []bool{false, true} {
 		h := newHarness(t, baseSettings())
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -177,7 +177,7 @@
 }
 
 // pausedBacklog makes a Sender that holds n messages for one paced destination, which requests a wait until second 15.
-// By then all but "rising" are long past their target latency.
+// By then all of them are long past their target latency.
 func pausedBacklog(t *testing.T, n int) *backlogDriver {
 	d := newBacklogDriver(t, 1, 1)
 	d.sender.cfg.ExponentialDecay = true
@@ -438,7 +438,7 @@
 		d.now += 40000 * Second
 		acts := d.sender.Step(d.now, d.events)
 		if n := len(actionsOf[Reject](acts)) + len(actionsOf[Fail](acts)); n < 2000 {
-			t.Errorf("%d messages end, want 2000 at least", n)
+			t.Errorf("%d messages end, want at least 2000", n)
 		}
 		if d.sender.waiting.count > 2 {
 			t.Errorf("%d messages still wait", d.sender.waiting.count)
@@ -466,11 +466,11 @@
 	}
 	d.sender.Step(0, nil) // a clock that goes back
 	checkIndexes(t, d.sender)
-	// The last time that the clock can tell.
+	// The latest time that Micros can represent.
 	d.sender.Step(never, []Event{EndpointUpdate{Kind: UpdateFull, Entries: []EndpointEntry{{Endpoint: 1, Dest: 1}}}})
 	checkIndexes(t, d.sender)
 	if d.sender.waiting.count > 0 {
-		t.Errorf("%d messages wait past the end of the clock", d.sender.waiting.count)
+		t.Errorf("%d messages still wait at the latest time", d.sender.waiting.count)
 	}
 }
 
--- a/logic/snapshot.go
+++ b/logic/snapshot.go
@@ -377,8 +377,8 @@
 	return json.Marshal(snap)
 }
 
-// Restore returns a Sender that continues where the snapshot was taken, with the same clock. No timer of it is
-// set yet.
+// Restore returns a Sender that continues where the snapshot was taken, with the same clock. It starts without a
+// timer.
 func Restore(cfg Settings, data []byte) (s *Sender, err error) {
 	var snap snapshot
 	if err := json.Unmarshal(data, &snap); err != nil {
--- a/logic/snapshot_test.go
+++ b/logic/snapshot_test.go
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	for name, bad := range map[string]string{
-		"torn":             string(text[:len(text)/2]),
+		"truncated":        string(text[:len(text)/2]),
 		"empty":            "{}",
 		"another version":  strings.Replace(string(text), fmt.Sprintf(`"Version":%d`, snapshotVersion), `"Version":99`, 1),
 		"unknown message":  strings.Replace(string(text), `"Message":"m1"`, `"Message":"m9"`, 1),
--- a/logic/state.go
+++ b/logic/state.go
@@ -64,7 +64,7 @@
 	ejectedAt              Micros   // when it was last ejected
 	healthyAt              Micros   // when it was last seen to be healthy while a sibling was ejected
 	ejected                bool     // out of rotation as failed: gets single trials only
-	cold                   bool     // after an outage: its calls are limited until its warm-up after upAt ends
+	cold                   bool     // after an outage: its calls are limited until upAt+WarmupTime
 	upAt                   Micros   // end of the outage: when it answered again
 	downAt                 Micros   // start of the outage: the last success before it, or the ejection
 	trialAt, trialInterval Micros   // earliest time of the next trial; the pause before it, without jitter
@@ -89,7 +89,7 @@
 	cancelled bool
 	restarted bool // cancelled at the restart time τ, to be sent again
 	stuck     bool // without an answer for so long that its endpoint was ejected
-	censored  bool // counted as lasting past τ while it is in flight; taken back if it completes
+	censored  bool // counted as lasting past τ while it is in flight; no longer counted once it is delivered
 }
 
 // msg is a message that has not ended, or of which an attempt is still in flight.
@@ -142,7 +142,7 @@
 	return n
 }
 
-// dropBefore drops the times before t, but keeps the last one of all.
+// dropBefore drops the times before t, but always keeps the last one.
 func dropBefore(times []Micros, t Micros) []Micros {
 	i := 0
 	for i < len(times)-1 && times[i] < t {
--- a/logic/types.go
+++ b/logic/types.go
@@ -15,7 +15,7 @@
 //
 // The Sender ends each message exactly once and by its deadline (through an
 // AttemptResult with Final set, a [Reject] or a [Fail]) and sends nothing for it
-// afterwards. On its own part it keeps the rules for sending: draining, requested
+// afterwards. In what it sends itself, it follows the rules for draining, requested
 // waits, resends, attempt limits, order by key, and load on destinations that
 // recover. Events for messages, endpoints or timers that it does not know are
 // ignored. The same events produce the same actions.
@@ -89,13 +89,13 @@
 
 	ConnIdleTimeout Micros  // idle connections are closed after this time
 	CallsPerConn    int     // concurrent calls on one connection
-	ConnCost        float64 // points deducted for a message that needs a new connection
+	ConnCost        float64 // cost charged for each message that needs a new connection
 
 	MaxRetryAfter  Micros  // longest retry advice that clients follow
 	OverQuotaValue float64 // fraction of its value that a message over its tenant's quota keeps
 
 	DrainGrace       Micros  // time allowed to stop sending to an endpoint that drains or is removed
-	OverloadMultiple float64 // a cold destination fails under this multiple of its capacity ...
+	OverloadMultiple float64 // a cold destination fails under more than this multiple of its capacity ...
 	OverloadWindow   Micros  // ... that lasts this long
 	ColdCapacity     float64 // fraction of its capacity that a destination has right after an outage
 	WarmupTime       Micros  // time from the end of the outage until it has its full capacity
