--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -89,8 +89,8 @@
 	return logic.Micros(math.Round(s * float64(logic.Second)))
 }
 
-// Deployment holds the content of the JSON object: the settings of the decision
-// module, and values that only the program around it needs.
+// Deployment holds what the JSON object with the settings contains: the settings of
+// the decision module, and values that only the program around it needs.
 type Deployment struct {
 	Settings        logic.Settings
 	SenderNumber    int      // number of this sender
@@ -107,7 +107,7 @@
 	return d.Settings, err
 }
 
-// ParseDeployment parses the whole JSON object.
+// ParseDeployment parses the whole JSON object with the settings.
 func ParseDeployment(text []byte) (Deployment, error) {
 	var in settingsJSON
 	if err := json.Unmarshal(text, &in); err != nil {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1071,7 +1071,8 @@
 	}
 }
 
-// eject takes an endpoint out of rotation (outlier ejection). From then on it gets single trials only.
+// eject takes an endpoint out of rotation (outlier ejection). From then on it gets trials only: single calls
+// with pauses in between.
 func (s *Sender) eject(e *endpoint, reason string) {
 	if !e.ejected {
 		s.logf("endpoint %d ejected: %s", e.id, reason)
