--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -76,7 +76,7 @@
 // message waits for it.
 type bulkCall struct {
 	mu                sync.Mutex
-	pending           map[*call]bool // messages without a result; false once nothing waits for them
+	pending           map[*call]bool // messages without a result; the value is false once nothing waits for the message
 	allowSecondCopies bool
 	cancel            context.CancelFunc
 	report            func(*call, callResult)
@@ -207,7 +207,7 @@
 	states := map[string]string{}
 	for _, status := range statuses {
 		if previous, repeated := states[status.ID]; repeated && previous != status.State {
-			status.State = "" // contradictory states are malformed
+			status.State = "" // two different states: which one is right is unknown
 		}
 		states[status.ID] = status.State
 	}
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -184,7 +184,7 @@
 	grace     time.Duration
 	mu        sync.Mutex
 	cancelled bool
-	aborted   bool // our side of the connection is closed; only the grace period is left
+	aborted   bool // the sending side is closed; only the grace period is left
 }
 
 func (d *callDeadline) cancel() {
@@ -214,9 +214,9 @@
 	}
 }
 
-// abort closes our side of the connection, which tells the endpoint that the call is aborted, and gives it the grace
-// period to react, so that the next call with the message does not overlap this one. A response that arrives in that
-// time still counts.
+// abort closes the sending side of the connection, by which the endpoint learns that the call is aborted, and gives it
+// the grace period to react, so that the next call with the message does not overlap this one. A response that arrives
+// in that time still counts.
 func (d *callDeadline) abort() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -288,8 +288,8 @@
 	return false
 }
 
-// reserveConn counts a new connection against the limit. At the limit it closes the oldest idle connection to make
-// room; it returns false if there is none.
+// reserveConn counts a new connection against the limit. At the limit it closes the connection that has been
+// idle longest to make room; it returns false if none is idle.
 func (c *endpointClient) reserveConn() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -414,7 +414,8 @@
 	}
 }
 
-// setLimits changes the limits on connections and closes the oldest idle connections that exceed them.
+// setLimits changes the limits on connections and closes idle connections that exceed them, the one idle
+// longest first.
 func (c *endpointClient) setLimits(limits socketBudget) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -133,7 +133,7 @@
 }
 
 // Reusing a connection that the endpoint has closed, or will soon close as idle, ends the next call with a reset, after
-// which a message of an unsafe class has failed.
+// which a non-idempotent message has failed.
 func TestUnusableConnectionIsNotReused(t *testing.T) {
 	e, c := newEndpoint(t), newEndpointClient(
 		time.Second, time.Hour, 4, socketBudget{calls: 16, idle: 16}, new(atomic.Int64),
--- a/internal/node/close_test.go
+++ b/internal/node/close_test.go
@@ -159,7 +159,7 @@
 }
 
 // A request must count as open before any of it is read: until then its connection may be closed to make room, and
-// clients send only requests again that were not read.
+// clients send again only those requests that were not read.
 func TestRequestCountsBeforeRead(t *testing.T) {
 	events := make(chan any)
 	s, h, c := newHookedSession(t, events)
@@ -228,7 +228,7 @@
 			t.Errorf("passed on: %+v", <-events)
 		}
 	})
-	t.Run("behind another", func(t *testing.T) {
+	t.Run("pipelined behind another", func(t *testing.T) {
 		events := make(chan any)
 		s, _, c := newHookedSession(t, events)
 		done := s.serveAsync()
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// A sender must act on a change 6 s after discovery could have delivered it, even if a watch hangs. maxWatchHold plus
-	// watchTimeoutMargin leaves time for a new call after a silent watch.
+	// A sender must act on a change at most 6 s after discovery could have delivered it, even if a watch gets no response.
+	// maxWatchHold plus watchTimeoutMargin leaves time for a new call after such a watch.
 	maxWatchHold       = 4 * time.Second // longest time that discovery may hold a watch open without a change
 	watchTimeoutMargin = time.Second     // after the hold time, for the response to arrive
 
@@ -33,7 +33,7 @@
 	// grows with the number of senders.
 	minStartSpread       = 300 * time.Millisecond
 	startSpreadPerSender = 25 * time.Millisecond
-	maxStartSpread       = 3 * time.Second // a change must take effect 6 s after a start
+	maxStartSpread       = 3 * time.Second // a change must take effect at most 6 s after a start
 
 	emptyResponsePause   = 100 * time.Millisecond // between watches that return at once without a change
 	removedRetention     = time.Minute            // removed endpoints are remembered for this long, since they may return
@@ -228,7 +228,7 @@
 }
 
 // discoveryClient follows the endpoint list. In on-request mode it calls discovery itself: a watch runs from the moment
-// it is requested until a call fails or discovery's address changes. In pushed mode the address is that of a local
+// it is requested until calls fail or discovery's address changes. In pushed mode the address is that of a local
 // agent. A sender must act on what the agent has from the start of the process, so the first watch begins without delay
 // and ends only when the address changes. It belongs to the event loop.
 type discoveryClient struct {
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -23,12 +23,12 @@
 	"time"
 )
 
-// changeDeadline is when a sender must act on a change, counted from the moment at which discovery had it and was
-// reachable.
+// changeDeadline is the time within which a sender must act on a change, counted from the moment at which discovery had
+// it and was reachable.
 const changeDeadline = 6 * time.Second
 
-// addressChangeDeadline is when a sender must act on the list at a new discovery address, counted from the signal to
-// reload.
+// addressChangeDeadline is the time within which a sender must act on the list at a new discovery address, counted from
+// the signal to reload.
 const addressChangeDeadline = 4 * time.Second
 
 // fakeDiscovery is an in-memory discovery server. A fault affects the watch that is held and each call that arrives
@@ -353,8 +353,8 @@
 	return failing.lastSent.Sub(recovered)
 }
 
-// However calls to discovery fail, and however many in a row: the sender acts on a change 6 s after discovery had it
-// and was reachable, even with the longest pauses and with a call that began just before that moment.
+// However calls to discovery fail, and however many in a row: the sender acts on a change at most 6 s after discovery
+// had it and was reachable, even with the longest pauses and with a call that began just before that moment.
 func TestChangeTakesEffectAfterAnyFailure(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for _, phase := range []string{"first call", "watch", "SIGHUP"} {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// In pushed mode a sender must act on what the local agent has from its start, so the first watch is not delayed by the
-// number of senders. When it was, senders called removed endpoints 1.2 to 1.8 s after restarts.
+// In pushed mode a sender must act on what the local agent has from its start, so the first watch is not delayed,
+// however many senders there are. When it was, senders called removed endpoints 1.2 to 1.8 s after restarts.
 func TestFirstWatchOfPushedListStartsAtOnce(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		d := newDiscoveryClient("", 300, slog.New(slog.DiscardHandler), nil)
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -173,10 +173,10 @@
 func TestStartSurvivesTransientErrors(t *testing.T) {
 	const span = 1500 * time.Millisecond
 	for name, makeFaults := range map[string]func() []faultinject.Fault{
-		"folder full": func() []faultinject.Fault {
+		"state folder full": func() []faultinject.Fault {
 			return faultsFor(span, syscall.ENOSPC, "open", "pwrite", "truncate")
 		},
-		"folder fails": func() []faultinject.Fault {
+		"state folder fails": func() []faultinject.Fault {
 			return faultsFor(span, syscall.EIO, "open", "unlink", "truncate")
 		},
 		"truncation fails":   func() []faultinject.Fault { return faultsFor(span, syscall.EIO, "truncate") },
@@ -460,13 +460,13 @@
 func testRejectedPartialWrite(t *testing.T) {
 	p, e, dir, known := newSingleEndpoint(t)
 	now := faultTime()
-	fault := func(call string, errno syscall.Errno, most int, chance float64) faultinject.Fault {
+	fault := func(call string, errno syscall.Errno, maxBytes int, probability float64) faultinject.Fault {
 		return faultinject.Fault{
 			Call:        call,
 			Target:      faultinject.StateFiles,
 			Errno:       errno,
-			MaxBytes:    most,
-			Probability: chance,
+			MaxBytes:    maxBytes,
+			Probability: probability,
 			From:        now + faultDelay,
 			To:          now + time.Minute,
 		}
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -36,7 +36,7 @@
 	violationWrongDestination    violation = "other-place"   // send to an endpoint of another destination
 	violationEndpointUnavailable violation = "endpoint-shut" // send to an endpoint that is draining or removed
 	violationWaitNotOver         violation = "wait-told"     // send before the end of a requested wait
-	violationRepeatUnsafe        violation = "repeat-unsafe" // repeat of an unsafe message that may have run
+	violationRepeatUnsafe        violation = "repeat-unsafe" // repeat of a non-idempotent message that may have run
 	violationRepeatLate          violation = "repeat-late"   // repeat after the deduplication window
 	violationRepeatOtherZone     violation = "repeat-else"   // repeat in a zone other than the one that deduplicates it
 	violationAttemptsUsedUp      violation = "tries-used-up" // send beyond the maximum number of attempts
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -8,7 +8,7 @@
 	"rundeal/logic"
 )
 
-// Breaks each rule, one at a time. The send must be denied and counted under the name of the rule.
+// Breaks each rule, one at a time. The send must be denied, and the violation counted under the name of the rule.
 func TestGuardDeniesSend(t *testing.T) {
 	const id = "m"
 	for _, test := range []struct {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -376,7 +376,7 @@
 func (n *Node) acceptSuccessors(ctx context.Context, ln handoverListener, clients *net.TCPListener) {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
 	delay := acceptRetryDelay
-	// Accepting fails all the time where the platform does not support Unix sockets.
+	// Accepting fails all the time where the platform does not permit Unix sockets.
 	acceptFailures := failureLog{log: n.log, operation: "handover: accept"}
 	greetingFailures := failureLog{log: n.log, operation: "handover: greeting"}
 	for {
@@ -394,7 +394,7 @@
 		s := &successor{link: &link{conn: conn}, packets: make(chan packet, 64)}
 		stop := context.AfterFunc(ctx, s.link.close)
 		if err := s.link.readGreeting(); err == nil {
-			n.events <- successorEvent{successor: s} // the event loop must know of it before it reports ready
+			n.events <- successorEvent{successor: s} // sent before the successor can report ready
 			err = s.link.sendListener(n.cfg.ListenAddr, clients)
 			greetingFailures.observe(err)
 			if err == nil {
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// testEndpoint is an endpoint to whose calls the test responds one by one.
+// testEndpoint is an endpoint that leaves the response to each call to the test.
 type testEndpoint struct {
 	ln    net.Listener
 	calls chan *receivedCall
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -38,9 +38,9 @@
 	idle    int // to endpoints, kept without a call
 }
 
-// newSocketBudget gives calls half of the available sockets, or more if the call slots need them, and clients the rest.
-// Clients keep at least two fifths: they need a third for requests, and ideally as much again for connections that stay
-// silent.
+// newSocketBudget gives calls, including their idle connections, half of the available sockets, or more if the call
+// slots need them, and clients the rest. Clients keep at least two fifths: they need a third for requests and, if
+// possible, as many again for connections that stay silent.
 func newSocketBudget(cfg *Config) socketBudget {
 	sockets := cfg.Limits.Sockets
 	if sockets <= 0 {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -284,7 +284,7 @@
 
 // awaitInitialList waits up to initialListTimeout for the endpoint list if discovery is watched from the start, because
 // a local discovery agent then has the list at once. A standby process that takes over without a handover replaces one
-// that may have seen changes which are missing from the list in its own configuration.
+// that may have seen changes which are missing from the list in the standby process's configuration.
 func (n *Node) awaitInitialList(workCtx context.Context) {
 	timeout := time.NewTimer(initialListTimeout)
 	defer timeout.Stop()
@@ -932,7 +932,7 @@
 	class := n.cfg.classOf(m.msg)
 	c.nonRetryable = class.Idempotency == logic.NonIdempotent
 	if entry := n.journal.Entry(a.ID); entry != nil && entry.MayHaveRun && class.Idempotency == logic.IdempotentByKey {
-		// A repeat must be written before the deduplication window ends.
+		// A repeat must be written by the end of the deduplication window.
 		c.writeBy = n.clock.Time(entry.FirstMayRunAt).Add(toDuration(class.DedupWindow))
 	}
 	ctx, cancel := context.WithCancel(workCtx)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -458,7 +458,8 @@
 		name           string
 		separateRoutes bool
 		change         func(n *Node)
-		// Of the calls connecting to endpoints 1 and 2 of destination 1 and 3 of destination 2, and one written to 1.
+		// For each call, whether it is aborted: three are connecting, to endpoints 1 and 2 of destination 1 and 3 of
+		// destination 2, and one is already written to endpoint 1.
 		aborted [4]bool
 	}{
 		{"wait, common limit", false, func(n *Node) { n.abortForWait(1) }, [4]bool{true, true, false, false}},
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -55,12 +55,12 @@
 		prepare   func(t *testing.T, dir string, p *testPlatform) // changes the state folder or the platform
 		served    string                                          // id prefix of a message that must be sent; empty for none
 	}{
-		{"nothing", 3, 1, func(*testing.T, string, *testPlatform) {}, ""},
+		{"empty journal", 3, 1, func(*testing.T, string, *testPlatform) {}, ""},
 		{"full journal", 3, 1, func(t *testing.T, dir string, _ *testPlatform) { fillJournal(t, dir, 3) }, "m-"},
 		{"full journal of the maximum size", 40, 1, func(t *testing.T, dir string, _ *testPlatform) {
 			fillJournal(t, dir, 40)
 		}, "m-"},
-		{"torn journal", 3, 1, func(t *testing.T, dir string, _ *testPlatform) {
+		{"truncated journal", 3, 1, func(t *testing.T, dir string, _ *testPlatform) {
 			fillJournal(t, dir, 3)
 			path := filepath.Join(dir, journalFile)
 			info, err := os.Stat(path)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -80,5 +80,5 @@
 	n.log.Info("reload: discovery moves", "from", n.discovery.addr, "to", cfg.DiscoveryAddr)
 	n.notices.setAddr(cfg.DiscoveryAddr)
 	n.discovery.setAddr(cfg.DiscoveryAddr)
-	n.discovery.startWatch(workCtx) // at once: this sender is soon expected to follow what the new address announces
+	n.discovery.startWatch(workCtx) // at once: the sender must soon act on the list at the new address
 }
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// After a malformed response, messages of classes that permit retries are sent again, and those of the unsafe class
-// have failed. A status line of 200 ends the message in every class.
+// After a malformed response, messages of classes that permit retries are sent again, at once and possibly to another
+// endpoint, and those of the unsafe class have failed. A status line of 200 ends the message in every class.
 func TestMalformedResponseByClass(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -76,12 +76,12 @@
 // repeatingReader yields a text over and over.
 type repeatingReader struct{ text, rest string }
 
-func (e *repeatingReader) Read(b []byte) (int, error) {
-	if e.rest == "" {
-		e.rest = e.text
+func (r *repeatingReader) Read(b []byte) (int, error) {
+	if r.rest == "" {
+		r.rest = r.text
 	}
-	n := copy(b, e.rest)
-	e.rest = e.rest[n:]
+	n := copy(b, r.rest)
+	r.rest = r.rest[n:]
 	return n, nil
 }
 
@@ -441,7 +441,7 @@
 	}
 }
 
-// The size of the state passed on in a handover, by the size of the list. More than one frame is not sent.
+// The size of the state passed on in a handover, by the size of the list. More than maxFrameBytes is not sent.
 func BenchmarkHandoverState(b *testing.B) {
 	for _, size := range listSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/node/session.go
+++ b/internal/node/session.go
@@ -17,7 +17,7 @@
 	requestTimeout       = 2 * time.Second         // from the start to the end of a later request
 	clientIdleTimeout    = 4 * time.Second         // between requests
 	replyWriteTimeout    = 2 * time.Second
-	minRequestTime       = 200 * time.Millisecond // least time for a request that has begun to arrive, or to get a slot
+	minRequestTime       = 200 * time.Millisecond // least time for a request that has begun; longest wait for a slot
 	maxConsecutiveErrors = 16                     // a connection with this many errors in a row is closed
 	errorDelay           = 5 * time.Millisecond   // before the next request is read, times the errors in a row
 	clientLingerTimeout  = 500 * time.Millisecond // for the client to close its side after we have closed ours
--- a/internal/node/signal_test.go
+++ b/internal/node/signal_test.go
@@ -11,7 +11,7 @@
 )
 
 // lockStateDir locks a state folder, as a process that owns it would. The returned function releases the lock.
-func lockStateDir(t *testing.T, dir string) (f func()) {
+func lockStateDir(t *testing.T, dir string) (release func()) {
 	t.Helper()
 	lock, err := tryLock(dir)
 	if err != nil || lock == nil {
@@ -78,7 +78,7 @@
 			}
 			receive(t, c.e.calls, "call").reply(200)
 		},
-		"a call": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
+		"call in flight": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
 			proc := startProcess(t, c.p, c.dir, c.known)
 			dialClient(t, proc.addr).put("m", "safe", "+OK")
 			in := receive(t, c.e.calls, "call")
@@ -86,7 +86,7 @@
 			in.reply(200)
 			c.pendingID = "m"
 		},
-		"half a line of a response": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
+		"half a status line": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
 			proc := startProcess(t, c.p, c.dir, c.known)
 			watch := dialClient(t, proc.addr)
 			watch.put("m", "safe", "+OK")
@@ -99,7 +99,7 @@
 			in.keepReading <- false
 			c.pendingID = "m"
 		},
-		"a stop, with a call": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
+		"shutdown, with a call in flight": func(t *testing.T, c *signalCase, sendSignal func(*process)) {
 			proc := startProcess(t, c.p, c.dir, c.known)
 			client := dialClient(t, proc.addr)
 			client.put("m", "safe", "+OK")
--- a/internal/node/window_test.go
+++ b/internal/node/window_test.go
@@ -85,7 +85,7 @@
 	b.expectNoCall(t)
 }
 
-// A retry must be written before the end of the window that began before the restart; the restart does not begin a new
+// A retry must be written by the end of the window that began before the restart; the restart does not begin a new
 // one. If that window is over, the first step ends the message without an attempt.
 func TestRestartKeepsFirstDedupWindow(t *testing.T) {
 	p, a, b := newPlatform(t), newEndpoint(t), newEndpoint(t)
@@ -133,7 +133,7 @@
 	}
 	receive(t, a.calls, "call").reply(200)
 	if got, want := n.active["m"].call.writeBy, n.clock.Time(first.UnixMicro()).Add(time.Second); !got.Equal(want) {
-		t.Errorf("to be written before %v, want %v", got, want)
+		t.Errorf("to be written by %v, want %v", got, want)
 	}
 	if e := n.journal.Entry("m"); e.Attempts != 2 || e.FirstMayRunAt != first.UnixMicro() {
 		t.Errorf("the journal has %+v", e)
