--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -414,8 +414,8 @@
 	}
 }
 
-// setLimits changes the limits on connections and closes idle connections that exceed them, the one idle
-// longest first.
+// setLimits changes the limits on connections and closes idle connections that exceed them, the one idle longest
+// first.
 func (c *endpointClient) setLimits(limits socketBudget) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -47,7 +47,7 @@
 	Attempts        int     `json:"tries,omitempty"`
 	InFlight        bool    `json:"open,omitempty"`      // the last attempt has no outcome
 	MayHaveRun      bool    `json:"may_run,omitempty"`   // an earlier attempt may have run
-	FirstMayRunAt   int64   `json:"first_may,omitempty"` // send time of the first attempt that may have run, persistent clock
+	FirstMayRunAt   int64   `json:"first_may,omitempty"` // send time of the first that may have run, persistent clock
 	FirstMayRunZone int     `json:"zone,omitempty"`      // zone of that attempt's endpoint
 	End             *Notice `json:"end,omitempty"`
 	seq             int
