--- a/internal/node/put.go
+++ b/internal/node/put.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxLifetime       = 24 * time.Hour // of any message
+	maxLifetime       = 24 * time.Hour // of any message; also caps the wait that an endpoint may request
 	maxLifetimeFactor = 10             // maximum lifetime as a multiple of the deadline of the message's class
 	maxIDLen          = 128
 )
